--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -9,12 +9,12 @@
 	d := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare,
 		Routes: []Route{{Importance: 1, SLO: 1000}, {Importance: 3, SLO: 1000}}})
 	g := d.gate
-	g.usual = []float64{9, 1}
+	g.usualRates = []float64{9, 1}
 	g.level = 1.5
 	d.now = 10000
-	g.asked[cheap].add(d.now, gateMemory, 80)
-	g.asked[lead].add(d.now, gateMemory, 40)
-	come := g.asked[cheap].rate(d.now, gateMemory, 0) + g.asked[lead].rate(d.now, gateMemory, 0)
+	g.callSums[cheap].add(d.now, gateMemory, 80)
+	g.callSums[lead].add(d.now, gateMemory, 40)
+	come := g.callSums[cheap].rate(d.now, gateMemory, 0) + g.callSums[lead].rate(d.now, gateMemory, 0)
 	if all, _ := g.estimateDemand(); all > come+0.001 {
 		t.Errorf("a demand of %.1f calls a second is reckoned where %.1f come", all, come)
 	}
@@ -23,10 +23,10 @@
 // A level that is told as whole turns nobody away, and what comes usually is learnt again.
 func TestLevelsToldAsWholeThrottleNothing(t *testing.T) {
 	g := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}, {SLO: 1000}}}).gate
-	if g.level = 1.98; g.throttles() {
+	if g.level = 1.98; g.isThrottling() {
 		t.Error("a level that is told as 1 is taken to throttle")
 	}
-	if g.level = 1.9; !g.throttles() {
+	if g.level = 1.9; !g.isThrottling() {
 		t.Error("a level of 0.9 is taken to throttle nothing")
 	}
 }
@@ -40,12 +40,12 @@
 	g := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare,
 		Routes: []Route{{Importance: 1, SLO: 1000}, {Importance: 3, SLO: 1000}}}).gate
 	g.now = 10000
-	g.usual = []float64{60, 30} // wanted, as learnt before
-	g.asked[cheap].add(g.now, gateMemory, 300)
-	g.asked[lead].add(g.now, gateMemory, 40)
-	g.steer(capability{able: able, busy: able, busyOf: able})
-	levels := g.levels(true).level
-	letIn := levels[cheap]*g.calls(cheap) + levels[lead]*g.calls(lead)
+	g.usualRates = []float64{60, 30} // wanted, as learnt before
+	g.callSums[cheap].add(g.now, gateMemory, 300)
+	g.callSums[lead].add(g.now, gateMemory, 40)
+	g.adjustLevel(fleetCapacity{capacity: able, busyWeighted: able, busyCapacity: able})
+	levels := g.routeLevels(true).level
+	letIn := levels[cheap]*g.callRate(cheap) + levels[lead]*g.callRate(lead)
 	if letIn > able {
 		t.Errorf("%.0f calls a second are let in where hosts can do %.0f", letIn, able)
 	}
@@ -56,12 +56,12 @@
 	const able, busyShare, level = 200.0, 0.5, 0.3
 	g := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}}}).gate
 	g.now = 10000
-	g.usual = []float64{100}
-	g.asked[0].add(g.now, gateMemory, 1000)
-	g.level, g.told.level = level, []float64{level}
-	before := level * g.calls(0)
-	g.steer(capability{able: able, busy: able * busyShare, busyOf: able})
-	after := g.level * g.calls(0)
+	g.usualRates = []float64{100}
+	g.callSums[0].add(g.now, gateMemory, 1000)
+	g.level, g.published.level = level, []float64{level}
+	before := level * g.callRate(0)
+	g.adjustLevel(fleetCapacity{capacity: able, busyWeighted: able * busyShare, busyCapacity: able})
+	after := g.level * g.callRate(0)
 	if most := before * strain / busyShare; after > most+0.001 || after <= before {
 		t.Errorf("%.0f calls a second are let in after %.0f, at hosts half idle: more than before and at most %.0f were expected", after, before, most)
 	}
@@ -69,10 +69,10 @@
 
 // Busy shares are older than a burst that has just begun: hosts that had room are not roomy for twice the calls.
 func TestBusySharesAreOlderThanABurst(t *testing.T) {
-	calm := capability{busy: 50, busyOf: 100, usable: 1, growth: 1}
+	calm := fleetCapacity{busyWeighted: 50, busyCapacity: 100, usable: 1, growth: 1}
 	burst := calm
 	burst.growth = 2
-	if !calm.roomy() || burst.roomy() {
-		t.Errorf("roomy in calm %v, in a burst %v", calm.roomy(), burst.roomy())
+	if !calm.hasRoom() || burst.hasRoom() {
+		t.Errorf("roomy in calm %v, in a burst %v", calm.hasRoom(), burst.hasRoom())
 	}
 }
--- a/logic/draft.go
+++ b/logic/draft.go
@@ -7,39 +7,39 @@
 // draft is a message that is being filled.
 type draft struct {
 	*publisher
-	cost *flight
+	message *channelMessage
 }
 
 func (p *publisher) newDraft() *draft {
-	f := &flight{streams: &p.streams, each: p.rules.head + 1, queue: p.rules.queue}
-	heads := float64(p.streams.len()) * f.each
-	f.filled, f.unowned = p.waiting()
-	f.filled, f.unowned = f.filled+heads, f.unowned+heads
-	p.expectReturns(f)
+	f := &channelMessage{proxies: &p.proxies, overhead: p.rules.headLines + 1, queueLimit: p.rules.queueLimit}
+	heads := float64(p.proxies.len()) * f.overhead
+	f.filled, f.totalUnacknowledged = p.queuedLines()
+	f.filled, f.totalUnacknowledged = f.filled+heads, f.totalUnacknowledged+heads
+	p.reserveForReturns(f)
 	return &draft{p, f}
 }
 
-func everyStream(*stream) bool { return true }
+func everyProxy(*joinedProxy) bool { return true }
 
 // using says which streams hold a table.
-func (d *draft) using(t TableID) func(*stream) bool {
-	return func(s *stream) bool { return d.rules.sliced || s.bound && s.table == t || t >= zoneTables }
+func (d *draft) usersOf(t TableID) func(*joinedProxy) bool {
+	return func(s *joinedProxy) bool { return d.rules.sliced || s.bound && s.table == t || t >= zoneTables }
 }
 
 // writeMasks writes the masks of a kind that are not as they should be, but for some.
-func (d *draft) writeMasks(open opening, but func(HostID) bool) {
-	for _, id := range d.ajar(open) {
-		if !but(id) && d.cost.book(urgentPart, 1, everyStream) {
-			d.order(Mask{id, open != opened})
-			d.setMask(id, open != opened)
+func (d *draft) writeMasks(open availability, but func(HostID) bool) {
+	for _, id := range d.hostsToMask(open) {
+		if !but(id) && d.message.reserve(urgentPart, 1, everyProxy) {
+			d.order(Mask{id, open != available})
+			d.setMask(id, open != available)
 		}
 	}
 }
 
 // writeBareTables writes the tables that have nothing to offer, those that have waited for longest first.
-func (d *draft) writeBareTables() {
-	for _, w := range d.wantedBy(true, func(w wanted) float64 { return -float64(w.at) }) {
-		d.write(w, d.nextStep(w, false), urgentPart)
+func (d *draft) writeExhaustedTables() {
+	for _, w := range d.pendingTables(true, func(w wantedTable) float64 { return -float64(w.pendingSince) }) {
+		d.writeTable(w, d.nextStep(w, false), urgentPart)
 	}
 }
 
@@ -47,12 +47,12 @@
 // changes with the others, the lines of such hosts go alone where the whole does not fit.
 func (d *draft) writeOverdueTables() {
 	part := d.ordinaryShare()
-	for _, w := range d.wantedBy(false, d.urgency) {
-		if d.full(part) {
+	for _, w := range d.pendingTables(false, d.priority) {
+		if d.isFull(part) {
 			return
 		}
-		if d.outFor(w) > overdueAfter && !d.write(w, w.lines, part) {
-			d.write(w, d.withoutHostsOut(w), part)
+		if d.excludedFor(w) > overdueAfter && !d.writeTable(w, w.lines, part) {
+			d.writeTable(w, d.withoutExcludedHosts(w), part)
 		}
 	}
 }
@@ -61,70 +61,70 @@
 // their main lines first; in an overload all do.
 func (d *draft) writeTables() {
 	part := d.ordinaryShare()
-	whole := d.fitsWhole(d.cost, part)
-	for _, w := range d.wantedBy(false, d.urgency) {
-		if d.full(part) {
+	whole := d.fitsAllPending(d.message, part)
+	for _, w := range d.pendingTables(false, d.priority) {
+		if d.isFull(part) {
 			return
 		}
 		lines := w.lines
-		if !whole && (w.urgent || d.place.around.overloaded() || d.outFor(w) <= wholeAfter) {
+		if !whole && (w.urgent || d.placer.fleet.isOverloaded() || d.excludedFor(w) <= writeWholeAfter) {
 			lines = d.nextStep(w, true)
 		}
-		d.write(w, lines, part)
+		d.writeTable(w, lines, part)
 	}
 }
 
 // full says whether there is no room for a line to all proxies.
-func (d *draft) full(part float64) bool {
-	return d.rules.sliced && !d.cost.fits(part, float64(d.streams.len()))
+func (d *draft) isFull(part float64) bool {
+	return d.rules.sliced && !d.message.hasRoom(part, float64(d.proxies.len()))
 }
 
-func (d *draft) urgency(w wanted) float64 { return w.priority(d.now) }
+func (d *draft) priority(w wantedTable) float64 { return w.priority(d.now) }
 
 // write puts the lines that a table is to hold next into the message, if that part of the queue has room for them. A
 // table that has none does not hold up those behind it: a smaller one may fit.
-func (d *draft) write(w wanted, next lines, part float64) (written bool) {
-	t, changes := w.table, d.changes(w.table, next)
-	if d.rules.sliced && !d.cost.fits(part, float64(len(changes)*d.streams.len())) {
+func (d *draft) writeTable(w wantedTable, next lines, part float64) (written bool) {
+	t, changes := w.table, d.tableOrders(w.table, next)
+	if d.rules.sliced && !d.message.hasRoom(part, float64(len(changes)*d.proxies.len())) {
 		return false // told without a walk over all proxies, of which there are thousands, for each of as many tables
 	}
-	if !d.cost.book(part, float64(len(changes)), d.using(t)) {
+	if !d.message.reserve(part, float64(len(changes)), d.usersOf(t)) {
 		return false
 	}
 	d.out = append(d.out, changes...)
-	if d.stands.put(t, next); slices.Equal(next, w.lines) {
-		d.wants.drop(t)
+	if d.current.put(t, next); slices.Equal(next, w.lines) {
+		d.pending.drop(t)
 	} else if len(changes) > 0 {
-		w.at, w.urgent = d.now, false // its calls go where they should: the rest can wait
-		d.wants.put(t, w)
+		w.pendingSince, w.urgent = d.now, false // its calls go where they should: the rest can wait
+		d.pending.put(t, w)
 	}
-	d.post(d.place, laid{t, next})
+	d.post(d.placer, tableWritten{t, next})
 	for _, l := range next {
 		if slices.Contains(changes, Order(Mask{l.host, false})) {
 			d.setMask(l.host, false)
 		}
 	}
-	if d.rules.oneOwner {
-		d.shut.put(t, d.now+d.rules.settle)
+	if d.rules.singleOwner {
+		d.writesStoppedUntil.put(t, d.now+d.rules.settleTime)
 	}
 	return true
 }
 
 // bindStreams binds streams to the tables that they want, at sites without slices.
-func (d *draft) bindStreams() {
-	for n, s := range d.streams.all() {
+func (d *draft) bindProxies() {
+	for n, s := range d.proxies.all() {
 		zone := zoneTables + TableID(s.zone)
-		lines := 2 + float64(len(d.stands.get(s.wants))+len(d.stands.get(zone)))
-		if d.rules.sliced || s.bound && s.wants == s.table || !d.stands.has(s.wants) ||
-			!d.cost.book(barePart, lines, func(x *stream) bool { return x == s }) {
+		lines := 2 + float64(len(d.current.get(s.wantedTable))+len(d.current.get(zone)))
+		if d.rules.sliced || s.bound && s.wantedTable == s.table || !d.current.has(s.wantedTable) ||
+			!d.message.reserve(barePart, lines, func(x *joinedProxy) bool { return x == s }) {
 			continue
 		}
-		if own := d.rules.ownZone; own != 0 && !s.bound {
+		if own := d.rules.ownZoneRoutes; own != 0 && !s.bound {
 			d.order(Bind{n, zone, own})
 		}
-		if rest := d.rules.everyRoute &^ d.rules.ownZone; rest != 0 {
-			d.order(Bind{n, s.wants, rest})
+		if rest := d.rules.allRoutes &^ d.rules.ownZoneRoutes; rest != 0 {
+			d.order(Bind{n, s.wantedTable, rest})
 		}
-		s.table, s.bound = s.wants, true
+		s.table, s.bound = s.wantedTable, true
 	}
 }
--- a/logic/forget.go
+++ b/logic/forget.go
@@ -21,10 +21,10 @@
 			continue
 		}
 		d.hosts.drop(id)
-		d.place.seats.drop(id)
-		d.gate.seats.drop(id)
-		d.publish.doors.drop(id)
-		d.publish.turned.drop(id)
+		d.place.hosts.drop(id)
+		d.gate.hosts.drop(id)
+		d.publish.availability.drop(id)
+		d.publish.changedAt.drop(id)
 		if !d.publish.masked.get(id) {
 			d.publish.masked.drop(id)
 			d.publish.maskedAt.drop(id)
@@ -35,12 +35,12 @@
 // named are the hosts of all tables, as they stand and as they are wanted.
 func (p *publisher) named() map[HostID]bool {
 	named := map[HostID]bool{}
-	for _, table := range p.stands.all() {
+	for _, table := range p.current.all() {
 		for _, l := range table {
 			named[l.host] = true
 		}
 	}
-	for _, w := range p.wants.all() {
+	for _, w := range p.pending.all() {
 		for _, l := range w.lines {
 			named[l.host] = true
 		}
--- a/logic/health.go
+++ b/logic/health.go
@@ -41,9 +41,9 @@
 		h.probeEvery = min(4*checkEvery, max(checkEvery, 2*h.probeEvery))
 		h.probeAt = h.now + h.probeEvery
 	}
-	ended, lost := h.ended.read(h.now, h.rules.health), h.lost.read(h.now, h.rules.health)
+	ended, lost := h.ended.read(h.now, h.rules.healthHalfLife), h.lost.read(h.now, h.rules.healthHalfLife)
 	bad := ended > fewTries && h.standsOut(ended, lost)
-	jam := bad || ended > fewTries && h.spent.read(h.now, h.rules.health) > (ended-lost)*float64(h.rules.slo)
+	jam := bad || ended > fewTries && h.spent.read(h.now, h.rules.healthHalfLife) > (ended-lost)*float64(h.rules.slo)
 	bad = bad && !(h.busy > full && ended-lost > answersInFull)
 	if jam && h.around.loss < calmLoss && h.around.busy < strain && h.now > h.restUntil+restFor {
 		h.restUntil = h.now + restFor
@@ -88,7 +88,7 @@
 
 // spared says whether a failing host stays, since it answers some calls and many hosts are out already.
 func (h *host) spared(ended, lost float64) bool {
-	return h.around.out >= mostOut && lost < ended*losesAll
+	return h.around.unfitShare >= mostOut && lost < ended*losesAll
 }
 
 // remove takes the host out of use. The change is noted before what is known of its tries is cleared.
@@ -114,7 +114,7 @@
 	if rate <= h.due {
 		h.due, h.rising = rate, 0
 	} else if h.rising == 0 {
-		h.risesAt = h.now + h.rules.heardAfter
+		h.risesAt = h.now + h.rules.reportDelay
 	}
 	h.rising = max(0, rate-h.due)
 	since(&h.dueSince, h.due > 0, h.now)
@@ -127,7 +127,7 @@
 		h.due, h.rising = h.due+h.rising, 0
 		since(&h.dueSince, true, h.now)
 	}
-	if h.now < h.restUntil+h.rules.heardAfter && h.restUntil > 0 {
+	if h.now < h.restUntil+h.rules.reportDelay && h.restUntil > 0 {
 		h.missed = 0 // we keep calls from it, or did until a moment ago
 	} else if reported > h.countedTo {
 		answered := 1 - min(1, max(h.around.loss, h.around.typicalLoss))
--- a/logic/health_test.go
+++ b/logic/health_test.go
@@ -35,7 +35,7 @@
 		"as many as may be, out": {mostOut, 18, true},
 	} {
 		h := &host{loop: &loop{}}
-		h.around.out = c.out
+		h.around.unfitShare = c.out
 		if got := h.spared(20, c.lost); got != c.spared {
 			t.Errorf("%s: spared %v", name, got)
 		}
--- a/logic/host.go
+++ b/logic/host.go
@@ -21,7 +21,7 @@
 			born = h.now
 		}
 		if born > 0 {
-			h.freshUntil, h.coldUntil = born+freshFor, born+max(freshFor, h.rules.warmFor)
+			h.freshUntil, h.coldUntil = born+freshFor, born+max(freshFor, h.rules.warmUpTime)
 		}
 		if h.known {
 			why = ReasonRestart
@@ -34,12 +34,12 @@
 }
 
 func (h *host) met(m Met) {
-	h.ended.add(h.now, h.rules.health, float64(m.Ended))
-	h.lost.add(h.now, h.rules.health, float64(m.Lost))
+	h.ended.add(h.now, h.rules.healthHalfLife, float64(m.Ended))
+	h.lost.add(h.now, h.rules.healthHalfLife, float64(m.Lost))
 	h.trial.add(m)
 	h.unproven = h.unproven && m.Ended == m.Lost
 	h.changed(ReasonAnswer)
-	h.spent.add(h.now, h.rules.health, float64(m.Spent)*float64(m.Ended-m.Lost))
+	h.spent.add(h.now, h.rules.healthHalfLife, float64(m.Spent)*float64(m.Ended-m.Lost))
 	if h.lastLine > 0 && h.now > h.lastLine {
 		h.gap += (h.now - h.lastLine - h.gap) * 0.2
 	}
@@ -49,8 +49,8 @@
 	}
 	rate := 1000 * float64(m.Ended-m.Lost) / max(1, float64(m.Over))
 	// Read as reports come in, so that the rate doesn't ripple with them.
-	part := (1 - math.Exp2(-float64(h.rules.reportEvery/h.rules.health))) * 1000 / float64(h.rules.reportEvery)
-	h.flow = h.ended.read(h.now, h.rules.health) * part
+	part := (1 - math.Exp2(-float64(h.rules.reportInterval/h.rules.healthHalfLife))) * 1000 / float64(h.rules.reportInterval)
+	h.flow = h.ended.read(h.now, h.rules.healthHalfLife) * part
 	busy, press := m.Load.Busy, float64(m.Spent)*rate/1000
 	if busy != nil {
 		// A host that always has a call of ours in hand is not idle: such reports are void, or they would draw
@@ -67,7 +67,7 @@
 		h.busy += (*busy - h.busy) * 0.4 // one report is noisy
 		// Little is learnt while work is wasted, or a jam would teach at once that the host can do nothing.
 		trust := 1 - 0.7*float64(bit(m.Lost*3 >= m.Ended, 0))
-		h.good.add(h.now, loadMemory, trust*(h.flow-h.lost.read(h.now, h.rules.health)*part))
+		h.good.add(h.now, loadMemory, trust*(h.flow-h.lost.read(h.now, h.rules.healthHalfLife)*part))
 		h.used.add(h.now, loadMemory, trust*max(0.05, *busy))
 		press = *busy
 	} else if m.Load.InHand != nil {
@@ -87,27 +87,27 @@
 func (h *host) untried() bool { return h.unproven && h.now >= h.vouchedUntil }
 
 func (h *host) tell() {
-	ended, listed := h.ended.read(h.now, h.rules.health), h.known && h.entry.State == Up
-	s := standing{id: h.id, from: h, zone: h.entry.Zone, cell: h.entry.Cell, fresh: h.now < h.freshUntil,
-		grown: 1 - (1-h.rules.freshRoom)*float64(max(0, h.freshUntil-h.now)/freshFor), prior: 1,
-		flow: min(h.flow, 2*ended), busy: h.busy, void: h.void, due: h.due + h.rising,
-		loss: h.lost.read(h.now, h.rules.health) / max(ended, 0.1), cold: h.now < h.coldUntil,
-		rests: h.now < h.restUntil, unproven: listed && h.untried()}
-	s.spent = h.spent.read(h.now, h.rules.health) / max(0.1, ended*(1-s.loss))
+	ended, listed := h.ended.read(h.now, h.rules.healthHalfLife), h.known && h.entry.State == Up
+	s := hostStatus{id: h.id, actor: h, zone: h.entry.Zone, cell: h.entry.Cell, fresh: h.now < h.freshUntil,
+		warmShare: 1 - (1-h.rules.freshShare)*float64(max(0, h.freshUntil-h.now)/freshFor), listedWeight: 1,
+		tryRate: min(h.flow, 2*ended), busy: h.busy, invalidReports: h.void, dueRate: h.due + h.rising,
+		loss: h.lost.read(h.now, h.rules.healthHalfLife) / max(ended, 0.1), cold: h.now < h.coldUntil,
+		resting: h.now < h.restUntil, unproven: listed && h.untried()}
+	s.answerTime = h.spent.read(h.now, h.rules.healthHalfLife) / max(0.1, ended*(1-s.loss))
 	up := listed && !h.untried()
-	if h.rules.advice && h.known && h.entry.State == Gone {
+	if h.rules.goneIsAdvisory && h.known && h.entry.State == Gone {
 		up = ended > 0.5 && s.loss < 0.5 // the list may be wrong there: a host that answers well stays
 	}
-	s.leaves = h.known && !listed && !up && (h.entry.State == Draining || !h.rules.advice)
-	s.usable, s.ill, s.trial = up && h.state == serving, up && h.state != serving, up && h.state == onTrial
-	if h.rules.listed && h.entry.Weight > 0 {
-		s.prior = h.entry.Weight
+	s.leaving = h.known && !listed && !up && (h.entry.State == Draining || !h.rules.goneIsAdvisory)
+	s.usable, s.unfit, s.onTrial = up && h.state == serving, up && h.state != serving, up && h.state == onTrial
+	if h.rules.weighted && h.entry.Weight > 0 {
+		s.listedWeight = h.entry.Weight
 	}
 	if press, rate := h.press.read(h.now, loadMemory), h.rate.read(h.now, loadMemory); press > 0.3 && rate > 0 {
-		s.weighed = rate / press
+		s.callsPerPressure = rate / press
 	}
 	if used := h.used.read(h.now, loadMemory); used > 0.01 {
-		s.able = h.good.read(h.now, loadMemory) / used
+		s.capacity = h.good.read(h.now, loadMemory) / used
 	}
 	h.post(h.place, s)
 	h.post(h.gate, s)
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -58,37 +58,37 @@
 	zoneTables  TableID = 60000
 )
 
-func derive(f Facts) bounds {
-	b := bounds{sliced: f.Slices > 0, oneOwner: f.OneOwner, asks: f.AsksForList, probes: f.MayProbe,
-		shared: f.Directors > 1 && f.Slices > 0 && !f.OneOwner,
-		advice: f.GoneIsAdvice, listed: f.Weighted, queue: f.QueueLimit, head: f.HeadLines,
-		pace: max(1, f.LinesPerSecond) / 1000, transit: f.Transit, worstTransit: f.WorstTransit, messages: f.MessageLimit,
-		span:   f.MessageSpan,
-		levels: f.Levels, reportEvery: max(1, f.ReportEvery), warmFor: f.WarmAfter,
-		settle: f.WriteLease + f.WriteSettle + f.WorstTransit}
-	b.health = max(healthMemory, b.reportEvery*5/4) // shorter, it would see but the last report
+func derive(f Facts) params {
+	b := params{sliced: f.Slices > 0, singleOwner: f.OneOwner, requestsList: f.AsksForList, canProbe: f.MayProbe,
+		sharedProxies:  f.Directors > 1 && f.Slices > 0 && !f.OneOwner,
+		goneIsAdvisory: f.GoneIsAdvice, weighted: f.Weighted, queueLimit: f.QueueLimit, headLines: f.HeadLines,
+		linesPerMilli: max(1, f.LinesPerSecond) / 1000, transit: f.Transit, worstTransit: f.WorstTransit, messageLimit: f.MessageLimit,
+		messageSpan: f.MessageSpan,
+		levelKind:   f.Levels, reportInterval: max(1, f.ReportEvery), warmUpTime: f.WarmAfter,
+		settleTime: f.WriteLease + f.WriteSettle + f.WorstTransit}
+	b.healthHalfLife = max(healthMemory, b.reportInterval*5/4) // shorter, it would see but the last report
 	// Quarter room is right only while cold keys and chance can't take it past what tips a cold host.
-	b.freshRoom = min(freshRoom, max(0.05, f.ColdFrom*f.TipMultiple/3))
-	if b.standby = standbyPart; f.Pick == PickPair {
-		b.standby = pairPart
+	b.freshShare = min(freshRoom, max(0.05, f.ColdFrom*f.TipMultiple/3))
+	if b.standbyWeight = standbyPart; f.Pick == PickPair {
+		b.standbyWeight = pairPart
 	}
-	if b.hurry = max(0, min(gather, (f.DrainGrace-f.WorstTransit)/4)); b.messages > 0 {
-		b.hurry = max(b.hurry, min(b.span/Millis(b.messages), (f.DrainGrace-f.WorstTransit)/2))
+	if b.urgentInterval = max(0, min(gather, (f.DrainGrace-f.WorstTransit)/4)); b.messageLimit > 0 {
+		b.urgentInterval = max(b.urgentInterval, min(b.messageSpan/Millis(b.messageLimit), (f.DrainGrace-f.WorstTransit)/2))
 	}
-	b.heardAfter = f.WorstTransit + Millis(b.queue/b.pace) + reportsOfDelay*b.reportEvery
-	b.outWithin = f.DrainGrace*graceShare - f.WorstTransit - beat
+	b.reportDelay = f.WorstTransit + Millis(b.queueLimit/b.linesPerMilli) + reportsOfDelay*b.reportInterval
+	b.removalTime = f.DrainGrace*graceShare - f.WorstTransit - beat
 	for i, r := range f.Routes {
 		// One that may take effect twice is tried again only after proof that it never ran.
-		b.ways = append(b.ways, 1+int(bit(r.Repeat == Repeatable, 0)))
-		b.cheap = append(b.cheap, RouteID(i))
-		b.everyRoute |= bit(true, i)
-		b.writes |= bit(r.Writes, i)
-		b.ownZone |= bit(r.OwnZone, i)
+		b.retries = append(b.retries, 1+int(bit(r.Repeat == Repeatable, 0)))
+		b.byImportance = append(b.byImportance, RouteID(i))
+		b.allRoutes |= bit(true, i)
+		b.writeRoutes |= bit(r.Writes, i)
+		b.ownZoneRoutes |= bit(r.OwnZone, i)
 		if b.slo == 0 || r.SLO < b.slo {
 			b.slo = r.SLO
 		}
 	}
-	slices.SortStableFunc(b.cheap, func(x, y RouteID) int {
+	slices.SortStableFunc(b.byImportance, func(x, y RouteID) int {
 		return cmp.Compare(f.Routes[x].Importance, f.Routes[y].Importance)
 	})
 	return b
@@ -98,11 +98,11 @@
 	d := &Director{}
 	d.seed, d.rules = seed, derive(f)
 	d.publish = &publisher{loop: &d.loop}
-	d.place = &placer{loop: &d.loop, to: d.publish, mean: 1}
-	d.publish.place = d.place
+	d.place = &placer{loop: &d.loop, publisher: d.publish, meanRate: 1}
+	d.publish.placer = d.place
 	n := len(f.Routes)
-	d.gate = &gate{loop: &d.loop, to: d.publish, place: d.place, level: float64(n), asked: make([]sum, n),
-		unanswered: make([]sum, n), usual: make([]float64, n)}
+	d.gate = &admitter{loop: &d.loop, publisher: d.publish, placer: d.place, level: float64(n), callSums: make([]sum, n),
+		unanswered: make([]sum, n), usualRates: make([]float64, n)}
 	return d
 }
 
@@ -111,9 +111,9 @@
 	if !d.ticking {
 		d.ticking = true
 		d.order(After{beat, 0})
-		d.place.listBy = now + listWithin
+		d.place.listDeadline = now + firstListTimeout
 	}
-	if d.rules.asks && !d.follows && now >= d.askAgain {
+	if d.rules.requestsList && !d.follows && now >= d.askAgain {
 		d.follows = true
 		d.order(Follow{true})
 	}
@@ -125,17 +125,17 @@
 	for t, held := range d.stored.all() {
 		d.unlist(held)
 		d.vouch(held)
-		d.post(d.place, kept{t, held})
-		d.post(d.publish, kept{t, held})
+		d.post(d.place, storedTable{t, held})
+		d.post(d.publish, storedTable{t, held})
 		d.stored.drop(t)
 	}
 	for _, h := range d.hosts.all() {
-		d.post(h, settleNow{})
+		d.post(h, endOfBatch{})
 	}
 	// Placing waits for all of the batch, so that a removal and its replacement go in one reply.
 	for _, p := range []part{d.place, d.publish} {
 		d.empty()
-		d.post(p, settleNow{})
+		d.post(p, endOfBatch{})
 	}
 	d.empty()
 	return d.out
@@ -153,7 +153,7 @@
 		if !d.hosts.has(e.Host) {
 			// One that the list adds later may be none of ours, and take calls that it never answers.
 			h := d.meet(e.Host)
-			h.unproven = d.rules.probes && r.Kind != FromDisk
+			h.unproven = d.rules.canProbe && r.Kind != FromDisk
 			h.followed = d.told
 			if standing[e.Host] {
 				h.vouchedUntil = d.now + vouchFor
@@ -167,8 +167,8 @@
 		}
 	}
 	if r.Kind != FromDisk && !d.told {
-		d.told, d.place.listBy, d.place.dirty = true, 0, true
-		for _, held := range d.publish.stands.all() {
+		d.told, d.place.listDeadline, d.place.dirty = true, 0, true
+		for _, held := range d.publish.current.all() {
 			d.unlist(held)
 		}
 	}
--- a/logic/loop.go
+++ b/logic/loop.go
@@ -23,7 +23,7 @@
 	drawn uint64
 	ready []part
 	out   []Order
-	rules bounds
+	rules params
 	// changes are those of hosts in the call at hand, for the log.
 	changes []HostChange
 }
@@ -101,25 +101,25 @@
 	}
 }
 
-func (g *gate) take(n any) {
+func (g *admitter) take(n any) {
 	switch n := n.(type) {
-	case standing:
-		g.seats.put(n.id, n)
+	case hostStatus:
+		g.hosts.put(n.id, n)
 	case Heat:
-		if int(n.Route) < len(g.asked) {
-			since(&g.heardSince, true, g.now)
-			g.lasting.add(g.now, demandMemory, float64(n.Calls))
-			g.asked[n.Route].add(g.now, gateMemory, float64(n.Calls))
+		if int(n.Route) < len(g.callSums) {
+			since(&g.firstReport, true, g.now)
+			g.recentCalls.add(g.now, demandMemory, float64(n.Calls))
+			g.callSums[n.Route].add(g.now, gateMemory, float64(n.Calls))
 			g.unanswered[n.Route].add(g.now, gateMemory, float64(n.Lost))
 		}
 	case Joined:
-		g.joined.put(n.Proxy, true)
+		g.proxies.put(n.Proxy, true)
 	case Left:
-		g.joined.drop(n.Proxy)
+		g.proxies.drop(n.Proxy)
 	case Due:
-		if g.now >= g.next {
-			g.next = g.now + weighEvery
-			g.weigh()
+		if g.now >= g.nextUpdate {
+			g.nextUpdate = g.now + admissionInterval
+			g.update()
 		}
 	}
 }
@@ -130,98 +130,98 @@
 		h.list(n)
 	case Met:
 		h.met(n)
-	case expected:
+	case expectedRate:
 		h.expect(n.rate)
-	case fleet:
+	case fleetLoad:
 		h.around = n
 	case Probed:
 		h.unproven = h.unproven && !n.Good
 		h.changed(ReasonAnswer)
 	case pulse:
 		h.judge(n.reported)
-	case settleNow:
+	case endOfBatch:
 		h.tell()
 	}
 }
 
 func (p *placer) take(n any) {
 	switch n := n.(type) {
-	case standing:
-		p.seat(n)
-	case fleet:
-		p.around = n
-	case kept:
-		p.adopt(n.table, n.lines)
-	case laid:
-		if pc := p.own.get(n.table); pc != nil {
-			pc.laid, pc.held = pc.parts, n.lines
+	case hostStatus:
+		p.updateHost(n)
+	case fleetLoad:
+		p.fleet = n
+	case storedTable:
+		p.addSlice(n.table, n.lines)
+	case tableWritten:
+		if pc := p.owned.get(n.table); pc != nil {
+			pc.written, pc.writtenTable = pc.planned, n.lines
 		}
 	case Custody:
-		p.own.drop(n.Slice)
+		p.owned.drop(n.Slice)
 	case Joined:
-		if t := TableID(n.Proxy) + 1; !p.rules.sliced && !p.own.has(t) {
-			p.adopt(t, nil)
+		if t := TableID(n.Proxy) + 1; !p.rules.sliced && !p.owned.has(t) {
+			p.addSlice(t, nil)
 		}
 	case Left:
 		if !p.rules.sliced {
-			p.own.drop(TableID(n.Proxy) + 1)
+			p.owned.drop(TableID(n.Proxy) + 1)
 		}
 	case Heat:
-		p.hear(n)
+		p.recordDemand(n)
 	case Due:
-		if p.now >= p.next {
-			p.next = p.now + checkEvery
-			p.check()
+		if p.now >= p.nextCheck {
+			p.nextCheck = p.now + checkEvery
+			p.rebalance()
 		}
-	case settleNow:
-		p.settle()
+	case endOfBatch:
+		p.finishBatch()
 	}
 }
 
 func (p *publisher) take(n any) {
 	switch n := n.(type) {
-	case kept:
-		p.given(n)
+	case storedTable:
+		p.addTable(n)
 	case Custody:
-		p.stands.drop(n.Slice)
-		p.wants.drop(n.Slice)
-		p.shut.drop(n.Slice)
-		p.stood = levelled{} // a slice given is let in whole
-	case wanted:
-		if s := p.streams.get(ProxyID(n.table) - 1); s != nil {
-			s.wants = n.table
-		}
-		if n.at = p.now; p.wants.has(n.table) {
-			n.at = p.wants.get(n.table).at
-		}
-		if p.wants.drop(n.table); !slices.Equal(p.stands.get(n.table), n.lines) {
-			p.wants.put(n.table, n)
-		}
-	case valued:
-		if w := p.wants.get(n.table); p.wants.has(n.table) {
+		p.current.drop(n.Slice)
+		p.pending.drop(n.Slice)
+		p.writesStoppedUntil.drop(n.Slice)
+		p.writtenLevels = admissionLevels{} // a slice given is let in whole
+	case wantedTable:
+		if s := p.proxies.get(ProxyID(n.table) - 1); s != nil {
+			s.wantedTable = n.table
+		}
+		if n.pendingSince = p.now; p.pending.has(n.table) {
+			n.pendingSince = p.pending.get(n.table).pendingSince
+		}
+		if p.pending.drop(n.table); !slices.Equal(p.current.get(n.table), n.lines) {
+			p.pending.put(n.table, n)
+		}
+	case gainUpdate:
+		if w := p.pending.get(n.table); p.pending.has(n.table) {
 			w.gain = n.gain
-			p.wants.put(n.table, w)
+			p.pending.put(n.table, w)
 		}
-	case door:
-		p.move(n)
-	case levelled:
+	case availabilityChange:
+		p.setAvailability(n)
+	case admissionLevels:
 		p.levels = n
 	case Masked:
-		p.inherit(n)
+		p.inheritMask(n)
 	case Joined:
-		p.join(n)
+		p.addProxy(n)
 	case Left:
-		p.leave(n)
+		p.removeProxy(n)
 	case Applied:
-		p.own(n)
+		p.acknowledge(n)
 	case Unsure:
-		p.doubt(n)
+		p.markUnconfirmed(n)
 	case NewsAlive:
-		p.newsAlive()
-	case settleNow:
-		p.forgetSilent()
-		if doubted := p.again(); p.due() && !doubted {
-			p.flush()
+		p.recordAlive()
+	case endOfBatch:
+		p.dropLostMessages()
+		if doubted := p.repeatUnconfirmed(); p.isDue() && !doubted {
+			p.writePending()
 		}
 	}
 }
--- a/logic/observe.go
+++ b/logic/observe.go
@@ -105,27 +105,27 @@
 func (d *Director) Report() Report {
 	g, p := d.gate, d.publish
 	r := Report{Demand: g.demand, Capacity: g.capacity, Levels: p.levels.level, Tries: p.levels.tries,
-		Pressure: g.around.pressure, Wanted: g.around.wanted, Busy: g.around.busy, Loss: g.around.loss,
-		LevelsStand: !p.relevels(), TablesWaiting: p.wants.len()}
-	for _, w := range p.wants.all() {
-		r.OldestWait = max(r.OldestWait, d.now-w.at)
+		Pressure: g.fleet.pressure, Wanted: g.fleet.demandRatio, Busy: g.fleet.busy, Loss: g.fleet.loss,
+		LevelsStand: !p.levelsChanged(), TablesWaiting: p.pending.len()}
+	for _, w := range p.pending.all() {
+		r.OldestWait = max(r.OldestWait, d.now-w.pendingSince)
 	}
-	r.QueuedLines, r.UnacknowledgedLines = p.waiting()
-	r.Messages, r.Silences = len(p.flights), p.silences
+	r.QueuedLines, r.UnacknowledgedLines = p.queuedLines()
+	r.Messages, r.Silences = len(p.inFlight), p.silences
 	for _, out := range p.masked.all() {
 		r.Masked += int(bit(out, 0))
 	}
 	tables := map[HostID]int{}
-	for _, t := range p.stands.all() {
+	for _, t := range p.current.all() {
 		for _, l := range t {
 			tables[l.host]++
 		}
 	}
 	for id, h := range d.hosts.all() {
-		if s := d.place.seats.get(id); s != nil && h.known && (h.entry.State == Up || tables[id] > 0) {
+		if s := d.place.hosts.get(id); s != nil && h.known && (h.entry.State == Up || tables[id] > 0) {
 			r.Hosts = append(r.Hosts, HostReport{Host: id, Condition: h.condition(), Cold: s.cold,
-				ColdFor: max(0, h.coldUntil-d.now), Laid: s.load, Share: s.share, Tolerated: s.bears, Tries: s.flow,
-				Loss: s.loss, Busy: s.busy, Capacity: s.able, AnswerTime: Millis(s.spent), Tables: tables[id]})
+				ColdFor: max(0, h.coldUntil-d.now), Laid: s.load, Share: s.share, Tolerated: s.tolerated, Tries: s.tryRate,
+				Loss: s.loss, Busy: s.busy, Capacity: s.capacity, AnswerTime: Millis(s.answerTime), Tables: tables[id]})
 		}
 	}
 	return r
@@ -134,25 +134,25 @@
 // Load tells what admission reckons with.
 func (d *Director) Load() LoadReport {
 	g, p := d.gate, d.publish
-	r := LoadReport{Demand: g.demand, Capacity: g.capacity, Busy: g.around.busy, Loss: g.around.loss, Waiting: g.waiting,
-		Levels: p.levels.level, Written: p.stood.level, WrittenFor: d.now - p.stoodAt}
-	for route := range g.asked {
-		calls := g.asked[route].rate(d.now, gateMemory, 0)
+	r := LoadReport{Demand: g.demand, Capacity: g.capacity, Busy: g.fleet.busy, Loss: g.fleet.loss, Waiting: g.queuedCalls,
+		Levels: p.levels.level, Written: p.writtenLevels.level, WrittenFor: d.now - p.levelsWrittenAt}
+	for route := range g.callSums {
+		calls := g.callSums[route].rate(d.now, gateMemory, 0)
 		r.Calls += calls
 		r.Unanswered += g.unanswered[route].rate(d.now, gateMemory, 0)
-		if part := 1.0; p.stood.level != nil && g.rules.levels == LevelShare {
-			part = min(part, p.stood.level[route])
+		if part := 1.0; p.writtenLevels.level != nil && g.rules.levelKind == LevelShare {
+			part = min(part, p.writtenLevels.level[route])
 			r.LetIn += calls * part
 		}
 	}
 	answers := 0.0
-	for _, s := range g.seats.all() {
+	for _, s := range g.hosts.all() {
 		if !s.usable {
 			continue
 		}
-		good := s.flow * (1 - s.loss)
-		r.InUse, r.Tries, answers = r.InUse+1, r.Tries+s.flow, answers+good
-		r.InHand += good * s.spent / 1000
+		good := s.tryRate * (1 - s.loss)
+		r.InUse, r.Tries, answers = r.InUse+1, r.Tries+s.tryRate, answers+good
+		r.InHand += good * s.answerTime / 1000
 		r.Full += int(bit(s.busy > full, 0))
 	}
 	r.AnswerTime = Millis(r.InHand * 1000 / max(answers, 0.1))
@@ -183,10 +183,10 @@
 	if to == h.shown {
 		return
 	}
-	perSecond := 1000 * math.Ln2 / float64(h.rules.health) // of a decaying sum
+	perSecond := 1000 * math.Ln2 / float64(h.rules.healthHalfLife) // of a decaying sum
 	h.changes = append(h.changes, HostChange{Host: h.id, From: h.shown, To: to, Reason: why,
-		Ended:  h.ended.read(h.now, h.rules.health) * perSecond,
-		Failed: h.lost.read(h.now, h.rules.health) * perSecond,
+		Ended:  h.ended.read(h.now, h.rules.healthHalfLife) * perSecond,
+		Failed: h.lost.read(h.now, h.rules.healthHalfLife) * perSecond,
 		Busy:   h.busy, Heard: h.lastLine > 0, Quiet: h.now - h.lastLine, Expected: h.due})
 	h.shown = to
 }
--- a/logic/parts.go
+++ b/logic/parts.go
@@ -1,80 +1,86 @@
-// What the parts hold and the notes they put into each other's inboxes. Types only.
+// The state of the actors and the messages that they post into each other's inboxes. Types only.
 package logic
 
-// bounds are the figures that decisions use, derived from the facts of the start.
-type bounds struct {
-	sliced, oneOwner, asks, advice   bool
-	probes                           bool
-	shared                           bool    // proxies hold tables of other directors, too
-	listed                           bool    // listed weights mean something
-	freshRoom                        float64 // of its share, for a host just started
-	queue, head, pace                float64 // lines in the channel, a message, and sent in a millisecond
-	standby                          float64 // weight of a standby line
-	heardAfter                       Millis  // from a table's writing to the first report of what it brought
-	outWithin                        Millis  // from an order to the last proxy, for hosts that are to go out
-	messages                         int     // most messages to a proxy within span; 0: any
-	span, hurry, settle, reportEvery Millis
-	transit, worstTransit            Millis
-	slo, warmFor, health             Millis
-	levels                           Valve
-	ways                             []int     // further tries that can't take effect twice, by route
-	cheap                            []RouteID // routes by importance, least first
-	writes, ownZone, everyRoute      RouteSet
+// params are the parameters of all decisions, derived from the facts that are handed over at the start.
+type params struct {
+	sliced, singleOwner, requestsList, goneIsAdvisory bool
+	canProbe                                          bool
+
+	sharedProxies bool    // whether proxies also hold tables of other directors
+	weighted      bool    // whether the weights in the host list are meaningful
+	freshShare    float64 // part of its share that a host gets just after its start
+	// The queue limit of the channel and the overhead of a message in lines, and the channel's rate in lines per ms.
+	queueLimit, headLines, linesPerMilli float64
+	standbyWeight                        float64 // weight of a standby line
+	reportDelay                          Millis  // from the writing of a table to the first load report after it
+	removalTime                          Millis  // within which the removal of a host has to reach the last proxy
+	messageLimit                         int     // maximum of messages to a proxy within messageSpan; 0: unlimited
+
+	messageSpan, urgentInterval, settleTime, reportInterval Millis
+	transit, worstTransit                                   Millis
+	slo, warmUpTime, healthHalfLife                         Millis
+
+	levelKind    Valve
+	retries      []int     // retries that can't take effect a second time, by route
+	byImportance []RouteID // routes by importance, least important first
+
+	writeRoutes, ownZoneRoutes, allRoutes RouteSet
 }
 
-// Notes between the parts.
+// Messages between the actors.
 type (
-	pulse     struct{ reported Millis } // a beat, and when a report last came
-	settleNow struct{}                  // all of the batch is heard: act on it
-	standing  struct {                  // a host's word on itself, to placer and gate
-		id                   HostID
-		usable, trial, fresh bool
-		cold                 bool    // it may not be warm yet
-		unproven             bool    // up, but has yet to answer anything
-		leaves               bool    // it drains, or is gone where that binds
-		ill                  bool    // up, but judged unfit
-		void                 bool    // its load reports can't be true
-		rests                bool    // jammed: better left alone for a moment
-		prior                float64 // listed weight
-		weighed              float64 // calls a second for each unit of pressure; 0: not known
-		busy                 float64 // share lately reported, 0: none was
-		spent                float64 // mean time of an answer, in milliseconds
-		loss                 float64 // share of tries lost
-		flow, able           float64 // tries a second; what it could answer of them
-		due                  float64 // calls a second that standing tables bring it
-		zone                 ZoneID
-		cell                 CellID
-		from                 *host
-		grown                float64 // part of its room that a fresh host has by now
+	pulse      struct{ reported Millis } // a tick, with the time of the last load report
+	endOfBatch struct{}                  // all events of a call of Handle have been delivered: act on them
+	hostStatus struct {                  // state of a host, from its actor to the placer and the admitter
+		id                     HostID
+		usable, onTrial, fresh bool
+		cold                   bool    // its caches may not be warm yet
+		unproven               bool    // listed as up, but has not answered anything yet
+		leaving                bool    // it drains, or is gone from a list whose removals are binding
+		unfit                  bool    // up, but judged unfit by its failures or its silence
+		invalidReports         bool    // its load reports contradict the calls that it answers
+		resting                bool    // saturated: it gets no calls for a moment
+		listedWeight           float64 // weight by the host list, 1 if that gives none
+		callsPerPressure       float64 // calls a second for each unit of pressure; 0: unknown
+		busy                   float64 // recently reported busy share, 0: none was reported
+		answerTime             float64 // mean answer time in milliseconds
+		loss                   float64 // share of tries without a good answer
+		tryRate, capacity      float64 // tries a second that it gets, and that it could answer
+		dueRate                float64 // calls a second that the current tables send to it
+		zone                   ZoneID
+		cell                   CellID
+		actor                  *host
+		warmShare              float64 // part of its share that a recently started host can bear by now
 	}
-	// Tries over capacity; share of them lost; busy share; all calls over capacity, where some are throttled.
-	// TypicalLoss is the median of the share lost, out the part of the listed hosts that is judged unfit.
-	fleet    struct{ pressure, loss, busy, wanted, typicalLoss, out float64 }
-	expected struct{ rate float64 } // calls a second that the placer has laid on a host
-	wanted   struct {
-		table  TableID
-		lines  lines
-		urgent bool
-		at     Millis  // since when it waits
-		gain   float64 // calls a second it takes off their host, times how over-worked that is
+	// fleetLoad is the load of all hosts: the tries over the capacity, the share of tries lost, the busy share and,
+	// while calls are throttled, all calls over the capacity. typicalLoss is the median over hosts of the share of
+	// tries lost, unfitShare the share of the listed hosts that are judged unfit.
+	fleetLoad    struct{ pressure, loss, busy, demandRatio, typicalLoss, unfitShare float64 }
+	expectedRate struct{ rate float64 } // calls a second that the placer assigned to a host
+	wantedTable  struct {
+		table        TableID
+		lines        lines
+		urgent       bool
+		pendingSince Millis  // since when the change has been pending
+		gain         float64 // calls a second that leave their hosts, times the host's load over its share
 	}
-	valued struct { // what a table that waits is worth by now
+	gainUpdate struct { // the present gain of a pending table
 		table TableID
 		gain  float64
 	}
-	laid struct { // a wanted table is written
+	tableWritten struct { // a wanted table was written to the channel
 		table TableID
 		lines lines
 	}
-	door struct { // whether tables may offer a host
-		host HostID
-		open opening
+	availabilityChange struct { // whether tables may offer a host
+		host         HostID
+		availability availability
 	}
-	levelled struct { // wanted level and further tries, by route
+	admissionLevels struct { // the wanted level and number of retries, by route
 		level []float64
 		tries []int
 	}
-	kept struct { // the store's lines of a slice
+	storedTable struct { // the lines of a slice as found in the store
 		table TableID
 		lines lines
 	}
@@ -85,59 +91,59 @@
 	weight float64
 }
 
-// Director is one instance.
+// Director is one instance of the decision module.
 type Director struct {
 	inbox
 	loop
 	hosts    shelf[HostID, *host]
 	stored   shelf[TableID, lines]
 	place    *placer
-	gate     *gate
+	gate     *admitter
 	publish  *publisher
 	ticking  bool
 	askAgain Millis
 	follows  bool
-	told     bool // a list came that is not from disk
+	told     bool // whether a host list has come that is not the one from disk
 	reported Millis
-	forgetAt Millis // when hosts that are gone are looked for next
+	forgetAt Millis // when hosts that are gone are next looked for
 }
 
-// host judges one host from what little is heard of it.
+// host is the actor that judges one host by the reports of proxies.
 type host struct {
 	inbox
 	*loop
 	id                      HostID
 	place                   *placer
-	gate                    *gate
+	gate                    *admitter
 	entry                   Entry
 	known                   bool
 	ended, lost, good, used sum
-	spent                   sum     // time of the answers
+	spent                   sum     // time that its answers took
 	flow                    float64 // tries a second
 	rate, press             sum
-	busy                    float64 // share last reported
-	lastLine, gap           Millis  // when last heard of, and how long that takes as a rule
-	lastAnswer              Millis  // when an answer of it was last heard of
-	due                     float64 // calls a second laid on it
+	busy                    float64 // recently reported busy share
+	lastLine, gap           Millis  // the time of the last report of it, and the usual time between two
+	lastAnswer              Millis  // the time of the last report that contained an answer of it
+	due                     float64 // calls a second that the current tables send to it
 	dueSince, badSince      Millis
-	rising                  float64 // more of it, by tables that were just written
-	risesAt                 Millis  // when that counts
-	missed                  float64 // answers that should have come since the last one
-	countedTo               Millis  // up to when those are counted
+	rising                  float64 // further calls a second, by tables that were written recently
+	risesAt                 Millis  // when rising is added to due
+	missed                  float64 // answers that were expected since the last one
+	countedTo               Millis  // the time up to which missed has been counted
 	voidSince               Millis
 	outUntil                Millis
 	freshUntil, restUntil   Millis
 	coldUntil               Millis
-	around                  fleet
+	around                  fleetLoad
 	state                   hostState
 	trial                   trial
-	unlistedAt              Millis // when the list dropped it; 0: it is listed
-	unproven                bool   // it has yet to answer anything
-	vouchedUntil            Millis // until when it is used all the same
-	followed                bool   // a list came before the one that told of it first
+	unlistedAt              Millis // when it was removed from the list; 0: it is listed
+	unproven                bool   // it has not answered anything yet
+	vouchedUntil            Millis // the time until which it is used although it is unproven
+	followed                bool   // a host list came before the one that first contained it
 	shown                   Condition
 	probeAt, probeEvery     Millis
-	void                    bool // its load reports can't be true
+	void                    bool // its load reports contradict the calls that it answers
 }
 
 type hostState int
@@ -148,136 +154,142 @@
 	onTrial
 )
 
-type opening int
+type availability int
 
 const (
-	opened opening = iota
-	rested
-	closed // judged unfit, or no longer listed
-	bound  // the same, and the rules ask for it
+	available availability = iota
+	resting
+	excluded       // judged unfit, or no longer listed
+	excludedByRule // drains, or is gone from a list whose removals are binding: the rules forbid calls to it
 )
 
-// seat is what the placer holds of a host.
-type seat struct {
-	standing
-	load, share float64
-	stands      float64 // load by the tables that stand, as a part of what is reckoned
-	expected    float64 // calls a second that reach it by those tables
-	bears       float64 // load from which it is over-worked
-	aside       float64 // the part of load that its standby lines bring
-	in          bool    // counted in the run at hand
-	open        opening // kept from all calls, for good or for a moment
+// placementHost is the placer's state of a host.
+type placementHost struct {
+	hostStatus
+	load, share  float64
+	currentLoad  float64      // load by the current tables, in the same unit as load
+	expectedRate float64      // calls a second that reach it by the current tables
+	tolerated    float64      // load above which it is overloaded
+	standbyLoad  float64      // the part of load that comes by its standby lines
+	inUse        bool         // whether slices may be assigned to it
+	availability availability // whether calls may go to it, as last posted to the publisher
 }
 
-// piece is one slice (or, at sites without slices, one proxy's calls) in the placer's hands.
-type piece struct {
-	num    TableID
-	parts  lines   // weight is the part of the slice; all add up to 1
-	was    lines   // the parts before the run at hand
-	laid   lines   // the parts last written
-	held   lines   // the table last written, with its standby
-	free   float64 // the part that the run at hand is to place
-	spare  HostID
-	heat   sum
-	since  Millis
-	heard  bool
-	last   Millis  // when last heard of
-	weight float64 // calls a second
-	told   lines
+// sliceState is the placer's state of one slice or, at sites without slices, of one proxy's calls.
+type sliceState struct {
+	table        TableID
+	planned      lines   // planned parts: a line's weight is the part of the slice, all add up to 1
+	previous     lines   // planned parts before the current assignment
+	written      lines   // planned parts when the table was last written
+	writtenTable lines   // the table as last written, with its standby
+	unassigned   float64 // the part of the slice that the current assignment has to place
+	standby      HostID
+	calls        sum
+	since        Millis
+	reported     bool
+	lastReport   Millis  // time of the last load report of it
+	rate         float64 // calls a second
+	requested    lines
 }
 
-// leaf is an aligned block of slices, or a part of one slice.
-type leaf struct {
-	first, span int
-	part, load  float64
+// block is an aligned block of slices, or a part of one slice.
+type block struct {
+	first, span    int
+	fraction, load float64
 }
 
-// placer is the paper's controller.
+// placer assigns slices to hosts, as the controller of the paper does.
 type placer struct {
 	inbox
 	*loop
-	to              *publisher
-	seats           shelf[HostID, *seat]
-	own             shelf[TableID, *piece]
-	firstHeat, next Millis
-	past            int
-	total, mean     float64 // demand of all own slices, and of one
-	dirty           bool
-	around          fleet
-	listBy          Millis // until when the first list after the start is waited for; 0: it is not
+	publisher              *publisher
+	hosts                  shelf[HostID, *placementHost]
+	owned                  shelf[TableID, *sliceState]
+	firstReport, nextCheck Millis
+	checksOverMaximum      int
+	totalRate, meanRate    float64 // calls a second of all own slices, and their mean for a slice
+	dirty                  bool
+	fleet                  fleetLoad
+	listDeadline           Millis // until when the first list after the start is awaited; 0: it no longer is
 }
 
-// gate throttles the least important calls when the fleet can't do all, and says when to try again.
-type gate struct {
+// admitter throttles the least important calls when the fleet can't serve all, and limits retries.
+type admitter struct {
 	inbox
 	*loop
-	to    *publisher
-	place *placer
-	seats shelf[HostID, standing]
-	asked []sum
-	// lasting are the calls of all routes over the last seconds, heardSince when the first were heard of.
-	lasting    sum
-	heardSince Millis
-	// unanswered are calls that were let in and got no answer, by route.
+	publisher *publisher
+	placer    *placer
+	hosts     shelf[HostID, hostStatus]
+	callSums  []sum
+	// recentCalls sums the calls of all routes over the last seconds, firstReport is the time of the first report of
+	// calls.
+	recentCalls sum
+	firstReport Millis
+	// unanswered sums the calls that were admitted and got no answer, by route.
 	unanswered []sum
-	usual      []float64 // calls a second by route when none was throttled
-	level      float64   // number of routes let in whole, the most important first
-	next       Millis
-	joined     shelf[ProxyID, bool]
-	told       levelled
-	// As last reckoned, for the report.
-	around           fleet
-	demand, capacity float64 // calls a second, of all and of what hosts can answer
-	waiting          float64 // calls that wait at hosts
-	calmSpent        float64 // time of an answer while hosts have room, in milliseconds
+	usualRates []float64 // calls a second by route while none is throttled
+	level      float64   // number of routes that are admitted whole, the most important first
+	nextUpdate Millis
+	proxies    shelf[ProxyID, bool]
+	published  admissionLevels
+	// The results of the last update.
+	fleet            fleetLoad
+	demand, capacity float64 // calls a second: the total demand, and what hosts can answer
+	queuedCalls      float64 // calls that are queued at hosts
+	calmAnswerTime   float64 // mean answer time in milliseconds while hosts have room
 }
 
-// stream is a joined proxy; table is what it is bound to at sites without slices.
-type stream struct {
-	table, wants TableID
-	zone         ZoneID
-	bound        bool
+// joinedProxy is the state of a joined proxy; table is the one it is bound to at sites without slices.
+type joinedProxy struct {
+	table, wantedTable TableID
+	zone               ZoneID
+	bound              bool
 }
 
-// flight is one reply's messages on their way, with the lines sent to each proxy.
-type flight struct {
-	serial SerialID
-	left   shelf[ProxyID, float64]
-	// While it is filled: who may get lines, what a message costs beside its own, and how full the queue gets.
-	streams             *shelf[ProxyID, *stream]
-	each, queue, filled float64
-	unowned             float64 // what proxies have not owned up to, with this
-	returning           float64 // proxies that left a moment ago, and may be back before we hear of it
-	returned            float64 // lines that this message would bring those
-	second              bool    // of a reply that was written again, and may be in the channel twice
-	written             Millis  // when that was
-	doubt               Millis  // since when it may not have reached the channel; 0: it did
-	clear               Millis  // when the last of it leaves the channel at its usual pace
+// channelMessage is the messages of one reply that are in flight, with the number of lines sent to each proxy.
+type channelMessage struct {
+	serial         SerialID
+	unacknowledged shelf[ProxyID, float64]
+	// Used while the message is filled: the proxies that may get lines, the overhead of a message to a proxy in lines,
+	// the queue limit, and the lines in the queue including this message.
+	proxies                      *shelf[ProxyID, *joinedProxy]
+	overhead, queueLimit, filled float64
+	totalUnacknowledged          float64 // lines that proxies have not acknowledged, including this message
+	returningProxies             float64 // proxies that left recently and may be back unnoticed
+	returningLines               float64 // lines of this message that would go to those proxies
+	isRepeat                     bool    // the repeat of an unconfirmed reply, which may be in the channel twice
+	writtenAt                    Millis  // when it was written to the channel
+	unconfirmedSince             Millis  // since when it is uncertain whether it reached the channel; 0: it did
+	clearAt                      Millis  // when the last of it leaves the channel at the usual rate
 }
 
-// publisher turns what is wanted into the fewest messages the channel is sure to carry.
+// publisher writes what is wanted in the fewest messages that the channel is certain to carry.
 type publisher struct {
 	inbox
 	*loop
-	place             *placer
-	stands            shelf[TableID, lines]
-	wants             shelf[TableID, wanted]
-	since, hurrySince Millis // since when changes, and removals, wait
-	streams           shelf[ProxyID, *stream]
-	sent              []Millis
-	flights           []*flight
-	ownedAt           Millis // when a proxy last acknowledged a message
-	newsAt, newsSince Millis // the last sign of life of what brings acknowledgements, and since when they come
-	silences          int    // times that nobody acknowledged anything
-	serial            SerialID
-	clear             Millis // when the channel is empty at its usual pace
-	levels, stood     levelled
-	stoodAt           Millis                 // when stood was written
-	doors             shelf[HostID, opening] // hosts that were ever out, as wanted
-	turned            shelf[HostID, Millis]  // when that changed last
-	masked            shelf[HostID, bool]    // the same as last written, where that is known
-	maskedAt          shelf[HostID, Millis]  // when that was written
-	away              shelf[ProxyID, Millis] // proxies that left, and from when on they may have missed what was written
-	leftAt            shelf[ProxyID, Millis] // when they left
-	shut              shelf[TableID, Millis] // single owners: no writes until the former owner's are settled
+	placer                    *placer
+	current                   shelf[TableID, lines] // tables as last written
+	pending                   shelf[TableID, wantedTable]
+	pendingSince, urgentSince Millis // since when ordinary changes, and urgent ones, have been pending
+	proxies                   shelf[ProxyID, *joinedProxy]
+	sentAt                    []Millis
+	inFlight                  []*channelMessage
+	acknowledgedAt            Millis // when a proxy last acknowledged a message
+	// The last sign of life of the connection that brings acknowledgements, and since when these come without a gap.
+	aliveAt, aliveSince   Millis
+	silences              int // how often messages were dropped because no proxy acknowledged anything
+	serial                SerialID
+	clearAt               Millis // when the channel is empty at the usual rate
+	levels, writtenLevels admissionLevels
+	levelsWrittenAt       Millis
+	availability          shelf[HostID, availability] // wanted availability of hosts that were ever unavailable
+	changedAt             shelf[HostID, Millis]       // when the wanted availability last changed
+	masked                shelf[HostID, bool]         // the masks as last written, where they are known
+	maskedAt              shelf[HostID, Millis]       // when they were written
+	// Proxies that left, with the time since when they may have missed what was written, and when they left.
+	missedSince shelf[ProxyID, Millis]
+	leftAt      shelf[ProxyID, Millis]
+	// Single owners: slices whose writes are stopped until those of the former owner have settled; 0: the stop is not
+	// written yet.
+	writesStoppedUntil shelf[TableID, Millis]
 }
--- a/logic/play_test.go
+++ b/logic/play_test.go
@@ -507,7 +507,7 @@
 		now += 1000
 		d.Handle(now, []any{Due{}, Roster{Kind: Whole, Entries: []Entry{{Host: HostID(n + 1), State: Up}, {Host: HostID(n + 2), State: Up}}}})
 	}
-	if held := d.hosts.len() + d.place.seats.len() + d.gate.seats.len(); held > 3*80 {
+	if held := d.hosts.len() + d.place.hosts.len() + d.gate.hosts.len(); held > 3*80 {
 		t.Fatalf("%d hosts are held after 500, of which two at a time were there", held)
 	}
 }
--- a/logic/publish.go
+++ b/logic/publish.go
@@ -8,15 +8,15 @@
 
 // Publishing: what stands at the proxies, what is wanted there, and what the channel has room for.
 
-func (p *publisher) relevels() bool {
-	return p.streams.len() > 0 && p.levels.level != nil &&
-		!(slices.Equal(p.levels.level, p.stood.level) && slices.Equal(p.levels.tries, p.stood.tries))
+func (p *publisher) levelsChanged() bool {
+	return p.proxies.len() > 0 && p.levels.level != nil &&
+		!(slices.Equal(p.levels.level, p.writtenLevels.level) && slices.Equal(p.levels.tries, p.writtenLevels.tries))
 }
 
 // tightens says whether clearly less is to be let in than is: what comes meanwhile waits at the hosts.
-func (p *publisher) tightens() bool {
+func (p *publisher) isTightening() bool {
 	for r, level := range p.levels.level {
-		if p.stood.level != nil && level <= p.stood.level[r]*(1-clearlyLess) {
+		if p.writtenLevels.level != nil && level <= p.writtenLevels.level[r]*(1-urgentLevelDrop) {
 			return true
 		}
 	}
@@ -24,69 +24,69 @@
 }
 
 // wantedBy are the wanted tables that are bare now, or the others, in an order.
-func (p *publisher) wantedBy(bare bool, most func(wanted) float64) (order []wanted) {
-	for t, w := range p.wants.all() {
-		if p.bare(t, 0) == bare {
+func (p *publisher) pendingTables(bare bool, most func(wantedTable) float64) (order []wantedTable) {
+	for t, w := range p.pending.all() {
+		if p.isExhausted(t, 0) == bare {
 			order = append(order, w)
 		}
 	}
-	slices.SortStableFunc(order, func(a, b wanted) int { return cmp.Compare(most(b), most(a)) })
+	slices.SortStableFunc(order, func(a, b wantedTable) int { return cmp.Compare(most(b), most(a)) })
 	return order
 }
 
-func (p *publisher) given(n kept) {
-	p.stands.put(n.table, n.lines)
-	if p.rules.oneOwner {
-		p.shut.put(n.table, 0) // whoever had the slice may have moved it in its last moments
+func (p *publisher) addTable(n storedTable) {
+	p.current.put(n.table, n.lines)
+	if p.rules.singleOwner {
+		p.writesStoppedUntil.put(n.table, 0) // whoever had the slice may have moved it in its last moments
 	}
 }
 
-func (p *publisher) join(n Joined) {
-	from := p.missedFrom(n)
-	for id, open := range p.doors.all() {
+func (p *publisher) addProxy(n Joined) {
+	from := p.takeMissedSince(n)
+	for id, open := range p.availability.all() {
 		// It has missed what was written while it was away, in either direction. One that holds nothing has no mask.
-		if n.Fresh && (open != opened || p.masked.get(id)) || !n.Fresh && p.maskedAt.get(id) >= from {
+		if n.Fresh && (open != available || p.masked.get(id)) || !n.Fresh && p.maskedAt.get(id) >= from {
 			p.masked.drop(id)
 		}
 	}
-	p.stood = levelled{} // it may hold the levels of an earlier time
-	s := &stream{zone: n.Zone}
-	if known := p.streams.get(n.Proxy); known != nil {
+	p.writtenLevels = admissionLevels{} // it may hold the levels of an earlier time
+	s := &joinedProxy{zone: n.Zone}
+	if known := p.proxies.get(n.Proxy); known != nil {
 		// It may have left and come back while we heard nothing, or have been there all along: what waits in the
 		// channel for it stays counted until it owns up to something later. Counted as gone, all that had been
 		// written before the gap was forgotten, and as much again went on top of it.
-		s.wants = known.wants
-		p.unsettle()
+		s.wantedTable = known.wantedTable
+		p.extendWriteStops()
 	}
-	p.streams.put(n.Proxy, s)
+	p.proxies.put(n.Proxy, s)
 }
 
 // missedFrom is from when on a proxy that joins may have missed what was written; always, where it was not seen to
 // leave. A proxy that loses its stream keeps what it holds: where dozens come back each second, telling all of them
 // all masks anew filled the channel.
-func (p *publisher) missedFrom(n Joined) Millis {
+func (p *publisher) takeMissedSince(n Joined) Millis {
 	from := Millis(math.Inf(-1))
-	if p.away.has(n.Proxy) && !p.streams.has(n.Proxy) {
-		from = p.away.get(n.Proxy)
+	if p.missedSince.has(n.Proxy) && !p.proxies.has(n.Proxy) {
+		from = p.missedSince.get(n.Proxy)
 	}
-	p.away.drop(n.Proxy)
+	p.missedSince.drop(n.Proxy)
 	p.leftAt.drop(n.Proxy)
 	return from
 }
 
 // leave notes that a proxy has left: what it did not acknowledge may not have reached it.
-func (p *publisher) leave(n Left) {
+func (p *publisher) removeProxy(n Left) {
 	from := p.now
-	for _, f := range p.flights {
-		if f.left.has(n.Proxy) {
-			from = min(from, f.written)
+	for _, f := range p.inFlight {
+		if f.unacknowledged.has(n.Proxy) {
+			from = min(from, f.writtenAt)
 		}
-		f.left.drop(n.Proxy)
+		f.unacknowledged.drop(n.Proxy)
 	}
-	p.away.put(n.Proxy, from)
+	p.missedSince.put(n.Proxy, from)
 	p.leftAt.put(n.Proxy, p.now)
-	p.streams.drop(n.Proxy)
-	p.unsettle()
+	p.proxies.drop(n.Proxy)
+	p.extendWriteStops()
 }
 
 // setMask notes a mask that is written.
@@ -96,113 +96,113 @@
 }
 
 // due says whether to write now. Ordinary changes gather, and leave a part of a proxy's messages to removals.
-func (p *publisher) due() bool {
+func (p *publisher) isDue() bool {
 	rebind, reopen, pressed, urgent := false, false, false, false
-	for _, s := range p.streams.all() {
-		rebind = rebind || !p.rules.sliced && (!s.bound || s.wants != s.table)
+	for _, s := range p.proxies.all() {
+		rebind = rebind || !p.rules.sliced && (!s.bound || s.wantedTable != s.table)
 		pressed = pressed || !p.rules.sliced && !s.bound
 	}
-	for _, until := range p.shut.all() {
+	for _, until := range p.writesStoppedUntil.all() {
 		reopen = reopen || p.now >= until
 	}
-	for t, w := range p.wants.all() {
-		urgent, pressed = urgent || w.urgent, pressed || p.bare(t, 0)
+	for t, w := range p.pending.all() {
+		urgent, pressed = urgent || w.urgent, pressed || p.isExhausted(t, 0)
 	}
-	masks, shuts := len(p.ajar(bound)) > 0, slices.ContainsFunc(p.ajar(closed), p.dispensable)
-	pressed = pressed || shuts || slices.ContainsFunc(p.ajar(opened), p.awaited) || p.tightens() ||
-		p.relevels() && p.stood.level == nil && slices.Min(p.levels.level) < 1
-	since(&p.hurrySince, pressed || masks || urgent, p.now)
-	since(&p.since, p.wants.len() > 0 || rebind || reopen || p.relevels() ||
-		len(p.ajar(opened)) > 0 || len(p.ajar(rested)) > 0, p.now)
-	p.sent = slices.DeleteFunc(p.sent, func(t Millis) bool { return p.now-t > p.rules.span+gather })
+	masks, shuts := len(p.hostsToMask(excludedByRule)) > 0, slices.ContainsFunc(p.hostsToMask(excluded), p.isDispensable)
+	pressed = pressed || shuts || slices.ContainsFunc(p.hostsToMask(available), p.isOnlyConfirmedHost) || p.isTightening() ||
+		p.levelsChanged() && p.writtenLevels.level == nil && slices.Min(p.levels.level) < 1
+	since(&p.urgentSince, pressed || masks || urgent, p.now)
+	since(&p.pendingSince, p.pending.len() > 0 || rebind || reopen || p.levelsChanged() ||
+		len(p.hostsToMask(available)) > 0 || len(p.hostsToMask(resting)) > 0, p.now)
+	p.sentAt = slices.DeleteFunc(p.sentAt, func(t Millis) bool { return p.now-t > p.rules.messageSpan+gather })
 	// Heads are paid for each proxy: a message that carries little would fill the channel of a large fleet.
-	heads := p.headsTime()
-	last, most, gap := p.lastSent(), math.Inf(1), max(gather, heads)
-	if p.rules.messages > 0 {
-		most = float64(p.rules.messages)
-		gap = max(gap, p.rules.span/Millis(most*ordinaryPart))
+	heads := p.overheadInterval()
+	last, most, gap := p.lastSentAt(), math.Inf(1), max(gather, heads)
+	if p.rules.messageLimit > 0 {
+		most = float64(p.rules.messageLimit)
+		gap = max(gap, p.rules.messageSpan/Millis(most*ordinaryPart))
 	}
-	written, hurry := float64(len(p.sent)), p.rules.hurry
+	written, hurry := float64(len(p.sentAt)), p.rules.urgentInterval
 	if !masks {
 		hurry = max(hurry, heads/2)
 	}
 	if !masks && !pressed {
 		hurry, most = max(hurry, heads), most*urgentPart // the last messages are for what the rules ask
 	}
-	if p.hurrySince > 0 && written < most && p.now-max(last, p.hurrySince-hurry) >= hurry &&
-		(masks || !p.rules.sliced || p.loadable(urgentPart, p.neededLines(true))) {
+	if p.urgentSince > 0 && written < most && p.now-max(last, p.urgentSince-hurry) >= hurry &&
+		(masks || !p.rules.sliced || p.isWorthSending(urgentPart, p.pendingLines(true))) {
 		return true
 	}
-	return p.since > 0 && p.now-p.since >= gather && p.now-last >= gap && written < most*ordinaryPart &&
-		(!p.rules.sliced || p.loadable(p.ordinaryShare(), p.neededLines(false)))
+	return p.pendingSince > 0 && p.now-p.pendingSince >= gather && p.now-last >= gap && written < most*ordinaryPart &&
+		(!p.rules.sliced || p.isWorthSending(p.ordinaryShare(), p.pendingLines(false)))
 }
 
 // flush writes as much of what is wanted as the channel has room for, removals first. What a reply orders is
 // one message a proxy, so a table's new lines and those that go arrive together.
-func (p *publisher) flush() {
+func (p *publisher) writePending() {
 	start := len(p.out)
 	d := p.newDraft()
 	// A host goes out of all tables by one line a proxy, with new lines where it would leave a table bare; at
 	// size those that move its slices would fill the channel for longer than a drain's grace. They follow.
 	// A mask that holds a host from more than it should get is not lifted for one table that new lines can help.
 	none := func(HostID) bool { return false }
-	d.writeMasks(bound, none)
-	d.writeBareTables()
-	d.writeMasks(opened, p.over)
+	d.writeMasks(excludedByRule, none)
+	d.writeExhaustedTables()
+	d.writeMasks(available, p.exceedsWanted)
 	// Levels go before tables that can wait: calls were refused for seconds by levels that were no longer wanted.
-	if p.relevels() && d.cost.book(urgentPart, float64(len(p.rules.ways)), everyStream) {
+	if p.levelsChanged() && d.message.reserve(urgentPart, float64(len(p.rules.retries)), everyProxy) {
 		p.writeLevels()
 	}
-	d.writeMasks(opened, none)
-	d.writeMasks(closed, func(id HostID) bool { return !p.dispensable(id) })
-	d.writeMasks(rested, none)
+	d.writeMasks(available, none)
+	d.writeMasks(excluded, func(id HostID) bool { return !p.isDispensable(id) })
+	d.writeMasks(resting, none)
 	d.writeOverdueTables()
 	d.writeTables()
-	p.owners(func(t TableID) bool { return d.cost.book(barePart, 1, d.using(t)) })
-	d.bindStreams()
-	if p.since = 0; len(p.out) > start && d.cost.left.len() > 0 {
-		p.send(d.cost)
+	p.updateWriteStops(func(t TableID) bool { return d.message.reserve(barePart, 1, d.usersOf(t)) })
+	d.bindProxies()
+	if p.pendingSince = 0; len(p.out) > start && d.message.unacknowledged.len() > 0 {
+		p.send(d.message)
 	}
 }
 
 // send ends a message with its stamp and notes it as on its way.
-func (p *publisher) send(f *flight) {
+func (p *publisher) send(f *channelMessage) {
 	p.serial = (p.serial + 1) % 65536
 	f.serial = p.serial
 	p.order(Stamp{p.serial, false})
-	p.clear = max(p.clear, p.now) + Millis(f.seal()/p.rules.pace)
-	f.clear, f.written = p.clear, p.now
-	p.flights = append(p.flights, f)
-	p.sent = append(p.sent, p.now)
+	p.clearAt = max(p.clearAt, p.now) + Millis(f.addOverhead()/p.rules.linesPerMilli)
+	f.clearAt, f.writtenAt = p.clearAt, p.now
+	p.inFlight = append(p.inFlight, f)
+	p.sentAt = append(p.sentAt, p.now)
 }
 
 // writeLevels orders the levels and further tries that are not as wanted.
 func (p *publisher) writeLevels() {
 	for i, level := range p.levels.level {
-		if p.stood.level == nil || level != p.stood.level[i] || p.levels.tries[i] != p.stood.tries[i] {
+		if p.writtenLevels.level == nil || level != p.writtenLevels.level[i] || p.levels.tries[i] != p.writtenLevels.tries[i] {
 			p.order(Throttle{EveryTable, 1 << i, level, p.levels.tries[i]})
 		}
 	}
-	p.stood, p.stoodAt = p.levels, p.now
+	p.writtenLevels, p.levelsWrittenAt = p.levels, p.now
 }
 
 // changes are what must be written of a table, new lines before those that go, so that it is never bare.
 // A single owner's writes stop with the message that moves it.
-func (p *publisher) changes(t TableID, table lines) (out []Order) {
-	stands := p.stands.get(t)
-	if p.rules.oneOwner {
-		out = append(out, Throttle{t, p.rules.writes, 0, 1})
+func (p *publisher) tableOrders(t TableID, table lines) (out []Order) {
+	stands := p.current.get(t)
+	if p.rules.singleOwner {
+		out = append(out, Throttle{t, p.rules.writeRoutes, 0, 1})
 	}
 	for _, l := range table {
 		if !slices.Contains(stands, l) {
 			out = append(out, SetLine{t, l.host, l.weight})
 		}
-		if p.stale(l.host) && p.doors.get(l.host) == opened && !p.over(l.host) {
+		if p.isMaskOutdated(l.host) && p.availability.get(l.host) == available && !p.exceedsWanted(l.host) {
 			out = append(out, Mask{l.host, false})
 		}
 	}
 	for _, l := range stands {
-		if !p.rules.oneOwner && !table.holds(l.host) {
+		if !p.rules.singleOwner && !table.holds(l.host) {
 			out = append(out, SetLine{t, l.host, 0})
 		}
 	}
@@ -211,15 +211,15 @@
 
 // owners stops the writes of slices whose last owner may still hold some, and lets them in again once no
 // message is on its way and none can be left.
-func (p *publisher) owners(charge func(TableID) bool) {
-	p.waiting() // forgets the messages that all have applied
-	for t, until := range p.shut.all() {
+func (p *publisher) updateWriteStops(charge func(TableID) bool) {
+	p.queuedLines() // forgets the messages that all have applied
+	for t, until := range p.writesStoppedUntil.all() {
 		if until == 0 && charge(t) {
-			p.order(Throttle{t, p.rules.writes, 0, 1})
-			p.shut.put(t, p.now+p.rules.settle)
-		} else if until > 0 && p.now >= until && len(p.flights) == 0 && charge(t) {
-			p.order(Throttle{t, p.rules.writes, 1, 1})
-			p.shut.drop(t)
+			p.order(Throttle{t, p.rules.writeRoutes, 0, 1})
+			p.writesStoppedUntil.put(t, p.now+p.rules.settleTime)
+		} else if until > 0 && p.now >= until && len(p.inFlight) == 0 && charge(t) {
+			p.order(Throttle{t, p.rules.writeRoutes, 1, 1})
+			p.writesStoppedUntil.drop(t)
 		}
 	}
 }
