--- a/logic/admission.go
+++ b/logic/admission.go
@@ -5,46 +5,49 @@
 	"slices"
 )
 
-// Admission: which part of the calls is let in, and how often a proxy may try again.
+// Admission decides which part of the calls is admitted, and how often a proxy may retry.
 
 const (
-	admissionInterval = Millis(500) // the shortest time in which a burst must be met, and the usual period of reports
-	// waitsFrom is the answer time, for each of the usual one, from which calls are taken to wait at a host.
+	// admissionInterval is the time between updates: the shortest time within which a burst has to be met, and the usual
+	// interval of reports.
+	admissionInterval = Millis(500)
+	// queueingFactor is the ratio of the answer time to the usual one above which calls count as queued at a host.
 	queueingFactor = 1.5
-	// repeated is the part of the calls without an answer that clients make again: between none and all of them.
+	// repeatedShare is the part of the unanswered calls that clients are taken to repeat: between none and all of them.
 	repeatedShare = 0.5
-	// easeShare is the part of the way to what fits that levels ease at each weighing. What fits is known to a tenth or
-	// two: eased by small steps alone, levels followed the lowest of what was reckoned, and not its middle.
-	easeShare = 0.5
-	// levelSteps are those in which a level is told: a smaller change is not worth a message.
+	// levelEaseShare is the part of the way to the admissible level that is taken at each update. The admissible rate
+	// is known to a tenth or two only: raised by small constant steps alone, levels followed the lowest of the
+	// estimates and not their middle.
+	levelEaseShare = 0.5
+	// levelSteps is the number of steps in which levels are published: a smaller change is not worth a message.
 	levelSteps = 20.0
-	// burstFrom is the growth of the calls from which it is a burst. A sum over a second ripples by a fifth with reports
-	// that come each half second.
+	// burstGrowth is the growth of the call rate from which it counts as a burst. A sum over one second ripples by a
+	// fifth with reports that come every 500 ms.
 	burstGrowth = 1.25
-	// calmMemory is the half-life of the answer time while hosts have room.
+	// answerTimeSmoothing is the weight of a new value in the smoothed answer time while hosts have room.
 	answerTimeSmoothing = 0.1
 )
 
-// capability is what hosts in use can do, and do.
+// fleetCapacity is what the hosts in use can do, and what they do.
 type fleetCapacity struct {
 	capacity, tryRate, lossRate float64 // calls a second
-	busyWeighted, busyCapacity  float64 // busy shares by what their hosts can do, and what these can do
+	busyWeighted, busyCapacity  float64 // sum of the busy shares times the hosts' capacities, and of these capacities
 	usable                      float64 // hosts in use
-	restarting                  float64 // those of them that started a moment ago
-	unmeasured                  float64 // those of these that have yet to show what they can do
+	restarting                  float64 // those of them that started recently
+	unmeasured                  float64 // those of these whose capacity is not known yet
 	unfit                       float64 // hosts that are listed and out of use
-	queuedCalls                 float64 // calls that wait at hosts, beside those in work
-	growth                      float64 // of the calls that come, since hosts reported
+	queuedCalls                 float64 // calls that are queued at hosts, beside those in service
+	growth                      float64 // of the call rate since the hosts' reports
 }
 
-// roomy says whether hosts with room to spare belie the reckoning. Reports of the others are too old to tell while
-// many have just started and nothing was heard of them since, and all are older than a burst that has just begun: what
-// came on top is added to them.
+// hasRoom says whether hosts report room to spare, which overrides the computed load. It is false while many hosts have
+// just started and have not reported, since the reports of the others are then too old to tell. In a burst all reports
+// are older than the burst, so they are scaled by its growth.
 func (c fleetCapacity) hasRoom() bool {
 	return c.busyCapacity > 0 && c.busyWeighted*max(1, c.growth) < c.busyCapacity*idle && c.unmeasured <= c.usable*crowd
 }
 
-// measure sums up the hosts.
+// measure sums up the state of the hosts.
 func (g *admitter) measure() (c fleetCapacity) {
 	each := g.typicalCapacity()
 	for _, s := range g.hosts.all() {
@@ -53,8 +56,8 @@
 			continue
 		}
 		c.usable, c.restarting = c.usable+1, c.restarting+float64(bit(s.fresh && s.cold, 0))
-		// What no table names bears nothing: it neither adds to what can be done, nor to what is not seen.
-		if s.capacity == 0 && s.dueRate > 0 { // it has yet to show what it can do, and many such come at once in a release
+		// A host that no table names gets no calls: it counts neither as capacity nor as unmeasured.
+		if s.capacity == 0 && s.dueRate > 0 { // its capacity is unknown; a release brings many such hosts
 			c.unmeasured += float64(bit(s.fresh && s.cold, 0))
 			c.capacity += each * s.listedWeight * s.warmShare / 2
 		}
@@ -64,7 +67,7 @@
 		}
 		c.queuedCalls += max(0, s.answerTime-queueingFactor*g.calmAnswerTime) / 1000 * s.tryRate * (1 - s.loss)
 	}
-	c.capacity = max(c.capacity, c.tryRate-c.lossRate) // without busy shares, what is answered is all that is known
+	c.capacity = max(c.capacity, c.tryRate-c.lossRate) // without busy shares, only the rate of answers is known
 	if usual := g.typicalAnswerTime(); c.hasRoom() && usual > 0 {
 		if g.calmAnswerTime == 0 {
 			g.calmAnswerTime = usual
@@ -72,15 +75,15 @@
 		g.calmAnswerTime += (usual - g.calmAnswerTime) * answerTimeSmoothing
 	}
 	if g.calmAnswerTime == 0 {
-		c.queuedCalls = 0 // nothing is known of how long an answer takes
+		c.queuedCalls = 0 // the usual answer time is not known yet
 	}
 	return c
 }
 
-// calls is the rate at which a route's calls come, with those that are made again.
+// callRate returns the rate of a route's calls, including repeated ones.
 func (g *admitter) callRate(r RouteID) float64 { return g.callSums[r].rate(g.now, gateMemory, 0) }
 
-// come is the rate at which calls of all routes come, with those that are made again.
+// totalCallRate returns the rate of the calls of all routes, including repeated ones.
 func (g *admitter) totalCallRate() (sum float64) {
 	for r := range g.callSums {
 		sum += g.callRate(RouteID(r))
@@ -88,7 +91,8 @@
 	return sum
 }
 
-// growth is the rate at which calls come over that of the last seconds, 1 where that may be a ripple of the reports.
+// callGrowth returns the present rate of calls over that of the last seconds, or 1 where the difference may be a ripple
+// of the reports.
 func (g *admitter) callGrowth() float64 {
 	lately := g.recentCalls.rate(g.now, demandMemory, g.firstReport-g.rules.reportInterval)
 	if growth := g.totalCallRate() / max(lately, 0.1); growth > burstGrowth {
@@ -97,19 +101,21 @@
 	return 1
 }
 
-// arrivals is the rate of a route's calls, without those that are made again for want of an answer.
+// newCallRate returns the rate of a route's calls without those that are repeated for want of an answer.
 func (g *admitter) newCallRate(r RouteID) float64 {
 	return max(0, g.callRate(r)-repeatedShare*g.unanswered[r].rate(g.now, gateMemory, 0))
 }
 
-// throttles says whether some calls are turned away: levels are told in steps, and the last part of one is none.
+// isThrottling says whether some calls are rejected: levels are published in steps, and less than half a step is no
+// change.
 func (g *admitter) isThrottling() bool { return g.level < float64(len(g.usualRates))-0.5/levelSteps }
 
-// estimateDemand tells the calls a second that come, and what comes usually, when none is turned away. A throttled
-// route's calls come again and tell nothing of how many there are; the most important's do. But there are no more than
-// come: the mix of routes may have been learnt from the first few calls after a start.
+// estimateDemand returns the demand in calls a second and the usual one, without throttling. Calls of a throttled route
+// are repeated, so their rate does not show the demand; that of the most important route does. The result is never more
+// than the rate at which calls come, since the mix of routes may have been learnt from the first few calls after a
+// start.
 func (g *admitter) estimateDemand() (all, usual float64) {
-	come := g.totalCallRate()
+	total := g.totalCallRate()
 	for r := range g.usualRates {
 		if !g.isThrottling() {
 			g.usualRates[r] = g.newCallRate(RouteID(r))
@@ -118,21 +124,22 @@
 	}
 	for _, lead := range slices.Backward(g.rules.byImportance) {
 		if g.usualRates[lead] > 0 {
-			return min(come, usual*g.newCallRate(lead)/g.usualRates[lead]), usual
+			return min(total, usual*g.newCallRate(lead)/g.usualRates[lead]), usual
 		}
 	}
-	return min(come, usual), usual
+	return min(total, usual), usual
 }
 
-// weigh compares the calls that come, and those that wait, with what hosts can do and lets in the part that fits.
-// Tries would not do: they end late, and those of a jam would throttle what comes after it.
+// update compares the rate of calls and the queued calls with the capacity of the hosts and admits the part that fits.
+// The rate of tries would not do: tries end late, and those of an overload would throttle the calls after it.
 func (g *admitter) update() {
 	c := g.measure()
 	c.growth = g.callGrowth()
 	all, usual := g.estimateDemand()
 	around := fleetLoad{pressure: c.tryRate / max(c.capacity, 0.1), loss: c.lossRate / max(c.tryRate, 0.1),
-		busy: c.busyWeighted / max(c.busyCapacity, 0.1), typicalLoss: g.typicalLoss(), unfitShare: c.unfit / max(c.unfit+c.usable, 1)}
-	if g.isThrottling() { // else all that come are in the pressure
+		busy: c.busyWeighted / max(c.busyCapacity, 0.1), typicalLoss: g.typicalLoss(),
+		unfitShare: c.unfit / max(c.unfit+c.usable, 1)}
+	if g.isThrottling() { // otherwise the pressure includes all calls
 		around.demandRatio = all / max(c.capacity, 0.1)
 	}
 	g.fleet, g.demand, g.capacity, g.queuedCalls = around, all, c.capacity, c.queuedCalls
@@ -144,7 +151,7 @@
 		g.adjustLevel(c)
 	}
 	if g.published.level == nil && (c.capacity == 0 || usual == 0) {
-		return // proxies may hold an earlier start's levels, which know more than we do yet
+		return // proxies may hold levels of an earlier start, which are based on more than is known yet
 	}
 	now := g.routeLevels(g.isThrottling() || around.pressure > strain || c.restarting > c.usable*crowd)
 	if !slices.Equal(now.level, g.published.level) || !slices.Equal(now.tries, g.published.tries) {
@@ -153,35 +160,34 @@
 	}
 }
 
-// steer sets the number of routes that are let in whole: at once to less, step by step to more. Levels let in a part of
-// all calls that come, those made again among them, so it is these that have to fit: levels for the calls that were
-// wanted in the first place let in twice what hosts can do once calls are lost or turned away and made again, and the
-// losses kept it so.
+// adjustLevel sets the number of routes that are admitted whole: it lowers it at once and raises it in steps. A level
+// admits a part of all calls, including repeated ones, so all of these have to fit. Levels computed for the new calls
+// alone admitted twice the capacity once calls were lost or rejected and then repeated, and the losses kept it so.
 func (g *admitter) adjustLevel(c fleetCapacity) {
-	come := g.totalCallRate()
-	fits := strain * c.capacity
+	total := g.totalCallRate()
+	admissible := strain * c.capacity
 	if c.hasRoom() {
-		fits = max(fits, g.rateWithRoom(c, come))
-	}
-	// What waits is worked off within the time that the most pressing route wants its answers in, also where it waits
-	// at a few hosts only. What strain leaves free serves for that first: answer times tell of what waited seconds ago,
-	// and all of it taken off let in half of what hosts could do long after they had room.
-	worksOff := c.queuedCalls * 1000 / float64(max(1, g.rules.slo))
-	fits = max(0, min(fits, fits/strain-worksOff))
-	want, excess := float64(len(g.rules.byImportance)), come-fits
+		admissible = max(admissible, g.rateWithRoom(c, total))
+	}
+	// Queued calls are to be worked off within the shortest SLO of the routes, also where they are queued at a few
+	// hosts only. The reserve above strain is used for that first: answer times show the queues of some seconds ago,
+	// and with all queued calls subtracted, only half of the capacity was admitted long after hosts had room again.
+	backlog := c.queuedCalls * 1000 / float64(max(1, g.rules.slo))
+	admissible = max(0, min(admissible, admissible/strain-backlog))
+	want, excess := float64(len(g.rules.byImportance)), total-admissible
 	for _, r := range g.rules.byImportance {
 		cut := min(1, max(0, excess)/max(g.callRate(r), 0.001))
 		want, excess = want-cut, excess-cut*g.callRate(r)
 	}
-	ease := max(levelEase*float64(admissionInterval)/1000, easeShare*(want-g.level))
+	ease := max(levelEase*float64(admissionInterval)/1000, levelEaseShare*(want-g.level))
 	g.level = max(levelLow, min(want, g.level+ease))
 }
 
-// eases is what may be let in while hosts have room to spare: all, or, where calls are turned away, more than now by as
-// much as hosts have room. All at once would be a burst.
-func (g *admitter) rateWithRoom(c fleetCapacity, come float64) float64 {
+// rateWithRoom returns the rate of calls to admit while hosts have room to spare: all, or, while calls are rejected,
+// the present rate raised in proportion to the room. All at once would be a burst.
+func (g *admitter) rateWithRoom(c fleetCapacity, total float64) float64 {
 	if !g.isThrottling() || len(g.published.level) == 0 || g.rules.levelKind != LevelShare {
-		return come
+		return total
 	}
 	letIn := 0.0
 	for r, level := range g.published.level {
@@ -190,7 +196,8 @@
 	return letIn * strain * c.busyCapacity / c.busyWeighted
 }
 
-// levels are the orders that follow from the level. A further try adds work just where there is too much.
+// routeLevels returns the levels and retries that follow from the level. Under strain retries are limited, since they
+// add work where there is already too much.
 func (g *admitter) routeLevels(strained bool) admissionLevels {
 	top := float64(len(g.rules.byImportance))
 	now := admissionLevels{make([]float64, len(g.usualRates)), make([]int, len(g.usualRates))}
@@ -209,7 +216,7 @@
 	return now
 }
 
-// typical is the median of a value over the hosts in use that show it.
+// median returns the median of a value over the hosts in use that show it.
 func (g *admitter) median(of func(hostStatus) (value float64, shown bool)) float64 {
 	var all []float64
 	for _, s := range g.hosts.all() {
@@ -220,20 +227,20 @@
 	return middle(all)
 }
 
-// usualAble is what hosts can do for each unit of listed weight.
+// typicalCapacity returns the median capacity of hosts for each unit of listed weight.
 func (g *admitter) typicalCapacity() float64 {
 	return g.median(func(s hostStatus) (float64, bool) { return s.capacity / s.listedWeight, s.capacity > 0 })
 }
 
-// typicalLoss is the share of tries that hosts lose.
+// typicalLoss returns the median share of tries that hosts lose.
 func (g *admitter) typicalLoss() float64 {
 	return g.median(func(s hostStatus) (float64, bool) { return s.loss, s.tryRate > 0 })
 }
 
-// usualSpent is the time of the answers of hosts.
+// typicalAnswerTime returns the median of the hosts' mean answer times.
 func (g *admitter) typicalAnswerTime() float64 {
 	return g.median(func(s hostStatus) (float64, bool) { return s.answerTime, s.answerTime > 0 })
 }
 
-// overloaded says whether more is wanted than all hosts can do, so that calls are turned away.
+// isOverloaded says whether the demand exceeds the capacity of all hosts, so that calls are rejected.
 func (f fleetLoad) isOverloaded() bool { return f.demandRatio > 1 }
--- a/logic/channel.go
+++ b/logic/channel.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// The channel: what may still wait in it, what proxies have acknowledged, and what is written again.
+// The channel: what may still be queued in it, what proxies have acknowledged, and what is written again.
 
-// fits says whether that part of the queue has room for lines.
+// hasRoom says whether the given part of the queue has room for more lines.
 func (f *channelMessage) hasRoom(part, lines float64) bool {
 	return f.filled+lines <= f.queueLimit*part && f.totalUnacknowledged+lines <= f.queueLimit*surePart
 }
 
-// book charges lines to each proxy that uses a table, if that part of the queue has room for all of them.
+// reserve charges lines to each proxy that uses a table, if the given part of the queue has room for all of them.
 func (f *channelMessage) reserve(part, lines float64, uses func(*joinedProxy) bool) bool {
 	var users []ProxyID
 	for n, s := range f.proxies.all() {
@@ -35,11 +35,11 @@
 	return true
 }
 
-// returnWithin is for how long a proxy that left is expected back at any moment.
+// proxyReturnTime is how long a proxy that left is expected back at any moment.
 const proxyReturnTime = Millis(30000)
 
-// expectReturns has a message leave room for proxies that left lately: where a cut ends they come back by the hundred, and
-// what is written goes to all that are back, of whom we hear a moment later.
+// reserveForReturns leaves room for proxies that left recently. When a network partition ends they come back by the
+// hundred, and what is written goes to all that are back, while the director learns of them a moment later.
 func (p *publisher) reserveForReturns(f *channelMessage) {
 	if !p.rules.sliced {
 		return
@@ -50,7 +50,7 @@
 	f.returningLines = f.returningProxies * f.overhead
 }
 
-// seal adds the heads and gives all lines of the messages.
+// addOverhead adds the overhead of each proxy's message and returns the lines of all messages.
 func (f *channelMessage) addOverhead() float64 {
 	for n, lines := range f.unacknowledged.all() {
 		f.unacknowledged.put(n, lines+f.overhead)
@@ -65,7 +65,7 @@
 	return sum
 }
 
-// lastSent is when something was written last.
+// lastSentAt returns when a message was last written.
 func (p *publisher) lastSentAt() Millis {
 	if n := len(p.sentAt); n > 0 {
 		return p.sentAt[n-1]
@@ -73,13 +73,12 @@
 	return Millis(math.Inf(-1))
 }
 
-// own hears that a proxy has applied all up to a stamp: a stream keeps its order, so what was written to it
-// before has come too, whether we heard of that or not.
+// acknowledge handles a proxy's acknowledgement of a stamp: a stream is ordered, so everything written to the proxy
+// before has arrived too, whether or not an acknowledgement of it was received.
 func (p *publisher) acknowledge(n Applied) {
 	for i, f := range p.inFlight {
-		// An acknowledgement tells how long ago its message was written. One of the message written again proves
-		// that the first is not on its way any more, since a stream keeps its order; one of the first says nothing
-		// of the other.
+		// An acknowledgement tells how long ago its message was written. One of a repeat proves that the first copy is
+		// no longer in flight, since a stream is ordered; one of the first copy says nothing about the repeat.
 		if f.serial == n.Serial && !(f.isRepeat && p.now-n.Spent < f.writtenAt) {
 			for _, before := range p.inFlight[:i+1] {
 				before.unacknowledged.drop(n.Proxy)
@@ -96,14 +95,14 @@
 	}
 }
 
-// silentFor is how long after its sending began a channel that carries anything may show no acknowledgement at all.
-// A message goes to one proxy after the other: however slow the channel is, the first of them answer.
+// silenceTimeout is how long after its sending began a working channel may show no acknowledgement at all. A message is
+// sent to one proxy after the other, so the first proxies answer however slow the channel is.
 func (p *publisher) silenceTimeout() Millis { return slowest*p.rules.transit + p.rules.worstTransit }
 
-// newsGap is how far apart two signs of life of the news may be: one comes each second.
+// maxAliveGap is the longest time between two signs of life of a working connection: one comes each second.
 const maxAliveGap = Millis(1500)
 
-// newsAlive notes a sign of life.
+// recordAlive records a sign of life of the connection that brings acknowledgements.
 func (p *publisher) recordAlive() {
 	if p.now-p.aliveAt > maxAliveGap {
 		p.aliveSince = p.now
@@ -111,10 +110,12 @@
 	p.aliveAt = p.now
 }
 
-// silent says whether messages are on their way and none of the proxies has acknowledged anything for so long that
-// the messages, or the answers to them, must be lost: a channel that is merely slow goes on answering, and news come.
+// isSilent says whether messages are in flight and no proxy has acknowledged anything for so long that the messages or
+// their acknowledgements must be lost: a channel that is merely slow still brings some, and the connection that brings
+// them is alive.
 func (p *publisher) isSilent() bool {
-	// Without news nothing is known: the way to the proxies may be cut, with all that was written waiting in it.
+	// While that connection shows no sign of life nothing is known: the network to the proxies may be partitioned, with
+	// everything written still queued.
 	alive := p.aliveAt > 0 && p.now-p.aliveAt <= maxAliveGap && p.now >= p.aliveSince+p.silenceTimeout()
 	if len(p.inFlight) == 0 || !alive {
 		return false
@@ -127,8 +128,8 @@
 	return p.now >= p.acknowledgedAt+p.silenceTimeout()
 }
 
-// forgetSilent lets go of messages that are lost, or whose answers are. Their masks and levels may not have reached
-// anybody, so they are told anew.
+// dropLostMessages drops messages that are lost or whose acknowledgements are. Their masks and levels may not have
+// reached any proxy, so they are written again.
 func (p *publisher) dropLostMessages() {
 	if !p.isSilent() {
 		return
@@ -141,9 +142,10 @@
 	p.writtenLevels = admissionLevels{}
 }
 
-// waiting is what may still be in our channel: what has not left it at its usual pace, or, once most proxies
-// are late to own up to a message, all that they have not owned up to, which holds at any pace; and that sum.
-// What nobody owns up to any more, since it was lost or we did not hear it, is not waited for without end.
+// queuedLines returns the number of lines that may still be in the channel, and the number of all unacknowledged lines.
+// The first counts what has not left the channel at the usual rate or, once most proxies are late to acknowledge a
+// message, all unacknowledged lines, which is correct at any rate. Messages that are never acknowledged, because they
+// or the acknowledgements were lost, are dropped after a time.
 func (p *publisher) queuedLines() (lines, all float64) {
 	most := slowest * (Millis(p.rules.queueLimit/p.rules.linesPerMilli) + p.rules.transit)
 	p.inFlight = slices.DeleteFunc(p.inFlight, func(f *channelMessage) bool {
@@ -151,9 +153,9 @@
 	})
 	slow := false
 	for _, f := range p.inFlight {
-		own := f.lineCount()
-		all += own
-		lines += min(own, max(0, float64(f.clearAt-p.now)*p.rules.linesPerMilli))
+		size := f.lineCount()
+		all += size
+		lines += min(size, max(0, float64(f.clearAt-p.now)*p.rules.linesPerMilli))
 		slow = slow || !f.isRepeat && p.now > f.clearAt+p.rules.transit*3/2 && f.unacknowledged.len()*2 > p.proxies.len()
 	}
 	if slow {
@@ -169,26 +171,27 @@
 			return
 		}
 	}
-	p.order(Again{n.Serial}) // nobody is left who could own up to it
+	p.order(Again{n.Serial}) // no proxy is left that could acknowledge it
 }
 
-// again has written once more what may not have reached the channel. It may just as well wait there, and its
-// lines twice would pass the limit: so it gets the time in which a proxy would own up to it, and then counts
-// double until one does. Without room for that it waits until it can't be on its way any more.
-// Nothing is written meanwhile: it would wait behind that, and seem to drain from a channel it is not in.
+// repeatUnconfirmed orders unconfirmed messages to be written again and says whether some still wait for that. An
+// unconfirmed message may be in the channel after all, and its lines twice would exceed the limit. So it first gets the
+// time in which a proxy would acknowledge it, and then counts double until one does. Without room for that, it waits
+// until it can no longer be in flight. Nothing else is written meanwhile: it would queue behind that message, and would
+// be counted as leaving a channel that it is not in.
 func (p *publisher) repeatUnconfirmed() (doubted bool) {
 	filled, all := p.queuedLines()
 	for _, f := range p.inFlight {
-		own := f.lineCount()
-		begins := f.clearAt - Millis(own/p.rules.linesPerMilli)
-		full := filled+own > p.rules.queueLimit*urgentPart || all+own > p.rules.queueLimit*surePart
+		size := f.lineCount()
+		begins := f.clearAt - Millis(size/p.rules.linesPerMilli)
+		full := filled+size > p.rules.queueLimit*urgentPart || all+size > p.rules.queueLimit*surePart
 		if f.unconfirmedSince == 0 || p.now < begins+p.rules.transit || full && p.now < f.clearAt+3*p.rules.transit {
 			doubted = doubted || f.unconfirmedSince > 0
 			continue
 		}
-		p.clearAt = max(p.clearAt, p.now) + Millis(own/p.rules.linesPerMilli)
-		f.clearAt, f.unconfirmedSince, filled, all = p.clearAt, 0, filled+own, all+own
-		// Both bear one stamp: what a proxy acknowledges of the first frees no room of the second.
+		p.clearAt = max(p.clearAt, p.now) + Millis(size/p.rules.linesPerMilli)
+		f.clearAt, f.unconfirmedSince, filled, all = p.clearAt, 0, filled+size, all+size
+		// Both have the same stamp: what a proxy acknowledges of the first copy frees no room of the second.
 		second := &channelMessage{serial: f.serial, clearAt: p.clearAt, isRepeat: true, writtenAt: p.now}
 		for n, lines := range f.unacknowledged.all() {
 			second.unacknowledged.put(n, lines)
--- a/logic/draft.go
+++ b/logic/draft.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// A message in the making: what of all that is wanted goes into it, within what the channel has room for.
+// Filling a message: which of the pending changes go into it, within the room that the channel has.
 
 // draft is a message that is being filled.
 type draft struct {
@@ -21,30 +21,30 @@
 
 func everyProxy(*joinedProxy) bool { return true }
 
-// using says which streams hold a table.
+// usersOf returns a function that says whether a proxy holds a table.
 func (d *draft) usersOf(t TableID) func(*joinedProxy) bool {
 	return func(s *joinedProxy) bool { return d.rules.sliced || s.bound && s.table == t || t >= zoneTables }
 }
 
-// writeMasks writes the masks of a kind that are not as they should be, but for some.
-func (d *draft) writeMasks(open availability, but func(HostID) bool) {
-	for _, id := range d.hostsToMask(open) {
-		if !but(id) && d.message.reserve(urgentPart, 1, everyProxy) {
-			d.order(Mask{id, open != available})
-			d.setMask(id, open != available)
+// writeMasks writes the outdated masks of hosts with an availability, except some.
+func (d *draft) writeMasks(state availability, except func(HostID) bool) {
+	for _, id := range d.hostsToMask(state) {
+		if !except(id) && d.message.reserve(urgentPart, 1, everyProxy) {
+			d.order(Mask{id, state != available})
+			d.setMask(id, state != available)
 		}
 	}
 }
 
-// writeBareTables writes the tables that have nothing to offer, those that have waited for longest first.
+// writeExhaustedTables writes the tables that have no host to offer, the longest pending first.
 func (d *draft) writeExhaustedTables() {
 	for _, w := range d.pendingTables(true, func(w wantedTable) float64 { return -float64(w.pendingSince) }) {
 		d.writeTable(w, d.nextStep(w, false), urgentPart)
 	}
 }
 
-// writeOverdueTables writes tables that have named a host for long that is out. Of a table of many parts, each of which
-// changes with the others, the lines of such hosts go alone where the whole does not fit.
+// writeOverdueTables writes tables that have named an excluded host for long. If such a table does not fit whole, only
+// the lines of excluded hosts are removed: a table of many parts changes with each of them.
 func (d *draft) writeOverdueTables() {
 	part := d.ordinaryShare()
 	for _, w := range d.pendingTables(false, d.priority) {
@@ -57,8 +57,8 @@
 	}
 }
 
-// writeTables writes the tables that can wait, by what they are worth. Where not all fit, those whose calls are to move get
-// their main lines first; in an overload all do.
+// writeTables writes the tables that can wait, in the order of their priority. Where not all fit, tables whose calls
+// have to move get their main lines first; in an overload all do.
 func (d *draft) writeTables() {
 	part := d.ordinaryShare()
 	whole := d.fitsAllPending(d.message, part)
@@ -74,19 +74,19 @@
 	}
 }
 
-// full says whether there is no room for a line to all proxies.
+// isFull says whether there is no room for one line to every proxy.
 func (d *draft) isFull(part float64) bool {
 	return d.rules.sliced && !d.message.hasRoom(part, float64(d.proxies.len()))
 }
 
 func (d *draft) priority(w wantedTable) float64 { return w.priority(d.now) }
 
-// write puts the lines that a table is to hold next into the message, if that part of the queue has room for them. A
-// table that has none does not hold up those behind it: a smaller one may fit.
+// writeTable adds the lines that a table is to hold next to the message, if the given part of the queue has room for
+// them. A table that does not fit does not hold up those behind it: a smaller one may fit.
 func (d *draft) writeTable(w wantedTable, next lines, part float64) (written bool) {
 	t, changes := w.table, d.tableOrders(w.table, next)
 	if d.rules.sliced && !d.message.hasRoom(part, float64(len(changes)*d.proxies.len())) {
-		return false // told without a walk over all proxies, of which there are thousands, for each of as many tables
+		return false // found without visiting thousands of proxies for each of as many tables
 	}
 	if !d.message.reserve(part, float64(len(changes)), d.usersOf(t)) {
 		return false
@@ -110,7 +110,7 @@
 	return true
 }
 
-// bindStreams binds streams to the tables that they want, at sites without slices.
+// bindProxies binds proxies to the tables that they are to use, at sites without slices.
 func (d *draft) bindProxies() {
 	for n, s := range d.proxies.all() {
 		zone := zoneTables + TableID(s.zone)
--- a/logic/placement.go
+++ b/logic/placement.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Placement: which host each slice goes to. It is the greedy run of the paper over aligned blocks of slices.
+// Placement decides which host each slice goes to. It is the paper's greedy algorithm over aligned blocks of slices.
 
 func (p *placer) updateHost(n hostStatus) {
 	s := p.hosts.get(n.id)
@@ -14,7 +14,7 @@
 		s = &placementHost{}
 		p.hosts.put(n.id, s)
 		if p.publisher.masked.get(n.id) {
-			p.post(p.publisher, availabilityChange{n.id, available}) // proxies hold a mask of its earlier time
+			p.post(p.publisher, availabilityChange{n.id, available}) // proxies still hold a mask of its earlier time
 		}
 	}
 	p.dirty = p.dirty || s.onTrial != n.onTrial || !s.fresh && n.fresh
@@ -25,25 +25,25 @@
 	if p.listDeadline > 0 && p.now >= p.listDeadline {
 		p.listDeadline, p.dirty = 0, true
 	}
-	up, ill, restingHosts := 0, 0, 0
+	up, unfit, restingHosts := 0, 0, 0
 	for _, s := range p.hosts.all() {
 		up += int(bit(s.usable || s.unfit, 0))
-		ill += int(bit(s.unfit, 0))
+		unfit += int(bit(s.unfit, 0))
 	}
 	for id, s := range p.hosts.all() {
-		// Where most look ill at once, the view or the load is: none is left out for it.
-		in := s.usable || s.unfit && ill*2 > up || s.unproven && up == 0
-		open := available
+		// Where most hosts look unfit at once, the director's view or an overload is the cause: none is excluded.
+		in := s.usable || s.unfit && unfit*2 > up || s.unproven && up == 0
+		state := available
 		if !in && !s.onTrial {
-			if open = excluded; s.leaving {
-				open = excludedByRule
+			if state = excluded; s.leaving {
+				state = excludedByRule
 			}
 		} else if in && s.resting && restingHosts < up/8 && s.load < p.totalRate/float64(up)*1.25 {
-			open, restingHosts = resting, restingHosts+1
+			state, restingHosts = resting, restingHosts+1
 		}
-		if open != s.availability {
-			s.availability = open
-			p.post(p.publisher, availabilityChange{id, open})
+		if state != s.availability {
+			s.availability = state
+			p.post(p.publisher, availabilityChange{id, state})
 		}
 		p.dirty, s.inUse = p.dirty || s.inUse != in, in
 	}
@@ -55,7 +55,8 @@
 	}
 }
 
-// adopt starts from the store's lines: what stands is warm. What is there beside a whole slice is a standby.
+// addSlice takes over a slice with the store's lines. These are current, so their hosts have warm caches for it. A
+// light line beside a whole one is a standby.
 func (p *placer) addSlice(t TableID, held lines) {
 	slice := &sliceState{table: t, since: p.now, requested: held, writtenTable: held, rate: p.meanRate}
 	for _, l := range held {
@@ -74,7 +75,8 @@
 func (p *placer) recordDemand(n Heat) {
 	if slice := p.owned.get(n.Slice); slice != nil {
 		p.dirty = p.dirty || !p.rules.sliced && !slice.reported
-		// A thinned report covers long and comes at once: its calls are weighed as if heard one by one.
+		// A thinned-out report covers a long time and comes at once: its calls get the weight that they would have had
+		// if reported one by one.
 		span := float64(max(1, n.Over)) / (float64(demandMemory) / math.Ln2)
 		slice.calls.add(p.now, demandMemory, float64(n.Calls)*(1-math.Exp(-span))/span)
 		slice.reported, slice.lastReport = true, p.now
@@ -83,16 +85,17 @@
 }
 
 func (p *placer) computeLoads() {
-	// What hosts show is set against what they were listed for, so that the unit of pressure drops out.
-	ratio, shown := p.median(func(s *placementHost) float64 { return s.callsPerPressure / s.listedWeight })
-	usual, _ := p.median(func(s *placementHost) float64 { return s.answerTime })
+	// The rate that hosts show for each unit of pressure is compared with their listed weights, relative to the
+	// median, so that the unit of pressure cancels out.
+	ratio, reporting := p.median(func(s *placementHost) float64 { return s.callsPerPressure / s.listedWeight })
+	typicalTime, _ := p.median(func(s *placementHost) float64 { return s.answerTime })
 	for _, s := range p.hosts.all() {
 		s.standbyLoad, s.load = 0, 0
 	}
 	p.totalRate = 0
 	shares := 0.0
 	for _, slice := range p.owned.all() {
-		// Reports of a slice just given are still to come: until then it counts as the others do.
+		// There are no reports of a newly owned slice yet: until they come it counts as much as the mean slice.
 		from := max(slice.since, p.firstReport-p.rules.reportInterval)
 		if slice.reported || p.firstReport > 0 && p.now-from > demandMemory/2 {
 			slice.rate = slice.calls.rate(max(slice.lastReport, p.now-2*demandMemory), demandMemory, from)
@@ -109,7 +112,7 @@
 			p.totalRate += slice.rate * p.rules.standbyWeight
 		}
 	}
-	if p.totalRate > 0 { // with no slices yet those to come count as equal, not as nothing
+	if p.totalRate > 0 { // without slices yet, the mean stays, so that those to come count as equal and not as nothing
 		p.meanRate = p.totalRate / float64(p.owned.len())
 	}
 	p.computeExpectedRates()
@@ -117,46 +120,49 @@
 		s.currentLoad = s.load
 		if s.share = 0; s.inUse {
 			s.share = s.listedWeight
-			if s.callsPerPressure > 0 && shown > 2 {
+			if s.callsPerPressure > 0 && reporting > 2 {
 				s.share *= min(2.5, max(0.1, s.callsPerPressure/s.listedWeight/ratio))
 			}
-			if s.invalidReports && s.answerTime > usual {
-				s.share *= max(0.1, usual/s.answerTime)
+			if s.invalidReports && s.answerTime > typicalTime {
+				s.share *= max(0.1, typicalTime/s.answerTime)
 			}
 			if s.cold {
-				// Its room grows as it warms. The little work it did tells too little for more than its listed share,
-				// and a part of an overload would be more than it can bear with cold keys, also of one that is
-				// throttled by now: shares are of all calls that come, and the levels may rise before the lines
-				// change.
-				s.share = min(s.share, s.listedWeight) * s.warmShare / max(1, p.fleet.pressure*p.fleet.pressure, p.fleet.demandRatio)
+				// Its share grows as its caches warm up. The few calls that it has answered are no evidence for more
+				// than its listed share. In an overload a full share would exceed what it can bear with cold caches,
+				// and so it would while that overload is throttled: shares are of all calls that come, and levels may
+				// rise before the lines change.
+				s.share = min(s.share, s.listedWeight) * s.warmShare / max(1, p.fleet.pressure*p.fleet.pressure,
+					p.fleet.demandRatio)
 			}
 			shares += s.share
 		}
 	}
 	for _, s := range p.hosts.all() {
 		s.share *= p.totalRate / max(shares, 1e-9)
-		if s.tolerated = s.share * p.tolerance(s); s.busy > 0 && s.busy < roomy && !s.cold && s.answerTime < usual*3/2 {
-			// A reckoned share is rough, and among many hosts some is always far off: one that has room to spare,
-			// and answers as fast as others, is not over-worked whatever was reckoned.
+		if s.tolerated = s.share * p.tolerance(s); s.busy > 0 && s.busy < roomy && !s.cold &&
+			s.answerTime < typicalTime*3/2 {
+			// A computed share is rough, and among many hosts some are always far off: a host that reports room to
+			// spare and answers as fast as the others is not overloaded, whatever was computed.
 			s.tolerated = max(s.tolerated, s.load*roomy/s.busy)
 		}
 	}
 }
 
-// most is the imbalance tolerated: beyond the maximum while even the fullest host has room, since a move then
-// only costs warm keys. What a cold host can do is not known: it gets no more than it was supposed to have.
+// tolerance is the tolerated ratio of a host's load to its share: above the maximum while even the fullest host has
+// room, since a move would then only cost warm caches. The capacity of a cold host is unknown: it gets no more than
+// its share.
 func (p *placer) tolerance(s *placementHost) float64 {
 	if s.cold {
 		return 1
 	}
 	if p.fleet.pressure == 0 {
-		return maximum // nothing is known yet
+		return maximum // no load is known yet
 	}
 	return max(maximum, min(2, headroom/p.fleet.pressure))
 }
 
-// imbalance is the paper's: the most over-worked host's load over the load it was supposed to have; and with
-// it all load past the tolerance, since among many hosts the worst may be past help while others aren't.
+// imbalance is the paper's measure, the load of the most overloaded host over its tolerated load, and beside it the
+// sum of all load beyond the tolerated one: among many hosts the worst may be beyond relief while others are not.
 func (p *placer) imbalance() (worst, excess float64) {
 	for _, s := range p.hosts.all() {
 		if s.inUse {
@@ -167,8 +173,8 @@
 	return worst, excess
 }
 
-// check is the periodic look: past the maximum twice in a row, the run is played again, and its outcome is
-// installed only if it is worth the cold keys.
+// rebalance is the periodic check: if the imbalance exceeds the maximum twice in a row, blocks are assigned again,
+// and the result is kept only if the gain is worth the cold caches.
 func (p *placer) rebalance() {
 	p.computeLoads()
 	worst, before := p.imbalance()
@@ -176,7 +182,7 @@
 		p.checksOverMaximum = min(p.checksOverMaximum, 0)
 	} else if p.checksOverMaximum >= 2 {
 		for _, slice := range p.owned.all() {
-			slice.planned = slices.Clone(p.effectiveLines(slice)) // what the channel had no time for is planned anew
+			slice.planned = slices.Clone(p.effectiveLines(slice)) // what the channel had no room for is planned again
 		}
 		p.assignBlocks(false)
 		p.checksOverMaximum = 0
@@ -191,12 +197,14 @@
 	p.publishTables(false)
 }
 
-// demandKnown says whether reports have told for long enough what slices weigh. Until then all are taken for equal: after
-// a restart hosts that had just started lost slices that they bore well.
+// demandKnown says whether reports have come for long enough to know the demand of each slice. Until then all slices
+// count as equal, which does not justify a move: after a restart, hosts that had just started lost slices that they
+// bore well.
 func (p *placer) demandKnown() bool { return p.firstReport > 0 && p.now-p.firstReport > demandMemory }
 
-// loosen frees the parts that must move. Fitting leaves stay, the heaviest first, so that few move; with
-// onlyMust, a host that is merely too full keeps what it has, a cold one keeps what it has room for.
+// releaseParts unassigns the parts that have to move. Parts that fit stay, those of the slices with the most calls
+// first, so that few move. With onlyMust, a host that is merely too full keeps its parts, and a recently started one
+// those that it has room for.
 func (p *placer) releaseParts(onlyMust bool) {
 	for _, s := range p.hosts.all() {
 		s.load = s.standbyLoad
@@ -204,7 +212,7 @@
 	for _, slice := range p.slicesByRate() {
 		var stay lines
 		if slice.unassigned = 1; !p.rules.sliced && !slice.reported {
-			slice.unassigned = 0 // the common table serves until a proxy's demand is known
+			slice.unassigned = 0 // the common table serves until the demand of a proxy is known
 		}
 		for _, l := range slice.planned {
 			s, load := p.hosts.get(l.host), l.weight*slice.rate
@@ -215,7 +223,7 @@
 			}
 			if s == nil || !s.inUse {
 				if next := p.successor(slice, load); next != nil {
-					// Its calls go there already, and find keys warm: a move now would cost both again.
+					// Its calls already go there and find warm caches: a move now would cost the warm-up twice.
 					s, l.host = next, next.id
 				}
 			}
@@ -232,7 +240,8 @@
 	}
 }
 
-// blocks are the largest aligned blocks whose own slices are all free, or the free part of a single slice.
+// unassignedBlocks returns the largest aligned blocks whose own slices are all unassigned, or the unassigned part of
+// a single slice.
 func (p *placer) unassignedBlocks(first, span int) []block {
 	all, l := true, block{first, span, 0, 0}
 	for t, slice := range p.owned.all() {
@@ -246,7 +255,8 @@
 		return nil
 	}
 	if span == 1 && !p.rules.sliced && l.fraction > 1.0/64 {
-		// One proxy may carry more than a host can, and has no slice's keys to keep warm: it goes in sixteenths.
+		// One proxy may have more calls than a host can serve, and has no keys of a slice to keep warm: it is placed in
+		// sixteenths.
 		return slices.Repeat([]block{{first, 1, l.fraction / 16, l.load / 16}}, 16)
 	}
 	if all && p.rules.sliced || span == 1 {
@@ -255,7 +265,8 @@
 	return append(p.unassignedBlocks(first, span/2), p.unassignedBlocks(first+span/2, span/2)...)
 }
 
-// roomiest is the host with the most room but for one, of all or of the warm ones alone; nil: there is none.
+// hostWithMostRoom returns the host with the most room, except one, of all hosts or only of the warm ones; nil if
+// there is none.
 func (p *placer) hostWithMostRoom(but *placementHost, warm bool) *placementHost {
 	var best *placementHost
 	for _, s := range p.hosts.all() {
@@ -266,51 +277,53 @@
 	return best
 }
 
-// run is the paper's algorithm over the free blocks.
+// assignBlocks is the paper's algorithm over the unassigned blocks. All start at the host with the most room; blocks
+// move from there, the one with the highest load first, until its load is within the tolerance.
 func (p *placer) assignBlocks(onlyMust bool) {
 	p.releaseParts(onlyMust)
 	span := 1
 	for n := p.owned.len(); n > 0 && span <= int(p.owned.sorted()[n-1]); {
 		span *= 2
 	}
-	leaves, home := p.unassignedBlocks(0, span), p.hostWithMostRoom(nil, false)
-	if home == nil {
+	blocks, base := p.unassignedBlocks(0, span), p.hostWithMostRoom(nil, false)
+	if base == nil {
 		return
 	}
-	for _, l := range leaves {
-		home.load += l.load
+	for _, l := range blocks {
+		base.load += l.load
 	}
-	for home.load > home.share*p.tolerance(home) && len(leaves) > 0 {
-		s := p.hostWithMostRoom(home, false)
+	for base.load > base.share*p.tolerance(base) && len(blocks) > 0 {
+		s := p.hostWithMostRoom(base, false)
 		if s == nil || s.share <= s.load {
 			break
 		}
-		slices.SortStableFunc(leaves, func(a, b block) int { return cmp.Compare(b.load, a.load) })
-		l := leaves[0]
-		leaves = leaves[1:]
+		slices.SortStableFunc(blocks, func(a, b block) int { return cmp.Compare(b.load, a.load) })
+		l := blocks[0]
+		blocks = blocks[1:]
 		room := s.share - s.load
 		if l.load < min(p.totalRate*chunk, s.share*chunkPart) {
 			room = s.share*p.tolerance(s) - s.load
 		}
 		if l.load > room {
 			if halves := p.splitBlock(l, s.share); halves != nil {
-				leaves = append(leaves, halves...)
+				blocks = append(blocks, halves...)
 				continue
 			}
 			if s.cold {
-				s = cmp.Or(p.hostWithMostRoom(home, true), s) // a warm one bears an overload, a cold one falls over
+				s = cmp.Or(p.hostWithMostRoom(base, true), s) // a warm host survives an overload, a cold one fails
 			}
 		}
 		p.assign(l, s.id)
 		s.load += l.load
-		home.load -= l.load
+		base.load -= l.load
 	}
-	for _, l := range leaves {
-		p.assign(l, home.id)
+	for _, l := range blocks {
+		p.assign(l, base.id)
 	}
 }
 
-// split halves a block. A single slice goes on by weight, if it is heavy: each half warms keys of its own.
+// splitBlock halves a block. A single slice is split by weight if its load is high, since both halves have to warm up
+// its keys.
 func (p *placer) splitBlock(l block, share float64) []block {
 	if half := l.span / 2; half > 0 {
 		return append(p.unassignedBlocks(l.first, half), p.unassignedBlocks(l.first+half, half)...)
@@ -322,7 +335,8 @@
 	return []block{half, half}
 }
 
-// lay tells the publisher what each table is to hold, and each host what has been laid on it.
+// publishTables tells the publisher what each table is to contain, and each host the calls that the tables send to
+// it.
 func (p *placer) publishTables(urgent bool) {
 	nth, every := 0, max(1, p.owned.len()/trialSlices)
 	for id, s := range p.hosts.all() {
@@ -356,7 +370,8 @@
 	}
 }
 
-// common lays the one small table that all get first at sites without slices, and one a zone for own routes.
+// publishCommonTables publishes, at sites without slices, the small table that all proxies get first, and a table for
+// each zone with the routes that stay in their zone.
 func (p *placer) publishCommonTables(urgent bool) {
 	var tables shelf[TableID, lines]
 	for id, s := range p.hosts.all() {
@@ -377,9 +392,9 @@
 	}
 }
 
-// table is the parts of a slice and, beside a whole one, a light standby line: a proxy that avoids a host or
-// may try again has somewhere to go before anything is known here. It guards against any sudden loss of a
-// host; it costs cold keys for its weight. A host on trial gets its few calls in the same place.
+// buildTable returns the parts of a slice and, beside a whole one, a light standby line: a proxy that avoids a host
+// or may retry has another host before the director knows of a fault. It protects against any sudden loss of a host,
+// and costs cold caches for its share of the calls. A host on trial gets its few calls by the same line.
 func (p *placer) buildTable(slice *sliceState) lines {
 	out := slices.Clone(slice.planned)
 	if p.rules.singleOwner || len(out) == 0 {
@@ -399,7 +414,8 @@
 	return out.sorted()
 }
 
-// spareFor draws a standby, from another cell where one is left: cells fall together.
+// chooseStandby chooses a standby at random by the room of hosts, from another cell if there is one, since the hosts
+// of a cell fail together.
 func (p *placer) chooseStandby(slice *sliceState) (best HostID) {
 	main, most := p.hosts.get(slice.planned[0].host), 0.0
 	for id, s := range p.hosts.all() {
@@ -408,7 +424,7 @@
 			score += 100
 		}
 		if !s.cold {
-			score++ // it may get all of the slice at once
+			score++ // it may get all calls of the slice at once
 		}
 		if s.inUse && !s.fresh && !slice.planned.holds(id) && (best == 0 || score > most) {
 			best, most = id, score
@@ -417,7 +433,7 @@
 	return best
 }
 
-// median is that of what hosts in use show, and how many show anything.
+// median returns the median of a value over the hosts in use that show it, and their number.
 func (p *placer) median(of func(*placementHost) float64) (float64, int) {
 	var all []float64
 	for _, s := range p.hosts.all() {
--- a/logic/publish.go
+++ b/logic/publish.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Publishing: what stands at the proxies, what is wanted there, and what the channel has room for.
+// Publishing: what the proxies hold, what they are to hold, and what the channel has room for.
 
 func (p *publisher) levelsChanged() bool {
 	return p.proxies.len() > 0 && p.levels.level != nil &&
 		!(slices.Equal(p.levels.level, p.writtenLevels.level) && slices.Equal(p.levels.tries, p.writtenLevels.tries))
 }
 
-// tightens says whether clearly less is to be let in than is: what comes meanwhile waits at the hosts.
+// isTightening says whether a level is to fall markedly: until it is written, the excess calls queue at the hosts.
 func (p *publisher) isTightening() bool {
 	for r, level := range p.levels.level {
 		if p.writtenLevels.level != nil && level <= p.writtenLevels.level[r]*(1-urgentLevelDrop) {
@@ -23,7 +23,7 @@
 	return false
 }
 
-// wantedBy are the wanted tables that are bare now, or the others, in an order.
+// pendingTables returns the pending tables that are exhausted now, or the others, ordered by most.
 func (p *publisher) pendingTables(bare bool, most func(wantedTable) float64) (order []wantedTable) {
 	for t, w := range p.pending.all() {
 		if p.isExhausted(t, 0) == bare {
@@ -37,33 +37,34 @@
 func (p *publisher) addTable(n storedTable) {
 	p.current.put(n.table, n.lines)
 	if p.rules.singleOwner {
-		p.writesStoppedUntil.put(n.table, 0) // whoever had the slice may have moved it in its last moments
+		p.writesStoppedUntil.put(n.table, 0) // the former owner may have moved the slice in its last moments
 	}
 }
 
 func (p *publisher) addProxy(n Joined) {
 	from := p.takeMissedSince(n)
-	for id, open := range p.availability.all() {
-		// It has missed what was written while it was away, in either direction. One that holds nothing has no mask.
-		if n.Fresh && (open != available || p.masked.get(id)) || !n.Fresh && p.maskedAt.get(id) >= from {
+	for id, state := range p.availability.all() {
+		// It missed what was written while it was away, masks and their removal alike. A proxy that holds nothing has
+		// no masks.
+		if n.Fresh && (state != available || p.masked.get(id)) || !n.Fresh && p.maskedAt.get(id) >= from {
 			p.masked.drop(id)
 		}
 	}
-	p.writtenLevels = admissionLevels{} // it may hold the levels of an earlier time
+	p.writtenLevels = admissionLevels{} // it may hold levels of an earlier time
 	s := &joinedProxy{zone: n.Zone}
 	if known := p.proxies.get(n.Proxy); known != nil {
-		// It may have left and come back while we heard nothing, or have been there all along: what waits in the
-		// channel for it stays counted until it owns up to something later. Counted as gone, all that had been
-		// written before the gap was forgotten, and as much again went on top of it.
+		// It may have left and come back unnoticed, or have been there all along: what is in the channel for it stays
+		// counted until it acknowledges something later. Counted as gone, everything written before the gap was
+		// forgotten, and as much again was written on top of it.
 		s.wantedTable = known.wantedTable
 		p.extendWriteStops()
 	}
 	p.proxies.put(n.Proxy, s)
 }
 
-// missedFrom is from when on a proxy that joins may have missed what was written; always, where it was not seen to
-// leave. A proxy that loses its stream keeps what it holds: where dozens come back each second, telling all of them
-// all masks anew filled the channel.
+// takeMissedSince returns the time since when a proxy that joins may have missed what was written: minus infinity where
+// it was not seen to leave. A proxy that loses its stream keeps its tables: where dozens rejoin each second, writing
+// all masks again for each of them filled the channel.
 func (p *publisher) takeMissedSince(n Joined) Millis {
 	from := Millis(math.Inf(-1))
 	if p.missedSince.has(n.Proxy) && !p.proxies.has(n.Proxy) {
@@ -74,7 +75,7 @@
 	return from
 }
 
-// leave notes that a proxy has left: what it did not acknowledge may not have reached it.
+// removeProxy handles a proxy that left: what it did not acknowledge may not have reached it.
 func (p *publisher) removeProxy(n Left) {
 	from := p.now
 	for _, f := range p.inFlight {
@@ -89,47 +90,50 @@
 	p.extendWriteStops()
 }
 
-// setMask notes a mask that is written.
+// setMask records a mask as written.
 func (p *publisher) setMask(id HostID, out bool) {
 	p.masked.put(id, out)
 	p.maskedAt.put(id, p.now)
 }
 
-// due says whether to write now. Ordinary changes gather, and leave a part of a proxy's messages to removals.
+// isDue says whether to write now. Ordinary changes are gathered, and leave a part of the messages that a proxy may get
+// to urgent changes.
 func (p *publisher) isDue() bool {
-	rebind, reopen, pressed, urgent := false, false, false, false
+	rebind, reopen, pressing, urgent := false, false, false, false
 	for _, s := range p.proxies.all() {
 		rebind = rebind || !p.rules.sliced && (!s.bound || s.wantedTable != s.table)
-		pressed = pressed || !p.rules.sliced && !s.bound
+		pressing = pressing || !p.rules.sliced && !s.bound
 	}
 	for _, until := range p.writesStoppedUntil.all() {
 		reopen = reopen || p.now >= until
 	}
 	for t, w := range p.pending.all() {
-		urgent, pressed = urgent || w.urgent, pressed || p.isExhausted(t, 0)
+		urgent, pressing = urgent || w.urgent, pressing || p.isExhausted(t, 0)
 	}
-	masks, shuts := len(p.hostsToMask(excludedByRule)) > 0, slices.ContainsFunc(p.hostsToMask(excluded), p.isDispensable)
-	pressed = pressed || shuts || slices.ContainsFunc(p.hostsToMask(available), p.isOnlyConfirmedHost) || p.isTightening() ||
+	masks, exclusions := len(p.hostsToMask(excludedByRule)) > 0,
+		slices.ContainsFunc(p.hostsToMask(excluded), p.isDispensable)
+	pressing = pressing || exclusions || slices.ContainsFunc(p.hostsToMask(available), p.isOnlyConfirmedHost) ||
+		p.isTightening() ||
 		p.levelsChanged() && p.writtenLevels.level == nil && slices.Min(p.levels.level) < 1
-	since(&p.urgentSince, pressed || masks || urgent, p.now)
+	since(&p.urgentSince, pressing || masks || urgent, p.now)
 	since(&p.pendingSince, p.pending.len() > 0 || rebind || reopen || p.levelsChanged() ||
 		len(p.hostsToMask(available)) > 0 || len(p.hostsToMask(resting)) > 0, p.now)
 	p.sentAt = slices.DeleteFunc(p.sentAt, func(t Millis) bool { return p.now-t > p.rules.messageSpan+gather })
-	// Heads are paid for each proxy: a message that carries little would fill the channel of a large fleet.
-	heads := p.overheadInterval()
-	last, most, gap := p.lastSentAt(), math.Inf(1), max(gather, heads)
+	// Each message has an overhead for each proxy: messages that carry little would fill the channel of a large fleet.
+	overhead := p.overheadInterval()
+	last, most, gap := p.lastSentAt(), math.Inf(1), max(gather, overhead)
 	if p.rules.messageLimit > 0 {
 		most = float64(p.rules.messageLimit)
 		gap = max(gap, p.rules.messageSpan/Millis(most*ordinaryPart))
 	}
-	written, hurry := float64(len(p.sentAt)), p.rules.urgentInterval
+	written, interval := float64(len(p.sentAt)), p.rules.urgentInterval
 	if !masks {
-		hurry = max(hurry, heads/2)
+		interval = max(interval, overhead/2)
 	}
-	if !masks && !pressed {
-		hurry, most = max(hurry, heads), most*urgentPart // the last messages are for what the rules ask
+	if !masks && !pressing {
+		interval, most = max(interval, overhead), most*urgentPart // the last messages are for what the rules require
 	}
-	if p.urgentSince > 0 && written < most && p.now-max(last, p.urgentSince-hurry) >= hurry &&
+	if p.urgentSince > 0 && written < most && p.now-max(last, p.urgentSince-interval) >= interval &&
 		(masks || !p.rules.sliced || p.isWorthSending(urgentPart, p.pendingLines(true))) {
 		return true
 	}
@@ -137,19 +141,20 @@
 		(!p.rules.sliced || p.isWorthSending(p.ordinaryShare(), p.pendingLines(false)))
 }
 
-// flush writes as much of what is wanted as the channel has room for, removals first. What a reply orders is
-// one message a proxy, so a table's new lines and those that go arrive together.
+// writePending writes as much of the pending changes as the channel has room for, removals of hosts first. What one
+// reply orders is one message to a proxy, so the new lines of a table arrive together with the removal of old ones.
 func (p *publisher) writePending() {
 	start := len(p.out)
 	d := p.newDraft()
-	// A host goes out of all tables by one line a proxy, with new lines where it would leave a table bare; at
-	// size those that move its slices would fill the channel for longer than a drain's grace. They follow.
-	// A mask that holds a host from more than it should get is not lifted for one table that new lines can help.
+	// A mask removes a host from all tables by one line to each proxy, with new lines where it would leave a table
+	// exhausted. In a large fleet, the lines that move the host's slices would fill the channel for longer than a
+	// drain's grace period, so they follow later. A mask that keeps a host from more calls than wanted is not lifted
+	// for a table that can be helped by new lines.
 	none := func(HostID) bool { return false }
 	d.writeMasks(excludedByRule, none)
 	d.writeExhaustedTables()
 	d.writeMasks(available, p.exceedsWanted)
-	// Levels go before tables that can wait: calls were refused for seconds by levels that were no longer wanted.
+	// Levels are written before tables that can wait: outdated levels rejected calls for seconds.
 	if p.levelsChanged() && d.message.reserve(urgentPart, float64(len(p.rules.retries)), everyProxy) {
 		p.writeLevels()
 	}
@@ -165,7 +170,7 @@
 	}
 }
 
-// send ends a message with its stamp and notes it as on its way.
+// send ends a message with its stamp and records it as in flight.
 func (p *publisher) send(f *channelMessage) {
 	p.serial = (p.serial + 1) % 65536
 	f.serial = p.serial
@@ -176,18 +181,19 @@
 	p.sentAt = append(p.sentAt, p.now)
 }
 
-// writeLevels orders the levels and further tries that are not as wanted.
+// writeLevels orders the levels and retries that differ from the written ones.
 func (p *publisher) writeLevels() {
 	for i, level := range p.levels.level {
-		if p.writtenLevels.level == nil || level != p.writtenLevels.level[i] || p.levels.tries[i] != p.writtenLevels.tries[i] {
+		if p.writtenLevels.level == nil || level != p.writtenLevels.level[i] ||
+			p.levels.tries[i] != p.writtenLevels.tries[i] {
 			p.order(Throttle{EveryTable, 1 << i, level, p.levels.tries[i]})
 		}
 	}
 	p.writtenLevels, p.levelsWrittenAt = p.levels, p.now
 }
 
-// changes are what must be written of a table, new lines before those that go, so that it is never bare.
-// A single owner's writes stop with the message that moves it.
+// tableOrders returns the orders that change a table, new lines before removals, so that it is never exhausted. The
+// writes of a single owner are stopped by the same message that moves the slice.
 func (p *publisher) tableOrders(t TableID, table lines) (out []Order) {
 	stands := p.current.get(t)
 	if p.rules.singleOwner {
@@ -209,10 +215,10 @@
 	return out
 }
 
-// owners stops the writes of slices whose last owner may still hold some, and lets them in again once no
-// message is on its way and none can be left.
+// updateWriteStops stops the writes of slices whose former owner may still have some in progress, and admits them again
+// once no message is in flight and none of those writes can be left.
 func (p *publisher) updateWriteStops(charge func(TableID) bool) {
-	p.queuedLines() // forgets the messages that all have applied
+	p.queuedLines() // drops the messages that all proxies have acknowledged
 	for t, until := range p.writesStoppedUntil.all() {
 		if until == 0 && charge(t) {
 			p.order(Throttle{t, p.rules.writeRoutes, 0, 1})
--- a/logic/traffic.go
+++ b/logic/traffic.go
@@ -1,45 +1,46 @@
 package logic
 
-// Where calls go now, by the lines that proxies hold. What is only planned waits for room in the channel, for long
-// at size: hosts and loads are judged by what stands, never by a plan.
+// Traffic: where calls go now, by the lines that proxies hold. A plan may wait for room in the channel, in a large
+// fleet for long, so hosts and loads are judged by the current tables and never by a plan.
 
-// elsewhereFor is how long tables of other directors may name a host that is to go out: they rewrite them, or die
-// and are followed by one that does.
+// foreignTableTime is how long tables of other directors may name a host that is excluded: these directors rewrite the
+// tables, or they fail and a successor does.
 const foreignTableTime = Millis(10000)
 
-// listWithin is how long after a start the list may take that names hosts which only standing tables name until then:
-// the list from disk is older than those.
+// firstListTimeout is how long after a start the first host list may take. Until then hosts may be missing that only
+// the current tables name, since the list from disk may be older than those tables.
 const firstListTimeout = longestWord
 
-// awaitsList says whether a host that standing tables name may yet be in the first list after the start. Planned anew
-// before that, its slices went to other hosts and stayed there.
+// awaitsFirstList says whether a host that current tables name may still appear in the first list after the start. Its
+// slices are not placed anew before that: they went to other hosts and stayed there.
 func (p *placer) awaitsFirstList(id HostID) bool {
 	return id != 0 && p.listDeadline > 0 && !p.hosts.has(id)
 }
 
-// usable says whether proxies can use lines of a host.
+// isUsable says whether proxies can use lines of a host.
 func (p *placer) isUsable(id HostID) bool {
 	s := p.hosts.get(id)
 	return s != nil && s.inUse || p.awaitsFirstList(id)
 }
 
-// open are the lines of a slice's table, as last written, that proxies can use: without those of hosts that are out.
-func (p *placer) usableLines(slice *sliceState) (open lines) {
+// usableLines returns the lines of a slice's table, as last written, that proxies can use: those of hosts in use.
+func (p *placer) usableLines(slice *sliceState) (usable lines) {
 	for _, l := range slice.writtenTable {
 		if p.isUsable(l.host) {
-			open = append(open, l)
+			usable = append(usable, l)
 		}
 	}
-	return open
+	return usable
 }
 
-// stands is where a slice's calls go. Once a main host is out they all go to the lines that are left, the standby
-// above all, until the table is written anew. Where none is left it is what is planned: that is written first of all.
+// effectiveLines returns the lines that the calls of a slice go to. Once a host of its parts is out of use, they all go
+// to the lines that are left, usually the standby, until the table is rewritten. If none is left, the planned lines are
+// returned, since such a table is written before any other.
 func (p *placer) effectiveLines(slice *sliceState) lines {
 	for _, l := range slice.written {
 		if !p.isUsable(l.host) {
-			if open := p.usableLines(slice); len(open) > 0 {
-				return open.scaled()
+			if usable := p.usableLines(slice); len(usable) > 0 {
+				return usable.scaled()
 			}
 			return slice.planned
 		}
@@ -47,19 +48,19 @@
 	return slice.written
 }
 
-// expect reckons the calls a second that each host gets by the tables that stand. A host that was never written into
-// any may not be missed.
+// computeExpectedRates computes the calls a second that each host gets by the current tables. A host that no table was
+// ever written for expects none, so their absence is not held against it.
 func (p *placer) computeExpectedRates() {
 	for _, s := range p.hosts.all() {
 		s.expectedRate = 0
 	}
 	for _, slice := range p.owned.all() {
-		open := p.usableLines(slice)
+		usable := p.usableLines(slice)
 		if len(slice.writtenTable) == 0 {
-			open = p.effectiveLines(slice) // a site without slices binds proxies to tables
+			usable = p.effectiveLines(slice) // a site without slices binds proxies to tables
 		}
-		whole := open.whole()
-		for _, l := range open {
+		whole := usable.whole()
+		for _, l := range usable {
 			if s := p.hosts.get(l.host); s != nil {
 				s.expectedRate += slice.rate * l.weight / whole
 			}
@@ -67,36 +68,38 @@
 	}
 }
 
-// elsewhere says whether tables of other directors may name a host that is to go out. Proxies hold those, too, and a
-// mask counts for all. A director without slices has no say, and its messages are not acknowledged.
+// mayBeInForeignTables says whether tables of other directors may name a host that is excluded. Proxies hold those
+// tables, too, and a mask applies to all of them. A director without slices does not write such masks: its messages are
+// not acknowledged.
 func (p *publisher) mayBeInForeignTables(id HostID) bool {
 	return p.rules.sharedProxies && p.current.len() > 0 && p.now-p.changedAt.get(id) < foreignTableTime
 }
 
-// successor is the host that a slice's calls go to once its main one is out, if it can keep them: by what is reckoned, and
-// by what it shows. In a rollout hosts that were half full kept slice after slice, and answered late for seconds.
+// successor returns the host that the calls of a slice go to once its main host is out of use, if it can keep them by
+// its computed load as well as by its own reports; else nil. In a rollout, hosts that were half full kept slice after
+// slice and answered late for seconds.
 func (p *placer) successor(slice *sliceState, load float64) *placementHost {
 	if len(slice.planned) != 1 {
 		return nil
 	}
-	open := p.usableLines(slice)
-	if len(open) == 0 {
+	usable := p.usableLines(slice)
+	if len(usable) == 0 {
 		return nil
 	}
-	s := p.hosts.get(open.heaviest().host)
+	s := p.hosts.get(usable.heaviest().host)
 	if s.fresh || !p.reportsRoom(s) || s.load+load > s.share*p.tolerance(s) {
 		return nil
 	}
 	return s
 }
 
-// showsRoom says whether a host shows room for more by its own reports, where hosts report how busy they are. In an overload
-// a move gains nothing.
+// reportsRoom says whether a host has room for more calls by its own reports, where hosts report a busy share. In an
+// overload it is true, since a move gains nothing.
 func (p *placer) reportsRoom(s *placementHost) bool {
 	return p.fleet.busy == 0 || p.fleet.isOverloaded() || s.busy > 0 && s.busy <= roomy
 }
 
-// relief is what a new table takes off hosts: calls a second, times how over-worked their host is.
+// relief returns what a new table takes off hosts: calls a second, each times the load of their host over its share.
 func (p *placer) relief(slice *sliceState, table lines) (sum float64) {
 	now := table.scaled()
 	for _, l := range p.effectiveLines(slice) {
--- a/logic/write_order.go
+++ b/logic/write_order.go
@@ -1,24 +1,24 @@
 package logic
 
-// The order in which tables are written that wait for room in the channel. What a change is worth is multiplied by
-// how long it has waited, so that none waits without end behind others of more worth.
+// The order in which pending tables are written. The gain of a change is multiplied by the time that it has been
+// pending, so that no table waits forever behind others with more gain.
 
 const (
-	graceShare            = 0.8  // of a drain's grace may pass before the last proxy has the word
-	minOrdinaryShare      = 0.25 // of the queue, for tables that do not press
-	calmIntervalFactor    = 4    // times the time that its heads take in the channel, between ordinary messages
-	backlogIntervalFactor = 2    // the same while tables have waited for long
+	graceShare            = 0.8  // of a drain's grace period, within which a removal has to reach the last proxy
+	minOrdinaryShare      = 0.25 // of the queue, for tables that are not urgent
+	calmIntervalFactor    = 4    // interval of ordinary messages, in times that their overhead takes in the channel
+	backlogIntervalFactor = 2    // the same while tables have been pending for long
 	backlogAfter          = Millis(2000)
-	reservedMasks         = 3            // hosts that can always go out at once
-	plainGainShare        = 0.02         // of a slice's calls: for a change that relieves no host
-	urgentLevelDrop       = 0.1          // of a level: from there a change presses
-	singleHostGainShare   = 0.5          // the same for a table that has a single host left to offer
-	writeWholeAfter       = Millis(1000) // that a table names a host that is out: then it is written in one step, not in two
-	overdueAfter          = Millis(5000) // that a table names a host that is out: no table is to do so for long
-	mainLineShare         = 0.5          // of the heaviest line: a main line of a table, as its calls go there
+	reservedMasks         = 3            // number of hosts that can always be masked at once
+	plainGainShare        = 0.02         // of a slice's calls: the gain of a change that relieves no host
+	urgentLevelDrop       = 0.1          // of a level: the decrease from which a change is urgent
+	singleHostGainShare   = 0.5          // of a slice's calls: the gain for a table with fewer than two usable hosts
+	writeWholeAfter       = Millis(1000) // an excluded host in a table: then it is written in one step, not in two
+	overdueAfter          = Millis(5000) // an excluded host in a table: then it goes first, as no table may name one for long
+	mainLineShare         = 0.5          // of the heaviest line's weight, from which a line is a main line of its table
 )
 
-// worth is what the writing of a new table is worth, in calls a second.
+// gainOf returns the gain of writing a new table, in calls a second.
 func (p *placer) gainOf(slice *sliceState, table lines) float64 {
 	part := plainGainShare
 	if len(p.usableLines(slice)) < 2 && len(table) > 1 {
@@ -27,37 +27,38 @@
 	return p.relief(slice, table) + part*slice.rate
 }
 
-// priority is that of a table that waits.
+// priority returns the priority of a pending table.
 func (w wantedTable) priority(now Millis) float64 { return w.gain * float64(gather+now-w.pendingSince) }
 
-// ordinaryShare is the part of the queue that ordinary tables may fill. Whatever is to go out next finds that much
-// before it, and pays the heads of one more message: it must be everywhere within the grace all the same, and find
-// room even where nobody acknowledges what went before. Heads are paid for each message: in a large fleet one that
-// may carry little is hardly anything else.
+// ordinaryShare returns the part of the queue that ordinary tables may fill. The next removal of a host finds that much
+// ahead of it and adds the overhead of one more message: it still has to reach every proxy within the grace period, and
+// to find room even if nothing before it has been acknowledged. The overhead is paid for each message: in a large
+// fleet, a message that may carry little consists of hardly anything else.
 func (p *publisher) ordinaryShare() float64 {
 	queue, proxies := max(1, p.rules.queueLimit), float64(p.proxies.len())
-	heads := p.messageOverhead()
-	inTime := float64(p.rules.removalTime)*p.rules.linesPerMilli - heads
-	withRoom := queue*surePart - heads - proxies*reservedMasks
+	overhead := p.messageOverhead()
+	inTime := float64(p.rules.removalTime)*p.rules.linesPerMilli - overhead
+	withRoom := queue*surePart - overhead - proxies*reservedMasks
 	return max(minOrdinaryShare, min(inTime, withRoom)/queue)
 }
 
-// messageLines are what the heads of a message to all proxies cost.
+// messageOverhead returns the overhead, in lines, of a message to all proxies.
 func (p *publisher) messageOverhead() float64 {
 	return float64(p.proxies.len()) * (p.rules.headLines + 1)
 }
 
-// loadable says whether the channel has room for a message that is worth its heads: it can carry what is needed, or
-// half of what the heads of an empty channel leave room for. Sent sooner, messages that carry next to nothing fill the
-// channel with heads, and what they were written for never fits.
+// isWorthSending says whether the channel has room for a message that justifies its overhead: one that can carry what
+// is needed, or half of what an empty channel has room for beside the overhead. Sent earlier, messages that carry next
+// to nothing fill the channel with overhead, and the changes that they were sent for never fit.
 func (p *publisher) isWorthSending(part, needed float64) bool {
-	filled, unowned := p.queuedLines()
-	heads := p.messageOverhead()
-	least := min(needed, max(0, p.rules.queueLimit*part-heads)/2)
-	return filled+heads+least <= p.rules.queueLimit*part && unowned+heads+least <= p.rules.queueLimit*surePart
+	filled, unacknowledged := p.queuedLines()
+	overhead := p.messageOverhead()
+	least := min(needed, max(0, p.rules.queueLimit*part-overhead)/2)
+	return filled+overhead+least <= p.rules.queueLimit*part &&
+		unacknowledged+overhead+least <= p.rules.queueLimit*surePart
 }
 
-// neededLines are what the wanted tables of a kind cost, to all proxies.
+// pendingLines returns the lines, to all proxies, of the pending tables that are exhausted, or of the others.
 func (p *publisher) pendingLines(bare bool) (sum float64) {
 	for _, w := range p.pendingTables(bare, func(wantedTable) float64 { return 0 }) {
 		sum += float64(len(p.tableOrders(w.table, w.lines)) * p.proxies.len())
@@ -65,7 +66,8 @@
 	return sum
 }
 
-// headsTime is the time between ordinary messages that keeps heads a small part of what the channel carries.
+// overheadInterval returns the interval of ordinary messages that keeps overhead a small part of what the channel
+// carries.
 func (p *publisher) overheadInterval() Millis {
 	times := calmIntervalFactor
 	for _, w := range p.pending.all() {
@@ -77,14 +79,14 @@
 	return Millis(float64(times*p.proxies.len()) * (p.rules.headLines + 1) / p.rules.linesPerMilli)
 }
 
-// fitsWhole says whether the message being filled has room for all wanted tables as they are.
+// fitsAllPending says whether the message being filled has room for all pending tables as wanted.
 func (p *publisher) fitsAllPending(message *channelMessage, part float64) bool {
 	needed := p.pendingLines(false)
 	return message.hasRoom(part, needed)
 }
 
-// nextStep is what a table is to hold next where not all that is wanted fits: what its calls need, and the rest once
-// that stands.
+// nextStep returns what a table is to hold next where not all pending changes fit: first what its calls need, and the
+// rest once that is written.
 func (p *publisher) nextStep(w wantedTable, spare bool) lines {
 	if !p.rules.sliced || p.rules.singleOwner {
 		return w.lines
@@ -96,36 +98,37 @@
 	return needed
 }
 
-// essential are the lines of a wanted table that its calls need, beside those that stand and do no harm: lines of
-// hosts that are out draw no calls, and a light one is as good a standby as the one that is wanted. Where many tables
-// wait, one line in place of four moves a slice's calls. With spare the table has a second host to offer.
+// essentialLines returns the lines of a wanted table that its calls need, and the current ones that do no harm: lines
+// of excluded hosts get no calls, and any light line is as good a standby as the wanted one. Where many tables are
+// pending, one line instead of four moves the calls of a slice. With spare, the table gets a second host to offer.
 func (p *publisher) essentialLines(stands, want lines, spare bool) lines {
 	heavy := want.heaviest().weight * mainLineShare
 	var out lines
-	open := 0
+	offered := 0
 	for _, l := range want {
 		if l.weight >= heavy || stands.holds(l.host) {
 			out = append(out, l)
-			open++
+			offered++
 		}
 	}
 	for _, l := range stands {
-		door := p.availability.get(l.host)
-		if shut := door == excluded || door == excludedByRule; !want.holds(l.host) && (shut || l.weight < heavy) {
+		state := p.availability.get(l.host)
+		if isExcluded := state == excluded || state == excludedByRule; !want.holds(l.host) &&
+			(isExcluded || l.weight < heavy) {
 			out = append(out, l)
-			open += int(bit(door == available && !p.masked.get(l.host), 0))
+			offered += int(bit(state == available && !p.masked.get(l.host), 0))
 		}
 	}
 	for _, l := range want {
-		if spare && open < 2 && !out.holds(l.host) {
+		if spare && offered < 2 && !out.holds(l.host) {
 			out = append(out, l)
-			open++
+			offered++
 		}
 	}
 	return out.sorted()
 }
 
-// outFor is how long a host has been out that a wanted table no longer names, and the one that stands does.
+// excludedFor returns how long a host has been excluded that the current table names and the wanted one does not.
 func (p *publisher) excludedFor(w wantedTable) (longest Millis) {
 	for _, l := range p.current.get(w.table) {
 		if p.isObsolete(w, l) {
@@ -135,7 +138,7 @@
 	return longest
 }
 
-// withoutHostsOut is what stands of a table without the lines that draw no calls and are not wanted.
+// withoutExcludedHosts returns the current lines of a table without those that get no calls and are no longer wanted.
 func (p *publisher) withoutExcludedHosts(w wantedTable) (rest lines) {
 	for _, l := range p.current.get(w.table) {
 		if !p.isObsolete(w, l) {
@@ -145,8 +148,8 @@
 	return rest
 }
 
-// leaves says whether a standing line goes from a wanted table since its host is out.
+// isObsolete says whether a current line is to go because its host is excluded and the wanted table does not name it.
 func (p *publisher) isObsolete(w wantedTable, l line) bool {
-	door := p.availability.get(l.host)
-	return (door == excluded || door == excludedByRule) && !w.lines.holds(l.host)
+	state := p.availability.get(l.host)
+	return (state == excluded || state == excludedByRule) && !w.lines.holds(l.host)
 }
