--- a/logic/admission.go
+++ b/logic/admission.go
@@ -8,7 +8,7 @@
 // Admission decides which part of the calls is admitted, and how often a proxy may retry.
 
 const (
-	// admissionInterval is the time between updates: the shortest time within which a burst has to be met, and the usual
+	// admissionInterval is the time between updates: the shortest time in which a burst has to be met, and the usual
 	// interval of reports.
 	admissionInterval = Millis(500)
 	// queueingFactor is the ratio of the answer time to the usual one above which calls count as queued at a host.
@@ -136,16 +136,16 @@
 	c := g.measure()
 	c.growth = g.callGrowth()
 	all, usual := g.estimateDemand()
-	around := fleetLoad{pressure: c.tryRate / max(c.capacity, 0.1), loss: c.lossRate / max(c.tryRate, 0.1),
+	fleet := fleetLoad{pressure: c.tryRate / max(c.capacity, 0.1), loss: c.lossRate / max(c.tryRate, 0.1),
 		busy: c.busyWeighted / max(c.busyCapacity, 0.1), typicalLoss: g.typicalLoss(),
 		unfitShare: c.unfit / max(c.unfit+c.usable, 1)}
 	if g.isThrottling() { // otherwise the pressure includes all calls
-		around.demandRatio = all / max(c.capacity, 0.1)
+		fleet.demandRatio = all / max(c.capacity, 0.1)
 	}
-	g.fleet, g.demand, g.capacity, g.queuedCalls = around, all, c.capacity, c.queuedCalls
-	g.post(g.placer, around)
+	g.fleet, g.demand, g.capacity, g.queuedCalls = fleet, all, c.capacity, c.queuedCalls
+	g.post(g.placer, fleet)
 	for _, s := range g.hosts.all() {
-		g.post(s.actor, around)
+		g.post(s.actor, fleet)
 	}
 	if g.rules.levelKind != NoLevels && c.capacity > 0 && usual > 0 {
 		g.adjustLevel(c)
@@ -153,7 +153,7 @@
 	if g.published.level == nil && (c.capacity == 0 || usual == 0) {
 		return // proxies may hold levels of an earlier start, which are based on more than is known yet
 	}
-	now := g.routeLevels(g.isThrottling() || around.pressure > strain || c.restarting > c.usable*crowd)
+	now := g.routeLevels(g.isThrottling() || fleet.pressure > strain || c.restarting > c.usable*crowd)
 	if !slices.Equal(now.level, g.published.level) || !slices.Equal(now.tries, g.published.tries) {
 		g.published = now
 		g.post(g.publisher, now)
@@ -170,8 +170,9 @@
 		admissible = max(admissible, g.rateWithRoom(c, total))
 	}
 	// Queued calls are to be worked off within the shortest SLO of the routes, also where they are queued at a few
-	// hosts only. The reserve above strain is used for that first: answer times show the queues of some seconds ago,
-	// and with all queued calls subtracted, only half of the capacity was admitted long after hosts had room again.
+	// hosts only. The reserve above the target load is used for that first: answer times show the queues of some
+	// seconds ago, and with all queued calls subtracted, only half of the capacity was admitted long after hosts had
+	// room again.
 	backlog := c.queuedCalls * 1000 / float64(max(1, g.rules.slo))
 	admissible = max(0, min(admissible, admissible/strain-backlog))
 	want, excess := float64(len(g.rules.byImportance)), total-admissible
@@ -196,15 +197,15 @@
 	return admitted * strain * c.busyCapacity / c.busyWeighted
 }
 
-// routeLevels returns the levels and retries that follow from the level. Under strain retries are limited, since they
-// add work where there is already too much.
-func (g *admitter) routeLevels(strained bool) admissionLevels {
+// routeLevels returns the levels and retries that follow from the level. Under strain there is at most one retry, since
+// retries add work where there is already too much.
+func (g *admitter) routeLevels(isStrained bool) admissionLevels {
 	top := float64(len(g.rules.byImportance))
 	now := admissionLevels{make([]float64, len(g.usualRates)), make([]int, len(g.usualRates))}
 	for i, r := range g.rules.byImportance {
 		part := max(levelLow, min(1, g.level-(top-1-float64(i))))
 		now.level[r], now.tries[r] = math.Round(part*levelSteps)/levelSteps, g.rules.retries[r]
-		if strained {
+		if isStrained {
 			now.tries[r] = min(1, now.tries[r])
 		}
 		if g.rules.levelKind == LevelRate {
--- a/logic/channel.go
+++ b/logic/channel.go
@@ -179,25 +179,25 @@
 // time in which a proxy would acknowledge it, and then counts double until one does. Without room for that, it waits
 // until it can no longer be in flight. Nothing else is written meanwhile: it would queue behind that message, and would
 // be counted as leaving a channel that it is not in.
-func (p *publisher) repeatUnconfirmed() (doubted bool) {
+func (p *publisher) repeatUnconfirmed() (waiting bool) {
 	filled, all := p.queuedLines()
 	for _, f := range p.inFlight {
 		size := f.lineCount()
 		begins := f.clearAt - Millis(size/p.rules.linesPerMilli)
 		full := filled+size > p.rules.queueLimit*urgentPart || all+size > p.rules.queueLimit*surePart
 		if f.unconfirmedSince == 0 || p.now < begins+p.rules.transit || full && p.now < f.clearAt+3*p.rules.transit {
-			doubted = doubted || f.unconfirmedSince > 0
+			waiting = waiting || f.unconfirmedSince > 0
 			continue
 		}
 		p.clearAt = max(p.clearAt, p.now) + Millis(size/p.rules.linesPerMilli)
 		f.clearAt, f.unconfirmedSince, filled, all = p.clearAt, 0, filled+size, all+size
 		// Both have the same stamp: what a proxy acknowledges of the first copy frees no room of the second.
-		second := &channelMessage{serial: f.serial, clearAt: p.clearAt, isRepeat: true, writtenAt: p.now}
+		repeat := &channelMessage{serial: f.serial, clearAt: p.clearAt, isRepeat: true, writtenAt: p.now}
 		for n, lines := range f.unacknowledged.all() {
-			second.unacknowledged.put(n, lines)
+			repeat.unacknowledged.put(n, lines)
 		}
-		p.inFlight = append(p.inFlight, second)
+		p.inFlight = append(p.inFlight, repeat)
 		p.order(Again{f.serial})
 	}
-	return doubted
+	return waiting
 }
--- a/logic/draft.go
+++ b/logic/draft.go
@@ -12,9 +12,9 @@
 
 func (p *publisher) newDraft() *draft {
 	f := &channelMessage{proxies: &p.proxies, overhead: p.rules.headLines + 1, queueLimit: p.rules.queueLimit}
-	heads := float64(p.proxies.len()) * f.overhead
+	overhead := float64(p.proxies.len()) * f.overhead
 	f.filled, f.totalUnacknowledged = p.queuedLines()
-	f.filled, f.totalUnacknowledged = f.filled+heads, f.totalUnacknowledged+heads
+	f.filled, f.totalUnacknowledged = f.filled+overhead, f.totalUnacknowledged+overhead
 	p.reserveForReturns(f)
 	return &draft{p, f}
 }
@@ -44,7 +44,7 @@
 }
 
 // writeOverdueTables writes tables that have named an excluded host for long. If such a table does not fit whole, only
-// the lines of excluded hosts are removed: a table of many parts changes with each of them.
+// the lines of excluded hosts are removed: in a table of many parts, all lines change together.
 func (d *draft) writeOverdueTables() {
 	part := d.ordinaryShare()
 	for _, w := range d.pendingTables(false, d.priority) {
--- a/logic/masks.go
+++ b/logic/masks.go
@@ -90,7 +90,7 @@
 	return false
 }
 
-// isExhausted says whether a table has no host to offer once all excluded hosts, and one more, are masked.
+// isExhausted says whether a table has no host to offer once all unavailable hosts, and one more, are masked.
 func (p *publisher) isExhausted(t TableID, except HostID) bool {
 	return !slices.ContainsFunc(p.current.get(t), func(l line) bool {
 		return l.host != except && p.availability.get(l.host) == available && !p.masked.get(l.host)
--- a/logic/parts.go
+++ b/logic/parts.go
@@ -1,4 +1,5 @@
 // The state of the actors and the messages that they post into each other's inboxes. Types only.
+
 package logic
 
 // params are the parameters of all decisions, derived from the facts that are handed over at the start.
@@ -56,7 +57,7 @@
 	// while calls are throttled, all calls over the capacity. typicalLoss is the median over hosts of the share of
 	// tries lost, unfitShare the share of the listed hosts that are judged unfit.
 	fleetLoad    struct{ pressure, loss, busy, demandRatio, typicalLoss, unfitShare float64 }
-	expectedRate struct{ rate float64 } // calls a second that the placer assigned to a host
+	expectedRate struct{ rate float64 } // calls a second that the current tables send to a host
 	wantedTable  struct {
 		table        TableID
 		lines        lines
@@ -86,6 +87,7 @@
 	}
 )
 
+// line is a weighted entry of a table.
 type line struct {
 	host   HostID
 	weight float64
@@ -127,9 +129,9 @@
 	due                     float64 // calls a second that the current tables send to it
 	dueSince, badSince      Millis
 	rising                  float64 // further calls a second, by tables that were written recently
-	risesAt                 Millis  // when rising is added to due
+	risesAt                 Millis  // when those are expected to show in reports
 	missed                  float64 // answers that were expected since the last one
-	countedTo               Millis  // the time up to which missed has been counted
+	countedTo               Millis  // the time up to which those have been counted
 	voidSince               Millis
 	outUntil                Millis
 	freshUntil, restUntil   Millis
@@ -146,21 +148,23 @@
 	void                    bool // its load reports contradict the calls that it answers
 }
 
+// hostState says whether a host is used.
 type hostState int
 
 const (
 	serving hostState = iota
-	removed
-	onTrial
+	removed           // judged unfit
+	onTrial           // removed before, and given a few calls again
 )
 
+// availability says whether tables may offer a host.
 type availability int
 
 const (
-	available availability = iota
-	resting
-	excluded       // judged unfit, or no longer listed
-	excludedByRule // drains, or is gone from a list whose removals are binding: the rules forbid calls to it
+	available      availability = iota
+	resting                     // saturated: masked for a moment
+	excluded                    // judged unfit, or no longer listed
+	excludedByRule              // drains, or is gone from a list whose removals are binding: the rules forbid calls to it
 )
 
 // placementHost is the placer's state of a host.
--- a/logic/placement.go
+++ b/logic/placement.go
@@ -57,10 +57,10 @@
 
 // addSlice takes over a slice with the store's lines. These are current, so their hosts have warm caches for it. A
 // light line beside a whole one is a standby.
-func (p *placer) addSlice(t TableID, held lines) {
-	slice := &sliceState{table: t, since: p.now, requested: held, writtenTable: held, rate: p.meanRate}
-	for _, l := range held {
-		if l.weight < 0.999 && held.whole() > 1.001 {
+func (p *placer) addSlice(t TableID, stored lines) {
+	slice := &sliceState{table: t, since: p.now, requested: stored, writtenTable: stored, rate: p.meanRate}
+	for _, l := range stored {
+		if l.weight < 0.999 && stored.whole() > 1.001 {
 			slice.standby = l.host
 		} else {
 			slice.planned = append(slice.planned, l)
@@ -173,8 +173,8 @@
 	return worst, excess
 }
 
-// rebalance is the periodic check: if the imbalance exceeds the maximum twice in a row, blocks are assigned again,
-// and the result is kept only if the gain is worth the cold caches.
+// rebalance is the periodic check: if a host exceeds its tolerated load twice in a row, blocks are assigned again, and
+// the result is kept only if the gain is worth the cold caches.
 func (p *placer) rebalance() {
 	p.computeLoads()
 	worst, before := p.imbalance()
@@ -267,10 +267,10 @@
 
 // hostWithMostRoom returns the host with the most room, except one, of all hosts or only of the warm ones; nil if
 // there is none.
-func (p *placer) hostWithMostRoom(but *placementHost, warm bool) *placementHost {
+func (p *placer) hostWithMostRoom(except *placementHost, warm bool) *placementHost {
 	var best *placementHost
 	for _, s := range p.hosts.all() {
-		if s.inUse && s != but && !(warm && s.cold) && (best == nil || s.share-s.load > best.share-best.load) {
+		if s.inUse && s != except && !(warm && s.cold) && (best == nil || s.share-s.load > best.share-best.load) {
 			best = s
 		}
 	}
@@ -351,13 +351,13 @@
 			continue
 		}
 		if len(table) > 0 && !slices.Equal(table, slice.requested) {
-			must := len(slice.requested) == 0
+			pressing := len(slice.requested) == 0
 			for _, l := range slice.written {
 				s := p.hosts.get(l.host)
-				must = must || urgent && !p.awaitsFirstList(l.host) && (s == nil || !s.inUse || s.fresh)
+				pressing = pressing || urgent && !p.awaitsFirstList(l.host) && (s == nil || !s.inUse || s.fresh)
 			}
 			slice.requested = table
-			p.post(p.publisher, wantedTable{t, table, must, 0, p.gainOf(slice, table)})
+			p.post(p.publisher, wantedTable{t, table, pressing, 0, p.gainOf(slice, table)})
 		} else if !slices.Equal(slice.requested, slice.writtenTable) {
 			p.post(p.publisher, gainUpdate{t, p.gainOf(slice, slice.requested)})
 		}
@@ -380,8 +380,8 @@
 			part *= freshRoom
 		}
 		zone := zoneTables + TableID(s.zone)
-		if had := tables.get(commonTable); s.inUse && len(had) < commonSize {
-			tables.put(commonTable, append(had, line{id, part}))
+		if table := tables.get(commonTable); s.inUse && len(table) < commonSize {
+			tables.put(commonTable, append(table, line{id, part}))
 		}
 		if s.inUse && p.rules.ownZoneRoutes != 0 {
 			tables.put(zone, append(tables.get(zone), line{id, part}))
--- a/logic/publish.go
+++ b/logic/publish.go
@@ -24,9 +24,9 @@
 }
 
 // pendingTables returns the pending tables that are exhausted now, or the others, ordered by most.
-func (p *publisher) pendingTables(bare bool, most func(wantedTable) float64) (order []wantedTable) {
+func (p *publisher) pendingTables(exhausted bool, most func(wantedTable) float64) (order []wantedTable) {
 	for t, w := range p.pending.all() {
-		if p.isExhausted(t, 0) == bare {
+		if p.isExhausted(t, 0) == exhausted {
 			order = append(order, w)
 		}
 	}
@@ -120,18 +120,18 @@
 		len(p.hostsToMask(available)) > 0 || len(p.hostsToMask(resting)) > 0, p.now)
 	p.sentAt = slices.DeleteFunc(p.sentAt, func(t Millis) bool { return p.now-t > p.rules.messageSpan+gather })
 	// Each message has an overhead for each proxy: messages that carry little would fill the channel of a large fleet.
-	overhead := p.overheadInterval()
-	last, most, gap := p.lastSentAt(), math.Inf(1), max(gather, overhead)
+	overheadTime := p.overheadInterval()
+	last, most, gap := p.lastSentAt(), math.Inf(1), max(gather, overheadTime)
 	if p.rules.messageLimit > 0 {
 		most = float64(p.rules.messageLimit)
 		gap = max(gap, p.rules.messageSpan/Millis(most*ordinaryPart))
 	}
 	written, interval := float64(len(p.sentAt)), p.rules.urgentInterval
 	if !masks {
-		interval = max(interval, overhead/2)
+		interval = max(interval, overheadTime/2)
 	}
 	if !masks && !pressing {
-		interval, most = max(interval, overhead), most*urgentPart // the last messages are for what the rules require
+		interval, most = max(interval, overheadTime), most*urgentPart // the last ones are for what the rules require
 	}
 	if p.urgentSince > 0 && written < most && p.now-max(last, p.urgentSince-interval) >= interval &&
 		(masks || !p.rules.sliced || p.isWorthSending(urgentPart, p.pendingLines(true))) {
@@ -195,19 +195,19 @@
 // tableOrders returns the orders that change a table, new lines before removals, so that it is never exhausted. The
 // writes of a single owner are stopped by the same message that moves the slice.
 func (p *publisher) tableOrders(t TableID, table lines) (out []Order) {
-	stands := p.current.get(t)
+	current := p.current.get(t)
 	if p.rules.singleOwner {
 		out = append(out, Throttle{t, p.rules.writeRoutes, 0, 1})
 	}
 	for _, l := range table {
-		if !slices.Contains(stands, l) {
+		if !slices.Contains(current, l) {
 			out = append(out, SetLine{t, l.host, l.weight})
 		}
 		if p.isMaskOutdated(l.host) && p.availability.get(l.host) == available && !p.exceedsWanted(l.host) {
 			out = append(out, Mask{l.host, false})
 		}
 	}
-	for _, l := range stands {
+	for _, l := range current {
 		if !p.rules.singleOwner && !table.holds(l.host) {
 			out = append(out, SetLine{t, l.host, 0})
 		}
--- a/logic/traffic.go
+++ b/logic/traffic.go
@@ -48,8 +48,8 @@
 	return slice.written
 }
 
-// computeExpectedRates computes the calls a second that each host gets by the current tables. A host that no table was
-// ever written for expects none, so their absence is not held against it.
+// computeExpectedRates computes the calls a second that each host gets by the current tables. A host that was
+// never written into a table expects none, so that its silence is not held against it.
 func (p *placer) computeExpectedRates() {
 	for _, s := range p.hosts.all() {
 		s.expectedRate = 0
--- a/logic/write_order.go
+++ b/logic/write_order.go
@@ -13,8 +13,8 @@
 	plainGainShare        = 0.02         // of a slice's calls: the gain of a change that relieves no host
 	urgentLevelDrop       = 0.1          // of a level: the decrease from which a change is urgent
 	singleHostGainShare   = 0.5          // of a slice's calls: the gain for a table with fewer than two usable hosts
-	writeWholeAfter       = Millis(1000) // an excluded host in a table: then it is written in one step, not in two
-	overdueAfter          = Millis(5000) // an excluded host in a table: then it goes first, as no table may name one for long
+	writeWholeAfter       = Millis(1000) // that a table names an excluded host: then one step, not two
+	overdueAfter          = Millis(5000) // the same: then it goes first, as no table may do so for long
 	mainLineShare         = 0.5          // of the heaviest line's weight, from which a line is a main line of its table
 )
 
@@ -59,8 +59,8 @@
 }
 
 // pendingLines returns the lines, to all proxies, of the pending tables that are exhausted, or of the others.
-func (p *publisher) pendingLines(bare bool) (sum float64) {
-	for _, w := range p.pendingTables(bare, func(wantedTable) float64 { return 0 }) {
+func (p *publisher) pendingLines(exhausted bool) (sum float64) {
+	for _, w := range p.pendingTables(exhausted, func(wantedTable) float64 { return 0 }) {
 		sum += float64(len(p.tableOrders(w.table, w.lines)) * p.proxies.len())
 	}
 	return sum
@@ -101,17 +101,17 @@
 // essentialLines returns the lines of a wanted table that its calls need, and the current ones that do no harm: lines
 // of excluded hosts get no calls, and any light line is as good a standby as the wanted one. Where many tables are
 // pending, one line instead of four moves the calls of a slice. With spare, the table gets a second host to offer.
-func (p *publisher) essentialLines(stands, want lines, spare bool) lines {
+func (p *publisher) essentialLines(current, want lines, spare bool) lines {
 	heavy := want.heaviest().weight * mainLineShare
 	var out lines
 	offered := 0
 	for _, l := range want {
-		if l.weight >= heavy || stands.holds(l.host) {
+		if l.weight >= heavy || current.holds(l.host) {
 			out = append(out, l)
 			offered++
 		}
 	}
-	for _, l := range stands {
+	for _, l := range current {
 		state := p.availability.get(l.host)
 		if isExcluded := state == excluded || state == excludedByRule; !want.holds(l.host) &&
 			(isExcluded || l.weight < heavy) {
