--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -2,77 +2,78 @@
 
 import "testing"
 
-// The mix of routes may have been learnt from the first few calls after a start: no more calls are reckoned than come.
-// Found on real sockets (issue 34): 300 a second beside 120 that came, for 20 s.
+// The mix of routes may have been learnt from the first few calls after a start, so the estimated demand is limited to
+// the rate of calls. Without the limit (issue 34, on real sockets) 300 calls a second were estimated for 20 s while 120
+// came.
 func TestDemandIsNoMoreThanComes(t *testing.T) {
 	const cheap, lead = RouteID(0), RouteID(1)
 	d := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare,
 		Routes: []Route{{Importance: 1, SLO: 1000}, {Importance: 3, SLO: 1000}}})
 	g := d.gate
-	g.usual = []float64{9, 1}
+	g.usualRates = []float64{9, 1}
 	g.level = 1.5
 	d.now = 10000
-	g.asked[cheap].add(d.now, gateMemory, 80)
-	g.asked[lead].add(d.now, gateMemory, 40)
-	come := g.asked[cheap].rate(d.now, gateMemory, 0) + g.asked[lead].rate(d.now, gateMemory, 0)
-	if all, _ := g.estimateDemand(); all > come+0.001 {
-		t.Errorf("a demand of %.1f calls a second is reckoned where %.1f come", all, come)
+	g.callSums[cheap].add(d.now, gateMemory, 80)
+	g.callSums[lead].add(d.now, gateMemory, 40)
+	total := g.callSums[cheap].rate(d.now, gateMemory, 0) + g.callSums[lead].rate(d.now, gateMemory, 0)
+	if all, _ := g.estimateDemand(); all > total+0.001 {
+		t.Errorf("estimated demand is %.1f calls a second where %.1f come", all, total)
 	}
 }
 
-// A level that is told as whole turns nobody away, and what comes usually is learnt again.
+// A level that is published as whole rejects nothing, so the usual call rates are learnt again.
 func TestLevelsToldAsWholeThrottleNothing(t *testing.T) {
 	g := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}, {SLO: 1000}}}).gate
-	if g.level = 1.98; g.throttles() {
-		t.Error("a level that is told as 1 is taken to throttle")
+	if g.level = 1.98; g.isThrottling() {
+		t.Error("a level that is published as 1 counts as throttling")
 	}
-	if g.level = 1.9; !g.throttles() {
-		t.Error("a level of 0.9 is taken to throttle nothing")
+	if g.level = 1.9; !g.isThrottling() {
+		t.Error("a level of 0.9 does not count as throttling")
 	}
 }
 
-// Levels let in a part of all calls that come, also of those that are made again: that part has to fit. Levels for the
-// calls that were wanted in the first place let in twice what hosts could do, and what was lost by that came again
-// (issue 34, real sockets).
+// Levels admit a part of all calls, including repeated ones, so that part has to fit. Levels computed for the new calls
+// alone admitted twice the capacity of the hosts, and the calls lost by that were repeated (issue 34, on real sockets).
 func TestWhatIsLetInFitsAllCallsThatCome(t *testing.T) {
 	const cheap, lead = RouteID(0), RouteID(1)
 	const able = 100.0
 	g := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare,
 		Routes: []Route{{Importance: 1, SLO: 1000}, {Importance: 3, SLO: 1000}}}).gate
 	g.now = 10000
-	g.usual = []float64{60, 30} // wanted, as learnt before
-	g.asked[cheap].add(g.now, gateMemory, 300)
-	g.asked[lead].add(g.now, gateMemory, 40)
-	g.steer(capability{able: able, busy: able, busyOf: able})
-	levels := g.levels(true).level
-	letIn := levels[cheap]*g.calls(cheap) + levels[lead]*g.calls(lead)
-	if letIn > able {
-		t.Errorf("%.0f calls a second are let in where hosts can do %.0f", letIn, able)
+	g.usualRates = []float64{60, 30} // wanted, as learnt before
+	g.callSums[cheap].add(g.now, gateMemory, 300)
+	g.callSums[lead].add(g.now, gateMemory, 40)
+	g.adjustLevel(fleetCapacity{capacity: able, busyWeighted: able, busyCapacity: able})
+	levels := g.routeLevels(true).level
+	admitted := levels[cheap]*g.callRate(cheap) + levels[lead]*g.callRate(lead)
+	if admitted > able {
+		t.Errorf("%.0f calls a second are admitted, more than the capacity of %.0f", admitted, able)
 	}
 }
 
-// Levels ease to what hosts have room for, not at once to all that come: that was the next burst.
+// Levels rise to what hosts have room for, not at once to all calls: that caused the next burst.
 func TestLevelsEaseByTheRoomOfHosts(t *testing.T) {
 	const able, busyShare, level = 200.0, 0.5, 0.3
 	g := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}}}).gate
 	g.now = 10000
-	g.usual = []float64{100}
-	g.asked[0].add(g.now, gateMemory, 1000)
-	g.level, g.told.level = level, []float64{level}
-	before := level * g.calls(0)
-	g.steer(capability{able: able, busy: able * busyShare, busyOf: able})
-	after := g.level * g.calls(0)
+	g.usualRates = []float64{100}
+	g.callSums[0].add(g.now, gateMemory, 1000)
+	g.level, g.published.level = level, []float64{level}
+	before := level * g.callRate(0)
+	g.adjustLevel(fleetCapacity{capacity: able, busyWeighted: able * busyShare, busyCapacity: able})
+	after := g.level * g.callRate(0)
 	if most := before * strain / busyShare; after > most+0.001 || after <= before {
-		t.Errorf("%.0f calls a second are let in after %.0f, at hosts half idle: more than before and at most %.0f were expected", after, before, most)
+		t.Errorf("admitted %.0f calls a second after %.0f, with hosts half idle; want more than before and at most %.0f",
+			after, before, most)
 	}
 }
 
-// Busy shares are older than a burst that has just begun: hosts that had room are not roomy for twice the calls.
+// Busy shares are older than a burst that has just begun: hosts that had room do not have it for twice the calls.
 func TestBusySharesAreOlderThanABurst(t *testing.T) {
-	calm := capability{busy: 50, busyOf: 100, usable: 1, growth: 1}
+	calm := fleetCapacity{busyWeighted: 50, busyCapacity: 100, usable: 1, growth: 1}
 	burst := calm
 	burst.growth = 2
-	if !calm.roomy() || burst.roomy() {
-		t.Errorf("roomy in calm %v, in a burst %v", calm.roomy(), burst.roomy())
+	if !calm.hasRoom() || burst.hasRoom() {
+		t.Errorf("hasRoom: got %v in calm and %v in a burst, want true and false", calm.hasRoom(), burst.hasRoom())
 	}
 }
--- a/logic/write_order.go
+++ b/logic/write_order.go
@@ -1,150 +1,155 @@
 package logic
 
-// The order in which tables are written that wait for room in the channel. What a change is worth is multiplied by
-// how long it has waited, so that none waits without end behind others of more worth.
+// The order in which pending tables are written. The gain of a change is multiplied by the time that it has been
+// pending, so that no table waits forever behind others with more gain.
 
 const (
-	graceShare      = 0.8  // of a drain's grace may pass before the last proxy has the word
-	leastOrdinary   = 0.25 // of the queue, for tables that do not press
-	calmMessage     = 4    // times the time that its heads take in the channel, between ordinary messages
-	crowdedMessage  = 2    // the same while tables have waited for long
-	longWait        = Millis(2000)
-	reservedMasks   = 3            // hosts that can always go out at once
-	plainWorth      = 0.02         // of a slice's calls: for a change that relieves no host
-	clearlyLess     = 0.1          // of a level: from there a change presses
-	vulnerableWorth = 0.5          // the same for a table that has a single host left to offer
-	wholeAfter      = Millis(1000) // that a table names a host that is out: then it is written in one step, not in two
-	overdueAfter    = Millis(5000) // that a table names a host that is out: no table is to do so for long
-	heavyPart       = 0.5          // of the heaviest line: a main line of a table, as its calls go there
+	graceShare            = 0.8  // of a drain's grace period, within which a removal has to reach the last proxy
+	minOrdinaryShare      = 0.25 // of the queue, for tables that are not urgent
+	calmIntervalFactor    = 4    // interval of ordinary messages, in times that their overhead takes in the channel
+	backlogIntervalFactor = 2    // the same while tables have been pending for long
+	backlogAfter          = Millis(2000)
+	reservedMasks         = 3            // number of hosts that can always be masked at once
+	plainGainShare        = 0.02         // of a slice's calls: the gain of a change that relieves no host
+	urgentLevelDrop       = 0.1          // of a level: the decrease from which a change is urgent
+	singleHostGainShare   = 0.5          // of a slice's calls: the gain for a table with fewer than two usable hosts
+	writeWholeAfter       = Millis(1000) // that a table names an excluded host: then one step, not two
+	overdueAfter          = Millis(5000) // the same: then it goes first, as no table may do so for long
+	mainLineShare         = 0.5          // of the heaviest line's weight, from which a line is a main line of its table
 )
 
-// worth is what the writing of a new table is worth, in calls a second.
-func (p *placer) worth(pc *piece, table lines) float64 {
-	part := plainWorth
-	if len(p.open(pc)) < 2 && len(table) > 1 {
-		part = vulnerableWorth
+// gainOf returns the gain of writing a new table, in calls a second.
+func (p *placer) gainOf(slice *sliceState, table lines) float64 {
+	part := plainGainShare
+	if len(p.usableLines(slice)) < 2 && len(table) > 1 {
+		part = singleHostGainShare
 	}
-	return p.relief(pc, table) + part*pc.weight
+	return p.relief(slice, table) + part*slice.rate
 }
 
-// priority is that of a table that waits.
-func (w wanted) priority(now Millis) float64 { return w.gain * float64(gather+now-w.at) }
+// priority returns the priority of a pending table.
+func (w wantedTable) priority(now Millis) float64 { return w.gain * float64(gather+now-w.pendingSince) }
 
-// ordinaryShare is the part of the queue that ordinary tables may fill. Whatever is to go out next finds that much
-// before it, and pays the heads of one more message: it must be everywhere within the grace all the same, and find
-// room even where nobody acknowledges what went before. Heads are paid for each message: in a large fleet one that
-// may carry little is hardly anything else.
+// ordinaryShare returns the part of the queue that ordinary tables may fill. The next removal of a host finds that much
+// ahead of it and adds the overhead of one more message: it still has to reach every proxy within the grace period, and
+// to find room even if nothing before it has been acknowledged. The overhead is paid for each message: in a large
+// fleet, a message that may carry little consists of hardly anything else.
 func (p *publisher) ordinaryShare() float64 {
-	queue, proxies := max(1, p.rules.queue), float64(p.streams.len())
-	heads := p.messageLines()
-	inTime := float64(p.rules.outWithin)*p.rules.pace - heads
-	withRoom := queue*surePart - heads - proxies*reservedMasks
-	return max(leastOrdinary, min(inTime, withRoom)/queue)
+	queue, proxies := max(1, p.rules.queueLimit), float64(p.proxies.len())
+	overhead := p.messageOverhead()
+	inTime := float64(p.rules.removalTime)*p.rules.linesPerMilli - overhead
+	withRoom := queue*surePart - overhead - proxies*reservedMasks
+	return max(minOrdinaryShare, min(inTime, withRoom)/queue)
 }
 
-// messageLines are what the heads of a message to all proxies cost.
-func (p *publisher) messageLines() float64 { return float64(p.streams.len()) * (p.rules.head + 1) }
+// messageOverhead returns the overhead, in lines, of a message to all proxies.
+func (p *publisher) messageOverhead() float64 {
+	return float64(p.proxies.len()) * (p.rules.headLines + 1)
+}
 
-// loadable says whether the channel has room for a message that is worth its heads: it can carry what is needed, or
-// half of what the heads of an empty channel leave room for. Sent sooner, messages that carry next to nothing fill the
-// channel with heads, and what they were written for never fits.
-func (p *publisher) loadable(part, needed float64) bool {
-	filled, unowned := p.waiting()
-	heads := p.messageLines()
-	least := min(needed, max(0, p.rules.queue*part-heads)/2)
-	return filled+heads+least <= p.rules.queue*part && unowned+heads+least <= p.rules.queue*surePart
+// isWorthSending says whether the channel has room for a message that justifies its overhead: one that can carry what
+// is needed, or half of what an empty channel has room for beside the overhead. Sent earlier, messages that carry next
+// to nothing fill the channel with overhead, and the changes that they were sent for never fit.
+func (p *publisher) isWorthSending(part, needed float64) bool {
+	filled, unacknowledged := p.queuedLines()
+	overhead := p.messageOverhead()
+	least := min(needed, max(0, p.rules.queueLimit*part-overhead)/2)
+	return filled+overhead+least <= p.rules.queueLimit*part &&
+		unacknowledged+overhead+least <= p.rules.queueLimit*surePart
 }
 
-// neededLines are what the wanted tables of a kind cost, to all proxies.
-func (p *publisher) neededLines(bare bool) (sum float64) {
-	for _, w := range p.wantedBy(bare, func(wanted) float64 { return 0 }) {
-		sum += float64(len(p.changes(w.table, w.lines)) * p.streams.len())
+// pendingLines returns the lines, to all proxies, of the pending tables that are exhausted, or of the others.
+func (p *publisher) pendingLines(exhausted bool) (sum float64) {
+	for _, w := range p.pendingTables(exhausted, func(wantedTable) float64 { return 0 }) {
+		sum += float64(len(p.tableOrders(w.table, w.lines)) * p.proxies.len())
 	}
 	return sum
 }
 
-// headsTime is the time between ordinary messages that keeps heads a small part of what the channel carries.
-func (p *publisher) headsTime() Millis {
-	times := calmMessage
-	for _, w := range p.wants.all() {
-		if p.now-w.at > longWait {
-			times = crowdedMessage
+// overheadInterval returns the interval of ordinary messages that keeps overhead a small part of what the channel
+// carries.
+func (p *publisher) overheadInterval() Millis {
+	times := calmIntervalFactor
+	for _, w := range p.pending.all() {
+		if p.now-w.pendingSince > backlogAfter {
+			times = backlogIntervalFactor
 			break
 		}
 	}
-	return Millis(float64(times*p.streams.len()) * (p.rules.head + 1) / p.rules.pace)
+	return Millis(float64(times*p.proxies.len()) * (p.rules.headLines + 1) / p.rules.linesPerMilli)
 }
 
-// fitsWhole says whether the message being filled has room for all wanted tables as they are.
-func (p *publisher) fitsWhole(message *flight, part float64) bool {
-	needed := p.neededLines(false)
-	return message.fits(part, needed)
+// fitsAllPending says whether the message being filled has room for all pending tables as wanted.
+func (p *publisher) fitsAllPending(message *channelMessage, part float64) bool {
+	needed := p.pendingLines(false)
+	return message.hasRoom(part, needed)
 }
 
-// nextStep is what a table is to hold next where not all that is wanted fits: what its calls need, and the rest once
-// that stands.
-func (p *publisher) nextStep(w wanted, spare bool) lines {
-	if !p.rules.sliced || p.rules.oneOwner {
+// nextStep returns what a table is to hold next where not all pending changes fit: first what its calls need, and the
+// rest once that is written.
+func (p *publisher) nextStep(w wantedTable, spare bool) lines {
+	if !p.rules.sliced || p.rules.singleOwner {
 		return w.lines
 	}
-	needed := p.essential(p.stands.get(w.table), w.lines, spare)
-	if spare && len(p.changes(w.table, needed)) == 0 {
+	needed := p.essentialLines(p.current.get(w.table), w.lines, spare)
+	if spare && len(p.tableOrders(w.table, needed)) == 0 {
 		return w.lines
 	}
 	return needed
 }
 
-// essential are the lines of a wanted table that its calls need, beside those that stand and do no harm: lines of
-// hosts that are out draw no calls, and a light one is as good a standby as the one that is wanted. Where many tables
-// wait, one line in place of four moves a slice's calls. With spare the table has a second host to offer.
-func (p *publisher) essential(stands, want lines, spare bool) lines {
-	heavy := want.heaviest().weight * heavyPart
+// essentialLines returns the lines of a wanted table that its calls need, and the current ones that do no harm: lines
+// of excluded hosts get no calls, and any light line is as good a standby as the wanted one. Where many tables are
+// pending, one line instead of four moves the calls of a slice. With spare, the table gets a second host to offer.
+func (p *publisher) essentialLines(current, want lines, spare bool) lines {
+	heavy := want.heaviest().weight * mainLineShare
 	var out lines
-	open := 0
+	offered := 0
 	for _, l := range want {
-		if l.weight >= heavy || stands.holds(l.host) {
+		if l.weight >= heavy || current.holds(l.host) {
 			out = append(out, l)
-			open++
+			offered++
 		}
 	}
-	for _, l := range stands {
-		door := p.doors.get(l.host)
-		if shut := door == closed || door == bound; !want.holds(l.host) && (shut || l.weight < heavy) {
+	for _, l := range current {
+		state := p.availability.get(l.host)
+		if isExcluded := state == excluded || state == excludedByRule; !want.holds(l.host) &&
+			(isExcluded || l.weight < heavy) {
 			out = append(out, l)
-			open += int(bit(door == opened && !p.masked.get(l.host), 0))
+			offered += int(bit(state == available && !p.masked.get(l.host), 0))
 		}
 	}
 	for _, l := range want {
-		if spare && open < 2 && !out.holds(l.host) {
+		if spare && offered < 2 && !out.holds(l.host) {
 			out = append(out, l)
-			open++
+			offered++
 		}
 	}
 	return out.sorted()
 }
 
-// outFor is how long a host has been out that a wanted table no longer names, and the one that stands does.
-func (p *publisher) outFor(w wanted) (longest Millis) {
-	for _, l := range p.stands.get(w.table) {
-		if p.leaves(w, l) {
-			longest = max(longest, p.now-p.turned.get(l.host))
+// excludedFor returns how long a host has been excluded that the current table names and the wanted one does not.
+func (p *publisher) excludedFor(w wantedTable) (longest Millis) {
+	for _, l := range p.current.get(w.table) {
+		if p.isObsolete(w, l) {
+			longest = max(longest, p.now-p.changedAt.get(l.host))
 		}
 	}
 	return longest
 }
 
-// withoutHostsOut is what stands of a table without the lines that draw no calls and are not wanted.
-func (p *publisher) withoutHostsOut(w wanted) (rest lines) {
-	for _, l := range p.stands.get(w.table) {
-		if !p.leaves(w, l) {
+// withoutExcludedHosts returns the current lines of a table without those that get no calls and are no longer wanted.
+func (p *publisher) withoutExcludedHosts(w wantedTable) (rest lines) {
+	for _, l := range p.current.get(w.table) {
+		if !p.isObsolete(w, l) {
 			rest = append(rest, l)
 		}
 	}
 	return rest
 }
 
-// leaves says whether a standing line goes from a wanted table since its host is out.
-func (p *publisher) leaves(w wanted, l line) bool {
-	door := p.doors.get(l.host)
-	return (door == closed || door == bound) && !w.lines.holds(l.host)
+// isObsolete says whether a current line is to go because its host is excluded and the wanted table does not name it.
+func (p *publisher) isObsolete(w wantedTable, l line) bool {
+	state := p.availability.get(l.host)
+	return (state == excluded || state == excludedByRule) && !w.lines.holds(l.host)
 }
