--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -15,9 +15,9 @@
 )
 
 // turn is what one instance is to hear in the batch at hand.
-type turn struct {
-	id    logic.DirectorID
-	notes []any
+type delivery struct {
+	id     logic.DirectorID
+	events []any
 }
 
 func main() {
@@ -46,7 +46,7 @@
 			return fmt.Errorf("line %d: %w", number, err)
 		}
 		reply.Reset()
-		if err := play(live, batch, &reply); err != nil {
+		if err := handleBatch(live, batch, &reply); err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
 		if _, err := to.Write(reply.Line()); err != nil {
@@ -59,26 +59,26 @@
 }
 
 // play hands each instance its notes in their order. A start or a death in mid-batch ends what came before.
-func play(live map[logic.DirectorID]*logic.Director, b wire.Batch, reply *wire.Reply) error {
-	var turns []turn
+func handleBatch(live map[logic.DirectorID]*logic.Director, b wire.Batch, reply *wire.Reply) error {
+	var turns []delivery
 	at := map[logic.DirectorID]int{}
 	for i, e := range b.Events {
 		n, known := at[e.Director]
 		switch {
-		case e.Begin != nil || e.Killed:
+		case e.Start != nil || e.Killed:
 			if e.Killed && live[e.Director] == nil {
 				return fmt.Errorf("event %d: field Director: %d never began", i, e.Director)
 			}
 			if known {
-				turns[n].notes = nil
+				turns[n].events = nil
 			}
 			delete(live, e.Director)
-			if e.Begin == nil {
+			if e.Start == nil {
 				continue
 			}
-			made, failed := start(e.Begin)
+			made, failed := start(e.Start)
 			if failed != "" {
-				reply.Broken(e.Director, failed)
+				reply.AddFailure(e.Director, failed)
 				continue
 			}
 			live[e.Director] = made
@@ -88,21 +88,21 @@
 		if !known {
 			n = len(turns)
 			at[e.Director] = n
-			turns = append(turns, turn{id: e.Director})
+			turns = append(turns, delivery{id: e.Director})
 		}
-		if e.Note != nil {
-			turns[n].notes = append(turns[n].notes, e.Note)
+		if e.Payload != nil {
+			turns[n].events = append(turns[n].events, e.Payload)
 		}
 	}
 	for _, t := range turns {
 		if d := live[t.id]; d != nil {
-			handle(d, t, b.Clock, reply)
+			handleDelivery(d, t, b.Clock, reply)
 		}
 	}
 	return nil
 }
 
-func start(b *wire.Begin) (d *logic.Director, failed string) {
+func start(b *wire.Start) (d *logic.Director, failed string) {
 	defer func() {
 		if r := recover(); r != nil {
 			failed = fmt.Sprint(r)
@@ -111,13 +111,13 @@
 	return logic.New(b.Seed, b.Facts), ""
 }
 
-func handle(d *logic.Director, t turn, now logic.Millis, reply *wire.Reply) {
+func handleDelivery(d *logic.Director, t delivery, now logic.Millis, reply *wire.Reply) {
 	defer func() {
 		if r := recover(); r != nil {
-			reply.Broken(t.id, fmt.Sprint(r))
+			reply.AddFailure(t.id, fmt.Sprint(r))
 		}
 	}()
-	for _, o := range d.Handle(now, t.notes) {
+	for _, o := range d.Handle(now, t.events) {
 		reply.Add(t.id, o)
 	}
 }
--- a/internal/ci/main.go
+++ b/internal/ci/main.go
@@ -15,32 +15,32 @@
 	"strings"
 )
 
-const mostRed = 3
+const maxKnownFailures = 3
 
 func main() {
 	if len(os.Args) != 3 {
-		fail(errors.New("usage: ci linked|red FILE"))
+		exitOnError(errors.New("usage: ci linked|red FILE"))
 	}
 	switch os.Args[1] {
 	case "linked":
-		fail(linked(os.Args[2]))
+		exitOnError(checkLinking(os.Args[2]))
 	case "red":
 		text, err := os.ReadFile(os.Args[2])
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
-			fail(err)
+			exitOnError(err)
 		}
-		tests, err := red(string(text), os.DirFS("."))
-		fail(err)
+		tests, err := parseKnownFailures(string(text), os.DirFS("."))
+		exitOnError(err)
 		if len(tests) > 0 {
 			fmt.Fprint(os.Stderr, "known to fail, passed over:\n", string(text))
 			fmt.Printf("^(%s)$\n", strings.Join(tests, "|"))
 		}
 	default:
-		fail(errors.New("usage: ci linked|red FILE"))
+		exitOnError(errors.New("usage: ci linked|red FILE"))
 	}
 }
 
-func fail(err error) {
+func exitOnError(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "ci:", err)
 		os.Exit(1)
@@ -48,7 +48,7 @@
 }
 
 // linked says what is wrong with how a program is linked.
-func linked(path string) error {
+func checkLinking(path string) error {
 	f, err := elf.Open(path)
 	if err != nil {
 		return err
@@ -66,32 +66,32 @@
 }
 
 var (
-	name  = regexp.MustCompile(`^Test\w+$`)
-	issue = regexp.MustCompile(`^issue \d+$`)
+	testNamePattern = regexp.MustCompile(`^Test\w+$`)
+	issuePattern    = regexp.MustCompile(`^issue \d+$`)
 )
 
 // red reads the list: a line each, `test | cause | issue N`. Each test stands once in the tree, so that no other is passed over
 // for its name.
-func red(text string, tree fs.FS) (tests []string, err error) {
+func parseKnownFailures(text string, tree fs.FS) (tests []string, err error) {
 	for i, line := range strings.Split(strings.TrimSpace(text), "\n") {
 		if line == "" && text == "" {
 			return nil, nil
 		}
 		wrong := func(why string) error { return fmt.Errorf("line %d of the tests known to fail: %s", i+1, why) }
-		if i >= mostRed {
-			return nil, wrong(fmt.Sprintf("there may be %d", mostRed))
+		if i >= maxKnownFailures {
+			return nil, wrong(fmt.Sprintf("there may be %d", maxKnownFailures))
 		}
 		parts := strings.Split(line, "|")
 		if len(parts) != 3 {
 			return nil, wrong("it is not `test | cause | issue N`")
 		}
 		test, cause, number := strings.TrimSpace(parts[0]), strings.TrimSpace(parts[1]), strings.TrimSpace(parts[2])
-		switch n, err := declared(test, tree); {
-		case !name.MatchString(test):
+		switch n, err := countDeclarations(test, tree); {
+		case !testNamePattern.MatchString(test):
 			return nil, wrong(fmt.Sprintf("%q is no name of a test", test))
 		case cause == "":
 			return nil, wrong("the cause is missing")
-		case !issue.MatchString(number):
+		case !issuePattern.MatchString(number):
 			return nil, wrong(fmt.Sprintf("%q is no issue", number))
 		case err != nil:
 			return nil, err
@@ -106,7 +106,7 @@
 }
 
 // declared is how often a test is declared in the tree.
-func declared(test string, tree fs.FS) (n int, err error) {
+func countDeclarations(test string, tree fs.FS) (n int, err error) {
 	err = fs.WalkDir(tree, ".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, "_test.go") {
 			if err == nil && d.IsDir() && path != "." && strings.HasPrefix(filepath.Base(path), ".") {
--- a/internal/ci/main_test.go
+++ b/internal/ci/main_test.go
@@ -9,7 +9,7 @@
 	"testing/fstest"
 )
 
-func TestTheListOfTestsKnownToFail(t *testing.T) {
+func TestParseKnownFailures(t *testing.T) {
 	tree := fstest.MapFS{"a/a_test.go": {Data: []byte("package a\nfunc TestA(t *testing.T) {}\nfunc TestB(t *testing.T) {}\n")},
 		"b/b_test.go":    {Data: []byte("package b\nfunc TestB(t *testing.T) {}\nfunc TestC(t *testing.T) {}\nfunc TestD(t *testing.T) {}\n")},
 		"b/b.go":         {Data: []byte("package b\nfunc TestE(t *testing.T) {}\n")},
@@ -18,7 +18,7 @@
 		"": "", "TestA | late lists | issue 26\n": "TestA",
 		"TestA | x | issue 1\nTestC | y | issue 2\nTestD | z | issue 3\n": "TestA TestC TestD",
 	} {
-		if got, err := red(text, tree); err != nil || strings.Join(got, " ") != want {
+		if got, err := parseKnownFailures(text, tree); err != nil || strings.Join(got, " ") != want {
 			t.Errorf("%q: %v, %v", text, got, err)
 		}
 	}
@@ -28,13 +28,13 @@
 		"TestA | x | issue 1\nTestA | x | issue 1": "twice", "Test.* | x | issue 1": "name", "TestA/sub | x | issue 1": "name",
 		"\nTestA | x | issue 1\n\nTestC | x | issue 1": "line 2",
 	} {
-		if got, err := red(text, tree); err == nil || !strings.Contains(err.Error(), why) {
+		if got, err := parseKnownFailures(text, tree); err == nil || !strings.Contains(err.Error(), why) {
 			t.Errorf("%q: %v, %v; wanted %s", text, got, err, why)
 		}
 	}
 }
 
-func TestAProgramThatIsLinkedByGoItselfIsFoundOut(t *testing.T) {
+func TestCheckLinkingRejectsStaticBinaries(t *testing.T) {
 	dir := t.TempDir()
 	for mode, good := range map[string]bool{"0": false, "1": true} {
 		out, text, args := filepath.Join(dir, "prog"+mode), "package main\nfunc main() {}\n", []string{"build", "-o"}
@@ -48,11 +48,11 @@
 		if text, err := build.CombinedOutput(); err != nil {
 			t.Fatalf("%v: %s", err, text)
 		}
-		if err := linked(out); (err == nil) != good {
+		if err := checkLinking(out); (err == nil) != good {
 			t.Errorf("cgo %s: %v", mode, err)
 		}
 	}
-	if linked(filepath.Join(dir, "main.go")) == nil {
+	if checkLinking(filepath.Join(dir, "main.go")) == nil {
 		t.Error("a text passed for a program")
 	}
 }
--- a/internal/platform/codec/codec_test.go
+++ b/internal/platform/codec/codec_test.go
@@ -11,28 +11,29 @@
 	"vetchwood/logic"
 )
 
-func names() *Names {
-	return NewNames(logic.Facts{Proxies: 4, Slices: 8, LoadColumns: []string{"utilization", "throughput"},
+func testSchema() *Schema {
+	return NewSchema(logic.Facts{Proxies: 4, Slices: 8, LoadColumns: []string{"utilization", "throughput"},
 		Routes: []logic.Route{{TimeLimit: 3000}, {TimeLimit: 4000}}},
 		wire.Names{Routes: []string{"read", "note"}, Zones: []string{"a", "b"}, Kinds: []string{"m"}})
 }
 
-func TestWhatComesToTheDirector(t *testing.T) {
-	n, x := names(), 0.61
+func TestDecodeMessage(t *testing.T) {
+	s, utilization := testSchema(), 0.61
 	for line, want := range map[string]any{
 		`{"t":"heard","locality":"b","endpoint":"h1","total":7,"errors":2,"rtt":41.5,"interval":1000.0,"metrics":{"utilization":0.61}}`: logic.Met{
-			Host: ID("h1"), Zone: 1, Ended: 7, Lost: 2, Spent: 41.5, Over: 1000, Load: logic.Load{Busy: &x}},
+			Host: IDOf("h1"), Zone: 1, Ended: 7, Lost: 2, Spent: 41.5, Over: 1000, Load: logic.Load{Busy: &utilization}},
 		`{"t":"heard","locality":"a","endpoint":"h1","total":7.0,"errors":7,"interval":500,"metrics":{"util":0.61}}`: logic.Met{
-			Host: ID("h1"), Ended: 7, Lost: 7, Over: 500, Load: logic.Load{Busy: &x}},
+			Host: IDOf("h1"), Ended: 7, Lost: 7, Over: 500, Load: logic.Load{Busy: &utilization}},
 		`{"t":"heat","shard":7,"route":"note","total":4,"errors":1,"interval":500}`: logic.Heat{Slice: 7, Route: 1, Calls: 4, Lost: 1, Over: 500},
-		// Calls are lost when they end and counted when they come. Found on sockets: the demand of the busiest slices was dropped.
+		// A call is counted when it arrives and its failure when it ends, so errors may exceed the total. When such reports were
+		// rejected, the demand of the busiest slices was lost.
 		`{"t":"heat","shard":0,"route":"read","total":1,"errors":2,"interval":500}`: logic.Heat{Calls: 1, Lost: 2, Over: 500},
 	} {
-		if m, err := n.Read([]byte(line)); err != nil || !reflect.DeepEqual(m.Note, want) {
-			t.Errorf("%s: %+v, %v", line, m.Note, err)
+		if m, err := s.DecodeMessage([]byte(line)); err != nil || !reflect.DeepEqual(m.Event, want) {
+			t.Errorf("%s: %+v, %v", line, m.Event, err)
 		}
 	}
-	for line, place := range map[string]string{
+	for line, field := range map[string]string{
 		`{"t":"heard","locality":"a","endpoint":"h1","total":7,"errors":8,"rtt":4,"interval":1000}`:                        "errors",
 		`{"t":"heard","locality":"a","endpoint":"h1","total":7,"errors":2,"interval":1000}`:                                "rtt",
 		`{"t":"heard","locality":"c","endpoint":"h1","total":7,"errors":2,"rtt":4,"interval":1000}`:                        "locality",
@@ -57,49 +58,49 @@
 		`{"verb":"share"}`:                 "t",
 		`{}`:                               "t",
 	} {
-		_, err := n.Read([]byte(line))
-		var spoilt *Spoilt
-		if !errors.As(err, &spoilt) || !strings.HasPrefix(spoilt.Field, place) {
-			t.Errorf("%s: %v, wanted %s", line, err, place)
+		_, err := s.DecodeMessage([]byte(line))
+		var invalid *FieldError
+		if !errors.As(err, &invalid) || !strings.HasPrefix(invalid.Field, field) {
+			t.Errorf("%s: error %v, want one on field %s", line, err, field)
 		}
 	}
 	for _, line := range []string{"", "GET / HTTP/1.1", "null", "[]", "7", `"x"`, `{"t":`, "\x00\xff"} {
-		if _, err := n.Read([]byte(line)); !errors.Is(err, ErrUnreadable) {
+		if _, err := s.DecodeMessage([]byte(line)); !errors.Is(err, ErrUnreadable) {
 			t.Errorf("%q: %v", line, err)
 		}
 	}
 }
 
-func TestWhatTheRelaySays(t *testing.T) {
-	n := names()
+func TestDecodeFrame(t *testing.T) {
+	s := testSchema()
 	for line, want := range map[string]any{
 		`{"jsonrpc":"2.0","method":"joined","params":{"node":3,"locality":"b","w":21.5,"cold":true}}`: logic.Joined{Proxy: 3, Zone: 1, Rate: 21.5, Fresh: true},
 		`{"jsonrpc":"2.0","method":"left","params":{"node":3}}`:                                       logic.Left{Proxy: 3},
 		`{"jsonrpc":"2.0","method":"applied","params":{"node":0,"nonce":905,"latency":310.4}}`:        logic.Applied{Serial: 905, Spent: 310.4},
 		`{"jsonrpc":"2.0","method":"given","params":{"shard":7,"set":true}}`:                          logic.Custody{Slice: 7, Given: true},
-		`{"jsonrpc":"2.0","method":"held","params":{"shard":7,"endpoint":"h1","w":0.5}}`:              logic.OnRecord{Slice: 7, Host: ID("h1"), Weight: 0.5},
+		`{"jsonrpc":"2.0","method":"held","params":{"shard":7,"endpoint":"h1","w":0.5}}`:              logic.OnRecord{Slice: 7, Host: IDOf("h1"), Weight: 0.5},
 		`{"jsonrpc":"2.0","method":"ping"}`:                                                           nil,
 	} {
-		if f, err := n.Frame([]byte(line)); err != nil || f.News == nil || !reflect.DeepEqual(f.News.Note, want) {
-			t.Errorf("%s: %+v, %v", line, f.News, err)
+		if f, err := s.DecodeFrame([]byte(line)); err != nil || f.Notification == nil || !reflect.DeepEqual(f.Notification.Event, want) {
+			t.Errorf("%s: %+v, %v", line, f.Notification, err)
 		}
 	}
-	if f, err := n.Frame([]byte(`{"jsonrpc":"2.0","id":8,"result":{"ok_count":2}}`)); err != nil || f.ID != 8 || f.Count != 2 {
-		t.Errorf("an answer: %+v, %v", f, err)
+	if f, err := s.DecodeFrame([]byte(`{"jsonrpc":"2.0","id":8,"result":{"ok_count":2}}`)); err != nil || f.ID != 8 || f.Accepted != 2 {
+		t.Errorf("answer to a commit: %+v, %v", f, err)
 	}
-	if f, err := n.Frame([]byte(`{"jsonrpc":"2.0","id":8,"result":true}`)); err != nil || !f.OK {
-		t.Errorf("a subscription: %+v, %v", f, err)
+	if f, err := s.DecodeFrame([]byte(`{"jsonrpc":"2.0","id":8,"result":true}`)); err != nil || !f.Subscribed {
+		t.Errorf("answer to a subscription: %+v, %v", f, err)
 	}
 	for _, e := range []string{`"throttled"`, `{"code":1,"message":"throttled"}`, `{"code":"throttled"}`} {
-		if f, err := n.Frame([]byte(`{"id":8,"error":` + e + `}`)); err != nil || f.Error != "throttled" {
+		if f, err := s.DecodeFrame([]byte(`{"id":8,"error":` + e + `}`)); err != nil || f.Error != "throttled" {
 			t.Errorf("%s: %+v, %v", e, f, err)
 		}
 	}
 	for _, line := range []string{`{"id":8,"result":{"ok_count":-1}}`, `{"id":8,"result":{"ok_count":"2"}}`, `{"id":8,"result":{}}`, `{"id":8}`,
 		`{"result":{"ok_count":2}}`, `{"id":"8","result":{"ok_count":2}}`, `{"id":8,"result":false}`, `{"id":8,"error":"odd"}`, `{"id":8,"result":{"ok_count":1.5}}`,
 		`{"method":"joined","params":{"node":4,"locality":"b","w":1}}`, `{"method":"joined"}`, `{"method":"given","params":{"shard":1}}`, `{"method":"odd","params":{}}`} {
-		if _, err := n.Frame([]byte(line)); err == nil {
-			t.Errorf("%s was taken", line)
+		if _, err := s.DecodeFrame([]byte(line)); err == nil {
+			t.Errorf("%s was accepted", line)
 		}
 	}
 }
@@ -110,62 +111,64 @@
 		`{"method":"held","params":{"shard":7,"endpoint":"h1","w":0.5}}`, `{"index":4,"snapshot":true,"endpoints":[{"name":"h","status":"left"}]}`, "util=0.5,qps=3"} {
 		f.Add([]byte(s))
 	}
-	n := names()
+	schema := testSchema()
 	f.Fuzz(func(t *testing.T, line []byte) {
-		if m, err := n.Read(line); err == nil {
-			if heat, is := m.Note.(logic.Heat); is && (heat.Slice < 0 || int(heat.Slice) >= n.Slices || heat.Over <= 0 || heat.Calls < 0) {
-				t.Errorf("%q: %+v", line, heat)
+		if m, err := schema.DecodeMessage(line); err == nil {
+			if demand, is := m.Event.(logic.Heat); is && (demand.Slice < 0 || int(demand.Slice) >= schema.Slices || demand.Over <= 0 ||
+				demand.Calls < 0) {
+				t.Errorf("%q: %+v", line, demand)
 			}
-			if met, is := m.Note.(logic.Met); is && (met.Lost < 0 || met.Lost > met.Ended || met.Over <= 0 || met.Spent < 0) {
-				t.Errorf("%q: %+v", line, met)
+			if report, is := m.Event.(logic.Met); is && (report.Lost < 0 || report.Lost > report.Ended || report.Over <= 0 || report.Spent < 0) {
+				t.Errorf("%q: %+v", line, report)
 			}
 		}
-		n.Frame(line)
-		n.Load(string(line))
-		if l, err := ReadList(line); err == nil {
-			NewHosts().Roster(l, logic.Whole, n)
+		schema.DecodeFrame(line)
+		schema.DecodeLoad(string(line))
+		if l, err := DecodeList(line); err == nil {
+			NewHosts().Apply(l, logic.Whole, schema)
 		}
 	})
 }
 
-func TestTheList(t *testing.T) {
-	h, n := NewHosts(), names()
+func TestApplyList(t *testing.T) {
+	h, schema := NewHosts(), testSchema()
 	read := func(kind logic.RosterKind, text string) logic.Roster {
 		t.Helper()
-		l, err := ReadList([]byte(text))
+		l, err := DecodeList([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, _ := h.Roster(l, kind, n)
+		r, _ := h.Apply(l, kind, schema)
 		return r
 	}
 	const h1, h2 = `{"name":"h1","address":"127.0.0.1:1","zone":"b","type":"m","group":3,"status":"active","weight":1,"since_ms":5}`,
 		`{"name":"h2","address":"127.0.0.1:2","zone":"a","type":"m","group":3,"status":"active","weight":1,"since_ms":0}`
 	r := read(logic.FromDisk, `{"index":1,"snapshot":true,"endpoints":[`+h1+`,`+h2+`]}`)
-	if r.Kind != logic.FromDisk || len(r.Entries) != 2 || r.Entries[0] != (logic.Entry{Host: ID("h1"), Cell: 3, Zone: 1, Weight: 1, Born: 5}) {
+	if r.Kind != logic.FromDisk || len(r.Entries) != 2 || r.Entries[0] != (logic.Entry{Host: IDOf("h1"), Cell: 3, Zone: 1, Weight: 1, Born: 5}) {
 		t.Fatalf("%+v", r)
 	}
-	// A host comes back under another address; one whose entry can't be read stays as it was; one that left needs a name alone.
+	// h1 returns with another address. h2 keeps its former entry, because the new one is invalid. h3 has left, so that its name
+	// suffices.
 	r = read(logic.Whole, `{"index":2,"snapshot":false,"endpoints":[{"name":"h1","address":"127.0.0.1:9","zone":"b","type":"m","group":3,"status":"active",`+
 		`"weight":1,"since_ms":9},{"name":"h2","address":"127.0.0.1:3","zone":"moon","type":"m","status":"active"},{"name":"h3","status":"left"}]}`)
 	if r.Kind != logic.Changes || len(r.Entries) != 3 || r.Entries[1].Zone != 0 || r.Entries[2].State != logic.Gone ||
-		h.Address(ID("h1")) != "127.0.0.1:9" || h.Address(ID("h2")) != "127.0.0.1:2" || h.Listed() != 2 {
+		h.Address(IDOf("h1")) != "127.0.0.1:9" || h.Address(IDOf("h2")) != "127.0.0.1:2" || h.ListedCount() != 2 {
 		t.Fatalf("%+v", r)
 	}
-	if r = read(logic.Whole, `{"index":3,"snapshot":true,"endpoints":[`+h2+`]}`); r.Kind != logic.Whole || h.Address(ID("h1")) != "" || h.NameOf(ID("h1")) != "h1" {
-		t.Fatalf("%+v, h1 at %q", r, h.Address(ID("h1")))
+	if r = read(logic.Whole, `{"index":3,"snapshot":true,"endpoints":[`+h2+`]}`); r.Kind != logic.Whole || h.Address(IDOf("h1")) != "" || h.NameOf(IDOf("h1")) != "h1" {
+		t.Fatalf("%+v, h1 at %q", r, h.Address(IDOf("h1")))
 	}
-	for i := range 3 * mostGone {
-		h.Name(strings.Repeat("x", i+1))
+	for i := range 3 * maxUnlistedHosts {
+		h.Register(strings.Repeat("x", i+1))
 	}
-	if len(h.by) > mostGone+2 || h.NameOf(ID("h2")) != "h2" {
-		t.Errorf("%d hosts are known", len(h.by))
+	if len(h.byID) > maxUnlistedHosts+2 || h.NameOf(IDOf("h2")) != "h2" {
+		t.Errorf("%d hosts are still registered", len(h.byID))
 	}
 }
 
-func TestOrders(t *testing.T) {
-	h, n := NewHosts(), names()
-	id, _ := h.Name("h1")
+func TestEncodeOrder(t *testing.T) {
+	h, schema := NewHosts(), testSchema()
+	id, _ := h.Register("h1")
 	for _, c := range []struct {
 		order logic.Order
 		text  string
@@ -180,14 +183,14 @@
 		{logic.Stamp{Serial: 905, All: true}, `{"verb":"mark","ticket":905,"set":1}`},
 		{logic.Stamp{Serial: 905}, `{"verb":"mark","ticket":905,"set":0}`},
 	} {
-		if op, relays, err := n.Op(c.order, h); err != nil || !relays || op.Text != c.text {
+		if op, relays, err := schema.EncodeOrder(c.order, h); err != nil || !relays || op.Text != c.text {
 			t.Errorf("%+v: %s, %v", c.order, op.Text, err)
 		}
 	}
-	if op, _, _ := n.Op(logic.Throttle{Table: logic.EveryTable, Routes: 1}, h); op.Table != outbox.NoTable || op.Kind != outbox.Level {
+	if op, _, _ := schema.EncodeOrder(logic.Throttle{Table: logic.EveryTable, Routes: 1}, h); op.Table != outbox.NoTable || op.Kind != outbox.Level {
 		t.Errorf("%+v", op)
 	}
-	if _, _, err := n.Op(logic.SetLine{Table: 4, Host: id + 1}, h); err == nil {
-		t.Error("an order for a host without a name")
+	if _, _, err := schema.EncodeOrder(logic.SetLine{Table: 4, Host: id + 1}, h); err == nil {
+		t.Error("an order for a host without a name was encoded")
 	}
 }
--- a/internal/platform/codec/hosts.go
+++ b/internal/platform/codec/hosts.go
@@ -1,5 +1,5 @@
-// Package codec translates between the platform's messages and the module's notes and orders. It decides nothing and has no
-// I/O; what can't be read is an error that names the place.
+// Package codec translates between the platform's JSON messages and the events and orders of the decision module. It
+// contains no decision logic and performs no I/O. A message that cannot be decoded yields an error that names the field.
 package codec
 
 import (
@@ -9,83 +9,89 @@
 	"vetchwood/logic"
 )
 
-// ID is the number of a host: a hash of its name, so that every director has the same, also after a start over.
-func ID(name string) logic.HostID {
+// IDOf returns the ID of the host with the name. It is a hash of the name, so that all directors use the same ID, also
+// after a restart.
+func IDOf(name string) logic.HostID {
 	if id := logic.HostID(crc32.ChecksumIEEE([]byte(name))); id != 0 {
 		return id
 	}
-	return 1 // 0 is no host
+	return 1 // 0 is not a valid host ID
 }
 
-// Hosts are the names and addresses behind the numbers. Those of hosts long gone are forgotten, the oldest first.
+// Hosts maps host IDs to names and addresses. Hosts that are no longer listed are evicted once more than
+// maxUnlistedHosts of them are known, the oldest first.
 type Hosts struct {
-	by   map[logic.HostID]*host
-	gone []logic.HostID
+	byID          map[logic.HostID]*hostRecord
+	evictionQueue []logic.HostID
 }
 
-type host struct {
+type hostRecord struct {
 	name, address string
 	listed        bool
-	filed         bool // among those gone
+	queued        bool // in evictionQueue
 	entry         logic.Entry
 }
 
-// mostGone is how many hosts that are listed no more are still known by name, for orders that take their lines away.
-const mostGone = 1024
+// maxUnlistedHosts limits how many unlisted hosts keep their names. Orders that remove the lines of a host that has
+// left the list still need its name.
+const maxUnlistedHosts = 1024
 
-func NewHosts() *Hosts { return &Hosts{by: map[logic.HostID]*host{}} }
+// NewHosts returns an empty Hosts.
+func NewHosts() *Hosts { return &Hosts{byID: map[logic.HostID]*hostRecord{}} }
 
-// Name takes a host's name in and gives its number; two names of one number are an error for the later.
-func (h *Hosts) Name(name string) (logic.HostID, error) {
+// Register records a host name and returns its ID. If two names have the same ID, the later one is rejected.
+func (h *Hosts) Register(name string) (logic.HostID, error) {
 	if name == "" {
-		return 0, fmt.Errorf("a host without a name")
+		return 0, fmt.Errorf("host name is empty")
 	}
-	id := ID(name)
-	if known := h.by[id]; known == nil {
-		h.by[id] = &host{name: name}
-		h.file(id)
+	id := IDOf(name)
+	if known := h.byID[id]; known == nil {
+		h.byID[id] = &hostRecord{name: name}
+		h.queueForEviction(id)
 	} else if known.name != name {
-		return 0, fmt.Errorf("host %q has the number of %q", name, known.name)
+		return 0, fmt.Errorf("host %q has the same ID as host %q", name, known.name)
 	}
 	return id, nil
 }
 
-func (h *Hosts) file(id logic.HostID) {
-	if h.by[id].filed {
+// queueForEviction appends a host to the eviction queue and trims the queue to maxUnlistedHosts. A host that leaves the
+// queue is deleted unless it is listed.
+func (h *Hosts) queueForEviction(id logic.HostID) {
+	if h.byID[id].queued {
 		return
 	}
-	h.gone, h.by[id].filed = append(h.gone, id), true
-	for len(h.gone) > mostGone {
-		old := h.gone[0]
-		h.gone = h.gone[1:]
-		if h.by[old].filed = false; !h.by[old].listed {
-			delete(h.by, old)
+	h.evictionQueue, h.byID[id].queued = append(h.evictionQueue, id), true
+	for len(h.evictionQueue) > maxUnlistedHosts {
+		oldest := h.evictionQueue[0]
+		h.evictionQueue = h.evictionQueue[1:]
+		if h.byID[oldest].queued = false; !h.byID[oldest].listed {
+			delete(h.byID, oldest)
 		}
 	}
 }
 
-// Known says whether a number is a host's that was ever named.
-func (h *Hosts) Known(id logic.HostID) bool { return h.by[id] != nil }
+// IsKnown reports whether a host is registered under the ID and has not been evicted.
+func (h *Hosts) IsKnown(id logic.HostID) bool { return h.byID[id] != nil }
 
-// NameOf gives the name of a number, empty if there is none.
+// NameOf returns the name of the host with the ID, or an empty string if the ID is unknown.
 func (h *Hosts) NameOf(id logic.HostID) string {
-	if k := h.by[id]; k != nil {
+	if k := h.byID[id]; k != nil {
 		return k.name
 	}
 	return ""
 }
 
-// Address is where a host listens, as last told; empty if it is listed no more.
+// Address returns the last known address of a listed host, or an empty string if the host is not listed.
 func (h *Hosts) Address(id logic.HostID) string {
-	if k := h.by[id]; k != nil && k.listed {
+	if k := h.byID[id]; k != nil && k.listed {
 		return k.address
 	}
 	return ""
 }
 
-// Listed is how many hosts are listed now.
-func (h *Hosts) Listed() (n int) {
-	for _, k := range h.by {
+// ListedCount returns the number of hosts that are currently listed.
+func (h *Hosts) ListedCount() (n int) {
+	for _, k := range h.byID {
 		if k.listed {
 			n++
 		}
@@ -93,51 +99,52 @@
 	return n
 }
 
-// Roster takes a list in: what its entries mean, and an error for each that could not be used. A host whose entry can't be
-// read stays as it was.
-func (h *Hosts) Roster(l List, kind logic.RosterKind, n *Names) (r logic.Roster, wrong []error) {
+// Apply updates the hosts from a host list. It returns the list as an event, and an error for each entry that could
+// not be used. A listed host whose entry cannot be decoded keeps its former entry.
+func (h *Hosts) Apply(l List, kind logic.RosterKind, schema *Schema) (r logic.Roster, errs []error) {
 	if r.Kind = kind; kind != logic.FromDisk && !l.Snapshot {
 		r.Kind = logic.Changes
 	}
-	named := map[logic.HostID]bool{}
+	mentioned := map[logic.HostID]bool{}
 	for i, e := range l.Endpoints {
-		entry, err := h.entry(e, n)
+		entry, err := h.decodeEntry(e, schema)
 		if err != nil {
-			wrong = append(wrong, fmt.Errorf("endpoints[%d].%w", i, err))
-			if known := h.by[ID(e.Name)]; e.Name == "" || known == nil || known.name != e.Name || !known.listed {
+			errs = append(errs, fmt.Errorf("endpoints[%d].%w", i, err))
+			if known := h.byID[IDOf(e.Name)]; e.Name == "" || known == nil || known.name != e.Name || !known.listed {
 				continue
 			}
-			entry = h.by[ID(e.Name)].entry
+			entry = h.byID[IDOf(e.Name)].entry
 		}
-		k := h.by[entry.Host]
+		k := h.byID[entry.Host]
 		if err == nil {
 			k.address, k.entry = e.Address, entry
 		}
 		if k.listed = entry.State != logic.Gone; !k.listed {
-			h.file(entry.Host)
+			h.queueForEviction(entry.Host)
 		}
-		named[entry.Host] = true
+		mentioned[entry.Host] = true
 		r.Entries = append(r.Entries, entry)
 	}
 	if r.Kind != logic.Changes {
-		for id, k := range h.by {
-			if k.listed && !named[id] {
+		for id, k := range h.byID {
+			if k.listed && !mentioned[id] {
 				k.listed = false
-				h.file(id)
+				h.queueForEviction(id)
 			}
 		}
 	}
-	return r, wrong
+	return r, errs
 }
 
-func (h *Hosts) entry(e Endpoint, n *Names) (out logic.Entry, err error) {
+// decodeEntry validates an entry of the host list and registers the name of its host.
+func (h *Hosts) decodeEntry(e Endpoint, schema *Schema) (out logic.Entry, err error) {
 	state, known := map[string]logic.HostState{"active": logic.Up, "leaving": logic.Draining, "left": logic.Gone}[e.Status]
 	if !known {
 		return out, fmt.Errorf("status: unknown value %q", e.Status)
 	}
-	zone, isZone := n.zone(e.Zone)
-	kind, isKind := n.kind(e.Type)
-	if state != logic.Gone { // of one that has left the name is enough
+	zone, isZone := schema.zoneID(e.Zone)
+	kind, isKind := schema.kindID(e.Type)
+	if state != logic.Gone { // for a host that has left, the name suffices
 		switch {
 		case !isZone:
 			return out, fmt.Errorf("zone: unknown value %q", e.Zone)
@@ -151,7 +158,7 @@
 			return out, fmt.Errorf("address: missing")
 		}
 	}
-	id, err := h.Name(e.Name)
+	id, err := h.Register(e.Name)
 	if err != nil {
 		return out, fmt.Errorf("name: %w", err)
 	}
--- a/internal/platform/codec/messages.go
+++ b/internal/platform/codec/messages.go
@@ -9,20 +9,20 @@
 	"vetchwood/logic"
 )
 
-// What figures of a report can't pass, whatever the deployment.
+// Limits of the values in reports, which hold for every deployment.
 const (
-	mostCount  = 1 << 31
-	mostSpan   = 3_600_000.0 // an hour
-	mostSerial = 65535
-	mostBusy   = 16.0 // a share, with noise
+	maxCount       = 1 << 31
+	maxIntervalMs  = 3_600_000.0 // 1 hour
+	maxSerial      = 65535
+	maxUtilization = 16.0 // a fraction; the margin allows for noise
 )
 
-// Message is one that came to the director's own address.
+// Message is a decoded message that was sent to the director's own address.
 type Message struct {
-	Kind string
-	Zone logic.ZoneID // of a collector
-	Note any          // of a report: Met or Heat
-	Host string       // that a Met names
+	Kind  string
+	Zone  logic.ZoneID // of a collector that joins
+	Event any          // of a report: logic.Met or logic.Heat
+	Host  string       // the host that a logic.Met is about
 }
 
 type message struct {
@@ -38,92 +38,94 @@
 	Route    *string
 }
 
-// Read reads a line that came to the director's own address.
-func (n *Names) Read(line []byte) (Message, error) {
+// DecodeMessage decodes a line that was sent to the director's own address.
+func (s *Schema) DecodeMessage(line []byte) (Message, error) {
 	var m message
-	if err := object(line, &m); err != nil {
+	if err := decodeObject(line, &m); err != nil {
 		return Message{}, err
 	}
-	out, f := Message{Kind: m.T}, fields{kind: m.T}
+	out, f := Message{Kind: m.T}, fieldReader{kind: m.T}
 	switch m.T {
-	case SignOfLife:
+	case KindPing:
 	case "collector":
-		out.Zone = f.zone(n, m.Locality)
+		out.Zone = f.zoneID(s, m.Locality)
 	case "heard":
 		out.Host = f.text("endpoint", m.Endpoint)
-		met := logic.Met{Host: ID(out.Host), Zone: f.zone(n, m.Locality), Ended: f.whole("total", m.Total, mostCount),
-			Lost: f.whole("errors", m.Errors, mostCount), Over: logic.Millis(f.number("interval", m.Interval, mostSpan))}
-		if met.Lost > met.Ended {
-			f.wrong("errors", "more than total")
+		report := logic.Met{Host: IDOf(out.Host), Zone: f.zoneID(s, m.Locality), Ended: f.integer("total", m.Total, maxCount),
+			Lost: f.integer("errors", m.Errors, maxCount), Over: logic.Millis(f.number("interval", m.Interval, maxIntervalMs))}
+		if report.Lost > report.Ended {
+			f.fail("errors", "more than total")
 		}
-		if m.RTT != nil || met.Ended > met.Lost { // of no answer there is no time
-			// Means come with noise, and a call that was begun in time may end after its time limit.
-			met.Spent = logic.Millis(f.number("rtt", m.RTT, 10*max(n.longest, 1000)))
+		if m.RTT != nil || report.Ended > report.Lost { // without a successful call there is no round-trip time
+			// The limit leaves room for noise in the mean, and for calls that begin in time and end after their time limit.
+			report.Spent = logic.Millis(f.number("rtt", m.RTT, 10*max(s.longestCallMs, 1000)))
 		}
-		if met.Over == 0 {
-			f.wrong("interval", "out of range")
+		if report.Over == 0 {
+			f.fail("interval", "out of range")
 		}
 		if len(m.Metrics) > 0 && string(m.Metrics) != "null" {
-			met.Load = f.load(n, m.Metrics)
+			report.Load = f.loadReport(s, m.Metrics)
 		}
-		out.Note = met
+		out.Event = report
 	case "heat":
-		route, known := n.route(f.text("route", m.Route))
+		route, known := s.routeID(f.text("route", m.Route))
 		if f.err == nil && !known {
-			f.wrong("route", "unknown value")
+			f.fail("route", "unknown value")
 		}
-		// More may be lost than came: calls count when they come, and are lost when they end.
-		heat := logic.Heat{Slice: logic.TableID(f.whole("shard", m.Shard, n.Slices-1)), Route: route,
-			Calls: f.whole("total", m.Total, mostCount), Lost: f.whole("errors", m.Errors, mostCount),
-			Over: logic.Millis(f.number("interval", m.Interval, mostSpan))}
-		if heat.Over == 0 {
-			f.wrong("interval", "out of range")
+		// Errors may exceed the total: a call is counted when it arrives, and its failure when it ends.
+		demand := logic.Heat{Slice: logic.TableID(f.integer("shard", m.Shard, s.Slices-1)), Route: route,
+			Calls: f.integer("total", m.Total, maxCount), Lost: f.integer("errors", m.Errors, maxCount),
+			Over: logic.Millis(f.number("interval", m.Interval, maxIntervalMs))}
+		if demand.Over == 0 {
+			f.fail("interval", "out of range")
 		}
-		out.Note = heat
+		out.Event = demand
 	default:
 		f.kind = "message"
-		f.wrong("t", "unknown value")
+		f.fail("t", "unknown value")
 	}
 	return out, f.err
 }
 
-func (f *fields) load(n *Names, text json.RawMessage) (l logic.Load) {
+// loadReport decodes the load columns in the metrics field of a report.
+func (f *fieldReader) loadReport(s *Schema, text json.RawMessage) (l logic.Load) {
 	var values map[string]*float64
 	if json.Unmarshal(text, &values) != nil {
-		f.wrong("metrics", "not an object of numbers")
+		f.fail("metrics", "not an object of numbers")
 		return l
 	}
 	for name, v := range values {
-		f.column(n, &l, name, v)
+		f.loadColumn(s, &l, name, v)
 	}
 	return l
 }
 
-func (f *fields) column(n *Names, l *logic.Load, name string, v *float64) {
-	to, most := wire.Column(l, n.columns[name]), float64(mostCount)
-	if to == nil {
-		f.wrong("metrics."+name, "unknown value")
+// loadColumn sets one column of a load report.
+func (f *fieldReader) loadColumn(s *Schema, l *logic.Load, name string, v *float64) {
+	target, limit := wire.LoadField(l, s.columnByName[name]), float64(maxCount)
+	if target == nil {
+		f.fail("metrics."+name, "unknown value")
 		return
 	}
-	if to == &l.Busy {
-		most = mostBusy
+	if target == &l.Busy {
+		limit = maxUtilization
 	}
-	x := f.number("metrics."+name, v, most)
-	*to = &x
+	x := f.number("metrics."+name, v, limit)
+	*target = &x
 }
 
-// Load reads the body of a load report, a list of name=value.
-func (n *Names) Load(body string) (logic.Load, error) {
+// DecodeLoad decodes the body of a load report, a comma-separated list of name=value pairs.
+func (s *Schema) DecodeLoad(body string) (logic.Load, error) {
 	var l logic.Load
-	f := fields{kind: "load"}
+	f := fieldReader{kind: "load"}
 	for _, part := range strings.Split(strings.TrimSpace(body), ",") {
 		name, value, _ := strings.Cut(part, "=")
 		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 		if err != nil {
-			f.wrong("metrics."+name, "not a number")
+			f.fail("metrics."+name, "not a number")
 			break
 		}
-		f.column(n, &l, strings.TrimSpace(name), &v)
+		f.loadColumn(s, &l, strings.TrimSpace(name), &v)
 	}
 	if f.err != nil {
 		return logic.Load{}, f.err
@@ -131,26 +133,26 @@
 	return l, nil
 }
 
-// News is a notification of the relay. Host is the name that a line of the store bears.
-type News struct {
-	Kind string // joined, left, applied, given, held, ping
-	Note any
-	Host string
+// Notification is a notification from the relay. Host is the host name in a line of the store.
+type Notification struct {
+	Kind  string // joined, left, applied, given, held, ping
+	Event any
+	Host  string
 }
 
-// Frame is a line from the relay: news, or the answer to a call.
+// Frame is a line from the relay: a notification, or the answer to a call.
 type Frame struct {
-	News *News
-	// Of an answer:
-	ID    uint64
-	OK    bool   // a subscription was taken
-	Count int    // of a commit: how many orders were taken; -1: not stated
-	Error string // that it was refused with
+	Notification *Notification
+	// The other fields are set for the answer to a call.
+	ID         uint64
+	Subscribed bool   // a subscription was accepted
+	Accepted   int    // how many orders of a commit were accepted; -1 if not stated
+	Error      string // the error with which the call was refused
 }
 
-// SignOfLife is the kind of the news that the relay sends each second while it can be reached, and of the requests for
-// an answer that anybody may make.
-const SignOfLife = "ping"
+// KindPing is the kind of the notification that the relay sends every second while it is reachable. Requests for a
+// pong, which any client may send to the director, have the same kind.
+const KindPing = "ping"
 
 type frame struct {
 	ID     *uint64
@@ -172,20 +174,20 @@
 	Endpoint *string
 }
 
-// Frame reads a line from the relay.
-func (n *Names) Frame(line []byte) (Frame, error) {
+// DecodeFrame decodes a line from the relay.
+func (s *Schema) DecodeFrame(line []byte) (Frame, error) {
 	var in frame
-	if err := object(line, &in); err != nil {
+	if err := decodeObject(line, &in); err != nil {
 		return Frame{}, err
 	}
 	if in.Method != nil {
-		news, err := n.news(*in.Method, in.Params)
-		return Frame{News: news}, err
+		notification, err := s.decodeNotification(*in.Method, in.Params)
+		return Frame{Notification: notification}, err
 	}
-	out := Frame{Count: -1}
-	f := fields{kind: "answer"}
+	out := Frame{Accepted: -1}
+	f := fieldReader{kind: "answer"}
 	if in.ID == nil {
-		f.wrong("id", "missing")
+		f.fail("id", "missing")
 		return out, f.err
 	}
 	out.ID = *in.ID
@@ -201,60 +203,61 @@
 		switch out.Error {
 		case "throttled", "conflict", "internal", "invalid":
 		default:
-			f.wrong("error", "unknown value")
+			f.fail("error", "unknown value")
 		}
 		return out, f.err
 	}
-	if json.Unmarshal(in.Result, &out.OK) == nil && out.OK {
+	if json.Unmarshal(in.Result, &out.Subscribed) == nil && out.Subscribed {
 		return out, nil
 	}
-	var taken struct {
+	var commit struct {
 		OK *float64 `json:"ok_count"`
 	}
-	if err := json.Unmarshal(in.Result, &taken); err != nil {
-		f.wrong("result", "neither true nor a count")
+	if err := json.Unmarshal(in.Result, &commit); err != nil {
+		f.fail("result", "neither true nor an object with ok_count")
 		return out, f.err
 	}
-	out.Count = f.whole("result.ok_count", taken.OK, mostCount)
+	out.Accepted = f.integer("result.ok_count", commit.OK, maxCount)
 	return out, f.err
 }
 
-func (n *Names) news(kind string, p *params) (*News, error) {
-	out, f := &News{Kind: kind}, fields{kind: kind}
+// decodeNotification decodes a notification from its method and its parameters.
+func (s *Schema) decodeNotification(kind string, p *params) (*Notification, error) {
+	out, f := &Notification{Kind: kind}, fieldReader{kind: kind}
 	if p == nil {
-		if kind == SignOfLife {
+		if kind == KindPing {
 			return out, nil
 		}
 		p = &params{}
 	}
-	node := func() logic.ProxyID { return logic.ProxyID(f.whole("node", p.Node, n.Proxies-1)) }
-	shard := func() logic.TableID { return logic.TableID(f.whole("shard", p.Shard, n.Slices-1)) }
+	node := func() logic.ProxyID { return logic.ProxyID(f.integer("node", p.Node, s.Proxies-1)) }
+	shard := func() logic.TableID { return logic.TableID(f.integer("shard", p.Shard, s.Slices-1)) }
 	switch kind {
-	case SignOfLife:
+	case KindPing:
 	case "joined":
-		out.Note = logic.Joined{Proxy: node(), Zone: f.zone(n, p.Locality), Rate: f.number("w", p.W, mostCount),
+		out.Event = logic.Joined{Proxy: node(), Zone: f.zoneID(s, p.Locality), Rate: f.number("w", p.W, maxCount),
 			Fresh: p.Cold != nil && *p.Cold}
 	case "left":
-		out.Note = logic.Left{Proxy: node()}
+		out.Event = logic.Left{Proxy: node()}
 	case "applied":
-		out.Note = logic.Applied{Proxy: node(), Serial: logic.SerialID(f.whole("nonce", p.Nonce, mostSerial)),
-			Spent: logic.Millis(f.number("latency", p.Latency, mostSpan))}
+		out.Event = logic.Applied{Proxy: node(), Serial: logic.SerialID(f.integer("nonce", p.Nonce, maxSerial)),
+			Spent: logic.Millis(f.number("latency", p.Latency, maxIntervalMs))}
 	case "given":
 		if p.Set == nil {
-			f.wrong("set", "missing")
+			f.fail("set", "missing")
 			break
 		}
-		out.Note = logic.Custody{Slice: shard(), Given: *p.Set}
+		out.Event = logic.Custody{Slice: shard(), Given: *p.Set}
 	case "held":
 		out.Host = f.text("endpoint", p.Endpoint)
-		out.Note = logic.OnRecord{Slice: shard(), Host: ID(out.Host), Weight: f.number("w", p.W, mostCount)}
+		out.Event = logic.OnRecord{Slice: shard(), Host: IDOf(out.Host), Weight: f.number("w", p.W, maxCount)}
 	default:
-		f.wrong("method", "unknown value")
+		f.fail("method", "unknown value")
 	}
 	return out, f.err
 }
 
-// Endpoint is a host as discovery tells of it.
+// Endpoint is the entry of a host in the host list of the discovery service.
 type Endpoint struct {
 	Name    string
 	Address string
@@ -266,25 +269,25 @@
 	Since   float64 `json:"since_ms"`
 }
 
-// List is an answer of discovery.
+// List is a response of the discovery service: all hosts, or those that changed.
 type List struct {
 	Index     int64
 	Snapshot  bool
 	Endpoints []Endpoint
 }
 
-// ReadList reads one.
-func ReadList(body []byte) (List, error) {
+// DecodeList decodes a response of the discovery service. The index is required.
+func DecodeList(body []byte) (List, error) {
 	var l struct {
 		Index     *int64
 		Snapshot  bool
 		Endpoints []Endpoint
 	}
-	if err := object(body, &l); err != nil {
+	if err := decodeObject(body, &l); err != nil {
 		return List{}, err
 	}
 	if l.Index == nil {
-		return List{}, &Spoilt{"list", "index", "missing"}
+		return List{}, &FieldError{"list", "index", "missing"}
 	}
 	return List{*l.Index, l.Snapshot, l.Endpoints}, nil
 }
--- a/internal/platform/codec/names.go
+++ b/internal/platform/codec/names.go
@@ -13,120 +13,125 @@
 	"vetchwood/logic"
 )
 
-// Names are what a director's settings name, and how far figures can go. They don't change while it runs.
-type Names struct {
+// Schema holds the names that a director's settings define and the limits of the values in messages. It does not
+// change while the director runs.
+type Schema struct {
 	wire.Names
 	Proxies, Slices int
-	columns         map[string]string // of load reports: the settings' word for each name on the sockets
-	longest         float64           // a call lasts
+	columnByName    map[string]string // load report column of the settings, by the name used in messages
+	longestCallMs   float64           // the longest time limit of all routes, in ms
 }
 
-// plainNames are the columns of load reports in plain words. Reports bear the words of the settings or these.
-var plainNames = map[string]string{"utilization": "util", "throughput": "qps", "backlog": "queue", "outstanding": "inflight",
+// columnAliases maps the load report columns of the settings to their short names. Load reports may use either name.
+var columnAliases = map[string]string{"utilization": "util", "throughput": "qps", "backlog": "queue", "outstanding": "inflight",
 	"recent_ms": "latency_ms", "errors_per_s": "eps"}
 
-func NewNames(f logic.Facts, n wire.Names) *Names {
-	out := &Names{Names: n, Proxies: f.Proxies, Slices: f.Slices, columns: map[string]string{}}
+// NewSchema returns the schema that follows from a director's settings.
+func NewSchema(f logic.Facts, names wire.Names) *Schema {
+	s := &Schema{Names: names, Proxies: f.Proxies, Slices: f.Slices, columnByName: map[string]string{}}
 	for _, c := range f.LoadColumns {
-		out.columns[c] = c
-		if plain, known := plainNames[c]; known {
-			out.columns[plain] = c
+		s.columnByName[c] = c
+		if alias, known := columnAliases[c]; known {
+			s.columnByName[alias] = c
 		}
 	}
 	for _, r := range f.Routes {
-		out.longest = max(out.longest, float64(r.TimeLimit))
+		s.longestCallMs = max(s.longestCallMs, float64(r.TimeLimit))
 	}
-	return out
+	return s
 }
 
-// Loads says whether hosts report their load.
-func (n *Names) Loads() bool { return len(n.columns) > 0 }
+// HasLoadReports reports whether hosts send load reports.
+func (s *Schema) HasLoadReports() bool { return len(s.columnByName) > 0 }
 
-func (n *Names) zone(name string) (logic.ZoneID, bool) {
-	i := slices.Index(n.Zones, name)
+func (s *Schema) zoneID(name string) (logic.ZoneID, bool) {
+	i := slices.Index(s.Zones, name)
 	return logic.ZoneID(i), i >= 0
 }
 
-func (n *Names) kind(name string) (logic.KindID, bool) {
-	i := slices.Index(n.Kinds, name)
+func (s *Schema) kindID(name string) (logic.KindID, bool) {
+	i := slices.Index(s.Kinds, name)
 	return logic.KindID(i), i >= 0
 }
 
-func (n *Names) route(name string) (logic.RouteID, bool) {
-	i := slices.Index(n.Routes, name)
+func (s *Schema) routeID(name string) (logic.RouteID, bool) {
+	i := slices.Index(s.Routes, name)
 	return logic.RouteID(i), i >= 0
 }
 
-// ErrUnreadable is what is no message at all: the rest of its connection can't be trusted either.
+// ErrUnreadable is returned for input that is not a JSON object. The connection it came from cannot be trusted any further.
 var ErrUnreadable = errors.New("not a JSON object")
 
-// Spoilt is a message that can't be used, while those around it can.
-type Spoilt struct{ Kind, Field, Why string }
+// FieldError reports an invalid field. It makes only its own message unusable, not the messages before and after it.
+type FieldError struct{ Kind, Field, Why string }
 
-func (s *Spoilt) Error() string { return fmt.Sprintf("%s.%s: %s", s.Kind, s.Field, s.Why) }
+func (s *FieldError) Error() string { return fmt.Sprintf("%s.%s: %s", s.Kind, s.Field, s.Why) }
 
-// object decodes a line into fields of pointers: what is absent stays nil.
-func object(line []byte, into any) error {
+// decodeObject decodes a line into a struct whose fields are pointers, so that absent fields stay nil.
+func decodeObject(line []byte, into any) error {
 	err := json.Unmarshal(line, into)
-	var kind *json.UnmarshalTypeError
+	var typeErr *json.UnmarshalTypeError
 	switch {
-	case err == nil && bytes.IndexByte(line, '{') < 0: // null is read as an object of nothing
+	case err == nil && bytes.IndexByte(line, '{') < 0: // encoding/json accepts null as an empty object
 		return ErrUnreadable
-	case errors.As(err, &kind) && kind.Field != "":
-		return &Spoilt{"message", strings.ToLower(kind.Field), "not " + kind.Type.String()}
+	case errors.As(err, &typeErr) && typeErr.Field != "":
+		return &FieldError{"message", strings.ToLower(typeErr.Field), "not " + typeErr.Type.String()}
 	case err != nil:
 		return fmt.Errorf("%w: %v", ErrUnreadable, err)
 	}
 	return nil
 }
 
-// fields reads the figures of one message and keeps the first that is wrong.
-type fields struct {
+// fieldReader reads and validates the fields of one message and keeps the first error.
+type fieldReader struct {
 	kind string
 	err  error
 }
 
-func (f *fields) wrong(field, why string) {
+// fail records an error unless an earlier field has failed.
+func (f *fieldReader) fail(field, why string) {
 	if f.err == nil {
-		f.err = &Spoilt{f.kind, field, why}
+		f.err = &FieldError{f.kind, field, why}
 	}
 }
 
-// number is at least 0 and at most so much.
-func (f *fields) number(field string, v *float64, most float64) float64 {
+// number returns a number that must be in the range [0, limit].
+func (f *fieldReader) number(field string, v *float64, limit float64) float64 {
 	switch {
 	case v == nil:
-		f.wrong(field, "missing")
-	case !(*v >= 0 && *v <= most):
-		f.wrong(field, "out of range")
+		f.fail(field, "missing")
+	case !(*v >= 0 && *v <= limit):
+		f.fail(field, "out of range")
 	default:
 		return *v
 	}
 	return 0
 }
 
-// whole is a whole number of at least 0 and at most so much.
-func (f *fields) whole(field string, v *float64, most int) int {
-	n := f.number(field, v, float64(most))
+// integer returns a whole number that must be in the range [0, limit].
+func (f *fieldReader) integer(field string, v *float64, limit int) int {
+	n := f.number(field, v, float64(limit))
 	if n != math.Trunc(n) {
-		f.wrong(field, "not a whole number")
+		f.fail(field, "not a whole number")
 	}
 	return int(n)
 }
 
-func (f *fields) text(field string, v *string) string {
+// text returns a string that must not be empty.
+func (f *fieldReader) text(field string, v *string) string {
 	if v == nil || *v == "" {
-		f.wrong(field, "missing")
+		f.fail(field, "missing")
 		return ""
 	}
 	return *v
 }
 
-func (f *fields) zone(n *Names, v *string) logic.ZoneID {
+// zoneID returns the ID of the zone that the locality field names.
+func (f *fieldReader) zoneID(s *Schema, v *string) logic.ZoneID {
 	name := f.text("locality", v)
-	zone, known := n.zone(name)
+	zone, known := s.zoneID(name)
 	if f.err == nil && !known {
-		f.wrong("locality", "unknown value")
+		f.fail("locality", "unknown value")
 	}
 	return zone
 }
--- a/internal/platform/codec/orders.go
+++ b/internal/platform/codec/orders.go
@@ -9,20 +9,20 @@
 	"vetchwood/logic"
 )
 
-// Op turns an order into what the relay is told. What is no order for the relay gives false.
-func (n *Names) Op(o logic.Order, h *Hosts) (op outbox.Op, relays bool, err error) {
+// EncodeOrder encodes an order as a relay operation. It returns false for orders that are not for the relay.
+func (s *Schema) EncodeOrder(o logic.Order, h *Hosts) (op outbox.Op, relays bool, err error) {
 	var text []byte
 	verb := func(name string) { text = append(text, `{"verb":"`+name+`"`...) }
 	host := func(id logic.HostID) {
 		name := h.NameOf(id)
 		if name == "" {
-			err = fmt.Errorf("an order for host %d, which has no name", id)
+			err = fmt.Errorf("order for host %d: no name is known for this ID", id)
 		}
 		quoted, _ := json.Marshal(name)
 		text = append(append(text, `,"endpoint":`...), quoted...)
 	}
 	table := func(t logic.TableID) {
-		if t != logic.EveryTable { // left out, it is all
+		if t != logic.EveryTable { // without a cluster, the operation applies to all tables
 			text = strconv.AppendInt(append(text, `,"cluster":`...), int64(t), 10)
 		}
 	}
@@ -53,12 +53,12 @@
 		verb("admit")
 		table(o.Table)
 		var routes []string
-		for i, name := range n.Routes {
+		for i, name := range s.Routes {
 			if o.Routes&(1<<i) != 0 {
 				routes = append(routes, name)
 			}
 		}
-		if o.Routes != 0 && len(routes) < len(n.Routes) {
+		if o.Routes != 0 && len(routes) < len(s.Routes) {
 			quoted, _ := json.Marshal(routes)
 			text = append(append(text, `,"classes":`...), quoted...)
 		}
--- a/internal/platform/collect/collect.go
+++ b/internal/platform/collect/collect.go
@@ -1,5 +1,6 @@
-// Package collect is the director's own address: collectors that forward reports, signs of life, and strangers. A connection that
-// has not joined as a collector gets little room and little time.
+// Package collect serves the director's own address. Collectors forward load reports there, and any client may ask for
+// a pong. A connection that has not joined as a collector is limited in the length of its lines, in the number of
+// pings that are answered and in its lifetime.
 package collect
 
 import (
@@ -23,310 +24,320 @@
 )
 
 const (
-	joinFor     = 900 * time.Millisecond // a stranger may stay, whatever it sends
-	sweepEvery  = 100 * time.Millisecond
-	writeFor    = 200 * time.Millisecond
-	mostStrange = 4 << 10 // bytes of a line before joining
-	mostLine    = 1 << 20
-	perZone     = 3   // connections of a zone's collector: it comes back while its former one still seems open
-	mostPings   = 64  // answered before joining
-	spare       = 32  // connections kept for collectors, beside those they have
-	logged      = 100 // lines about what was dropped; from then on only every hundredth
+	joinTimeout      = 900 * time.Millisecond // maximum lifetime of a connection that does not join, whatever it sends
+	sweepInterval    = 100 * time.Millisecond
+	writeTimeout     = 200 * time.Millisecond
+	maxUnjoinedLine  = 4 << 10 // bytes of a line before the connection joins
+	maxJoinedLine    = 1 << 20 // bytes of a line of a collector
+	maxConnsPerZone  = 3       // a zone's collector may reconnect while its former connection still appears open
+	maxUnjoinedPings = 64      // pings answered on a connection that has not joined
+	reservedConns    = 32      // connections kept free for collectors, in addition to maxConnsPerZone per zone
+	dropLogLimit     = 100     // dropped reports that are logged one by one; after that, only every hundredth
 )
 
 var (
-	pong    = []byte(`{"t":"pong"}` + "\n")
-	refused = []byte(`{"t":"refused"}` + "\n")
+	pongLine    = []byte(`{"t":"pong"}` + "\n")
+	refusedLine = []byte(`{"t":"refused"}` + "\n")
 )
 
-// Server is the socket.
+// Server accepts connections and decodes the messages that arrive on them.
 type Server struct {
 	*nets.Socket
-	names     *codec.Names
-	post      func(...any)
-	ledger    *budget.Ledger
-	log       *slog.Logger
-	most      int // strangers
-	serial    atomic.Uint64
-	done      chan struct{}
-	dropped   atomic.Uint64
-	turned    atomic.Uint64
-	mu        sync.Mutex
-	strangers *list.List // of *peer, the oldest first
-	joined    map[logic.ZoneID][]*peer
-	open      map[budget.Client]*peer
-	ending    bool // whoever is accepted from now on is closed before anything is read
+	schema         *codec.Schema
+	post           func(...any)
+	ledger         *budget.Ledger
+	log            *slog.Logger
+	maxUnjoined    int // limit of connections that have not joined
+	lastID         atomic.Uint64
+	done           chan struct{}
+	droppedReports atomic.Uint64
+	refusedConns   atomic.Uint64
+	mu             sync.Mutex
+	unjoined       *list.List // of *connection, the oldest first
+	joined         map[logic.ZoneID][]*connection
+	open           map[budget.Client]*connection
+	closing        bool // connections accepted from now on are closed before anything is read
 }
 
-type peer struct {
-	id    budget.Client
-	conn  netpoll.Connection
-	born  time.Time
-	place *list.Element // among strangers
-	zone  logic.ZoneID
-	heard atomic.Int64 // when last, by nets.Monotonic
-	gone  atomic.Bool
-	// asked says whether a sign of life was asked for on it, collects whether it joined as a collector.
-	asked, collects atomic.Bool
-	refusing        sync.Mutex
+// connection is an open connection to the director's own address.
+type connection struct {
+	id           budget.Client
+	conn         netpoll.Connection
+	acceptedAt   time.Time
+	unjoinedElem *list.Element // position in Server.unjoined; nil once joined or closed
+	zone         logic.ZoneID
+	lastReadAt   atomic.Int64 // time of the last read, by nets.Monotonic
+	closed       atomic.Bool
+	// hasPinged is set once a ping was received, isCollector once the connection has joined as a collector.
+	hasPinged, isCollector atomic.Bool
+	refuseMu               sync.Mutex
 
-	// Of the one goroutine that reads it:
-	in     []byte
-	holds  int
-	joined bool
-	pings  int
+	// The fields below are used only by the goroutine that reads the connection.
+	partial   []byte // the beginning of an incomplete line
+	heldBytes int    // length of partial as last reported to the ledger
+	joined    bool
+	pings     int
 }
 
-type peerKey struct{}
+// connectionKey is the context key of a *connection.
+type connectionKey struct{}
 
-// Listen opens the socket. Reports are posted as codec.Message.
-func Listen(address string, names *codec.Names, ledger *budget.Ledger, post func(...any), log *slog.Logger) (*Server, error) {
-	s := &Server{names: names, post: post, ledger: ledger, log: log, done: make(chan struct{}), strangers: list.New(),
-		joined: map[logic.ZoneID][]*peer{}, open: map[budget.Client]*peer{}}
-	s.most = max(8, ledger.Figures().Connections-perZone*len(names.Zones)-spare)
-	ledger.Cuts(s.cut)
+// Listen opens the listening socket. Load reports are passed to post as codec.Message.
+func Listen(address string, schema *codec.Schema, ledger *budget.Ledger, post func(...any), log *slog.Logger) (*Server, error) {
+	s := &Server{schema: schema, post: post, ledger: ledger, log: log, done: make(chan struct{}), unjoined: list.New(),
+		joined: map[logic.ZoneID][]*connection{}, open: map[budget.Client]*connection{}}
+	s.maxUnjoined = max(8, ledger.Figures().Connections-maxConnsPerZone*len(schema.Zones)-reservedConns)
+	ledger.Cuts(s.evict)
 	var err error
-	s.Socket, err = nets.Listen(address, s.read, s.accept, writeFor, ledger, log)
+	s.Socket, err = nets.Listen(address, s.read, s.accept, writeTimeout, ledger, log)
 	return s, err
 }
 
-// Serve answers until Close.
+// Serve handles connections until Close is called.
 func (s *Server) Serve() error {
 	go s.sweep()
 	return s.Socket.Serve()
 }
 
-// Close closes the socket and all connections. Whoever asked something on one is refused first: a request may have
-// been read a moment ago that nobody will come to answer.
+// Close closes the socket and all connections. Connections on which a request may be outstanding are refused first,
+// because a request that has just been read will not be answered any more.
 func (s *Server) Close() error {
 	close(s.done)
 	return s.Socket.Close(func(each func(netpoll.Connection)) {
 		s.mu.Lock()
-		s.ending = true
-		all := make([]*peer, 0, len(s.open))
-		for _, p := range s.open {
-			all = append(all, p)
+		s.closing = true
+		all := make([]*connection, 0, len(s.open))
+		for _, c := range s.open {
+			all = append(all, c)
 		}
 		s.mu.Unlock()
-		for _, p := range all {
-			young := time.Since(p.born) < joinFor // its first request may be on its way
-			if p.asked.Load() || !p.collects.Load() || young || p.conn.Reader().Len() > 0 {
-				s.refuse(p, "the director ends")
+		for _, c := range all {
+			young := time.Since(c.acceptedAt) < joinTimeout // the first request may still be in transit
+			if c.hasPinged.Load() || !c.isCollector.Load() || young || c.conn.Reader().Len() > 0 {
+				s.refuse(c, "director is shutting down")
 			}
-			p.refusing.Lock() // a refusal that has begun is written whole
-			each(p.conn)
-			p.refusing.Unlock()
+			c.refuseMu.Lock() // wait until a refusal in progress is fully written
+			each(c.conn)
+			c.refuseMu.Unlock()
 		}
 	})
 }
 
-// Figures are counted for the operator.
-type Figures struct {
-	Open, Strangers int
-	Dropped, Turned uint64 // reports that were spoilt; strangers that were sent away
+// Stats are counters for the operator.
+type Stats struct {
+	Open, Unjoined               int
+	DroppedReports, RefusedConns uint64 // invalid reports; connections that were refused
 }
 
-func (s *Server) Figures() Figures {
+// Stats returns the current counters.
+func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Figures{len(s.open), s.strangers.Len(), s.dropped.Load(), s.turned.Load()}
+	return Stats{len(s.open), s.unjoined.Len(), s.droppedReports.Load(), s.refusedConns.Load()}
 }
 
-func (s *Server) accept(c netpoll.Connection) context.Context {
-	p := &peer{id: budget.Client(s.serial.Add(1)), conn: c, born: time.Now()}
+// accept registers a new connection as unjoined. If there are more than maxUnjoined of them, the oldest is refused.
+func (s *Server) accept(raw netpoll.Connection) context.Context {
+	c := &connection{id: budget.Client(s.lastID.Add(1)), conn: raw, acceptedAt: time.Now()}
 	s.ledger.Opened()
-	var oldest *peer
+	var oldest *connection
 	s.mu.Lock()
-	ending := s.ending
-	s.open[p.id] = p
-	if p.place = s.strangers.PushBack(p); s.strangers.Len() > s.most {
-		oldest = s.strangers.Front().Value.(*peer)
+	closing := s.closing
+	s.open[c.id] = c
+	if c.unjoinedElem = s.unjoined.PushBack(c); s.unjoined.Len() > s.maxUnjoined {
+		oldest = s.unjoined.Front().Value.(*connection)
 	}
 	s.mu.Unlock()
-	c.AddCloseCallback(func(netpoll.Connection) error {
-		p.gone.Store(true)
+	raw.AddCloseCallback(func(netpoll.Connection) error {
+		c.closed.Store(true)
 		s.mu.Lock()
-		s.settle(p)
-		if all := s.joined[p.zone]; slices.Contains(all, p) {
-			s.joined[p.zone] = slices.DeleteFunc(all, func(x *peer) bool { return x == p })
+		s.removeUnjoined(c)
+		if joined := s.joined[c.zone]; slices.Contains(joined, c) {
+			s.joined[c.zone] = slices.DeleteFunc(joined, func(other *connection) bool { return other == c })
 		}
-		delete(s.open, p.id)
+		delete(s.open, c.id)
 		s.mu.Unlock()
-		s.ledger.Closed(p.id)
+		s.ledger.Closed(c.id)
 		return nil
 	})
-	if ending {
-		c.Close()
-	} else if oldest != nil { // a collector says at once who it is: who has waited longest is least likely to be one
-		s.refuse(oldest, "more strangers than may be")
+	if closing {
+		raw.Close()
+	} else if oldest != nil { // a collector joins at once, so that the oldest unjoined connection is least likely to be one
+		s.refuse(oldest, "too many connections that have not joined")
 	}
-	return context.WithValue(context.Background(), peerKey{}, p)
+	return context.WithValue(context.Background(), connectionKey{}, c)
 }
 
-// cut closes a connection that holds more of the memory than the others, where there is no more.
-func (s *Server) cut(c budget.Client) {
+// evict closes the connection of a client that holds more memory than the others. The ledger calls it when memory is
+// exhausted.
+func (s *Server) evict(client budget.Client) {
 	s.mu.Lock()
-	p := s.open[c]
+	c := s.open[client]
 	s.mu.Unlock()
-	if p != nil {
-		s.refuse(p, "it holds more of the memory than the others, and there is no more")
+	if c != nil {
+		s.refuse(c, "memory is exhausted and this connection holds the most")
 	}
 }
 
-// settle takes a peer off the strangers; the lock is held.
-func (s *Server) settle(p *peer) {
-	if p.place != nil {
-		s.strangers.Remove(p.place)
-		p.place = nil
+// removeUnjoined removes a connection from the unjoined ones. The caller holds s.mu.
+func (s *Server) removeUnjoined(c *connection) {
+	if c.unjoinedElem != nil {
+		s.unjoined.Remove(c.unjoinedElem)
+		c.unjoinedElem = nil
 	}
 }
 
-// refuse says so and closes.
-func (s *Server) refuse(p *peer, why string) {
-	p.refusing.Lock()
-	defer p.refusing.Unlock()
-	if p.gone.Swap(true) {
+// refuse sends a refusal and closes the connection.
+func (s *Server) refuse(c *connection, why string) {
+	c.refuseMu.Lock()
+	defer c.refuseMu.Unlock()
+	if c.closed.Swap(true) {
 		return
 	}
-	s.turned.Add(1)
-	s.log.Debug("stranger.refused", "from", p.conn.RemoteAddr().String(), "why", why)
-	// An answer may be on its way out on the same connection: what is asked behind that would find no answer.
-	if _, err := nets.Send(p.conn, refused); err != nil {
-		s.log.Debug("stranger.untold", "from", p.conn.RemoteAddr().String(), "error", err)
+	s.refusedConns.Add(1)
+	s.log.Debug("stranger.refused", "from", c.conn.RemoteAddr().String(), "why", why)
+	// Send retries while another goroutine writes an answer on the connection: a request after that answer would otherwise
+	// get neither an answer nor a refusal.
+	if _, err := nets.Send(c.conn, refusedLine); err != nil {
+		s.log.Debug("stranger.untold", "from", c.conn.RemoteAddr().String(), "error", err)
 	}
-	p.conn.Close()
+	c.conn.Close()
 }
 
+// sweep refuses connections that have not joined within joinTimeout, until the server is closed.
 func (s *Server) sweep() {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-s.done:
 			return
 		case now := <-tick.C:
-			var late []*peer
+			var expired []*connection
 			s.mu.Lock()
-			for e := s.strangers.Front(); e != nil && now.Sub(e.Value.(*peer).born) > joinFor; e = e.Next() {
-				late = append(late, e.Value.(*peer))
+			for e := s.unjoined.Front(); e != nil && now.Sub(e.Value.(*connection).acceptedAt) > joinTimeout; e = e.Next() {
+				expired = append(expired, e.Value.(*connection))
 			}
 			s.mu.Unlock()
-			for _, p := range late {
-				s.refuse(p, "it has not joined in time")
+			for _, c := range expired {
+				s.refuse(c, "connection did not join in time")
 			}
 		}
 	}
 }
 
-// read takes all that has come.
-func (s *Server) read(ctx context.Context, c netpoll.Connection) error {
-	p := ctx.Value(peerKey{}).(*peer)
-	r := c.Reader()
-	b, err := r.Next(r.Len())
+// read handles all complete lines that have arrived and keeps the incomplete last one.
+func (s *Server) read(ctx context.Context, raw netpoll.Connection) error {
+	c := ctx.Value(connectionKey{}).(*connection)
+	r := raw.Reader()
+	data, err := r.Next(r.Len())
 	if err != nil {
 		return err
 	}
-	if p.gone.Load() {
+	if c.closed.Load() {
 		return r.Release()
 	}
-	p.heard.Store(int64(nets.Monotonic()))
-	rest := b
-	if len(p.in) > 0 {
-		p.in = append(p.in, b...)
-		rest = p.in
+	c.lastReadAt.Store(int64(nets.Monotonic()))
+	rest := data
+	if len(c.partial) > 0 {
+		c.partial = append(c.partial, data...)
+		rest = c.partial
 	}
-	var notes []any
-	for !p.gone.Load() {
-		line, after, whole := bytes.Cut(rest, []byte{'\n'})
-		if !whole {
+	var messages []any
+	for !c.closed.Load() {
+		line, after, complete := bytes.Cut(rest, []byte{'\n'})
+		if !complete {
 			break
 		}
-		if rest = after; len(line) > s.longest(p) {
-			s.refuse(p, "a line is too long")
-		} else if note := s.line(p, line); note != nil {
-			notes = append(notes, note)
+		if rest = after; len(line) > s.maxLine(c) {
+			s.refuse(c, "line is too long")
+		} else if message := s.handleLine(c, line); message != nil {
+			messages = append(messages, message)
 		}
 	}
-	if len(notes) > 0 {
-		s.post(notes...)
+	if len(messages) > 0 {
+		s.post(messages...)
 	}
-	if len(rest) > s.longest(p) {
-		s.refuse(p, "a line is too long")
+	if len(rest) > s.maxLine(c) {
+		s.refuse(c, "line is too long")
 	}
-	if p.gone.Load() || len(rest) == 0 {
-		p.in = nil
+	if c.closed.Load() || len(rest) == 0 {
+		c.partial = nil
 	} else {
-		p.in = append([]byte(nil), rest...)
+		c.partial = append([]byte(nil), rest...)
 	}
 	r.Release()
-	if len(p.in) != p.holds && !p.gone.Load() {
-		p.holds = len(p.in)
-		s.ledger.Hold(p.id, int64(p.holds))
+	if len(c.partial) != c.heldBytes && !c.closed.Load() {
+		c.heldBytes = len(c.partial)
+		s.ledger.Hold(c.id, int64(c.heldBytes))
 	}
 	return nil
 }
 
-func (s *Server) longest(p *peer) int {
-	if p.joined {
-		return mostLine
+// maxLine returns the maximum length of a line on the connection, in bytes.
+func (s *Server) maxLine(c *connection) int {
+	if c.joined {
+		return maxJoinedLine
 	}
-	return mostStrange
+	return maxUnjoinedLine
 }
 
-// line takes one; what it gives is for the director.
-func (s *Server) line(p *peer, line []byte) any {
-	m, err := s.names.Read(line)
+// handleLine handles one line. It returns a message for the director, or nil.
+func (s *Server) handleLine(c *connection, line []byte) any {
+	m, err := s.schema.DecodeMessage(line)
 	switch {
-	case err == nil && m.Kind == codec.SignOfLife:
-		p.asked.Store(true)
-		if p.pings++; !p.joined && p.pings > mostPings {
-			s.refuse(p, "too many signs of life were asked for")
-		} else if _, err := nets.Send(p.conn, pong); err != nil {
-			s.refuse(p, "a sign of life could not be answered: "+err.Error())
+	case err == nil && m.Kind == codec.KindPing:
+		c.hasPinged.Store(true)
+		if c.pings++; !c.joined && c.pings > maxUnjoinedPings {
+			s.refuse(c, "too many pings before joining")
+		} else if _, err := nets.Send(c.conn, pongLine); err != nil {
+			s.refuse(c, "cannot send pong: "+err.Error())
 		}
 	case err == nil && m.Kind == "collector":
-		s.join(p, m.Zone)
-	case !p.joined:
-		why := "a report before joining"
+		s.join(c, m.Zone)
+	case !c.joined:
+		why := "report before joining"
 		if err != nil {
 			why = err.Error()
 		}
-		s.refuse(p, why)
+		s.refuse(c, why)
 	case err == nil:
 		return m
 	case errors.Is(err, codec.ErrUnreadable):
-		s.drop(p, line, err)
-		s.refuse(p, err.Error())
+		s.dropReport(c, line, err)
+		s.refuse(c, err.Error())
 	default:
-		s.drop(p, line, err)
+		s.dropReport(c, line, err)
 	}
 	return nil
 }
 
-func (s *Server) drop(p *peer, line []byte, err error) {
-	if n := s.dropped.Add(1); n <= logged || n%logged == 0 {
-		s.log.Warn("report.dropped", "from", p.conn.RemoteAddr().String(), "zone", int(p.zone), "error", err, "so_far", n,
+// dropReport counts a report that cannot be used and logs it, subject to dropLogLimit.
+func (s *Server) dropReport(c *connection, line []byte, err error) {
+	if n := s.droppedReports.Add(1); n <= dropLogLimit || n%dropLogLimit == 0 {
+		s.log.Warn("report.dropped", "from", c.conn.RemoteAddr().String(), "zone", int(c.zone), "error", err, "so_far", n,
 			"line", fmt.Sprintf("%.200q", line))
 	}
 }
 
-// join takes a collector. Of a zone's connections beyond those that may be, the one not heard of for longest goes.
-func (s *Server) join(p *peer, zone logic.ZoneID) {
-	var quiet *peer
+// join registers a connection as the collector of a zone. If the zone has more than maxConnsPerZone connections then,
+// the one that has been idle for longest is refused.
+func (s *Server) join(c *connection, zone logic.ZoneID) {
+	var idlest *connection
 	s.mu.Lock()
-	if p.joined {
-		s.joined[p.zone] = slices.DeleteFunc(s.joined[p.zone], func(x *peer) bool { return x == p })
+	if c.joined {
+		s.joined[c.zone] = slices.DeleteFunc(s.joined[c.zone], func(other *connection) bool { return other == c })
 	}
-	s.settle(p)
-	p.joined, p.zone = true, zone
-	s.joined[zone] = append(s.joined[zone], p)
-	if all := s.joined[zone]; len(all) > perZone {
-		quiet = slices.MinFunc(all, func(a, b *peer) int { return int(min(1, max(-1, a.heard.Load()-b.heard.Load()))) })
+	s.removeUnjoined(c)
+	c.joined, c.zone = true, zone
+	s.joined[zone] = append(s.joined[zone], c)
+	if joined := s.joined[zone]; len(joined) > maxConnsPerZone {
+		idlest = slices.MinFunc(joined, func(a, b *connection) int { return int(min(1, max(-1, a.lastReadAt.Load()-b.lastReadAt.Load()))) })
 	}
 	s.mu.Unlock()
-	p.collects.Store(true)
-	s.log.Info("collector.joined", "from", p.conn.RemoteAddr().String(), "zone", s.names.Zones[zone])
-	if quiet != nil {
-		s.refuse(quiet, "the collector of its zone has come back")
+	c.isCollector.Store(true)
+	s.log.Info("collector.joined", "from", c.conn.RemoteAddr().String(), "zone", s.schema.Zones[zone])
+	if idlest != nil {
+		s.refuse(idlest, "collector of the zone has reconnected")
 	}
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -25,7 +25,7 @@
 	Sockets                        int
 	Known                          codec.List
 	Facts                          logic.Facts
-	Names                          *codec.Names
+	Names                          *codec.Schema
 	Resolution                     logic.Millis
 }
 
@@ -121,11 +121,11 @@
 	if len(c.Settings) == 0 {
 		return nil, &Invalid{Where: "settings", Why: "missing"}
 	}
-	f, n, err := wire.Facts(c.Settings)
+	f, n, err := wire.DecodeFacts(c.Settings)
 	if err != nil {
 		return nil, &Invalid{Where: "settings", Why: err.Error()}
 	}
-	s.Facts, s.Names, s.Resolution = f, codec.NewNames(f, n), max(1, n.Resolution)
+	s.Facts, s.Names, s.Resolution = f, codec.NewSchema(f, n), max(1, n.Resolution)
 	if len(n.Zones) == 0 || len(f.Routes) == 0 {
 		return nil, &Invalid{Where: "settings", Why: "no zones or no routes"}
 	}
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -50,14 +50,14 @@
 	ended := 0
 	d.watches = map[int]watcher{4: {"x", func() { ended++ }}, 7: {"y", func() { t.Error("the new watch was ended") }}}
 	d.newest = 7
-	d.take(1, watch.Told{Source: 4, List: list("h1", "h2")})
-	if d.hosts.Listed() != 2 || ended != 0 {
-		t.Fatalf("%d hosts, %d ended: until the new watch speaks the former one counts", d.hosts.Listed(), ended)
+	d.take(1, watch.Update{Source: 4, List: list("h1", "h2")})
+	if d.hosts.ListedCount() != 2 || ended != 0 {
+		t.Fatalf("%d hosts, %d ended: until the new watch speaks the former one counts", d.hosts.ListedCount(), ended)
 	}
-	d.take(2, watch.Told{Source: 7, List: list("h1")})
-	d.take(3, watch.Told{Source: 4, List: list("h1", "h2", "h3")})
-	if d.hosts.Listed() != 1 || ended != 1 {
-		t.Errorf("%d hosts listed, %d watches ended; wanted 1 and 1", d.hosts.Listed(), ended)
+	d.take(2, watch.Update{Source: 7, List: list("h1")})
+	d.take(3, watch.Update{Source: 4, List: list("h1", "h2", "h3")})
+	if d.hosts.ListedCount() != 1 || ended != 1 {
+		t.Errorf("%d hosts listed, %d watches ended; wanted 1 and 1", d.hosts.ListedCount(), ended)
 	}
 }
 
@@ -122,11 +122,11 @@
 		say := func(now logic.Millis, source int, lines ...string) {
 			d.take(now, uplink.Began{Follower: 1, Source: source})
 			for _, line := range lines {
-				f, err := d.start.Names.Frame([]byte(line))
+				f, err := d.start.Names.DecodeFrame([]byte(line))
 				if err != nil {
 					t.Fatal(err)
 				}
-				d.take(now, uplink.News{Source: source, News: *f.News})
+				d.take(now, uplink.News{Source: source, News: *f.Notification})
 			}
 		}
 		joined := `{"method":"joined","params":{"node":1,"locality":"a","w":2,"cold":false}}`
@@ -144,9 +144,9 @@
 	d := alone(t)
 	d.probes = &prober{asked: map[logic.HostID]bool{}}
 	d.newest, d.watches = 1, map[int]watcher{1: {}}
-	d.take(1, watch.Told{Source: 1, List: list("h1")})
+	d.take(1, watch.Update{Source: 1, List: list("h1")})
 	d.notes = nil
-	id := codec.ID("h1")
+	id := codec.IDOf("h1")
 	d.probes.asked[id] = true
 	d.take(2, answer{logic.Probed{Host: id, Good: true}, "127.0.0.1:9"})
 	if len(d.notes) != 0 || d.probes.asked[id] {
--- a/internal/platform/figures.go
+++ b/internal/platform/figures.go
@@ -14,11 +14,11 @@
 	runtime.ReadMemStats(&m)
 	open, _ := os.ReadDir("/proc/self/fd")
 	proxies, slices := d.book.Figures()
-	f, c := d.front.Figures(), d.counts
-	d.log.Info("figures", "proxies", proxies, "slices", slices, "hosts", d.hosts.Listed(), "lists", c.lists,
+	f, c := d.front.Stats(), d.counts
+	d.log.Info("figures", "proxies", proxies, "slices", slices, "hosts", d.hosts.ListedCount(), "lists", c.lists,
 		"calls", c.calls, "orders", c.taken, "waiting", d.box.Waiting(), "merged", d.box.Merged, "unsure", c.unsure, "unsent", c.unsent,
 		"later", c.later, "refused", c.refused, "subscribed", c.begun, "broke", c.broke,
-		"open", f.Open, "strangers", f.Strangers, "sent_away", f.Turned, "reports_dropped", f.Dropped, "of_unknown_hosts", c.unknown,
+		"open", f.Open, "strangers", f.Unjoined, "sent_away", f.RefusedConns, "reports_dropped", f.DroppedReports, "of_unknown_hosts", c.unknown,
 		"heap_kb", m.HeapAlloc>>10, "sys_kb", m.Sys>>10, "goroutines", runtime.NumGoroutine(), "descriptors", len(open),
 		"slowest_turn", d.slow.String())
 	h := d.heard
--- a/internal/platform/news/news.go
+++ b/internal/platform/news/news.go
@@ -67,21 +67,21 @@
 }
 
 // Take takes one piece of news and gives the notes that follow from it and from what was gathered before it.
-func (b *Book) Take(now logic.Millis, in codec.News) (notes []any) {
+func (b *Book) Take(now logic.Millis, in codec.Notification) (notes []any) {
 	if b.present {
 		b.toldAt = now
 	}
-	if held, is := in.Note.(logic.OnRecord); is {
+	if held, is := in.Event.(logic.OnRecord); is {
 		return b.held(now, held)
 	}
-	if custody, is := in.Note.(logic.Custody); is && custody.Given {
+	if custody, is := in.Event.(logic.Custody); is && custody.Given {
 		return b.give(now, custody.Slice)
 	}
-	if _, is := in.Note.(logic.Joined); !is {
+	if _, is := in.Event.(logic.Joined); !is {
 		// Only these three tell the present state: anything else comes behind it.
 		notes = append(b.Gathered(now, true), b.end()...)
 	}
-	switch n := in.Note.(type) {
+	switch n := in.Event.(type) {
 	case logic.Joined:
 		notes = append(notes, b.join(n)...)
 	case logic.Left:
--- a/internal/platform/news/news_test.go
+++ b/internal/platform/news/news_test.go
@@ -20,7 +20,7 @@
 		in := map[byte]any{'j': logic.Joined{Proxy: logic.ProxyID(n)}, 'J': logic.Joined{Proxy: logic.ProxyID(n), Fresh: true},
 			'l': logic.Left{Proxy: logic.ProxyID(n)}, 'g': logic.Custody{Slice: logic.TableID(n), Given: true}, 't': logic.Custody{Slice: logic.TableID(n)},
 			'h': logic.OnRecord{Slice: logic.TableID(n), Host: logic.HostID(host), Weight: 1}, 'a': logic.Applied{Proxy: logic.ProxyID(n)}}[w[0]]
-		notes = append(notes, b.Take(now, codec.News{Note: in})...)
+		notes = append(notes, b.Take(now, codec.Notification{Event: in})...)
 	}
 	return write(notes)
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -114,7 +114,7 @@
 		watches: map[int]watcher{}, box: outbox.New(outbox.Limits{CallBytes: callBytes, Waiting: mostWaiting}), book: news.New(),
 		module: logic.New(s.Seed, s.Facts)}
 	d.book.Forgotten = d.box.Forget
-	r, wrong := d.hosts.Roster(s.Known, logic.FromDisk, s.Names)
+	r, wrong := d.hosts.Apply(s.Known, logic.FromDisk, s.Names)
 	d.wrong("known", wrong)
 	d.notes = append(d.notes, r)
 	return d
@@ -247,19 +247,19 @@
 func (d *director) take(now logic.Millis, x any) {
 	switch x := x.(type) {
 	case codec.Message:
-		if x.Host != "" && !d.hosts.Known(codec.ID(x.Host)) {
+		if x.Host != "" && !d.hosts.IsKnown(codec.IDOf(x.Host)) {
 			d.counts.unknown++
 			return // a report on a host that was never listed
 		}
-		d.heard.add(x.Note)
-		d.notes = append(d.notes, x.Note)
-	case watch.Told:
+		d.heard.add(x.Event)
+		d.notes = append(d.notes, x.Event)
+	case watch.Update:
 		if !d.listed(x.Source) {
 			d.log.Info("list.late", "source", x.Source, "index", x.List.Index)
 			return
 		}
 		d.counts.lists++
-		r, wrong := d.hosts.Roster(x.List, logic.Whole, d.start.Names)
+		r, wrong := d.hosts.Apply(x.List, logic.Whole, d.start.Names)
 		d.wrong("discovery", wrong)
 		d.notes = append(d.notes, r)
 	case answer:
@@ -292,18 +292,18 @@
 	}
 }
 
-func (d *director) news(now logic.Millis, n codec.News) {
+func (d *director) news(now logic.Millis, n codec.Notification) {
 	if n.Host != "" {
-		if _, err := d.hosts.Name(n.Host); err != nil {
+		if _, err := d.hosts.Register(n.Host); err != nil {
 			d.log.Warn("news.dropped", "error", err)
 			return
 		}
 	}
-	if a, is := n.Note.(logic.Applied); is {
+	if a, is := n.Event.(logic.Applied); is {
 		d.lag.add(a.Spent)
 		d.applied(a)
 	}
-	if n.Kind == codec.SignOfLife {
+	if n.Kind == codec.KindPing {
 		d.notes = append(d.notes, logic.NewsAlive{})
 	}
 	d.notes = append(d.notes, d.book.Take(now, n)...)
@@ -325,7 +325,7 @@
 		case logic.Follow, logic.Pull, logic.Tell:
 			// The list is always followed, and directors here have no way to each other.
 		default:
-			op, relays, err := d.start.Names.Op(o, d.hosts)
+			op, relays, err := d.start.Names.EncodeOrder(o, d.hosts)
 			if err != nil || !relays {
 				d.log.Error("order.dropped", "order", fmt.Sprintf("%T%+v", o, o), "error", err)
 				continue
--- a/internal/platform/probe.go
+++ b/internal/platform/probe.go
@@ -23,7 +23,7 @@
 
 // prober asks hosts for their health, few at once and each host once at a time.
 type prober struct {
-	names  *codec.Names
+	names  *codec.Schema
 	client *http.Client
 	asked  map[logic.HostID]bool
 	todo   chan probe
@@ -41,8 +41,8 @@
 	address string
 }
 
-func newProber(ctx context.Context, names *codec.Names, post func(...any)) *prober {
-	p := &prober{names: names, client: watch.Client(0), asked: map[logic.HostID]bool{}, todo: make(chan probe, mostAsked), post: post}
+func newProber(ctx context.Context, names *codec.Schema, post func(...any)) *prober {
+	p := &prober{names: names, client: watch.NewClient(0), asked: map[logic.HostID]bool{}, todo: make(chan probe, mostAsked), post: post}
 	for range mostProbes {
 		go func() {
 			for {
@@ -73,7 +73,7 @@
 
 func (p *prober) probe(ctx context.Context, t probe) logic.Probed {
 	began, page := time.Now(), "/health"
-	if p.names.Loads() {
+	if p.names.HasLoadReports() {
 		page = "/status/load"
 	}
 	out := logic.Probed{Host: t.host}
@@ -83,8 +83,8 @@
 		status, body, err = watch.Get(ctx, p.client, "http://"+t.address+page, probeFor, mostReport)
 	}
 	out.Good = err == nil && status == http.StatusOK
-	if out.Good && p.names.Loads() {
-		out.Load, _ = p.names.Load(string(body)) // what can't be read is no report; the host answers all the same
+	if out.Good && p.names.HasLoadReports() {
+		out.Load, _ = p.names.DecodeLoad(string(body)) // what can't be read is no report; the host answers all the same
 	}
 	out.Spent = logic.Millis(float64(time.Since(began).Nanoseconds()) / 1e6)
 	return out
--- a/internal/platform/uplink/uplink.go
+++ b/internal/platform/uplink/uplink.go
@@ -40,7 +40,7 @@
 
 // Calls makes calls, one after the other.
 type Calls struct {
-	names *codec.Names
+	names *codec.Schema
 	post  func(...any)
 	todo  chan todo
 	conn  nets.Conn
@@ -56,7 +56,7 @@
 	call    *outbox.Call
 }
 
-func NewCalls(names *codec.Names, post func(...any), log *slog.Logger) *Calls {
+func NewCalls(names *codec.Schema, post func(...any), log *slog.Logger) *Calls {
 	return &Calls{names: names, post: post, todo: make(chan todo, 1), log: log}
 }
 
@@ -123,7 +123,7 @@
 	}
 	switch f.Error {
 	case "":
-		return Ended{How: outbox.Answered, Taken: f.Count}
+		return Ended{How: outbox.Answered, Taken: f.Accepted}
 	case "invalid":
 		return Ended{How: outbox.Invalid, Why: f.Error}
 	}
@@ -137,8 +137,8 @@
 	if err != nil {
 		return codec.Frame{}, err
 	}
-	f, err := c.names.Frame(line)
-	if err == nil && (f.News != nil || f.ID != call.ID || f.Error == "" && (f.Count < 0 || f.Count > len(call.Ops))) {
+	f, err := c.names.DecodeFrame(line)
+	if err == nil && (f.Notification != nil || f.ID != call.ID || f.Error == "" && (f.Accepted < 0 || f.Accepted > len(call.Ops))) {
 		err = fmt.Errorf("%w: %.200q", errOther, line)
 	}
 	return f, err
@@ -154,7 +154,7 @@
 	}
 	News struct {
 		Source int
-		News   codec.News
+		News   codec.Notification
 	}
 	Broke struct {
 		Source int
@@ -163,7 +163,7 @@
 )
 
 // Follow keeps subscribed at an address until the context ends; source numbers each subscription, and follower the follower.
-func Follow(ctx context.Context, address string, names *codec.Names, follower int, source func() int, post func(...any), log *slog.Logger) {
+func Follow(ctx context.Context, address string, names *codec.Schema, follower int, source func() int, post func(...any), log *slog.Logger) {
 	for failures := 0; ctx.Err() == nil; {
 		began, number := time.Now(), source()
 		err := subscribe(ctx, address, names, Began{follower, number, address}, post, log)
@@ -179,7 +179,7 @@
 	}
 }
 
-func subscribe(ctx context.Context, address string, names *codec.Names, start Began, post func(...any), log *slog.Logger) error {
+func subscribe(ctx context.Context, address string, names *codec.Schema, start Began, post func(...any), log *slog.Logger) error {
 	conn, err := nets.Dial(address, dialFor)
 	if err != nil {
 		return err
@@ -196,18 +196,18 @@
 		if err != nil {
 			return err
 		}
-		f, err := names.Frame(line)
-		var spoilt *codec.Spoilt
+		f, err := names.DecodeFrame(line)
+		var spoilt *codec.FieldError
 		switch {
 		case errors.As(err, &spoilt) && taken:
 			log.Warn("news.dropped", "error", err, "line", fmt.Sprintf("%.200q", line))
 		case err != nil:
 			return err
-		case f.News != nil && taken:
-			post(News{start.Source, *f.News})
-		case f.News == nil && f.Error != "":
+		case f.Notification != nil && taken:
+			post(News{start.Source, *f.Notification})
+		case f.Notification == nil && f.Error != "":
 			return errors.New(f.Error)
-		case f.News == nil && f.OK && !taken:
+		case f.Notification == nil && f.Subscribed && !taken:
 			taken, by = true, silence
 			post(start)
 		default:
--- a/internal/platform/uplink/uplink_test.go
+++ b/internal/platform/uplink/uplink_test.go
@@ -32,7 +32,7 @@
 		}
 	}()
 	ended := make(chan Ended, 1)
-	c := NewCalls(&codec.Names{}, func(in ...any) { ended <- in[0].(Ended) }, slog.New(slog.DiscardHandler))
+	c := NewCalls(&codec.Schema{}, func(in ...any) { ended <- in[0].(Ended) }, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go c.Run(ctx)
--- a/internal/platform/watch/watch.go
+++ b/internal/platform/watch/watch.go
@@ -1,4 +1,5 @@
-// Package watch follows discovery: it asks again at once, so that nothing between two answers is missed.
+// Package watch follows the host list of the discovery service by long polling. It polls again at once after each
+// response, so that no change is missed.
 package watch
 
 import (
@@ -18,32 +19,36 @@
 )
 
 const (
-	// waitFor is how long the agent may keep a call. It is short, since a silent agent is noticed only once that is over.
-	waitFor = 1000 * time.Millisecond
-	// answerFor is how long an answer may take that need not wait.
-	answerFor = 500 * time.Millisecond
-	retryUnit = 30 * time.Millisecond
-	// idleFor is well inside the time within which the next call must come.
-	idleFor  = 50 * time.Millisecond
-	mostList = 8 << 20
+	// pollWait is how long the agent may hold a poll. It is short, because an unresponsive agent is detected only
+	// after it has elapsed.
+	pollWait = 1000 * time.Millisecond
+	// answerTimeout is how long the agent may take to respond, in addition to pollWait for a poll that it may hold.
+	answerTimeout = 500 * time.Millisecond
+	backoffUnit   = 30 * time.Millisecond
+	// minPollInterval is the pause before polling again if the agent did not hold the poll. It is well below the time
+	// within which the next poll must follow.
+	minPollInterval = 50 * time.Millisecond
+	maxListBytes    = 8 << 20
 )
 
-// Told is put into the inbox with each answer; Source tells one who follows from the next.
-type Told struct {
+// Update is a response of the discovery service, posted to the inbox. Source identifies the follower that received it.
+type Update struct {
 	Source int
 	codec.List
 }
 
-// Client makes HTTP calls over our own sockets; idle ones are few and don't last.
-func Client(idle int) *http.Client {
+// NewClient returns an HTTP client that dials with package nets. It keeps at most the given number of idle
+// connections, for up to 5 s each.
+func NewClient(idle int) *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: nets.DialContext, MaxIdleConns: idle, MaxIdleConnsPerHost: 1,
 		DisableKeepAlives: idle == 0, IdleConnTimeout: 5 * time.Second, DisableCompression: true, MaxResponseHeaderBytes: 8 << 10,
 		WriteBufferSize: 1 << 10, ReadBufferSize: 4 << 10},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
-// Get asks for a page that must come whole within that time.
-func Get(ctx context.Context, client *http.Client, url string, within time.Duration, most int64) (status int, body []byte, err error) {
+// Get requests a page. The complete response must arrive within the time, and its body must not exceed the limit in
+// bytes.
+func Get(ctx context.Context, client *http.Client, url string, within time.Duration, limit int64) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -55,56 +60,58 @@
 		return 0, nil, err
 	}
 	defer res.Body.Close()
-	body, err = io.ReadAll(io.LimitReader(res.Body, most+1))
-	if err == nil && int64(len(body)) > most {
-		err = errors.New("the answer is longer than it may be")
+	body, err = io.ReadAll(io.LimitReader(res.Body, limit+1))
+	if err == nil && int64(len(body)) > limit {
+		err = errors.New("response body exceeds the size limit")
 	}
 	return res.StatusCode, body, err
 }
 
-// Follow posts what discovery tells until the context ends. It begins with the whole list, and does so again after each failure.
+// Follow posts the responses of the discovery service as Updates until the context is cancelled. It requests the
+// complete host list at first and again after each failure.
 func Follow(ctx context.Context, address string, source int, post func(...any), log *slog.Logger) {
-	client := Client(1)
+	client := NewClient(1)
 	defer client.CloseIdleConnections()
 	index, failures := int64(-1), 0
 	for ctx.Err() == nil {
-		url, within := "http://"+address+"/v1/endpoints", answerFor
+		url, within := "http://"+address+"/v1/endpoints", answerTimeout
 		if index >= 0 {
-			url += "?after=" + strconv.FormatInt(index, 10) + "&wait_ms=" + strconv.FormatInt(waitFor.Milliseconds(), 10)
-			within += waitFor
+			url += "?after=" + strconv.FormatInt(index, 10) + "&wait_ms=" + strconv.FormatInt(pollWait.Milliseconds(), 10)
+			within += pollWait
 		}
 		began := time.Now()
-		l, err := ask(ctx, client, url, within)
+		l, err := fetchList(ctx, client, url, within)
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil && !l.Snapshot && l.Index < index {
-			err = fmt.Errorf("the index went back from %d to %d", index, l.Index)
+			err = fmt.Errorf("index went back from %d to %d", index, l.Index)
 		}
 		if err != nil {
 			log.Warn("discovery.failed", "address", address, "error", err, "failures", failures)
 			client.CloseIdleConnections()
 			index = -1
-			turns.Pause(ctx, turns.Backoff(min(failures, 8), retryUnit, rand.Float64()))
+			turns.Pause(ctx, turns.Backoff(min(failures, 8), backoffUnit, rand.Float64()))
 			failures++
 			continue
 		}
 		index, failures = l.Index, 0
 		if l.Snapshot || len(l.Endpoints) > 0 {
-			post(Told{source, l})
-		} else if spent := time.Since(began); spent < idleFor {
-			turns.Pause(ctx, idleFor-spent) // an agent that never waits is not asked without end
+			post(Update{source, l})
+		} else if spent := time.Since(began); spent < minPollInterval {
+			turns.Pause(ctx, minPollInterval-spent) // avoid a busy loop if the agent does not hold polls
 		}
 	}
 }
 
-func ask(ctx context.Context, client *http.Client, url string, within time.Duration) (codec.List, error) {
-	status, body, err := Get(ctx, client, url, within, mostList)
+// fetchList requests a host list and decodes it.
+func fetchList(ctx context.Context, client *http.Client, url string, within time.Duration) (codec.List, error) {
+	status, body, err := Get(ctx, client, url, within, maxListBytes)
 	if err != nil {
 		return codec.List{}, err
 	}
 	if status != http.StatusOK {
 		return codec.List{}, fmt.Errorf("status %d", status)
 	}
-	return codec.ReadList(body)
+	return codec.DecodeList(body)
 }
--- a/internal/platform/watch/watch_test.go
+++ b/internal/platform/watch/watch_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// followed follows an agent that gives these answers in turn, and then none; it gives the first lists that were told and the
-// queries of all calls until then.
-func followed(t *testing.T, want int, answers ...func(http.ResponseWriter)) (told []Told, asked []string) {
+// followAgent follows an agent that gives these responses in turn and then does not respond any more. It returns the
+// first updates, as many as wanted, and the queries of all requests until then.
+func followAgent(t *testing.T, want int, answers ...func(http.ResponseWriter)) (updates []Update, queries []string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	calls := make(chan string, 64)
@@ -26,98 +26,99 @@
 		case a := <-next:
 			a(w)
 		default:
-			select { // nothing more is said
+			select { // no further responses
 			case <-r.Context().Done():
 			case <-ctx.Done():
 			}
 		}
 	}))
-	lists := make(chan Told, 64)
+	lists := make(chan Update, 64)
 	ended := make(chan struct{})
 	go func() {
-		Follow(ctx, agent.Listener.Addr().String(), 3, func(in ...any) { lists <- in[0].(Told) }, slog.New(slog.DiscardHandler))
+		Follow(ctx, agent.Listener.Addr().String(), 3, func(in ...any) { lists <- in[0].(Update) }, slog.New(slog.DiscardHandler))
 		close(ended)
 	}()
 	t.Cleanup(func() { cancel(); <-ended; agent.CloseClientConnections(); agent.Close() })
 	for range want {
 		select {
 		case l := <-lists:
-			told = append(told, l)
+			updates = append(updates, l)
 		case <-time.After(5 * time.Second):
-			t.Fatalf("%d of %d lists were told", len(told), want)
+			t.Fatalf("%d of %d updates were posted", len(updates), want)
 		}
 	}
 	for len(calls) > 0 {
-		asked = append(asked, <-calls)
+		queries = append(queries, <-calls)
 	}
-	return told, asked
+	return updates, queries
 }
 
-func says(text string) func(http.ResponseWriter) {
+func respondWith(text string) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) { fmt.Fprint(w, text) }
 }
 
-func whole(index int, host string) func(http.ResponseWriter) {
-	return says(fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[{"name":%q}]}`, index, host))
+func snapshotOf(index int, host string) func(http.ResponseWriter) {
+	return respondWith(fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[{"name":%q}]}`, index, host))
 }
 
-func change(index int, host string) func(http.ResponseWriter) {
-	return says(fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[{"name":%q}]}`, index, host))
+func changeOf(index int, host string) func(http.ResponseWriter) {
+	return respondWith(fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[{"name":%q}]}`, index, host))
 }
 
-// half stops in the middle of an answer, and says nothing more for as long as the call lasts.
-func half(w http.ResponseWriter) {
+// truncated sends the beginning of a response and then stalls.
+func truncated(w http.ResponseWriter) {
 	w.Header().Set("Content-Length", "400")
 	fmt.Fprint(w, `{"index":5,"snapshot":true,"endpoints":[{"name":"h9"`)
 	w.(http.Flusher).Flush()
-	time.Sleep(2 * answerFor)
+	time.Sleep(2 * answerTimeout)
 }
 
-func silent(http.ResponseWriter) { time.Sleep(2 * answerFor) }
+func unresponsive(http.ResponseWriter) { time.Sleep(2 * answerTimeout) }
 
-func refuses(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
+func unavailable(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
 
-// However the agent fails, what it tells next is whole, and nothing of the failed answer is told.
-func TestAfterEachFailureTheWholeListIsAskedFor(t *testing.T) {
-	for name, fails := range map[string][]func(http.ResponseWriter){
-		"silent at the start":        {silent},
-		"half an answer":             {half},
-		"refused":                    {refuses},
-		"unreadable":                 {says(`{"index":`)},
-		"no index":                   {says(`{"snapshot":true,"endpoints":[]}`)},
-		"silent behind a list":       {whole(4, "h1"), silent, silent},
-		"half behind a list":         {whole(4, "h1"), half, half},
-		"an index that goes back":    {whole(4, "h1"), change(3, "h9")},
-		"unreadable behind a list":   {whole(4, "h1"), says("\x00")},
-		"another kind behind a list": {whole(4, "h1"), says(`{"index":5,"snapshot":false,"endpoints":{}}`)},
+// After any failure of the agent the client requests the complete list, and it posts nothing of the failed response.
+func TestSnapshotIsRequestedAfterEachFailure(t *testing.T) {
+	for name, failures := range map[string][]func(http.ResponseWriter){
+		"unresponsive at the start":       {unresponsive},
+		"truncated response":              {truncated},
+		"unavailable":                     {unavailable},
+		"unreadable":                      {respondWith(`{"index":`)},
+		"no index":                        {respondWith(`{"snapshot":true,"endpoints":[]}`)},
+		"unresponsive after a list":       {snapshotOf(4, "h1"), unresponsive, unresponsive},
+		"truncated response after a list": {snapshotOf(4, "h1"), truncated, truncated},
+		"index goes back":                 {snapshotOf(4, "h1"), changeOf(3, "h9")},
+		"unreadable after a list":         {snapshotOf(4, "h1"), respondWith("\x00")},
+		"wrong type after a list":         {snapshotOf(4, "h1"), respondWith(`{"index":5,"snapshot":false,"endpoints":{}}`)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			want := 1
-			if len(fails) > 1 {
+			if len(failures) > 1 {
 				want = 2
 			}
-			told, asked := followed(t, want, append(fails, whole(2, "h2"))...)
-			last := told[want-1]
+			updates, queries := followAgent(t, want, append(failures, snapshotOf(2, "h2"))...)
+			last := updates[want-1]
 			if last.Index != 2 || last.Source != 3 || len(last.Endpoints) != 1 || last.Endpoints[0].Name != "h2" {
-				t.Errorf("told %+v", told)
+				t.Errorf("updates: %+v", updates)
 			}
-			if n := len(fails); len(asked) <= n || asked[n] != "" {
-				t.Errorf("asked %q", asked)
+			if n := len(failures); len(queries) <= n || queries[n] != "" {
+				t.Errorf("queries: %q", queries)
 			}
 		})
 	}
 }
 
-// Changes are followed from the index of the answer before.
-func TestAWatchGoesOnFromItsIndex(t *testing.T) {
-	told, asked := followed(t, 3, whole(4, "h1"), change(6, "h2"), says(`{"index":6,"snapshot":false,"endpoints":[]}`), change(7, "h3"))
+// Each poll continues from the index of the previous response.
+func TestPollContinuesFromLastIndex(t *testing.T) {
+	updates, queries := followAgent(t, 3, snapshotOf(4, "h1"), changeOf(6, "h2"),
+		respondWith(`{"index":6,"snapshot":false,"endpoints":[]}`), changeOf(7, "h3"))
 	for i, want := range []string{"", "after=4&wait_ms=1000", "after=6&wait_ms=1000", "after=6&wait_ms=1000"} {
-		if asked[i] != want {
-			t.Errorf("call %d asked %q, wanted %q", i, asked[i], want)
+		if queries[i] != want {
+			t.Errorf("call %d has query %q, want %q", i, queries[i], want)
 		}
 	}
-	if told[0].Snapshot != true || told[1].Snapshot || told[2].Index != 7 {
-		t.Errorf("%+v", told)
+	if updates[0].Snapshot != true || updates[1].Snapshot || updates[2].Index != 7 {
+		t.Errorf("%+v", updates)
 	}
 }
--- a/internal/wire/facts.go
+++ b/internal/wire/facts.go
@@ -46,13 +46,13 @@
 }
 
 // Facts reads the settings of a start where they stand by themselves.
-func Facts(text json.RawMessage) (logic.Facts, Names, error) {
+func DecodeFacts(text json.RawMessage) (logic.Facts, Names, error) {
 	o := object{raw: map[string]json.RawMessage{"Facts": text}}
-	f, n := facts(&o)
+	f, n := decodeFacts(&o)
 	return f, n, o.err
 }
 
-func facts(o *object) (logic.Facts, Names) {
+func decodeFacts(o *object) (logic.Facts, Names) {
 	var s settings
 	var n Names
 	v, ok := o.get("Facts", true)
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -17,7 +17,7 @@
 // Line ends the reply and returns it with its line feed.
 func (r *Reply) Line() []byte { return append(r.buf, "]}\n"...) }
 
-func (r *Reply) verb(name string, d logic.DirectorID) {
+func (r *Reply) openOrder(name string, d logic.DirectorID) {
 	if r.buf[len(r.buf)-1] == '}' {
 		r.buf = append(r.buf, ',')
 	}
@@ -25,7 +25,7 @@
 	r.buf = strconv.AppendInt(r.buf, int64(d), 10)
 }
 
-func (r *Reply) whole(key string, n int64) {
+func (r *Reply) integer(key string, n int64) {
 	r.buf = append(r.buf, `,"`+key+`":`...)
 	r.buf = strconv.AppendInt(r.buf, n, 10)
 }
@@ -35,7 +35,7 @@
 	r.buf = strconv.AppendFloat(r.buf, n, 'g', -1, 64)
 }
 
-func (r *Reply) flag(key string, b bool) {
+func (r *Reply) boolean(key string, b bool) {
 	r.buf = append(r.buf, `,"`+key+`":`...)
 	r.buf = strconv.AppendBool(r.buf, b)
 }
@@ -47,8 +47,8 @@
 }
 
 // Broken reports that an instance's decisions failed.
-func (r *Reply) Broken(d logic.DirectorID, why string) {
-	r.verb("Broken", d)
+func (r *Reply) AddFailure(d logic.DirectorID, why string) {
+	r.openOrder("Broken", d)
 	r.text("Words", why)
 	r.buf = append(r.buf, '}')
 }
@@ -57,54 +57,54 @@
 func (r *Reply) Add(d logic.DirectorID, o logic.Order) {
 	switch o := o.(type) {
 	case logic.SetLine:
-		r.verb("SetLine", d)
-		r.whole("RouteTable", int64(o.Table))
-		r.whole("Host", int64(o.Host))
+		r.openOrder("SetLine", d)
+		r.integer("RouteTable", int64(o.Table))
+		r.integer("Host", int64(o.Host))
 		r.number("W", o.Weight)
 	case logic.DropLines:
-		r.verb("DropLines", d)
-		r.whole("RouteTable", int64(o.Table))
+		r.openOrder("DropLines", d)
+		r.integer("RouteTable", int64(o.Table))
 	case logic.Bind:
-		r.verb("Bind", d)
-		r.whole("Sidecar", int64(o.Proxy))
-		r.whole("RouteTable", int64(o.Table))
-		r.whole("ClassBits", int64(o.Routes))
+		r.openOrder("Bind", d)
+		r.integer("Sidecar", int64(o.Proxy))
+		r.integer("RouteTable", int64(o.Table))
+		r.integer("ClassBits", int64(o.Routes))
 	case logic.Mask:
-		r.verb("Mask", d)
-		r.whole("Host", int64(o.Host))
-		r.flag("Flag", o.Out)
+		r.openOrder("Mask", d)
+		r.integer("Host", int64(o.Host))
+		r.boolean("Flag", o.Out)
 	case logic.Throttle:
-		r.verb("Valve", d)
-		r.whole("RouteTable", int64(o.Table))
-		r.whole("ClassBits", int64(o.Routes))
+		r.openOrder("Valve", d)
+		r.integer("RouteTable", int64(o.Table))
+		r.integer("ClassBits", int64(o.Routes))
 		r.number("Level", o.Level)
-		r.whole("Resend", int64(o.Tries))
+		r.integer("Resend", int64(o.Tries))
 	case logic.Stamp:
-		r.verb("Stamp", d)
-		r.whole("Serial", int64(o.Serial))
-		r.flag("Flag", o.All)
+		r.openOrder("Stamp", d)
+		r.integer("Serial", int64(o.Serial))
+		r.boolean("Flag", o.All)
 	case logic.After:
-		r.verb("After", d)
+		r.openOrder("After", d)
 		r.number("InMs", float64(o.In))
 		r.buf = append(r.buf, `,"Nonce":`...)
 		r.buf = strconv.AppendUint(r.buf, uint64(o.Timer), 10)
 	case logic.Ping:
-		r.verb("Ping", d)
-		r.whole("Host", int64(o.Host))
+		r.openOrder("Ping", d)
+		r.integer("Host", int64(o.Host))
 	case logic.Tell:
-		r.verb("BroadcastTo", d)
-		r.whole("Target", int64(o.To))
+		r.openOrder("BroadcastTo", d)
+		r.integer("Target", int64(o.To))
 		for len(o.Bytes) > 256 || !utf8.ValidString(o.Bytes) {
 			o.Bytes = o.Bytes[:len(o.Bytes)-1]
 		}
 		r.text("Raw", o.Bytes)
 	case logic.Follow:
-		r.verb("StreamChanges", d)
-		r.flag("Flag", o.On)
+		r.openOrder("StreamChanges", d)
+		r.boolean("Flag", o.On)
 	case logic.Pull:
-		r.verb("Pull", d)
+		r.openOrder("Pull", d)
 	case logic.Say:
-		r.verb("SayLog", d)
+		r.openOrder("SayLog", d)
 		r.text("Words", o.Text)
 	default:
 		panic("not an order")
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -15,13 +15,13 @@
 // Event is one thing that happened, for one instance.
 type Event struct {
 	Director logic.DirectorID
-	Begin    *Begin
+	Start    *Start
 	Killed   bool
-	Note     any // nil for Begin and Killed
+	Payload  any // nil for Begin and Killed
 }
 
 // Begin starts an instance.
-type Begin struct {
+type Start struct {
 	Seed  uint64
 	Facts logic.Facts
 }
@@ -58,7 +58,7 @@
 	return v, true
 }
 
-func (o *object) whole(field string, need bool) int64 {
+func (o *object) integer(field string, need bool) int64 {
 	v, ok := o.get(field, need)
 	if !ok {
 		return 0
@@ -76,8 +76,8 @@
 	return n
 }
 
-func (o *object) ranged(field string, need bool, most int64) int64 {
-	n := o.whole(field, need)
+func (o *object) boundedInteger(field string, need bool, most int64) int64 {
+	n := o.integer(field, need)
 	if n < 0 || n > most {
 		o.fail(field, "out of range")
 		return 0
@@ -85,7 +85,7 @@
 	return n
 }
 
-func (o *object) natural(field string) uint64 {
+func (o *object) unsigned(field string) uint64 {
 	v, ok := o.get(field, true)
 	if !ok {
 		return 0
@@ -109,7 +109,7 @@
 	return f
 }
 
-func (o *object) truth(field string) bool {
+func (o *object) boolean(field string) bool {
 	var b bool
 	if v, ok := o.get(field, false); ok && json.Unmarshal(v, &b) != nil {
 		o.fail(field, "neither true nor false")
@@ -126,7 +126,7 @@
 }
 
 // Column is where a load report's value of that name goes; nil: it is none that decisions use.
-func Column(l *logic.Load, name string) **float64 {
+func LoadField(l *logic.Load, name string) **float64 {
 	switch name {
 	case "utilization":
 		return &l.Busy
@@ -157,7 +157,7 @@
 	}
 	in := object{raw: values}
 	for name := range values {
-		to := Column(&l, name)
+		to := LoadField(&l, name)
 		if _, ok := in.get(name, false); ok && to != nil {
 			n := in.number(name, false)
 			*to = &n
@@ -169,7 +169,7 @@
 	return l
 }
 
-func choice[T any](o *object, field string, among map[string]T) T {
+func enum[T any](o *object, field string, among map[string]T) T {
 	name := o.text(field, true)
 	v, ok := among[name]
 	if !ok {
@@ -179,8 +179,8 @@
 }
 
 const (
-	mostHost  = 1<<32 - 1
-	mostSmall = 65535
+	maxHostID  = 1<<32 - 1
+	maxSmallID = 65535
 )
 
 // Decode reads one line.
@@ -207,9 +207,9 @@
 		o := object{raw: fields}
 		verb := o.text("verb", true)
 		if o.err == nil && verb == "DefineList" {
-			d.define(&o)
+			d.defineList(&o)
 		} else if o.err == nil {
-			if e, known := d.event(&o, verb); known && o.err == nil {
+			if e, known := d.decodeEvent(&o, verb); known && o.err == nil {
 				b.Events = append(b.Events, e)
 			}
 		}
@@ -220,8 +220,8 @@
 	return b, nil
 }
 
-func (d *Decoder) define(o *object) {
-	id := o.ranged("RosterId", true, 15)
+func (d *Decoder) defineList(o *object) {
+	id := o.boundedInteger("RosterId", true, 15)
 	var items []map[string]json.RawMessage
 	if v, ok := o.get("Items", false); ok && json.Unmarshal(v, &items) != nil {
 		o.fail("Items", "not an array of objects")
@@ -230,11 +230,11 @@
 	for i, fields := range items {
 		in := object{raw: fields}
 		entries = append(entries, logic.Entry{
-			Host: logic.HostID(in.ranged("Host", true, mostHost)),
-			State: choice(&in, "Availability", map[string]logic.HostState{
+			Host: logic.HostID(in.boundedInteger("Host", true, maxHostID)),
+			State: enum(&in, "Availability", map[string]logic.HostState{
 				"up": logic.Up, "draining": logic.Draining, "removed": logic.Gone}),
-			Cell: logic.CellID(in.whole("Block", false)), Zone: logic.ZoneID(in.whole("Az", false)),
-			Kind: logic.KindID(in.whole("GenerationHw", false)), Weight: in.number("W", false),
+			Cell: logic.CellID(in.integer("Block", false)), Zone: logic.ZoneID(in.integer("Az", false)),
+			Kind: logic.KindID(in.integer("GenerationHw", false)), Weight: in.number("W", false),
 			Born: logic.Millis(in.number("BornMs", false))})
 		if in.err != nil {
 			o.fail(fmt.Sprintf("Items[%d]", i), in.err.Error())
@@ -243,58 +243,58 @@
 	d.lists[id] = entries
 }
 
-func (d *Decoder) event(o *object, verb string) (Event, bool) {
-	e := Event{Director: logic.DirectorID(o.ranged("Director", true, 1<<31))}
-	host := func() logic.HostID { return logic.HostID(o.ranged("Host", true, mostHost)) }
-	proxy := func() logic.ProxyID { return logic.ProxyID(o.ranged("Sidecar", true, mostSmall)) }
-	table := func() logic.TableID { return logic.TableID(o.ranged("RouteTable", true, mostSmall)) }
-	zone := func() logic.ZoneID { return logic.ZoneID(o.whole("Az", false)) }
-	count := func(field string) int { return int(o.ranged(field, false, 1<<53)) }
+func (d *Decoder) decodeEvent(o *object, verb string) (Event, bool) {
+	e := Event{Director: logic.DirectorID(o.boundedInteger("Director", true, 1<<31))}
+	host := func() logic.HostID { return logic.HostID(o.boundedInteger("Host", true, maxHostID)) }
+	proxy := func() logic.ProxyID { return logic.ProxyID(o.boundedInteger("Sidecar", true, maxSmallID)) }
+	table := func() logic.TableID { return logic.TableID(o.boundedInteger("RouteTable", true, maxSmallID)) }
+	zone := func() logic.ZoneID { return logic.ZoneID(o.integer("Az", false)) }
+	count := func(field string) int { return int(o.boundedInteger(field, false, 1<<53)) }
 	span := func(field string) logic.Millis { return logic.Millis(o.number(field, false)) }
 	switch verb {
 	case "Begin":
-		e.Begin = &Begin{Seed: o.natural("Nonce64")}
-		e.Begin.Facts, _ = facts(o)
+		e.Start = &Start{Seed: o.unsigned("Nonce64")}
+		e.Start.Facts, _ = decodeFacts(o)
 	case "Killed":
 		e.Killed = true
 	case "Sync":
-		r := logic.Roster{Kind: choice(o, "Kind", map[string]logic.RosterKind{"diff": logic.Changes,
+		r := logic.Roster{Kind: enum(o, "Kind", map[string]logic.RosterKind{"diff": logic.Changes,
 			"snapshot": logic.Whole, "disk": logic.FromDisk, "error": logic.AskFailed})}
 		if r.Kind != logic.AskFailed {
-			entries, known := d.lists[o.whole("RosterId", true)]
+			entries, known := d.lists[o.integer("RosterId", true)]
 			if !known {
 				o.fail("RosterId", "no such list was defined")
 			}
 			r.Entries = entries
 		}
-		e.Note = r
+		e.Payload = r
 	case "TickDue":
-		e.Note = logic.Due{Timer: logic.TimerID(o.natural("Nonce"))}
+		e.Payload = logic.Due{Timer: logic.TimerID(o.unsigned("Nonce"))}
 	case "Checked":
-		how := choice(o, "How", map[string]string{"delivered": "delivered", "app_error": "", "shed": "",
+		how := enum(o, "How", map[string]string{"delivered": "delivered", "app_error": "", "shed": "",
 			"expired": "", "dial_failed": "", "dropped": "", "revoked": "", "unused": ""})
-		e.Note = logic.Probed{Host: host(), Spent: span("SpentMs"), Good: how != "", Load: o.load("HealthInfo")}
+		e.Payload = logic.Probed{Host: host(), Spent: span("SpentMs"), Good: how != "", Load: o.load("HealthInfo")}
 	case "Heard":
-		e.Note = logic.Said{From: logic.DirectorID(o.whole("Neighbour", true)), Bytes: o.text("Raw", false)}
+		e.Payload = logic.Said{From: logic.DirectorID(o.integer("Neighbour", true)), Bytes: o.text("Raw", false)}
 	case "Joined":
-		e.Note = logic.Joined{Proxy: proxy(), Fresh: o.truth("Flag"), Rate: o.number("W", false), Zone: zone()}
+		e.Payload = logic.Joined{Proxy: proxy(), Fresh: o.boolean("Flag"), Rate: o.number("W", false), Zone: zone()}
 	case "DroppedOff":
-		e.Note = logic.Left{Proxy: proxy()}
+		e.Payload = logic.Left{Proxy: proxy()}
 	case "TrafficReport":
-		e.Note = logic.Met{Host: host(), Zone: zone(), Over: span("PeriodLenMs"), Spent: span("SpentMs"),
+		e.Payload = logic.Met{Host: host(), Zone: zone(), Over: span("PeriodLenMs"), Spent: span("SpentMs"),
 			Ended: count("Many"), Lost: count("Lost"), Load: o.load("HealthInfo")}
 	case "Demand":
-		e.Note = logic.Asked{Proxy: proxy(), Route: logic.RouteID(o.ranged("Lane", true, 63)),
+		e.Payload = logic.Asked{Proxy: proxy(), Route: logic.RouteID(o.boundedInteger("Lane", true, 63)),
 			Over: span("PeriodLenMs"), Calls: count("Many"), Lost: count("Lost")}
 	case "Heat":
-		e.Note = logic.Heat{Slice: table(), Route: logic.RouteID(o.ranged("Lane", true, 63)),
+		e.Payload = logic.Heat{Slice: table(), Route: logic.RouteID(o.boundedInteger("Lane", true, 63)),
 			Over: span("PeriodLenMs"), Calls: count("Many"), Lost: count("Lost")}
 	case "Custody":
-		e.Note = logic.Custody{Slice: table(), Given: o.truth("Flag")}
+		e.Payload = logic.Custody{Slice: table(), Given: o.boolean("Flag")}
 	case "OnRecord":
-		e.Note = logic.OnRecord{Slice: table(), Host: host(), Weight: o.number("W", true)}
+		e.Payload = logic.OnRecord{Slice: table(), Host: host(), Weight: o.number("W", true)}
 	case "TookEffect":
-		e.Note = logic.Applied{Proxy: proxy(), Serial: logic.SerialID(o.ranged("Serial", true, mostSmall)),
+		e.Payload = logic.Applied{Proxy: proxy(), Serial: logic.SerialID(o.boundedInteger("Serial", true, maxSmallID)),
 			Spent: span("SpentMs")}
 	default:
 		return e, false // a later wire's event; like an unknown key, it is skipped
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"vetchwood/logic"
 )
 
-const begin = `{"verb":"Begin","Director":1,"Nonce64":9223372036854775808,"Facts":{"Me":1,"Novel":{"x":1},
+const startEvent = `{"verb":"Begin","Director":1,"Nonce64":9223372036854775808,"Facts":{"Me":1,"Novel":{"x":1},
 "Classes":[{"Repeat":"keyed","Group":"cell","TargetMs":1200.5,"Worth":3},{"Repeat":"unsafe"}],
 "Specifics":{"Admission":"rps","SelectsBy":"pair","Slices":7,"WriteClasses":[false,true],"OneOwner":true}}}`
 
@@ -19,7 +19,7 @@
 }
 
 func TestDecode(t *testing.T) {
-	b, err := decode(t, begin,
+	b, err := decode(t, startEvent,
 		`{"verb":"DefineList","RosterId":3,"Items":[{"Availability":"up","Host":4294967295,"W":1,"BornMs":6.5}]}`,
 		`{"verb":"Sync","Director":1,"Serial":1,"RosterId":3,"Kind":"disk"}`,
 		`{"verb":"DefineList","RosterId":3,"Items":[]}`,
@@ -34,25 +34,25 @@
 	if b.Clock != 1.5 || len(b.Events) != 6 {
 		t.Fatalf("clock %v, %d events", b.Clock, len(b.Events))
 	}
-	f := b.Events[0].Begin
+	f := b.Events[0].Start
 	if f.Seed != 1<<63 || f.Facts.Slices != 7 || f.Facts.Levels != logic.LevelRate || !f.Facts.OneOwner ||
 		f.Facts.Routes[0].Reach != logic.ReachCell || !f.Facts.Routes[1].Writes || f.Facts.Pick != logic.PickPair {
 		t.Errorf("facts: %+v", f)
 	}
 	// A number is taken by the newer list, also later in one batch.
-	first, second := b.Events[1].Note.(logic.Roster), b.Events[2].Note.(logic.Roster)
+	first, second := b.Events[1].Payload.(logic.Roster), b.Events[2].Payload.(logic.Roster)
 	if len(first.Entries) != 1 || first.Entries[0].Host != 1<<32-1 || len(second.Entries) != 0 {
 		t.Errorf("lists: %+v, %+v", first, second)
 	}
-	if due := b.Events[4].Note.(logic.Due); due.Timer != 1<<63-1 {
+	if due := b.Events[4].Payload.(logic.Due); due.Timer != 1<<63-1 {
 		t.Errorf("nonce %d", due.Timer)
 	}
-	if m := b.Events[5].Note.(logic.Met); m.Load.Busy == nil || *m.Load.Busy != 0.5 || m.Load.Rate != nil {
+	if m := b.Events[5].Payload.(logic.Met); m.Load.Busy == nil || *m.Load.Busy != 0.5 || m.Load.Rate != nil {
 		t.Errorf("load: %+v", m.Load)
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestDecodeRejectsInvalidFields(t *testing.T) {
 	for event, field := range map[string]string{
 		`{"Director":1}`:                                                                         "verb",
 		`{"verb":"TrafficReport","Director":1}`:                                                  "Host",
@@ -88,7 +88,7 @@
 		logic.Ping{Host: 4}, logic.Tell{To: -1, Bytes: "hi"}, logic.Follow{On: true}, logic.Pull{}, logic.Say{Text: "\"\n"}} {
 		r.Add(3, o)
 	}
-	r.Broken(3, "x")
+	r.AddFailure(3, "x")
 	want := `{"cmds":[{"verb":"SetLine","Director":3,"RouteTable":1,"Host":4294967295,"W":0.75},` +
 		`{"verb":"DropLines","Director":3,"RouteTable":2},{"verb":"Bind","Director":3,"Sidecar":3,"RouteTable":1,"ClassBits":2},` +
 		`{"verb":"Mask","Director":3,"Host":4,"Flag":true},{"verb":"Stamp","Director":3,"Serial":9,"Flag":false},` +
