--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill hosts many instances of the decisions on the simulator's wire: batches on standard input, a
-// reply a line on standard output. Instances share nothing.
+// Command drill runs many independent instances of the decision module for the simulator. It reads one batch per line
+// from standard input and writes one reply per line to standard output.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"vetchwood/logic"
 )
 
-// turn is what one instance is to hear in the batch at hand.
+// delivery holds the events of one batch for one instance.
 type delivery struct {
 	id     logic.DirectorID
 	events []any
@@ -27,21 +27,22 @@
 	}
 }
 
+// run processes batches until the end of the input or the first error.
 func run(in io.Reader, out io.Writer) error {
-	lines := bufio.NewReaderSize(in, 1<<20)
-	to := bufio.NewWriterSize(out, 1<<16)
-	var dec wire.Decoder
+	reader := bufio.NewReaderSize(in, 1<<20)
+	writer := bufio.NewWriterSize(out, 1<<16)
+	var decoder wire.Decoder
 	var reply wire.Reply
 	live := map[logic.DirectorID]*logic.Director{}
 	for number := 1; ; number++ {
-		text, err := lines.ReadBytes('\n')
+		text, err := reader.ReadBytes('\n')
 		if len(bytes.TrimSpace(text)) == 0 && errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
-		batch, err := dec.Decode(text)
+		batch, err := decoder.Decode(text)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
@@ -49,52 +50,53 @@
 		if err := handleBatch(live, batch, &reply); err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
-		if _, err := to.Write(reply.Line()); err != nil {
+		if _, err := writer.Write(reply.Line()); err != nil {
 			return err
 		}
-		if err := to.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-// play hands each instance its notes in their order. A start or a death in mid-batch ends what came before.
+// handleBatch delivers to each instance its events of the batch, in their order. If an instance is started or killed
+// within the batch, its events before that are discarded.
 func handleBatch(live map[logic.DirectorID]*logic.Director, b wire.Batch, reply *wire.Reply) error {
-	var turns []delivery
-	at := map[logic.DirectorID]int{}
+	var deliveries []delivery
+	indexOf := map[logic.DirectorID]int{}
 	for i, e := range b.Events {
-		n, known := at[e.Director]
+		n, known := indexOf[e.Director]
 		switch {
 		case e.Start != nil || e.Killed:
 			if e.Killed && live[e.Director] == nil {
-				return fmt.Errorf("event %d: field Director: %d never began", i, e.Director)
+				return fmt.Errorf("event %d: field Director: %d was never started", i, e.Director)
 			}
 			if known {
-				turns[n].events = nil
+				deliveries[n].events = nil
 			}
 			delete(live, e.Director)
 			if e.Start == nil {
 				continue
 			}
-			made, failed := start(e.Start)
+			instance, failed := start(e.Start)
 			if failed != "" {
 				reply.AddFailure(e.Director, failed)
 				continue
 			}
-			live[e.Director] = made
+			live[e.Director] = instance
 		case live[e.Director] == nil:
-			return fmt.Errorf("event %d: field Director: %d never began", i, e.Director)
+			return fmt.Errorf("event %d: field Director: %d was never started", i, e.Director)
 		}
 		if !known {
-			n = len(turns)
-			at[e.Director] = n
-			turns = append(turns, delivery{id: e.Director})
+			n = len(deliveries)
+			indexOf[e.Director] = n
+			deliveries = append(deliveries, delivery{id: e.Director})
 		}
 		if e.Payload != nil {
-			turns[n].events = append(turns[n].events, e.Payload)
+			deliveries[n].events = append(deliveries[n].events, e.Payload)
 		}
 	}
-	for _, t := range turns {
+	for _, t := range deliveries {
 		if d := live[t.id]; d != nil {
 			handleDelivery(d, t, b.Clock, reply)
 		}
@@ -102,6 +104,7 @@
 	return nil
 }
 
+// start creates an instance. If the decision module panics, failed is the reason.
 func start(b *wire.Start) (d *logic.Director, failed string) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -111,6 +114,7 @@
 	return logic.New(b.Seed, b.Facts), ""
 }
 
+// handleDelivery passes the events to the instance and adds its orders to the reply, or a failure if it panics.
 func handleDelivery(d *logic.Director, t delivery, now logic.Millis, reply *wire.Reply) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/ci/main.go
+++ b/internal/ci/main.go
@@ -1,6 +1,6 @@
-// Command ci checks what .ci/run can't say in shell: `ci linked FILE` that a program is linked dynamically against the C library,
-// `ci red FILE` that the list of tests at fault is right. For the list it prints the pattern of what go test is to pass over, and
-// the list itself on standard error.
+// Command ci performs checks for .ci/run that are not practical in a shell script. "ci linked FILE" checks that a
+// program is linked dynamically against the C library. "ci red FILE" checks the list of tests that are known to fail;
+// it prints a pattern for the -skip flag of go test to standard output and the list itself to standard error.
 package main
 
 import (
@@ -15,6 +15,7 @@
 	"strings"
 )
 
+// maxKnownFailures limits how many tests may be listed as known to fail.
 const maxKnownFailures = 3
 
 func main() {
@@ -32,7 +33,7 @@
 		tests, err := parseKnownFailures(string(text), os.DirFS("."))
 		exitOnError(err)
 		if len(tests) > 0 {
-			fmt.Fprint(os.Stderr, "known to fail, passed over:\n", string(text))
+			fmt.Fprint(os.Stderr, "skipped, known to fail:\n", string(text))
 			fmt.Printf("^(%s)$\n", strings.Join(tests, "|"))
 		}
 	default:
@@ -40,6 +41,7 @@
 	}
 }
 
+// exitOnError prints an error and exits with status 1, unless err is nil.
 func exitOnError(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "ci:", err)
@@ -47,7 +49,7 @@
 	}
 }
 
-// linked says what is wrong with how a program is linked.
+// checkLinking returns an error unless the program is linked dynamically against the C library.
 func checkLinking(path string) error {
 	f, err := elf.Open(path)
 	if err != nil {
@@ -58,8 +60,8 @@
 	if err != nil {
 		return err
 	}
-	loads := slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP })
-	if !loads || !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
+	hasInterpreter := slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP })
+	if !hasInterpreter || !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
 		return fmt.Errorf("%s is not linked dynamically against the C library: it needs %q", path, libraries)
 	}
 	return nil
@@ -70,42 +72,42 @@
 	issuePattern    = regexp.MustCompile(`^issue \d+$`)
 )
 
-// red reads the list: a line each, `test | cause | issue N`. Each test stands once in the tree, so that no other is passed over
-// for its name.
+// parseKnownFailures parses the list of tests that are known to fail, with lines of the form `test | cause | issue N`.
+// A listed test must be declared exactly once in the tree, so that no other test of the same name is skipped.
 func parseKnownFailures(text string, tree fs.FS) (tests []string, err error) {
 	for i, line := range strings.Split(strings.TrimSpace(text), "\n") {
 		if line == "" && text == "" {
 			return nil, nil
 		}
-		wrong := func(why string) error { return fmt.Errorf("line %d of the tests known to fail: %s", i+1, why) }
+		lineError := func(why string) error { return fmt.Errorf("known failures, line %d: %s", i+1, why) }
 		if i >= maxKnownFailures {
-			return nil, wrong(fmt.Sprintf("there may be %d", maxKnownFailures))
+			return nil, lineError(fmt.Sprintf("at most %d tests may be listed", maxKnownFailures))
 		}
 		parts := strings.Split(line, "|")
 		if len(parts) != 3 {
-			return nil, wrong("it is not `test | cause | issue N`")
+			return nil, lineError("line is not of the form `test | cause | issue N`")
 		}
-		test, cause, number := strings.TrimSpace(parts[0]), strings.TrimSpace(parts[1]), strings.TrimSpace(parts[2])
+		test, cause, issue := strings.TrimSpace(parts[0]), strings.TrimSpace(parts[1]), strings.TrimSpace(parts[2])
 		switch n, err := countDeclarations(test, tree); {
 		case !testNamePattern.MatchString(test):
-			return nil, wrong(fmt.Sprintf("%q is no name of a test", test))
+			return nil, lineError(fmt.Sprintf("%q is not a valid test name", test))
 		case cause == "":
-			return nil, wrong("the cause is missing")
-		case !issuePattern.MatchString(number):
-			return nil, wrong(fmt.Sprintf("%q is no issue", number))
+			return nil, lineError("cause is missing")
+		case !issuePattern.MatchString(issue):
+			return nil, lineError(fmt.Sprintf("%q is not of the form `issue N`", issue))
 		case err != nil:
 			return nil, err
 		case n != 1:
-			return nil, wrong(fmt.Sprintf("%s is declared %d times", test, n))
+			return nil, lineError(fmt.Sprintf("%s is declared %d times, want 1", test, n))
 		case slices.Contains(tests, test):
-			return nil, wrong(test + " stands there twice")
+			return nil, lineError(test + " is listed twice")
 		}
 		tests = append(tests, test)
 	}
 	return tests, nil
 }
 
-// declared is how often a test is declared in the tree.
+// countDeclarations returns how often a test is declared in the test files of the tree.
 func countDeclarations(test string, tree fs.FS) (n int, err error) {
 	err = fs.WalkDir(tree, ".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, "_test.go") {
--- a/internal/ci/main_test.go
+++ b/internal/ci/main_test.go
@@ -29,7 +29,7 @@
 		"\nTestA | x | issue 1\n\nTestC | x | issue 1": "line 2",
 	} {
 		if got, err := parseKnownFailures(text, tree); err == nil || !strings.Contains(err.Error(), why) {
-			t.Errorf("%q: %v, %v; wanted %s", text, got, err, why)
+			t.Errorf("%q: %v, %v; want an error containing %q", text, got, err, why)
 		}
 	}
 }
@@ -53,6 +53,6 @@
 		}
 	}
 	if checkLinking(filepath.Join(dir, "main.go")) == nil {
-		t.Error("a text passed for a program")
+		t.Error("a text file was accepted as a program")
 	}
 }
--- a/internal/wire/facts.go
+++ b/internal/wire/facts.go
@@ -8,7 +8,7 @@
 	"vetchwood/logic"
 )
 
-// settings is the part of Facts on the wire that decisions can use.
+// settings is the part of the Facts field that the decision module uses.
 type settings struct {
 	Dcs, HostTypes      []string
 	ResolutionMs        float64
@@ -39,37 +39,39 @@
 	}
 }
 
-// Names are those of the settings, each at its index, and the shortest gap between batches.
+// Names holds the names of routes, zones and host kinds from the settings, each at the index of its ID, and the
+// shortest interval between batches.
 type Names struct {
 	Routes, Zones, Kinds []string
 	Resolution           logic.Millis
 }
 
-// Facts reads the settings of a start where they stand by themselves.
+// DecodeFacts decodes the settings that a director starts with, given as a JSON object of their own.
 func DecodeFacts(text json.RawMessage) (logic.Facts, Names, error) {
 	o := object{raw: map[string]json.RawMessage{"Facts": text}}
-	f, n := decodeFacts(&o)
-	return f, n, o.err
+	f, names := decodeFacts(&o)
+	return f, names, o.err
 }
 
+// decodeFacts decodes the Facts field of an object.
 func decodeFacts(o *object) (logic.Facts, Names) {
 	var s settings
-	var n Names
+	var names Names
 	v, ok := o.get("Facts", true)
 	if !ok {
-		return logic.Facts{}, n
+		return logic.Facts{}, names
 	}
 	if err := json.Unmarshal(v, &s); err != nil {
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &kind) {
-			o.fail("Facts."+kind.Field, "not "+kind.Type.String())
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			o.fail("Facts."+typeErr.Field, "not "+typeErr.Type.String())
 		} else {
 			o.fail("Facts", err.Error())
 		}
-		return logic.Facts{}, n
+		return logic.Facts{}, names
 	}
 	ms := func(v float64) logic.Millis { return logic.Millis(v) }
-	at := func(marks []bool, i int) bool { return i < len(marks) && marks[i] }
+	isSet := func(flags []bool, i int) bool { return i < len(flags) && flags[i] }
 	p, r := s.Specifics, s.Rules
 	f := logic.Facts{Me: logic.DirectorID(s.Me), Directors: s.Balancers, Proxies: p.DataPlaneSize,
 		Zone: logic.ZoneID(s.Zone), MayProbe: s.Bounds.MayProbe, MayTell: s.Bounds.Peers,
@@ -88,9 +90,9 @@
 	if s.Report.Via != "none" {
 		f.LoadColumns = s.Report.Columns
 	}
-	n.Zones, n.Kinds, n.Resolution = s.Dcs, s.HostTypes, ms(s.ResolutionMs)
+	names.Zones, names.Kinds, names.Resolution = s.Dcs, s.HostTypes, ms(s.ResolutionMs)
 	for i, c := range s.Classes {
-		n.Routes = append(n.Routes, c.Name)
+		names.Routes = append(names.Routes, c.Name)
 		repeat, known := map[string]logic.Repeat{"safe": logic.Repeatable, "keyed": logic.Keyed,
 			"unsafe": logic.Mutating}[c.Repeat]
 		if !known {
@@ -100,7 +102,7 @@
 			RepeatSpan: ms(c.MemorySpanMs), Importance: c.Worth, LateShare: c.LateShare, Repeat: repeat,
 			Reach: map[string]logic.Reach{"all": logic.ReachAll, "zone": logic.ReachZone,
 				"cell": logic.ReachCell}[c.Group],
-			OwnZone: at(p.ClassOwnZone, i), Writes: at(p.WriteClasses, i)})
+			OwnZone: isSet(p.ClassOwnZone, i), Writes: isSet(p.WriteClasses, i)})
 	}
-	return f, n
+	return f, names
 }
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -8,15 +8,16 @@
 	"vetchwood/logic"
 )
 
-// Reply collects the orders of one batch.
+// Reply builds the reply to one batch: the orders of all instances.
 type Reply struct{ buf []byte }
 
-// Reset begins a new reply.
+// Reset starts a new reply.
 func (r *Reply) Reset() { r.buf = append(r.buf[:0], `{"cmds":[`...) }
 
-// Line ends the reply and returns it with its line feed.
+// Line completes the reply and returns it, including the line feed.
 func (r *Reply) Line() []byte { return append(r.buf, "]}\n"...) }
 
+// openOrder writes the beginning of an order. The caller adds its fields and the closing brace.
 func (r *Reply) openOrder(name string, d logic.DirectorID) {
 	if r.buf[len(r.buf)-1] == '}' {
 		r.buf = append(r.buf, ',')
@@ -46,14 +47,14 @@
 	r.buf = append(r.buf, quoted...)
 }
 
-// Broken reports that an instance's decisions failed.
+// AddFailure reports that the decision module of an instance has panicked.
 func (r *Reply) AddFailure(d logic.DirectorID, why string) {
 	r.openOrder("Broken", d)
 	r.text("Words", why)
 	r.buf = append(r.buf, '}')
 }
 
-// Add writes one order of an instance; what is no order is a fault of the program.
+// Add appends an order of an instance. It panics if o is not an order.
 func (r *Reply) Add(d logic.DirectorID, o logic.Order) {
 	switch o := o.(type) {
 	case logic.SetLine:
@@ -94,6 +95,7 @@
 	case logic.Tell:
 		r.openOrder("BroadcastTo", d)
 		r.integer("Target", int64(o.To))
+		// The message is truncated to at most 256 bytes of valid UTF-8.
 		for len(o.Bytes) > 256 || !utf8.ValidString(o.Bytes) {
 			o.Bytes = o.Bytes[:len(o.Bytes)-1]
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the simulator's JSON lines and the notes and orders of package logic.
-// It decides nothing.
+// Package wire translates between the JSON lines of the simulator and the events and orders of package logic. It
+// contains no decision logic.
 package wire
 
 import (
@@ -12,41 +12,43 @@
 	"vetchwood/logic"
 )
 
-// Event is one thing that happened, for one instance.
+// Event is an event for one instance.
 type Event struct {
 	Director logic.DirectorID
 	Start    *Start
 	Killed   bool
-	Payload  any // nil for Begin and Killed
+	Payload  any // the event for package logic; nil if Start or Killed is set
 }
 
-// Begin starts an instance.
+// Start starts an instance.
 type Start struct {
 	Seed  uint64
 	Facts logic.Facts
 }
 
-// Batch is one line of input.
+// Batch is one line of input: the events at one time.
 type Batch struct {
 	Clock  logic.Millis
 	Events []Event
 }
 
-// Decoder keeps the numbered lists from one batch to the next.
+// Decoder decodes batches. It keeps the host lists that a batch has defined by number for later batches.
 type Decoder struct{ lists map[int64][]logic.Entry }
 
-// object reads typed fields and remembers the first that could not be read.
+// object reads typed fields of a JSON object and keeps the first error.
 type object struct {
 	raw map[string]json.RawMessage
 	err error
 }
 
+// fail records an error unless an earlier field has failed.
 func (o *object) fail(field, why string) {
 	if o.err == nil {
 		o.err = fmt.Errorf("field %s: %s", field, why)
 	}
 }
 
+// get returns the raw value of a field and whether it is present. Null counts as absent.
 func (o *object) get(field string, need bool) (json.RawMessage, bool) {
 	v, ok := o.raw[field]
 	if !ok || bytes.Equal(v, []byte("null")) {
@@ -58,6 +60,7 @@
 	return v, true
 }
 
+// integer returns a whole number.
 func (o *object) integer(field string, need bool) int64 {
 	v, ok := o.get(field, need)
 	if !ok {
@@ -65,7 +68,7 @@
 	}
 	n, err := strconv.ParseInt(string(v), 10, 64)
 	if err != nil {
-		// 14.0 is a whole number too.
+		// A number such as 14.0 is a whole number, too.
 		f, err := strconv.ParseFloat(string(v), 64)
 		if err != nil || f != math.Trunc(f) || math.Abs(f) > 1<<53 {
 			o.fail(field, "not a whole number")
@@ -76,15 +79,17 @@
 	return n
 }
 
-func (o *object) boundedInteger(field string, need bool, most int64) int64 {
+// boundedInteger returns a whole number that must be in the range [0, limit].
+func (o *object) boundedInteger(field string, need bool, limit int64) int64 {
 	n := o.integer(field, need)
-	if n < 0 || n > most {
+	if n < 0 || n > limit {
 		o.fail(field, "out of range")
 		return 0
 	}
 	return n
 }
 
+// unsigned returns a required whole number of up to 64 bits that must not be negative.
 func (o *object) unsigned(field string) uint64 {
 	v, ok := o.get(field, true)
 	if !ok {
@@ -92,11 +97,12 @@
 	}
 	n, err := strconv.ParseUint(string(v), 10, 64)
 	if err != nil {
-		o.fail(field, "not a whole number of 0 or more")
+		o.fail(field, "not a non-negative whole number")
 	}
 	return n
 }
 
+// number returns a finite number.
 func (o *object) number(field string, need bool) float64 {
 	v, ok := o.get(field, need)
 	if !ok {
@@ -109,23 +115,26 @@
 	return f
 }
 
+// boolean returns a truth value; an absent field is false.
 func (o *object) boolean(field string) bool {
 	var b bool
 	if v, ok := o.get(field, false); ok && json.Unmarshal(v, &b) != nil {
-		o.fail(field, "neither true nor false")
+		o.fail(field, "not a boolean")
 	}
 	return b
 }
 
+// text returns a string.
 func (o *object) text(field string, need bool) string {
 	var s string
 	if v, ok := o.get(field, need); ok && json.Unmarshal(v, &s) != nil {
-		o.fail(field, "not a text")
+		o.fail(field, "not a string")
 	}
 	return s
 }
 
-// Column is where a load report's value of that name goes; nil: it is none that decisions use.
+// LoadField returns the field of a load report for the column with the name, or nil if the decision module does not
+// use the column.
 func LoadField(l *logic.Load, name string) **float64 {
 	switch name {
 	case "utilization":
@@ -144,6 +153,7 @@
 	return nil
 }
 
+// load returns a load report. Columns that the decision module does not use are ignored.
 func (o *object) load(field string) logic.Load {
 	var l logic.Load
 	v, ok := o.get(field, false)
@@ -155,23 +165,24 @@
 		o.fail(field, "not an object")
 		return l
 	}
-	in := object{raw: values}
+	columns := object{raw: values}
 	for name := range values {
-		to := LoadField(&l, name)
-		if _, ok := in.get(name, false); ok && to != nil {
-			n := in.number(name, false)
-			*to = &n
+		target := LoadField(&l, name)
+		if _, ok := columns.get(name, false); ok && target != nil {
+			n := columns.number(name, false)
+			*target = &n
 		}
 	}
-	if in.err != nil {
-		o.fail(field, in.err.Error())
+	if columns.err != nil {
+		o.fail(field, columns.err.Error())
 	}
 	return l
 }
 
-func enum[T any](o *object, field string, among map[string]T) T {
+// enum returns the value for the name in a required field; the name must be one of the keys.
+func enum[T any](o *object, field string, values map[string]T) T {
 	name := o.text(field, true)
-	v, ok := among[name]
+	v, ok := values[name]
 	if !ok {
 		o.fail(field, fmt.Sprintf("unknown value %q", name))
 	}
@@ -183,7 +194,7 @@
 	maxSmallID = 65535
 )
 
-// Decode reads one line.
+// Decode decodes one line of input.
 func (d *Decoder) Decode(text []byte) (Batch, error) {
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(text, &raw); err != nil {
@@ -191,9 +202,9 @@
 	}
 	top := object{raw: raw}
 	b := Batch{Clock: logic.Millis(top.number("ClockMs", true))}
-	var news []map[string]json.RawMessage
+	var events []map[string]json.RawMessage
 	if v, ok := top.get("news", true); ok {
-		if err := json.Unmarshal(v, &news); err != nil {
+		if err := json.Unmarshal(v, &events); err != nil {
 			top.fail("news", "not an array of objects")
 		}
 	}
@@ -203,7 +214,7 @@
 	if d.lists == nil {
 		d.lists = map[int64][]logic.Entry{}
 	}
-	for i, fields := range news {
+	for i, fields := range events {
 		o := object{raw: fields}
 		verb := o.text("verb", true)
 		if o.err == nil && verb == "DefineList" {
@@ -220,6 +231,7 @@
 	return b, nil
 }
 
+// defineList stores a host list under its number.
 func (d *Decoder) defineList(o *object) {
 	id := o.boundedInteger("RosterId", true, 15)
 	var items []map[string]json.RawMessage
@@ -228,21 +240,22 @@
 	}
 	entries := make([]logic.Entry, 0, len(items))
 	for i, fields := range items {
-		in := object{raw: fields}
+		item := object{raw: fields}
 		entries = append(entries, logic.Entry{
-			Host: logic.HostID(in.boundedInteger("Host", true, maxHostID)),
-			State: enum(&in, "Availability", map[string]logic.HostState{
+			Host: logic.HostID(item.boundedInteger("Host", true, maxHostID)),
+			State: enum(&item, "Availability", map[string]logic.HostState{
 				"up": logic.Up, "draining": logic.Draining, "removed": logic.Gone}),
-			Cell: logic.CellID(in.integer("Block", false)), Zone: logic.ZoneID(in.integer("Az", false)),
-			Kind: logic.KindID(in.integer("GenerationHw", false)), Weight: in.number("W", false),
-			Born: logic.Millis(in.number("BornMs", false))})
-		if in.err != nil {
-			o.fail(fmt.Sprintf("Items[%d]", i), in.err.Error())
+			Cell: logic.CellID(item.integer("Block", false)), Zone: logic.ZoneID(item.integer("Az", false)),
+			Kind: logic.KindID(item.integer("GenerationHw", false)), Weight: item.number("W", false),
+			Born: logic.Millis(item.number("BornMs", false))})
+		if item.err != nil {
+			o.fail(fmt.Sprintf("Items[%d]", i), item.err.Error())
 		}
 	}
 	d.lists[id] = entries
 }
 
+// decodeEvent decodes an event. It returns false for an unknown verb.
 func (d *Decoder) decodeEvent(o *object, verb string) (Event, bool) {
 	e := Event{Director: logic.DirectorID(o.boundedInteger("Director", true, 1<<31))}
 	host := func() logic.HostID { return logic.HostID(o.boundedInteger("Host", true, maxHostID)) }
@@ -250,7 +263,7 @@
 	table := func() logic.TableID { return logic.TableID(o.boundedInteger("RouteTable", true, maxSmallID)) }
 	zone := func() logic.ZoneID { return logic.ZoneID(o.integer("Az", false)) }
 	count := func(field string) int { return int(o.boundedInteger(field, false, 1<<53)) }
-	span := func(field string) logic.Millis { return logic.Millis(o.number(field, false)) }
+	duration := func(field string) logic.Millis { return logic.Millis(o.number(field, false)) }
 	switch verb {
 	case "Begin":
 		e.Start = &Start{Seed: o.unsigned("Nonce64")}
@@ -263,7 +276,7 @@
 		if r.Kind != logic.AskFailed {
 			entries, known := d.lists[o.integer("RosterId", true)]
 			if !known {
-				o.fail("RosterId", "no such list was defined")
+				o.fail("RosterId", "list is not defined")
 			}
 			r.Entries = entries
 		}
@@ -271,9 +284,9 @@
 	case "TickDue":
 		e.Payload = logic.Due{Timer: logic.TimerID(o.unsigned("Nonce"))}
 	case "Checked":
-		how := enum(o, "How", map[string]string{"delivered": "delivered", "app_error": "", "shed": "",
+		outcome := enum(o, "How", map[string]string{"delivered": "delivered", "app_error": "", "shed": "",
 			"expired": "", "dial_failed": "", "dropped": "", "revoked": "", "unused": ""})
-		e.Payload = logic.Probed{Host: host(), Spent: span("SpentMs"), Good: how != "", Load: o.load("HealthInfo")}
+		e.Payload = logic.Probed{Host: host(), Spent: duration("SpentMs"), Good: outcome != "", Load: o.load("HealthInfo")}
 	case "Heard":
 		e.Payload = logic.Said{From: logic.DirectorID(o.integer("Neighbour", true)), Bytes: o.text("Raw", false)}
 	case "Joined":
@@ -281,23 +294,23 @@
 	case "DroppedOff":
 		e.Payload = logic.Left{Proxy: proxy()}
 	case "TrafficReport":
-		e.Payload = logic.Met{Host: host(), Zone: zone(), Over: span("PeriodLenMs"), Spent: span("SpentMs"),
+		e.Payload = logic.Met{Host: host(), Zone: zone(), Over: duration("PeriodLenMs"), Spent: duration("SpentMs"),
 			Ended: count("Many"), Lost: count("Lost"), Load: o.load("HealthInfo")}
 	case "Demand":
 		e.Payload = logic.Asked{Proxy: proxy(), Route: logic.RouteID(o.boundedInteger("Lane", true, 63)),
-			Over: span("PeriodLenMs"), Calls: count("Many"), Lost: count("Lost")}
+			Over: duration("PeriodLenMs"), Calls: count("Many"), Lost: count("Lost")}
 	case "Heat":
 		e.Payload = logic.Heat{Slice: table(), Route: logic.RouteID(o.boundedInteger("Lane", true, 63)),
-			Over: span("PeriodLenMs"), Calls: count("Many"), Lost: count("Lost")}
+			Over: duration("PeriodLenMs"), Calls: count("Many"), Lost: count("Lost")}
 	case "Custody":
 		e.Payload = logic.Custody{Slice: table(), Given: o.boolean("Flag")}
 	case "OnRecord":
 		e.Payload = logic.OnRecord{Slice: table(), Host: host(), Weight: o.number("W", true)}
 	case "TookEffect":
 		e.Payload = logic.Applied{Proxy: proxy(), Serial: logic.SerialID(o.boundedInteger("Serial", true, maxSmallID)),
-			Spent: span("SpentMs")}
+			Spent: duration("SpentMs")}
 	default:
-		return e, false // a later wire's event; like an unknown key, it is skipped
+		return e, false // events of later protocol versions are skipped, like unknown keys
 	}
 	return e, true
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,6 +12,7 @@
 "Classes":[{"Repeat":"keyed","Group":"cell","TargetMs":1200.5,"Worth":3},{"Repeat":"unsafe"}],
 "Specifics":{"Admission":"rps","SelectsBy":"pair","Slices":7,"WriteClasses":[false,true],"OneOwner":true}}}`
 
+// decode decodes a batch of these events.
 func decode(t *testing.T, events ...string) (Batch, error) {
 	t.Helper()
 	var d Decoder
@@ -34,12 +35,12 @@
 	if b.Clock != 1.5 || len(b.Events) != 6 {
 		t.Fatalf("clock %v, %d events", b.Clock, len(b.Events))
 	}
-	f := b.Events[0].Start
-	if f.Seed != 1<<63 || f.Facts.Slices != 7 || f.Facts.Levels != logic.LevelRate || !f.Facts.OneOwner ||
-		f.Facts.Routes[0].Reach != logic.ReachCell || !f.Facts.Routes[1].Writes || f.Facts.Pick != logic.PickPair {
-		t.Errorf("facts: %+v", f)
+	start := b.Events[0].Start
+	if start.Seed != 1<<63 || start.Facts.Slices != 7 || start.Facts.Levels != logic.LevelRate || !start.Facts.OneOwner ||
+		start.Facts.Routes[0].Reach != logic.ReachCell || !start.Facts.Routes[1].Writes || start.Facts.Pick != logic.PickPair {
+		t.Errorf("facts: %+v", start)
 	}
-	// A number is taken by the newer list, also later in one batch.
+	// A later list replaces the former one of the same number, also within a batch.
 	first, second := b.Events[1].Payload.(logic.Roster), b.Events[2].Payload.(logic.Roster)
 	if len(first.Entries) != 1 || first.Entries[0].Host != 1<<32-1 || len(second.Entries) != 0 {
 		t.Errorf("lists: %+v, %+v", first, second)
@@ -47,8 +48,8 @@
 	if due := b.Events[4].Payload.(logic.Due); due.Timer != 1<<63-1 {
 		t.Errorf("nonce %d", due.Timer)
 	}
-	if m := b.Events[5].Payload.(logic.Met); m.Load.Busy == nil || *m.Load.Busy != 0.5 || m.Load.Rate != nil {
-		t.Errorf("load: %+v", m.Load)
+	if report := b.Events[5].Payload.(logic.Met); report.Load.Busy == nil || *report.Load.Busy != 0.5 || report.Load.Rate != nil {
+		t.Errorf("load: %+v", report.Load)
 	}
 }
 
@@ -70,7 +71,7 @@
 		`{"verb":"Begin","Director":1,"Nonce64":1,"Facts":{"Classes":[{"Repeat":"sometimes"}]}}`: "Repeat",
 	} {
 		if _, err := decode(t, event); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: %v, want a word on %s", event, err, field)
+			t.Errorf("%s: error %v, want one on field %s", event, err, field)
 		}
 	}
 }
@@ -101,16 +102,16 @@
 	}
 }
 
-// Whatever comes in, the codec answers or refuses; it never panics.
+// For any input the decoder returns a batch or an error, the same one each time, and never panics.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"ClockMs":1,"news":[{"verb":"Heat","Director":1,"RouteTable":1,"Lane":0,"Many":3}]}`))
 	f.Add([]byte(`{"ClockMs":1,"news":[{"verb":"DefineList","RosterId":0,"Items":[{}]}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var d, again Decoder
-		one, err := d.Decode(text)
-		two, err2 := again.Decode(text)
-		if (err == nil) != (err2 == nil) || err == nil && !reflect.DeepEqual(one, two) {
-			t.Error("the same line read two ways")
+		var d, other Decoder
+		first, err := d.Decode(text)
+		second, err2 := other.Decode(text)
+		if (err == nil) != (err2 == nil) || err == nil && !reflect.DeepEqual(first, second) {
+			t.Error("decoding the same line twice gave different results")
 		}
 	})
 }
