--- a/internal/platform/codec/codec_test.go
+++ b/internal/platform/codec/codec_test.go
@@ -25,8 +25,8 @@
 		`{"t":"heard","locality":"a","endpoint":"h1","total":7.0,"errors":7,"interval":500,"metrics":{"util":0.61}}`: logic.Met{
 			Host: IDOf("h1"), Ended: 7, Lost: 7, Over: 500, Load: logic.Load{Busy: &utilization}},
 		`{"t":"heat","shard":7,"route":"note","total":4,"errors":1,"interval":500}`: logic.Heat{Slice: 7, Route: 1, Calls: 4, Lost: 1, Over: 500},
-		// A call is counted when it arrives and its failure when it ends, so errors may exceed the total. When such reports were
-		// rejected, the demand of the busiest slices was lost.
+		// A call is counted when it arrives and its failure when it ends, so errors may exceed the total. When such reports
+		// were rejected, the demand of the busiest slices was lost.
 		`{"t":"heat","shard":0,"route":"read","total":1,"errors":2,"interval":500}`: logic.Heat{Calls: 1, Lost: 2, Over: 500},
 	} {
 		if m, err := s.DecodeMessage([]byte(line)); err != nil || !reflect.DeepEqual(m.Event, want) {
@@ -147,8 +147,8 @@
 	if r.Kind != logic.FromDisk || len(r.Entries) != 2 || r.Entries[0] != (logic.Entry{Host: IDOf("h1"), Cell: 3, Zone: 1, Weight: 1, Born: 5}) {
 		t.Fatalf("%+v", r)
 	}
-	// h1 returns with another address. h2 keeps its former entry, because the new one is invalid. h3 has left, so that its name
-	// suffices.
+	// h1 returns with another address. h2 keeps its former entry, because the new one is invalid. h3 has left, so that its
+	// name suffices.
 	r = read(logic.Whole, `{"index":2,"snapshot":false,"endpoints":[{"name":"h1","address":"127.0.0.1:9","zone":"b","type":"m","group":3,"status":"active",`+
 		`"weight":1,"since_ms":9},{"name":"h2","address":"127.0.0.1:3","zone":"moon","type":"m","status":"active"},{"name":"h3","status":"left"}]}`)
 	if r.Kind != logic.Changes || len(r.Entries) != 3 || r.Entries[1].Zone != 0 || r.Entries[2].State != logic.Gone ||
--- a/internal/platform/codec/names.go
+++ b/internal/platform/codec/names.go
@@ -59,7 +59,7 @@
 	return logic.RouteID(i), i >= 0
 }
 
-// ErrUnreadable is returned for input that is not a JSON object. The connection it came from cannot be trusted any further.
+// ErrUnreadable is returned for input that is not a JSON object. The rest of its connection cannot be trusted either.
 var ErrUnreadable = errors.New("not a JSON object")
 
 // FieldError reports an invalid field. It makes only its own message unusable, not the messages before and after it.
--- a/internal/platform/collect/collect.go
+++ b/internal/platform/collect/collect.go
@@ -162,7 +162,7 @@
 	})
 	if closing {
 		raw.Close()
-	} else if oldest != nil { // a collector joins at once, so that the oldest unjoined connection is least likely to be one
+	} else if oldest != nil { // a collector joins at once, so the oldest is least likely to be one
 		s.refuse(oldest, "too many connections that have not joined")
 	}
 	return context.WithValue(context.Background(), connectionKey{}, c)
