--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill hosts many instances of the decisions on the simulator's wire: batches on standard input, a
-// reply a line on standard output. Instances share nothing.
+// Command drill runs many independent instances of the decision module for the simulator. It reads one batch per line
+// from standard input and writes one reply per line to standard output.
 package main
 
 import (
@@ -14,10 +14,10 @@
 	"vetchwood/logic"
 )
 
-// turn is what one instance is to hear in the batch at hand.
-type turn struct {
-	id    logic.DirectorID
-	notes []any
+// delivery holds the events of one batch for one instance.
+type delivery struct {
+	id     logic.DirectorID
+	events []any
 }
 
 func main() {
@@ -27,82 +27,85 @@
 	}
 }
 
+// run processes batches until the end of the input or the first error.
 func run(in io.Reader, out io.Writer) error {
-	lines := bufio.NewReaderSize(in, 1<<20)
-	to := bufio.NewWriterSize(out, 1<<16)
-	var dec wire.Decoder
+	reader := bufio.NewReaderSize(in, 1<<20)
+	writer := bufio.NewWriterSize(out, 1<<16)
+	var decoder wire.Decoder
 	var reply wire.Reply
 	live := map[logic.DirectorID]*logic.Director{}
 	for number := 1; ; number++ {
-		text, err := lines.ReadBytes('\n')
+		text, err := reader.ReadBytes('\n')
 		if len(bytes.TrimSpace(text)) == 0 && errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
-		batch, err := dec.Decode(text)
+		batch, err := decoder.Decode(text)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
 		reply.Reset()
-		if err := play(live, batch, &reply); err != nil {
+		if err := handleBatch(live, batch, &reply); err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
-		if _, err := to.Write(reply.Line()); err != nil {
+		if _, err := writer.Write(reply.Line()); err != nil {
 			return err
 		}
-		if err := to.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-// play hands each instance its notes in their order. A start or a death in mid-batch ends what came before.
-func play(live map[logic.DirectorID]*logic.Director, b wire.Batch, reply *wire.Reply) error {
-	var turns []turn
-	at := map[logic.DirectorID]int{}
+// handleBatch delivers to each instance its events of the batch, in their order. If an instance is started or killed
+// within the batch, its events before that are discarded.
+func handleBatch(live map[logic.DirectorID]*logic.Director, b wire.Batch, reply *wire.Reply) error {
+	var deliveries []delivery
+	indexOf := map[logic.DirectorID]int{}
 	for i, e := range b.Events {
-		n, known := at[e.Director]
+		n, known := indexOf[e.Director]
 		switch {
-		case e.Begin != nil || e.Killed:
+		case e.Start != nil || e.Killed:
 			if e.Killed && live[e.Director] == nil {
-				return fmt.Errorf("event %d: field Director: %d never began", i, e.Director)
+				return fmt.Errorf("event %d: field Director: %d was never started", i, e.Director)
 			}
 			if known {
-				turns[n].notes = nil
+				deliveries[n].events = nil
 			}
 			delete(live, e.Director)
-			if e.Begin == nil {
+			if e.Start == nil {
 				continue
 			}
-			made, failed := start(e.Begin)
+			instance, failed := start(e.Start)
 			if failed != "" {
-				reply.Broken(e.Director, failed)
+				reply.AddFailure(e.Director, failed)
 				continue
 			}
-			live[e.Director] = made
+			live[e.Director] = instance
 		case live[e.Director] == nil:
-			return fmt.Errorf("event %d: field Director: %d never began", i, e.Director)
+			return fmt.Errorf("event %d: field Director: %d was never started", i, e.Director)
 		}
 		if !known {
-			n = len(turns)
-			at[e.Director] = n
-			turns = append(turns, turn{id: e.Director})
+			n = len(deliveries)
+			indexOf[e.Director] = n
+			deliveries = append(deliveries, delivery{id: e.Director})
 		}
-		if e.Note != nil {
-			turns[n].notes = append(turns[n].notes, e.Note)
+		if e.Payload != nil {
+			deliveries[n].events = append(deliveries[n].events, e.Payload)
 		}
 	}
-	for _, t := range turns {
+	for _, t := range deliveries {
 		if d := live[t.id]; d != nil {
-			handle(d, t, b.Clock, reply)
+			handleDelivery(d, t, b.Clock, reply)
 		}
 	}
 	return nil
 }
 
-func start(b *wire.Begin) (d *logic.Director, failed string) {
+// start creates an instance. If the decision module panics, failed is the reason.
+func start(b *wire.Start) (d *logic.Director, failed string) {
 	defer func() {
 		if r := recover(); r != nil {
 			failed = fmt.Sprint(r)
@@ -111,13 +114,14 @@
 	return logic.New(b.Seed, b.Facts), ""
 }
 
-func handle(d *logic.Director, t turn, now logic.Millis, reply *wire.Reply) {
+// handleDelivery passes the events to the instance and adds its orders to the reply, or a failure if it panics.
+func handleDelivery(d *logic.Director, t delivery, now logic.Millis, reply *wire.Reply) {
 	defer func() {
 		if r := recover(); r != nil {
-			reply.Broken(t.id, fmt.Sprint(r))
+			reply.AddFailure(t.id, fmt.Sprint(r))
 		}
 	}()
-	for _, o := range d.Handle(now, t.notes) {
+	for _, o := range d.Handle(now, t.events) {
 		reply.Add(t.id, o)
 	}
 }
