--- a/internal/channel/channel.go
+++ b/internal/channel/channel.go
@@ -10,94 +10,94 @@
 	Lines float64 // head included
 	Body  any
 
-	ordered, leaves logic.Millis
+	queuedAt, leavesAt logic.Millis
 }
 
 // Channel is one director's.
 type Channel struct {
-	pace    float64 // lines a millisecond
-	waiting []Message
-	lines   float64
-	clear   logic.Millis // when the last message leaves
-	most    float64
-	sent    [][]logic.Millis // by proxy: their numbers are small and dense
-	span    logic.Millis
-	dense   int // most messages written to one proxy within the span
+	linesPerMs     float64 // lines a millisecond
+	queue          []Message
+	queuedLines    float64
+	freeAt         logic.Millis // when the last message leaves
+	maxQueuedLines float64
+	sentAt         [][]logic.Millis // by proxy: their numbers are small and dense
+	window         logic.Millis
+	maxInWindow    int // most messages written to one proxy within the span
 }
 
 func New(linesPerSecond float64, span logic.Millis) *Channel {
-	return &Channel{pace: linesPerSecond / 1000, span: span}
+	return &Channel{linesPerMs: linesPerSecond / 1000, window: span}
 }
 
 // Offer puts messages at the end of the queue, in their order.
-func (c *Channel) Offer(now logic.Millis, all []Message) {
+func (c *Channel) Enqueue(now logic.Millis, all []Message) {
 	for _, m := range all {
-		c.clear = max(c.clear, now) + logic.Millis(m.Lines/c.pace)
-		m.ordered, m.leaves = now, c.clear
-		c.waiting = append(c.waiting, m)
-		c.lines += m.Lines
-		c.count(now, m.Proxy)
+		c.freeAt = max(c.freeAt, now) + logic.Millis(m.Lines/c.linesPerMs)
+		m.queuedAt, m.leavesAt = now, c.freeAt
+		c.queue = append(c.queue, m)
+		c.queuedLines += m.Lines
+		c.countMessage(now, m.Proxy)
 	}
-	c.most = max(c.most, c.lines)
+	c.maxQueuedLines = max(c.maxQueuedLines, c.queuedLines)
 }
 
-func (c *Channel) count(now logic.Millis, p logic.ProxyID) {
-	for int(p) >= len(c.sent) {
-		c.sent = append(c.sent, nil)
+func (c *Channel) countMessage(now logic.Millis, p logic.ProxyID) {
+	for int(p) >= len(c.sentAt) {
+		c.sentAt = append(c.sentAt, nil)
 	}
-	times := c.sent[p]
+	times := c.sentAt[p]
 	over := 0
-	for over < len(times) && now-times[over] > c.span {
+	for over < len(times) && now-times[over] > c.window {
 		over++
 	}
 	times = append(times[:copy(times, times[over:])], now)
-	c.sent[p] = times
-	c.dense = max(c.dense, len(times))
+	c.sentAt[p] = times
+	c.maxInWindow = max(c.maxInWindow, len(times))
 }
 
 // Left gives the messages that have left by now, in order.
-func (c *Channel) Left(now logic.Millis) (out []Message) {
-	for len(c.waiting) > 0 && c.waiting[0].leaves <= now {
-		m := c.waiting[0]
-		c.waiting[0] = Message{}
-		c.waiting = c.waiting[1:]
-		c.lines -= m.Lines
+func (c *Channel) PopDue(now logic.Millis) (out []Message) {
+	for len(c.queue) > 0 && c.queue[0].leavesAt <= now {
+		m := c.queue[0]
+		c.queue[0] = Message{}
+		c.queue = c.queue[1:]
+		c.queuedLines -= m.Lines
 		out = append(out, m)
 	}
-	if len(c.waiting) == 0 {
-		c.waiting, c.lines = nil, 0
+	if len(c.queue) == 0 {
+		c.queue, c.queuedLines = nil, 0
 	}
 	return out
 }
 
 // Lose drops what waits for a proxy whose stream broke. Its time in the channel is not given to the others:
 // what they wait for was promised with it.
-func (c *Channel) Lose(p logic.ProxyID) {
-	kept := c.waiting[:0]
-	for _, m := range c.waiting {
+func (c *Channel) DropProxy(p logic.ProxyID) {
+	kept := c.queue[:0]
+	for _, m := range c.queue {
 		if m.Proxy != p {
 			kept = append(kept, m)
 		} else {
-			c.lines -= m.Lines
+			c.queuedLines -= m.Lines
 		}
 	}
-	clear(c.waiting[len(kept):])
-	c.waiting = kept
-	if int(p) < len(c.sent) {
-		c.sent[p] = nil
+	clear(c.queue[len(kept):])
+	c.queue = kept
+	if int(p) < len(c.sentAt) {
+		c.sentAt[p] = nil
 	}
 }
 
 // Next is when the first message leaves; false if none waits.
 func (c *Channel) Next() (logic.Millis, bool) {
-	if len(c.waiting) == 0 {
+	if len(c.queue) == 0 {
 		return 0, false
 	}
-	return c.waiting[0].leaves, true
+	return c.queue[0].leavesAt, true
 }
 
 // Waiting is the lines that wait; Most the highest that this was; Dense the most messages to one proxy within
 // the span.
-func (c *Channel) Waiting() float64 { return c.lines }
-func (c *Channel) Most() float64    { return c.most }
-func (c *Channel) Dense() int       { return c.dense }
+func (c *Channel) QueuedLines() float64     { return c.queuedLines }
+func (c *Channel) MaxQueuedLines() float64  { return c.maxQueuedLines }
+func (c *Channel) MaxMessagesInWindow() int { return c.maxInWindow }
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -26,7 +26,7 @@
 	opening   tables.Step // the first of this start
 	unsaved   []*step
 	channel   *channel.Channel
-	intake    *sums.Intake
+	intake    *sums.Aggregator
 	streams   map[logic.ProxyID]*stream
 	ids       []logic.ProxyID // joined, in order
 	stands    versions.Index[logic.ProxyID]
@@ -235,7 +235,7 @@
 		c.names.fresh = map[logic.ProxyID]string{}
 		c.out = append(c.out, Persist{Change{Line: c.line, Named: named}})
 	}
-	for _, m := range c.channel.Left(now) {
+	for _, m := range c.channel.PopDue(now) {
 		c.arrive(now, m)
 	}
 	c.believe(now)
@@ -357,14 +357,14 @@
 		c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Taken})
 		return
 	}
-	var calls []sums.Calls
+	var calls []sums.Demand
 	for i, l := range r.Calls {
 		route, known := c.routes[l.Route]
 		if !known {
 			c.refuse(r.Ticket, Wrong, "cluster_stats["+strconv.Itoa(i)+"]: the settings know no route "+strconv.Quote(l.Route))
 			return
 		}
-		line := sums.Calls{Proxy: id, Route: route, Calls: l.Calls, Lost: l.Lost}
+		line := sums.Demand{Proxy: id, Route: route, Calls: l.Calls, Unanswered: l.Lost}
 		if n := c.svc.Facts.Slices; n > 0 {
 			slice, err := strconv.Atoi(l.Table)
 			if err != nil || slice < 0 || slice >= n {
@@ -380,14 +380,14 @@
 	zone := c.names.zone(st.zone)
 	for _, t := range r.Tries {
 		if k, known := c.names.hosts[t.Address]; known && t.Ended > 0 {
-			met := sums.Tries{Host: k.Number, Zone: zone, Ended: t.Ended, Lost: t.Lost, Spent: t.Spent, Load: t.Load}
-			c.intake.Tried(now, met)
+			met := sums.Tries{Host: k.Number, Zone: zone, Ended: t.Ended, Unanswered: t.Lost, AnsweredMs: t.Spent, Load: t.Load}
+			c.intake.AddTries(now, met)
 			c.known.tried(now, met)
 		}
 	}
 	for _, l := range calls {
 		if l.Calls > 0 {
-			c.intake.Came(now, l)
+			c.intake.AddDemand(now, l)
 			c.known.came(now, l)
 		}
 	}
@@ -429,7 +429,7 @@
 	f.Oldest, _ = c.stands.Oldest()
 	f.Behind = c.stands.Behind(c.stored.step)
 	f.Slices = len(c.world.tables)
-	f.Waiting, f.MostWaiting, f.QueueLimit = c.channel.Waiting(), c.channel.Most(), c.svc.Facts.QueueLimit
-	f.MostMessages, f.ReportLinesWaiting = c.channel.Dense(), c.intake.Waiting()
+	f.Waiting, f.MostWaiting, f.QueueLimit = c.channel.QueuedLines(), c.channel.MaxQueuedLines(), c.svc.Facts.QueueLimit
+	f.MostMessages, f.ReportLinesWaiting = c.channel.MaxMessagesInWindow(), c.intake.Pending()
 	return f
 }
--- a/internal/control/known.go
+++ b/internal/control/known.go
@@ -87,14 +87,14 @@
 		k.met[t.Host] = m
 	}
 	m.ended.add(now, float64(t.Ended))
-	m.lost.add(now, float64(t.Lost))
-	m.spent.add(now, t.Spent)
+	m.lost.add(now, float64(t.Unanswered))
+	m.spent.add(now, t.AnsweredMs)
 	if m.last = now; t.Load != (logic.Load{}) {
 		m.load = t.Load
 	}
 }
 
-func (k *known) came(now logic.Millis, c sums.Calls) {
+func (k *known) came(now logic.Millis, c sums.Demand) {
 	at := callsOf{c.Slice, c.Route}
 	x := k.calls[at]
 	if x == nil {
@@ -102,7 +102,7 @@
 		k.calls[at] = x
 	}
 	x.came.add(now, float64(c.Calls))
-	x.lost.add(now, float64(c.Lost))
+	x.lost.add(now, float64(c.Unanswered))
 	x.last = now
 }
 
--- a/internal/control/operate.go
+++ b/internal/control/operate.go
@@ -217,7 +217,7 @@
 	}
 	d, listed := c.draft(float64(now)), c.hosts(now)
 	joined := float64(len(c.ids))
-	room := queuePart*c.svc.Facts.QueueLimit - c.channel.Waiting() - joined*c.svc.Facts.HeadLines
+	room := queuePart*c.svc.Facts.QueueLimit - c.channel.QueuedLines() - joined*c.svc.Facts.HeadLines
 	for _, s := range slices.Concat(c.behind, c.unsaved) {
 		for _, m := range s.messages {
 			room -= m.Lines
--- a/internal/control/streams.go
+++ b/internal/control/streams.go
@@ -117,7 +117,7 @@
 	if at, found := slices.BinarySearch(c.ids, id); found {
 		c.ids = slices.Delete(c.ids, at, at+1)
 	}
-	c.channel.Lose(id)
+	c.channel.DropProxy(id)
 	c.notes = append(c.notes, logic.Left{Proxy: id})
 	c.say(Event{Name: "proxy.left", Proxy: st.name, Detail: why})
 }
@@ -183,7 +183,7 @@
 // offer puts the messages of what is stored into the channel.
 func (c *Core) offer(now logic.Millis) {
 	for _, s := range c.behind {
-		c.channel.Offer(now, slices.DeleteFunc(s.messages, func(m channel.Message) bool { return c.streams[m.Proxy] == nil }))
+		c.channel.Enqueue(now, slices.DeleteFunc(s.messages, func(m channel.Message) bool { return c.streams[m.Proxy] == nil }))
 	}
 	c.behind = nil
 }
--- a/internal/nets/dial.go
+++ b/internal/nets/dial.go
@@ -21,7 +21,7 @@
 }
 
 // leastTimeout is the shortest time limit; 0 would be none.
-const leastTimeout = time.Millisecond
+const minTimeout = time.Millisecond
 
 // Dial opens a connection, within that time.
 func Dial(address string, within time.Duration) (Conn, error) {
--- a/internal/nets/lines_test.go
+++ b/internal/nets/lines_test.go
@@ -8,22 +8,22 @@
 )
 
 // spans is a connection that takes time limits as spans alone, and gives a byte at a time.
-type spans struct {
+type timeoutConn struct {
 	Conn
 	limits []time.Duration
 	text   string
 }
 
-func (s *spans) IsActive() bool { return true }
+func (s *timeoutConn) IsActive() bool { return true }
 
-func (s *spans) SetReadTimeout(d time.Duration) error {
+func (s *timeoutConn) SetReadTimeout(d time.Duration) error {
 	s.limits = append(s.limits, d)
 	return nil
 }
 
-func (s *spans) SetWriteTimeout(time.Duration) error { return nil }
+func (s *timeoutConn) SetWriteTimeout(time.Duration) error { return nil }
 
-func (s *spans) Read(b []byte) (int, error) {
+func (s *timeoutConn) Read(b []byte) (int, error) {
 	if s.text == "" {
 		time.Sleep(s.limits[len(s.limits)-1])
 		return 0, os.ErrDeadlineExceeded
@@ -35,9 +35,9 @@
 
 // A line's time is a span that shrinks, whatever the system's clock is stepped to: netpoll keeps deadlines as Unix
 // time, and one that lay behind a step back of an hour was waited for so long. Issue 29.
-func TestTheTimeOfALineIsASpan(t *testing.T) {
-	c := &spans{text: "ab\nc"}
-	lines := NewLines(c, 100)
+func TestLineTimeoutIsRelative(t *testing.T) {
+	c := &timeoutConn{text: "ab\nc"}
+	lines := NewLineReader(c, 100)
 	line, err := lines.Next(time.Now().Add(50 * time.Millisecond))
 	if err != nil || string(line) != "ab" {
 		t.Fatalf("%q, %v", line, err)
@@ -57,9 +57,9 @@
 }
 
 // What dribbles in behind its time is not waited for without end.
-func TestALineThatIsOverdueEnds(t *testing.T) {
-	c := &spans{text: string(make([]byte, 1000))}
-	if _, err := NewLines(c, 1<<20).Next(time.Now().Add(-time.Second)); !errors.Is(err, os.ErrDeadlineExceeded) || len(c.limits) != 1 {
+func TestOverdueLineTimesOut(t *testing.T) {
+	c := &timeoutConn{text: string(make([]byte, 1000))}
+	if _, err := NewLineReader(c, 1<<20).Next(time.Now().Add(-time.Second)); !errors.Is(err, os.ErrDeadlineExceeded) || len(c.limits) != 1 {
 		t.Fatalf("%v after %d reads", err, len(c.limits))
 	}
 }
--- a/internal/nets/send_test.go
+++ b/internal/nets/send_test.go
@@ -9,12 +9,12 @@
 )
 
 // interrupted is a connection whose first writes fail for a moment; what was written waits in its buffer until a flush.
-type interrupted struct {
+type flakyConn struct {
 	errs         []error
 	buffer, sent string
 }
 
-func (c *interrupted) flush() (err error) {
+func (c *flakyConn) flush() (err error) {
 	if len(c.errs) > 0 {
 		err, c.errs = c.errs[0], c.errs[1:]
 	}
@@ -24,7 +24,7 @@
 	return err
 }
 
-func (c *interrupted) Write(p []byte) (int, error) {
+func (c *flakyConn) Write(p []byte) (int, error) {
 	if len(c.errs) > 0 && errors.Is(c.errs[0], netpoll.ErrConcurrentAccess) {
 		return 0, c.flush()
 	}
@@ -32,18 +32,18 @@
 	return len(p), c.flush()
 }
 
-func (c *interrupted) Writer() netpoll.Writer { return flusher{conn: c} }
-func (c *interrupted) IsActive() bool         { return true }
+func (c *flakyConn) Writer() netpoll.Writer { return flusher{conn: c} }
+func (c *flakyConn) IsActive() bool         { return true }
 
 type flusher struct {
 	netpoll.Writer
-	conn *interrupted
+	conn *flakyConn
 }
 
 func (f flusher) Flush() error { return f.conn.flush() }
 
 // A message goes out once and whole, whatever fails for a moment; an error that does not pass is told.
-func TestSendOutlastsAMoment(t *testing.T) {
+func TestSendRetriesTransientErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		errs []error
 		sent string
@@ -56,7 +56,7 @@
 		"another writes, then interrupted": {[]error{netpoll.ErrConcurrentAccess, syscall.EINTR}, "pong", nil},
 		"the other side is gone":           {[]error{syscall.EPIPE}, "", syscall.EPIPE},
 	} {
-		conn := &interrupted{errs: c.errs}
+		conn := &flakyConn{errs: c.errs}
 		if _, err := Send(conn, []byte("pong")); !errors.Is(err, c.fail) || conn.sent != c.sent {
 			t.Errorf("%s: %q was sent, %v", name, conn.sent, err)
 		}
--- a/internal/nets/socket.go
+++ b/internal/nets/socket.go
@@ -12,29 +12,29 @@
 )
 
 // Gate says whether one more connection may be accepted. Began says that it is shut from now on.
-type Gate interface{ May() (may, began bool) }
+type AcceptLimiter interface{ May() (may, began bool) }
 
 // gated pauses accepting where its gate is shut or the system has no more descriptors: netpoll takes the listener out of its loop
 // then, and looks at it again after up to a second. Those who connect wait in the kernel's queue meanwhile.
-type gated struct {
+type limitedListener struct {
 	netpoll.Listener
-	gate    Gate
+	limiter AcceptLimiter
 	log     *slog.Logger
 	closing atomic.Bool // nobody is accepted any more
 }
 
-func (g *gated) Accept() (net.Conn, error) {
+func (g *limitedListener) Accept() (net.Conn, error) {
 	if g.closing.Load() {
 		return nil, syscall.EMFILE
 	}
-	if may, began := g.gate.May(); !may {
+	if may, began := g.limiter.May(); !may {
 		if began {
 			g.log.Warn("accept.paused", "listen", g.Addr().String(), "why", "as many connections are open as may be, or memory is short")
 		}
 		return nil, syscall.EMFILE
 	}
 	c, err := g.Listener.Accept()
-	if isOneOf(err, noRoom) {
+	if isOneOf(err, exhaustionErrors) {
 		g.log.Error("accept.paused", "listen", g.Addr().String(), "error", err)
 		return nil, syscall.EMFILE // by which netpoll pauses; of other errors it would ask again without end
 	}
@@ -43,17 +43,17 @@
 
 // Socket is a listening socket with its loop, as both fronts have one.
 type Socket struct {
-	ln   *gated
+	ln   *limitedListener
 	loop netpoll.EventLoop
 }
 
 // Listen opens one. Accept hears of each connection before anything is read from it, read of what has come.
-func Listen(address string, read netpoll.OnRequest, accept netpoll.OnPrepare, write time.Duration, gate Gate, log *slog.Logger) (*Socket, error) {
+func Listen(address string, read netpoll.OnRequest, accept netpoll.OnPrepare, write time.Duration, gate AcceptLimiter, log *slog.Logger) (*Socket, error) {
 	plain, err := netpoll.CreateListener("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	ln := &gated{Listener: plain, gate: gate, log: log}
+	ln := &limitedListener{Listener: plain, limiter: gate, log: log}
 	loop, err := netpoll.NewEventLoop(read, netpoll.WithOnPrepare(accept), netpoll.WithWriteTimeout(write))
 	if err != nil {
 		ln.Close()
--- a/internal/nets/socket_test.go
+++ b/internal/nets/socket_test.go
@@ -15,12 +15,12 @@
 )
 
 // switchGate lets connections in while it is open.
-type switchGate struct{ open atomic.Bool }
+type switchLimiter struct{ open atomic.Bool }
 
-func (g *switchGate) May() (may, began bool) { return g.open.Load(), false }
+func (g *switchLimiter) May() (may, began bool) { return g.open.Load(), false }
 
 // answering is a socket that answers each connection's first bytes with its name.
-func answering(t *testing.T, name string, gate Gate) *Socket {
+func serveName(t *testing.T, name string, gate AcceptLimiter) *Socket {
 	t.Helper()
 	read := func(_ context.Context, c netpoll.Connection) error {
 		c.Reader().Skip(c.Reader().Len())
@@ -53,7 +53,7 @@
 }
 
 // answerOf is the name by which a connection is answered; empty: it was not within that time.
-func answerOf(c net.Conn, within time.Duration) string {
+func readAnswer(c net.Conn, within time.Duration) string {
 	c.SetReadDeadline(time.Now().Add(within))
 	name, _ := bufio.NewReader(c).ReadString('\n')
 	if name == "" {
@@ -65,8 +65,8 @@
 // Descriptors run short now and then in the life of a socket, and a socket may be closed while they are short. Accepting pauses
 // then and goes on once there is room; nothing else changes for anybody.
 func TestAcceptingThroughShortages(t *testing.T) {
-	t.Run("a closed socket answers nobody", closedWhilePaused)
-	t.Run("more than one shortage", shortMoreThanOnce)
+	t.Run("a closed socket answers nobody", testCloseWhilePaused)
+	t.Run("more than one shortage", testRepeatedShortage)
 }
 
 // closedWhilePaused closes a socket while accepting pauses. Whoever connects to a later socket, whose descriptor may have the
@@ -76,21 +76,21 @@
 // no longer its own. The next socket of the same process got that number, and its clients were answered by the closed one: in
 // TestAnswersByTheSpecifications a poll to be refused as busy got "304 Not Modified", which the socket of the test that runs
 // before it answers to all.
-func closedWhilePaused(t *testing.T) {
+func testCloseWhilePaused(t *testing.T) {
 	before := runtime.NumGoroutine()
 	for range 5 {
-		shut := &switchGate{}
-		first := answering(t, "first", shut)
+		shut := &switchLimiter{}
+		first := serveName(t, "first", shut)
 		waits := dial(t, first)
 		time.Sleep(200 * time.Millisecond) // accepting pauses, and is tried again now and then
 		shut.open.Store(true)
 		closeSocket(first)
 		waits.Close()
-		open := &switchGate{}
+		open := &switchLimiter{}
 		open.open.Store(true)
-		second := answering(t, "second", open)
+		second := serveName(t, "second", open)
 		for began := time.Now(); time.Since(began) < 1500*time.Millisecond; time.Sleep(5 * time.Millisecond) {
-			if name := answerOf(dial(t, second), time.Second); name != "second" {
+			if name := readAnswer(dial(t, second), time.Second); name != "second" {
 				t.Fatalf("a client of the second socket was answered by %q", name)
 			}
 		}
@@ -108,22 +108,22 @@
 //
 // What happened (issue 39): netpoll takes a listener out of its loop for the first shortage only. From the second on it asked for
 // a connection without end, and each time started one more goroutine that tried again: 30,869 of them in 300 ms.
-func shortMoreThanOnce(t *testing.T) {
-	gate := &switchGate{}
-	s := answering(t, "here", gate)
+func testRepeatedShortage(t *testing.T) {
+	gate := &switchLimiter{}
+	s := serveName(t, "here", gate)
 	defer closeSocket(s)
 	for pause := range 4 {
 		gate.open.Store(false)
 		waits := dial(t, s)
 		before := runtime.NumGoroutine()
-		if name := answerOf(waits, 300*time.Millisecond); name != "" {
+		if name := readAnswer(waits, 300*time.Millisecond); name != "" {
 			t.Fatalf("pause %d: answered by %q while nobody may come in", pause, name)
 		}
 		if grown := runtime.NumGoroutine() - before; grown > 2 {
 			t.Fatalf("pause %d: %d goroutines more after 300 ms", pause, grown)
 		}
 		gate.open.Store(true)
-		if name := answerOf(waits, 3*time.Second); name != "here" {
+		if name := readAnswer(waits, 3*time.Second); name != "here" {
 			t.Fatalf("pause %d: not answered once there was room", pause)
 		}
 	}
--- a/internal/platform/codec/orders.go
+++ b/internal/platform/codec/orders.go
@@ -71,7 +71,7 @@
 		verb("mark")
 		number("ticket", float64(o.Serial))
 		number("set", 0)
-		if op.Kind, op.Serial = outbox.Mark, o.Serial; o.All {
+		if op.Kind, op.Serial = outbox.AckRequest, o.Serial; o.All {
 			text[len(text)-1] = '1'
 		}
 	default:
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -99,16 +99,16 @@
 func TestASubscriptionOfAFormerFollowerIsNotTaken(t *testing.T) {
 	d := alone(t)
 	d.relay, d.follower, d.source, d.alive = "r", 5, 6, true
-	d.take(1, uplink.Began{Follower: 1, Source: 9, Address: "r"})
+	d.take(1, uplink.Subscribed{Follower: 1, Source: 9, Address: "r"})
 	if d.source != 6 {
 		t.Fatal("the subscription of a former follower was taken")
 	}
-	d.take(2, uplink.Broke{Source: 9})
+	d.take(2, uplink.SubscriptionLost{Source: 9})
 	if !d.alive {
 		t.Error("its end was taken for that of ours")
 	}
-	d.take(3, uplink.Began{Follower: 5, Source: 12, Address: "r"})
-	d.take(4, uplink.Broke{Source: 6}) // the former one's end comes behind the new one's beginning
+	d.take(3, uplink.Subscribed{Follower: 5, Source: 12, Address: "r"})
+	d.take(4, uplink.SubscriptionLost{Source: 6}) // the former one's end comes behind the new one's beginning
 	if d.source != 12 || !d.alive {
 		t.Error("the end of the former subscription was taken for the new one's")
 	}
@@ -120,13 +120,13 @@
 		d := alone(t)
 		d.follower = 1
 		say := func(now logic.Millis, source int, lines ...string) {
-			d.take(now, uplink.Began{Follower: 1, Source: source})
+			d.take(now, uplink.Subscribed{Follower: 1, Source: source})
 			for _, line := range lines {
 				f, err := d.start.Names.Frame([]byte(line))
 				if err != nil {
 					t.Fatal(err)
 				}
-				d.take(now, uplink.News{Source: source, News: *f.News})
+				d.take(now, uplink.Notification{Source: source, Body: *f.News})
 			}
 		}
 		joined := `{"method":"joined","params":{"node":1,"locality":"a","w":2,"cold":false}}`
@@ -241,12 +241,12 @@
 
 // A proxy owns up to a call while that is being made again: it was carried out, however that ends.
 func TestAProofThatComesWhileTheCallIsOnItsWayCounts(t *testing.T) {
-	for _, how := range []outbox.Fate{outbox.Unsure, outbox.Unsent, outbox.Later} {
+	for _, how := range []outbox.Result{outbox.Unconfirmed, outbox.NotSent, outbox.Retryable} {
 		d := alone(t)
-		d.box.Add([]outbox.Op{{Text: "{}", Kind: outbox.Mark, Table: outbox.NoTable, Serial: 5}})
+		d.box.Add([]outbox.Op{{Text: "{}", Kind: outbox.AckRequest, Table: outbox.NoTable, Serial: 5}})
 		d.box.Next()
 		d.calling = true
-		d.take(1, uplink.Ended{How: outbox.Unsure})
+		d.take(1, uplink.CallEnded{Result: outbox.Unconfirmed})
 		if !d.doubted {
 			t.Fatal("a marked call that ended unsure is in doubt")
 		}
@@ -254,8 +254,8 @@
 		d.box.Next()
 		d.calling = true
 		d.applied(logic.Applied{Proxy: 0, Serial: 5})
-		d.take(2, uplink.Ended{How: how})
-		if d.box.InHand() != nil || d.doubted {
+		d.take(2, uplink.CallEnded{Result: how})
+		if d.box.InFlight() != nil || d.doubted {
 			t.Errorf("ended %v: the call is still in hand", how)
 		}
 	}
--- a/internal/platform/figures.go
+++ b/internal/platform/figures.go
@@ -13,10 +13,10 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	open, _ := os.ReadDir("/proc/self/fd")
-	proxies, slices := d.book.Figures()
+	proxies, slices := d.book.Counts()
 	f, c := d.front.Figures(), d.counts
 	d.log.Info("figures", "proxies", proxies, "slices", slices, "hosts", d.hosts.Listed(), "lists", c.lists,
-		"calls", c.calls, "orders", c.taken, "waiting", d.box.Waiting(), "merged", d.box.Merged, "unsure", c.unsure, "unsent", c.unsent,
+		"calls", c.calls, "orders", c.taken, "waiting", d.box.Queued(), "merged", d.box.Discarded, "unsure", c.unsure, "unsent", c.unsent,
 		"later", c.later, "refused", c.refused, "subscribed", c.begun, "broke", c.broke,
 		"open", f.Open, "strangers", f.Strangers, "sent_away", f.Turned, "reports_dropped", f.Dropped, "of_unknown_hosts", c.unknown,
 		"heap_kb", m.HeapAlloc>>10, "sys_kb", m.Sys>>10, "goroutines", runtime.NumGoroutine(), "descriptors", len(open),
@@ -45,7 +45,7 @@
 			k.masks++
 		case o.Kind == outbox.Level:
 			k.levels++
-		case o.Kind == outbox.Mark:
+		case o.Kind == outbox.AckRequest:
 			k.marks++
 		}
 	}
--- a/internal/platform/news/news.go
+++ b/internal/platform/news/news.go
@@ -1,6 +1,7 @@
-// Package news keeps which proxies have joined and what the store holds of the slices in our charge, as the relay tells it, and
-// turns what changed into notes. Each subscription begins with the present state; what was known and is not in it is gone. No
-// I/O, no clock: times are handed in.
+// Package news tracks the joined proxies and the stored lines of the slices that the director owns, as reported by the
+// relay, and turns changes into events for the decision module. Each subscription begins with a snapshot of the
+// present state; whatever was known and is not in the snapshot is gone. The package does no I/O and reads no clock:
+// callers pass the time in.
 package news
 
 import (
@@ -12,240 +13,250 @@
 	"vetchwood/logic"
 )
 
-// gatherFor is how long a slice that was just given waits for more of its lines: the module takes custody and lines together, and
-// the network may deliver them in pieces. A line that comes later still tells the slice anew.
-const gatherFor logic.Millis = 25
+// collectQuietPeriod is how long a newly assigned slice is held back after its latest line: the module needs the
+// assignment and the lines together, and the network may deliver them in pieces. A line that arrives later causes the
+// slice to be reported again.
+const collectQuietPeriod logic.Millis = 25
 
-// presentQuiet is the pause in the present state after which it counts as told. What is told of it in pieces is a part of
-// the fleet: orders reckoned for that part go to all proxies, and fill the channel past its limit.
-const presentQuiet logic.Millis = 200
+// snapshotQuietPeriod is the pause after which a snapshot counts as complete. A partial snapshot covers only part of
+// the fleet: orders computed for that part go to all proxies and fill the channel past its limit.
+const snapshotQuietPeriod logic.Millis = 200
 
-type table = map[logic.HostID]float64
+// weightTable holds the lines of a table: the weight of each host.
+type weightTable = map[logic.HostID]float64
 
-type slice struct {
-	lines    table // as the store has them, as far as we know
-	told     bool  // the module has heard of it
-	touched  bool  // orders for it ended since the present state began
-	since    logic.Millis
-	gathered table // lines told since it was given; nil: not being given
-	fresh    bool  // given anew, whatever was known of it
-	doubted  bool  // orders for it were dropped: it is told anew in any case
+// sliceState is what is known of a slice that the director owns.
+type sliceState struct {
+	lines         weightTable  // lines in the store, as far as known
+	announced     bool         // the module knows of the slice
+	ordersApplied bool         // orders for it were applied since the snapshot began
+	updatedAt     logic.Millis // when it was assigned or its latest line arrived
+	collected     weightTable  // lines received since it was assigned; nil: none are being collected
+	mustAnnounce  bool         // report it even if its lines did not change
+	ordersDropped bool         // orders for it were dropped, so the module's view may be wrong: report it in any case
 }
 
-// Book is that of one director.
-type Book struct {
+// Tracker tracks the proxies and slices of one director.
+type Tracker struct {
 	proxies map[logic.ProxyID]logic.Joined
-	slices  map[logic.TableID]*slice
+	slices  map[logic.TableID]*sliceState
 
-	present    bool         // the present state is being told
-	toldAt     logic.Millis // when the last of it came; 0: nothing did yet
-	continuous bool         // nothing can have been missed before it
-	seen       map[logic.ProxyID]bool
-	given      map[logic.TableID]bool
-	gathering  map[logic.TableID]bool // slices that are being given: all others cost nothing when news come
-	// Forgotten is told of each slice whose waiting orders are void.
-	Forgotten func(logic.TableID)
+	inSnapshot      bool                   // a snapshot is being received
+	snapshotAt      logic.Millis           // when its latest item arrived; 0: none has yet
+	continuous      bool                   // no notification can have been missed before the snapshot
+	snapshotProxies map[logic.ProxyID]bool // proxies in the snapshot so far
+	snapshotSlices  map[logic.TableID]bool // slices in the snapshot so far
+	collecting      map[logic.TableID]bool // slices being collected, to avoid visiting all of them per notification
+	// DiscardOrders is called for each slice whose queued orders are void.
+	DiscardOrders func(logic.TableID)
 }
 
-func New() *Book {
-	return &Book{proxies: map[logic.ProxyID]logic.Joined{}, slices: map[logic.TableID]*slice{}, gathering: map[logic.TableID]bool{},
-		Forgotten: func(logic.TableID) {}}
+// New returns a tracker that knows no proxies and no slices.
+func New() *Tracker {
+	return &Tracker{proxies: map[logic.ProxyID]logic.Joined{}, slices: map[logic.TableID]*sliceState{}, collecting: map[logic.TableID]bool{},
+		DiscardOrders: func(logic.TableID) {}}
 }
 
-// Figures are how many proxies have joined and slices are in our charge.
-func (b *Book) Figures() (proxies, slices int) { return len(b.proxies), len(b.slices) }
+// Counts returns the number of joined proxies and of owned slices.
+func (tr *Tracker) Counts() (proxies, slices int) { return len(tr.proxies), len(tr.slices) }
 
-// Begin says that a subscription was taken and that the present state follows. Continuous: the one before it carried all news up
-// to now, so that nobody left and came back unseen.
-func (b *Book) Begin(continuous bool) {
-	b.present, b.continuous, b.toldAt = true, continuous, 0
-	b.seen, b.given = map[logic.ProxyID]bool{}, map[logic.TableID]bool{}
-	for _, s := range b.slices {
-		s.touched, s.gathered = false, nil
+// BeginSnapshot starts a snapshot, which follows the acceptance of a subscription. It is continuous if the previous
+// subscription delivered all notifications up to now, so that no proxy can have left and rejoined unnoticed.
+func (tr *Tracker) BeginSnapshot(continuous bool) {
+	tr.inSnapshot, tr.continuous, tr.snapshotAt = true, continuous, 0
+	tr.snapshotProxies, tr.snapshotSlices = map[logic.ProxyID]bool{}, map[logic.TableID]bool{}
+	for _, s := range tr.slices {
+		s.ordersApplied, s.collected = false, nil
 	}
-	clear(b.gathering)
+	clear(tr.collecting)
 }
 
-// Take takes one piece of news and gives the notes that follow from it and from what was gathered before it.
-func (b *Book) Take(now logic.Millis, in codec.News) (notes []any) {
-	if b.present {
-		b.toldAt = now
+// Handle processes one notification and returns the events that follow from it and from the lines collected before it.
+func (tr *Tracker) Handle(now logic.Millis, in codec.News) (events []any) {
+	if tr.inSnapshot {
+		tr.snapshotAt = now
 	}
-	if held, is := in.Note.(logic.OnRecord); is {
-		return b.held(now, held)
+	if record, is := in.Note.(logic.OnRecord); is {
+		return tr.lineRecorded(now, record)
 	}
 	if custody, is := in.Note.(logic.Custody); is && custody.Given {
-		return b.give(now, custody.Slice)
+		return tr.sliceAssigned(now, custody.Slice)
 	}
 	if _, is := in.Note.(logic.Joined); !is {
-		// Only these three tell the present state: anything else comes behind it.
-		notes = append(b.Gathered(now, true), b.end()...)
+		// A snapshot consists of joined proxies, assigned slices and lines only: anything else comes after it.
+		events = append(tr.FlushCollected(now, true), tr.endSnapshot()...)
 	}
 	switch n := in.Note.(type) {
 	case logic.Joined:
-		notes = append(notes, b.join(n)...)
+		events = append(events, tr.proxyJoined(n)...)
 	case logic.Left:
-		if _, known := b.proxies[n.Proxy]; known {
-			delete(b.proxies, n.Proxy)
-			notes = append(notes, n)
+		if _, known := tr.proxies[n.Proxy]; known {
+			delete(tr.proxies, n.Proxy)
+			events = append(events, n)
 		}
 	case logic.Custody:
-		notes = append(notes, b.lose(n.Slice)...)
+		events = append(events, tr.sliceRemoved(n.Slice)...)
 	case logic.Applied:
-		if _, known := b.proxies[n.Proxy]; known {
-			notes = append(notes, n)
+		if _, known := tr.proxies[n.Proxy]; known {
+			events = append(events, n)
 		}
 	}
-	return notes
+	return events
 }
 
-// join tells of a proxy. One that was there before a gap may have left and come back in it, without the masks and levels that
-// were written meanwhile, or may have been there all along: the module hears that it joined, and not that it left, since what
-// was written to it may still wait in the channel. Within a whole run of news it is the same proxy still.
-func (b *Book) join(n logic.Joined) (notes []any) {
-	was, known := b.proxies[n.Proxy]
-	b.proxies[n.Proxy] = n
-	if first := b.present && !b.seen[n.Proxy]; first {
-		b.seen[n.Proxy] = true
+// proxyJoined records a proxy and returns the events. A proxy that was known before a gap may have left and rejoined
+// during the gap, and so lack the masks and levels written meanwhile, or may have been connected all along. The module
+// is told that it joined but not that it left, since messages to it may still be queued in the channel. Without a gap
+// it is the same connection, and there is no event.
+func (tr *Tracker) proxyJoined(n logic.Joined) (events []any) {
+	was, known := tr.proxies[n.Proxy]
+	tr.proxies[n.Proxy] = n
+	if first := tr.inSnapshot && !tr.snapshotProxies[n.Proxy]; first {
+		tr.snapshotProxies[n.Proxy] = true
 		if known && !n.Fresh && was.Zone == n.Zone {
-			if b.continuous {
+			if tr.continuous {
 				return nil
 			}
-			return append(notes, n)
+			return append(events, n)
 		}
 	}
 	if known {
-		notes = append(notes, logic.Left{Proxy: n.Proxy})
+		events = append(events, logic.Left{Proxy: n.Proxy})
 	}
-	return append(notes, n)
+	return append(events, n)
 }
 
-func (b *Book) give(now logic.Millis, t logic.TableID) (notes []any) {
-	s := b.slices[t]
+// sliceAssigned starts to collect the lines of an assigned slice.
+func (tr *Tracker) sliceAssigned(now logic.Millis, t logic.TableID) (events []any) {
+	s := tr.slices[t]
 	if s == nil {
-		s = &slice{lines: table{}}
-		b.slices[t] = s
+		s = &sliceState{lines: weightTable{}}
+		tr.slices[t] = s
 	}
-	if s.fresh = !b.present || !s.told || s.doubted; b.present {
-		b.given[t] = true
+	if s.mustAnnounce = !tr.inSnapshot || !s.announced || s.ordersDropped; tr.inSnapshot {
+		tr.snapshotSlices[t] = true
 	}
-	s.since, s.gathered, b.gathering[t] = now, table{}, true
+	s.updatedAt, s.collected, tr.collecting[t] = now, weightTable{}, true
 	return nil
 }
 
-func (b *Book) held(now logic.Millis, n logic.OnRecord) []any {
-	s := b.slices[n.Slice]
+// lineRecorded adds a line of the store to those collected for its slice.
+func (tr *Tracker) lineRecorded(now logic.Millis, n logic.OnRecord) []any {
+	s := tr.slices[n.Slice]
 	if s == nil {
-		return nil // a line of what is not ours
+		return nil // a line of a slice that this director does not own
 	}
-	if s.gathered == nil { // it comes late
-		s.gathered, s.fresh = maps.Clone(s.lines), true
-		if s.gathered == nil {
-			s.gathered = table{}
+	if s.collected == nil { // the line arrived after the slice was reported
+		s.collected, s.mustAnnounce = maps.Clone(s.lines), true
+		if s.collected == nil {
+			s.collected = weightTable{}
 		}
 	}
-	s.since, b.gathering[n.Slice] = now, true
-	s.gathered[n.Host] = n.Weight
+	s.updatedAt, tr.collecting[n.Slice] = now, true
+	s.collected[n.Host] = n.Weight
 	return nil
 }
 
-func (b *Book) lose(t logic.TableID) (notes []any) {
-	if s := b.slices[t]; s != nil {
-		delete(b.slices, t)
-		delete(b.gathering, t)
-		b.Forgotten(t)
-		if s.told {
-			notes = append(notes, logic.Custody{Slice: t})
+// sliceRemoved drops a slice that the director no longer owns.
+func (tr *Tracker) sliceRemoved(t logic.TableID) (events []any) {
+	if s := tr.slices[t]; s != nil {
+		delete(tr.slices, t)
+		delete(tr.collecting, t)
+		tr.DiscardOrders(t)
+		if s.announced {
+			events = append(events, logic.Custody{Slice: t})
 		}
 	}
-	return notes
+	return events
 }
 
-// Telling says until when a part of the present state alone may be known; 0: it was told whole. Whatever else comes ends
-// it, a sign of life at the latest.
-func (b *Book) Telling(now logic.Millis) (until logic.Millis) {
-	if !b.present || b.toldAt == 0 || now >= b.toldAt+presentQuiet {
+// SnapshotDeadline returns the time until which only part of the snapshot may be known, or 0 if it is complete. Any
+// notification that is not part of a snapshot ends it, the relay's heartbeat at the latest.
+func (tr *Tracker) SnapshotDeadline(now logic.Millis) (until logic.Millis) {
+	if !tr.inSnapshot || tr.snapshotAt == 0 || now >= tr.snapshotAt+snapshotQuietPeriod {
 		return 0
 	}
-	return b.toldAt + presentQuiet
+	return tr.snapshotAt + snapshotQuietPeriod
 }
 
-// Gathering says until when lines of a given slice are waited for; 0: none is being given.
-func (b *Book) Gathering() (until logic.Millis) {
-	for t := range b.gathering {
-		if s := b.slices[t]; until == 0 || s.since+gatherFor < until {
-			until = s.since + gatherFor
+// CollectDeadline returns the time until which further lines of an assigned slice are awaited, or 0 if none are.
+func (tr *Tracker) CollectDeadline() (until logic.Millis) {
+	for t := range tr.collecting {
+		if s := tr.slices[t]; until == 0 || s.updatedAt+collectQuietPeriod < until {
+			until = s.updatedAt + collectQuietPeriod
 		}
 	}
 	return until
 }
 
-// Gathered tells the slices that have been quiet for long enough, or all of them.
-func (b *Book) Gathered(now logic.Millis, all bool) (notes []any) {
-	for _, t := range slices.Sorted(maps.Keys(b.gathering)) {
-		s := b.slices[t]
-		if !all && now < s.since+gatherFor {
+// FlushCollected returns the events of the slices whose lines are complete because no further line arrived within
+// collectQuietPeriod, or of all collected slices.
+func (tr *Tracker) FlushCollected(now logic.Millis, all bool) (events []any) {
+	for _, t := range slices.Sorted(maps.Keys(tr.collecting)) {
+		s := tr.slices[t]
+		if !all && now < s.updatedAt+collectQuietPeriod {
 			continue
 		}
-		lines := s.gathered
-		s.gathered = nil
-		delete(b.gathering, t)
-		// What stands as we know it is no news, and would cost the module all it has heard of the slice. Where our own orders
-		// ended while the state was told, it may be older than they are.
-		if !s.fresh && s.told && (s.touched || maps.Equal(lines, s.lines)) {
+		lines := s.collected
+		s.collected = nil
+		delete(tr.collecting, t)
+		// An unchanged slice is not reported, since the module would discard all samples it has of the slice. If this
+		// director's own orders were applied during the snapshot, the snapshot may be older than they are.
+		if !s.mustAnnounce && s.announced && (s.ordersApplied || maps.Equal(lines, s.lines)) {
 			continue
 		}
-		s.lines, s.told, s.doubted = lines, true, false
-		b.Forgotten(t)
-		notes = append(notes, b.Retell(t)...)
+		s.lines, s.announced, s.ordersDropped = lines, true, false
+		tr.DiscardOrders(t)
+		events = append(events, tr.SliceEvents(t)...)
 	}
-	return notes
+	return events
 }
 
-// Retell are the notes that tell the module of a slice as the store has it.
-func (b *Book) Retell(t logic.TableID) (notes []any) {
-	s := b.slices[t]
-	if s == nil || !s.told {
+// SliceEvents returns the events that report a slice to the module as the store has it.
+func (tr *Tracker) SliceEvents(t logic.TableID) (events []any) {
+	s := tr.slices[t]
+	if s == nil || !s.announced {
 		return nil
 	}
-	notes = append(notes, logic.Custody{Slice: t, Given: true})
+	events = append(events, logic.Custody{Slice: t, Given: true})
 	for _, h := range slices.Sorted(maps.Keys(s.lines)) {
-		notes = append(notes, logic.OnRecord{Slice: t, Host: h, Weight: s.lines[h]})
+		events = append(events, logic.OnRecord{Slice: t, Host: h, Weight: s.lines[h]})
 	}
-	return notes
+	return events
 }
 
-// end closes the present state: whoever was not in it has left, and slices that were not in it were taken.
-func (b *Book) end() (notes []any) {
-	if !b.present {
+// endSnapshot completes the snapshot: proxies that were not in it have left, and slices that were not in it are no
+// longer owned.
+func (tr *Tracker) endSnapshot() (events []any) {
+	if !tr.inSnapshot {
 		return nil
 	}
-	b.present = false
-	for _, p := range slices.Sorted(maps.Keys(b.proxies)) {
-		if !b.seen[p] {
-			delete(b.proxies, p)
-			notes = append(notes, logic.Left{Proxy: p})
+	tr.inSnapshot = false
+	for _, p := range slices.Sorted(maps.Keys(tr.proxies)) {
+		if !tr.snapshotProxies[p] {
+			delete(tr.proxies, p)
+			events = append(events, logic.Left{Proxy: p})
 		}
 	}
-	for _, t := range slices.Sorted(maps.Keys(b.slices)) {
-		if !b.given[t] {
-			notes = append(notes, b.lose(t)...)
+	for _, t := range slices.Sorted(maps.Keys(tr.slices)) {
+		if !tr.snapshotSlices[t] {
+			events = append(events, tr.sliceRemoved(t)...)
 		}
 	}
-	return notes
+	return events
 }
 
-// Taken says which orders the relay has carried out.
-func (b *Book) Taken(ops []outbox.Op) {
+// OrdersApplied records orders that the relay has applied.
+func (tr *Tracker) OrdersApplied(ops []outbox.Op) {
 	for _, o := range ops {
-		s := b.slices[o.Table]
+		s := tr.slices[o.Table]
 		if s == nil {
 			continue
 		}
-		s.touched = true
+		s.ordersApplied = true
 		switch {
 		case o.Kind == outbox.Clear:
-			s.lines = table{}
+			s.lines = weightTable{}
 		case o.Kind == outbox.Line && o.Weight > 0:
 			s.lines[o.Host] = o.Weight
 		case o.Kind == outbox.Line:
@@ -254,26 +265,27 @@
 	}
 }
 
-// Doubt says that orders for a slice were dropped, so that the module may take it for other than it is. While the present state
-// is told it follows with that, else at once.
-func (b *Book) Doubt(t logic.TableID) []any {
-	s := b.slices[t]
+// ResyncSlice is called when orders for a slice were dropped, so that the module's view of it may be wrong. It returns
+// the events that report the slice again, or none if the snapshot in progress is going to report it.
+func (tr *Tracker) ResyncSlice(t logic.TableID) []any {
+	s := tr.slices[t]
 	if s == nil {
 		return nil
 	}
-	if b.present && (!b.given[t] || s.gathered != nil) {
-		s.fresh, s.doubted = true, true
+	if tr.inSnapshot && (!tr.snapshotSlices[t] || s.collected != nil) {
+		s.mustAnnounce, s.ordersDropped = true, true
 		return nil
 	}
-	return b.Retell(t)
+	return tr.SliceEvents(t)
 }
 
-// Rejoin are the notes that tell the module of all proxies as if they came anew: what it wrote to them may not have reached them.
-func (b *Book) Rejoin() (notes []any) {
-	for _, p := range slices.Sorted(maps.Keys(b.proxies)) {
-		n := b.proxies[p]
+// ResyncProxies returns the events that report all proxies as newly joined, because orders for them may not have
+// reached them.
+func (tr *Tracker) ResyncProxies() (events []any) {
+	for _, p := range slices.Sorted(maps.Keys(tr.proxies)) {
+		n := tr.proxies[p]
 		n.Fresh = false
-		notes = append(notes, n)
+		events = append(events, n)
 	}
-	return notes
+	return events
 }
--- a/internal/platform/news/news_test.go
+++ b/internal/platform/news/news_test.go
@@ -10,24 +10,26 @@
 	"vetchwood/logic"
 )
 
-// say plays news in a short notation and gives the notes in the same: j1 joined, J1 joined cold, l1 left, g1 given, t1 taken, h1.5 a
-// line of slice 1 with host 5, a1 applied, p a sign of life.
-func say(b *Book, now logic.Millis, words string) string {
-	var notes []any
-	for _, w := range strings.Fields(words) {
+// play feeds notifications given in a short notation to the tracker and returns its events in the same notation: j1
+// joined, J1 joined without a table, l1 left, g1 assigned, t1 removed, h1.5 a line of slice 1 for host 5, a1 applied,
+// p heartbeat.
+func play(tr *Tracker, now logic.Millis, notation string) string {
+	var events []any
+	for _, item := range strings.Fields(notation) {
 		var n, host int
-		fmt.Sscanf(w[1:], "%d.%d", &n, &host)
+		fmt.Sscanf(item[1:], "%d.%d", &n, &host)
 		in := map[byte]any{'j': logic.Joined{Proxy: logic.ProxyID(n)}, 'J': logic.Joined{Proxy: logic.ProxyID(n), Fresh: true},
 			'l': logic.Left{Proxy: logic.ProxyID(n)}, 'g': logic.Custody{Slice: logic.TableID(n), Given: true}, 't': logic.Custody{Slice: logic.TableID(n)},
-			'h': logic.OnRecord{Slice: logic.TableID(n), Host: logic.HostID(host), Weight: 1}, 'a': logic.Applied{Proxy: logic.ProxyID(n)}}[w[0]]
-		notes = append(notes, b.Take(now, codec.News{Note: in})...)
+			'h': logic.OnRecord{Slice: logic.TableID(n), Host: logic.HostID(host), Weight: 1}, 'a': logic.Applied{Proxy: logic.ProxyID(n)}}[item[0]]
+		events = append(events, tr.Handle(now, codec.News{Note: in})...)
 	}
-	return write(notes)
+	return format(events)
 }
 
-func write(notes []any) string {
+// format writes events in the notation of play.
+func format(events []any) string {
 	var out []string
-	for _, n := range notes {
+	for _, n := range events {
 		switch n := n.(type) {
 		case logic.Joined:
 			out = append(out, fmt.Sprintf("%c%d", map[bool]rune{true: 'J', false: 'j'}[n.Fresh], n.Proxy))
@@ -47,107 +49,110 @@
 func expect(t *testing.T, got, want string) {
 	t.Helper()
 	if got != want {
-		t.Errorf("told %q, wanted %q", got, want)
+		t.Errorf("events are %q, want %q", got, want)
 	}
 }
 
-func begun(t *testing.T) *Book {
+// newTracker returns a tracker that has received a first snapshot.
+func newTracker(t *testing.T) *Tracker {
 	t.Helper()
-	b := New()
-	b.Begin(false)
-	expect(t, say(b, 0, "J1 j2 j3 g1 h1.5 h1.6 g2 h2.5 p"), "J1 j2 j3 g1 h1.5 h1.6 g2 h2.5")
-	return b
+	tr := New()
+	tr.BeginSnapshot(false)
+	expect(t, play(tr, 0, "J1 j2 j3 g1 h1.5 h1.6 g2 h2.5 p"), "J1 j2 j3 g1 h1.5 h1.6 g2 h2.5")
+	return tr
 }
 
-// Masks written in the gap may not have reached them, so they join anew; but what was written to them may still wait in the
-// channel: that they left is told only of those of which it is sure.
-func TestAfterAGapWhoIsMissingHasLeftAndTheRestCameAnew(t *testing.T) {
-	b := begun(t)
-	b.Begin(false)
-	expect(t, say(b, 100, "j1 J2 g1 h1.5 h1.6"), "j1 l2 J2") // 2 came without a table: its stream is another
-	expect(t, say(b, 150, "a1"), "l3 t2 a1")                 // slice 1 stands as it was: nothing is told, all heard of it stays
-	expect(t, say(b, 200, "j1"), "l1 j1")                    // within the news a second joining is another stream
+// Proxies that were known before a gap are reported as joined, since masks written during the gap may not have reached
+// them. They are reported as left only where that is certain, since messages to the others may still be queued in the
+// channel.
+func TestMissingProxiesLeaveAndOthersRejoinAfterGap(t *testing.T) {
+	tr := newTracker(t)
+	tr.BeginSnapshot(false)
+	expect(t, play(tr, 100, "j1 J2 g1 h1.5 h1.6"), "j1 l2 J2") // proxy 2 has no table: its stream is a new one
+	expect(t, play(tr, 150, "a1"), "l3 t2 a1")                 // slice 1 is unchanged: no event, so its samples stay
+	expect(t, play(tr, 200, "j1"), "l1 j1")                    // outside a snapshot, a repeated join is a new stream
 }
 
-func TestOfDroppedMasksAllAreToldAsJoinedAnew(t *testing.T) {
-	b := begun(t)
-	expect(t, write(b.Rejoin()), "j1 j2 j3")
+func TestResyncProxiesReportsAllAsJoined(t *testing.T) {
+	tr := newTracker(t)
+	expect(t, format(tr.ResyncProxies()), "j1 j2 j3")
 }
 
-func TestWithoutAGapNothingIsToldTwice(t *testing.T) {
-	b := begun(t)
-	b.Begin(true)
-	expect(t, say(b, 100, "j1 J2 j3 g1 h1.5 h1.6 g2 h2.5 p"), "l2 J2")
+func TestNoRepeatedEventsWithoutGap(t *testing.T) {
+	tr := newTracker(t)
+	tr.BeginSnapshot(true)
+	expect(t, play(tr, 100, "j1 J2 j3 g1 h1.5 h1.6 g2 h2.5 p"), "l2 J2")
 }
 
-func TestLinesThatChangedInAGapAreToldAnew(t *testing.T) {
-	b := begun(t)
-	b.Begin(true)
-	expect(t, say(b, 100, "j1 j2 j3 g1 h1.7 g2 h2.5 p"), "g1 h1.7")
+func TestLinesChangedInGapAreReported(t *testing.T) {
+	tr := newTracker(t)
+	tr.BeginSnapshot(true)
+	expect(t, play(tr, 100, "j1 j2 j3 g1 h1.7 g2 h2.5 p"), "g1 h1.7")
 }
 
-func TestOurOwnOrdersAreNoChange(t *testing.T) {
-	b := begun(t)
-	b.Taken([]outbox.Op{{Kind: outbox.Line, Table: 1, Host: 7, Weight: 1}, {Kind: outbox.Line, Table: 1, Host: 5}})
-	b.Begin(true)
-	expect(t, say(b, 100, "j1 j2 j3 g1 h1.6 h1.7 g2 h2.5 p"), "")
-	b.Begin(true) // the state may have been written before an order that ended while it was read
-	b.Taken([]outbox.Op{{Kind: outbox.Line, Table: 2, Host: 9, Weight: 1}})
-	expect(t, say(b, 200, "j1 j2 j3 g1 h1.6 h1.7 g2 h2.5 p"), "")
-	expect(t, write(b.Retell(2)), "g2 h2.5 h2.9")
+func TestOwnOrdersAreNotReportedAsChanges(t *testing.T) {
+	tr := newTracker(t)
+	tr.OrdersApplied([]outbox.Op{{Kind: outbox.Line, Table: 1, Host: 7, Weight: 1}, {Kind: outbox.Line, Table: 1, Host: 5}})
+	tr.BeginSnapshot(true)
+	expect(t, play(tr, 100, "j1 j2 j3 g1 h1.6 h1.7 g2 h2.5 p"), "")
+	tr.BeginSnapshot(true) // the snapshot may be older than an order applied while it was read
+	tr.OrdersApplied([]outbox.Op{{Kind: outbox.Line, Table: 2, Host: 9, Weight: 1}})
+	expect(t, play(tr, 200, "j1 j2 j3 g1 h1.6 h1.7 g2 h2.5 p"), "")
+	expect(t, format(tr.SliceEvents(2)), "g2 h2.5 h2.9")
 }
 
-func TestCustodyWaitsForItsLines(t *testing.T) {
-	b := begun(t)
-	expect(t, say(b, 100, "g3 h3.5"), "")
-	if until := b.Gathering(); until <= 100 || until > 150 {
-		t.Errorf("it waits until %v", until)
+func TestAssignmentIsReportedWithItsLines(t *testing.T) {
+	tr := newTracker(t)
+	expect(t, play(tr, 100, "g3 h3.5"), "")
+	if until := tr.CollectDeadline(); until <= 100 || until > 150 {
+		t.Errorf("lines are collected until %v, want (100, 150]", until)
 	}
-	expect(t, write(b.Gathered(101, false)), "")
-	expect(t, say(b, 110, "h3.6"), "")
-	expect(t, write(b.Gathered(140, false)), "g3 h3.5 h3.6")
-	expect(t, say(b, 200, "h3.7"), "") // delivered late: told anew, with those before it
-	expect(t, write(b.Gathered(230, false)), "g3 h3.5 h3.6 h3.7")
-	expect(t, say(b, 300, "g4 g4 h4.1 t3 t4 t9 h9.1"), "g4 h4.1 t3 t4")
-	if b.Gathering() != 0 {
-		t.Error("something is still gathered")
+	expect(t, format(tr.FlushCollected(101, false)), "")
+	expect(t, play(tr, 110, "h3.6"), "")
+	expect(t, format(tr.FlushCollected(140, false)), "g3 h3.5 h3.6")
+	expect(t, play(tr, 200, "h3.7"), "") // a late line: the slice is reported again, with its earlier lines
+	expect(t, format(tr.FlushCollected(230, false)), "g3 h3.5 h3.6 h3.7")
+	expect(t, play(tr, 300, "g4 g4 h4.1 t3 t4 t9 h9.1"), "g4 h4.1 t3 t4")
+	if tr.CollectDeadline() != 0 {
+		t.Error("lines are still being collected")
 	}
 }
 
-func TestASliceGivenAgainIsToldAgain(t *testing.T) {
-	b := begun(t)
-	var forgotten []logic.TableID
-	b.Forgotten = func(t logic.TableID) { forgotten = append(forgotten, t) }
-	expect(t, say(b, 100, "t1 g1 h1.5 p"), "t1 g1 h1.5")
-	if len(forgotten) != 2 {
-		t.Errorf("forgotten %v", forgotten)
+func TestReassignedSliceIsReportedAgain(t *testing.T) {
+	tr := newTracker(t)
+	var discarded []logic.TableID
+	tr.DiscardOrders = func(t logic.TableID) { discarded = append(discarded, t) }
+	expect(t, play(tr, 100, "t1 g1 h1.5 p"), "t1 g1 h1.5")
+	if len(discarded) != 2 {
+		t.Errorf("orders of %v were discarded, want two slices", discarded)
 	}
 }
 
-func TestStrayNewsIsNoNote(t *testing.T) {
-	expect(t, say(begun(t), 10, "l9 a9 t9 h9.1 j2 l2 l2"), "l2 j2 l2")
+func TestUnknownProxiesAndSlicesCauseNoEvents(t *testing.T) {
+	expect(t, play(newTracker(t), 10, "l9 a9 t9 h9.1 j2 l2 l2"), "l2 j2 l2")
 }
 
-// Until the present state is whole, what is known is a part of the fleet. Found on zone+mass (issue 34): a director that came
-// out of a cut reckoned 378 orders for the 897 proxies told so far; they went to 2,424, and 641,311 lines waited where 532,500 may.
-func TestThePresentStateIsToldWholeBeforeAnythingFollows(t *testing.T) {
-	b := New()
-	telling := func(now logic.Millis, want bool) {
+// Until a snapshot is complete, only part of the fleet is known. Found on zone+mass (issue 34): after an interrupted
+// connection a director computed 378 orders for the 897 proxies reported so far. They went to 2,424 proxies, and
+// 641,311 lines were queued where the limit is 532,500.
+func TestSnapshotDeadlineHoldsUntilSnapshotIsComplete(t *testing.T) {
+	tr := New()
+	incomplete := func(now logic.Millis, want bool) {
 		t.Helper()
-		if got := b.Telling(now) > 0; got != want {
-			t.Errorf("telling at %v: %v", now, got)
+		if got := tr.SnapshotDeadline(now) > 0; got != want {
+			t.Errorf("at %v: snapshot incomplete is %v, want %v", now, got, want)
 		}
 	}
-	telling(1000, false)
-	b.Begin(false)
-	telling(1000, false) // nothing came: what was known before holds
-	say(b, 1000, "J1 j2")
-	telling(1000+presentQuiet-1, true)
-	say(b, 1000+presentQuiet-1, "j3 g1 h1.5")
-	telling(1000+2*presentQuiet-2, true)
-	telling(1000+2*presentQuiet, false) // a pause
-	say(b, 1000+2*presentQuiet, "j4")
-	telling(1000+2*presentQuiet, true)
-	say(b, 1000+2*presentQuiet, "p")
-	telling(1000+2*presentQuiet, false) // a sign of life comes behind it
+	incomplete(1000, false)
+	tr.BeginSnapshot(false)
+	incomplete(1000, false) // nothing received yet: the earlier state still applies
+	play(tr, 1000, "J1 j2")
+	incomplete(1000+snapshotQuietPeriod-1, true)
+	play(tr, 1000+snapshotQuietPeriod-1, "j3 g1 h1.5")
+	incomplete(1000+2*snapshotQuietPeriod-2, true)
+	incomplete(1000+2*snapshotQuietPeriod, false) // a pause
+	play(tr, 1000+2*snapshotQuietPeriod, "j4")
+	incomplete(1000+2*snapshotQuietPeriod, true)
+	play(tr, 1000+2*snapshotQuietPeriod, "p")
+	incomplete(1000+2*snapshotQuietPeriod, false) // the heartbeat follows the snapshot
 }
--- a/internal/platform/outbox/outbox.go
+++ b/internal/platform/outbox/outbox.go
@@ -1,5 +1,6 @@
-// Package outbox decides what the relay is told next: one call at a time, in the module's order, and again where it is not sure
-// that a call was carried out. No I/O, no clock.
+// Package outbox queues orders for the relay and decides which call is made next. Calls are made one at a time and in
+// the order in which the decision module emitted them; a call whose execution is unconfirmed is repeated. The package
+// does no I/O and reads no clock.
 package outbox
 
 import (
@@ -10,21 +11,22 @@
 	"vetchwood/logic"
 )
 
-// Kind is what an op sets.
+// Kind tells which setting an op changes.
 type Kind int
 
+// The kinds of ops.
 const (
-	Line  Kind = iota // a line of a table
-	Clear             // all of a table
-	Mask              // a host out or in
-	Level             // a level, and the way of trying again
-	Mark              // asks for an answer
+	Line       Kind = iota // a line of a table
+	Clear                  // all lines of a table
+	Mask                   // the mask of a host
+	Level                  // an admission level and the retry rule
+	AckRequest             // nothing: asks the proxies for an acknowledgement
 )
 
-// NoTable is that of ops which concern no one table.
+// NoTable is the table of ops that do not belong to a single table.
 const NoTable logic.TableID = 1<<16 - 2
 
-// Op is one order, as it is written, and what it is about.
+// Op is one order: its JSON text and the setting that it changes.
 type Op struct {
 	Text   string
 	Kind   Kind
@@ -35,201 +37,208 @@
 	Serial logic.SerialID
 }
 
-// slot is what a later op of the same slot makes void.
-type slot struct {
+// settingKey identifies the setting that an op changes. An op supersedes queued ops with the same key.
+type settingKey struct {
 	kind   Kind
 	table  logic.TableID
 	host   logic.HostID
 	routes logic.RouteSet
 }
 
-func (o Op) slot() slot {
-	s := slot{o.Kind, o.Table, o.Host, o.Routes}
-	if o.Kind == Mark {
-		s.host = logic.HostID(o.Serial) // each is answered by itself
+func (o Op) key() settingKey {
+	s := settingKey{o.Kind, o.Table, o.Host, o.Routes}
+	if o.Kind == AckRequest {
+		s.host = logic.HostID(o.Serial) // each request is acknowledged separately
 	}
 	return s
 }
 
-// Call is one to be made.
+// Call is a JSON-RPC commit call to the relay that carries a batch of ops.
 type Call struct {
-	ID   uint64
-	Ops  []Op
-	Text []byte // the whole line
-	sent int    // how often
+	ID       uint64
+	Ops      []Op
+	Text     []byte // the request line, with its line feed
+	attempts int    // number of times it was handed out for sending
 }
 
-// Again says whether it was sent before and may have been carried out.
-func (c *Call) Again() bool { return c.sent > 1 }
+// IsRetry reports whether the call was handed out for sending before, so that the relay may have executed it already.
+func (c *Call) IsRetry() bool { return c.attempts > 1 }
 
-// Fate is how a call ended.
-type Fate int
+// Result tells how a call ended.
+type Result int
 
+// The results of a call.
 const (
-	Answered Fate = iota // with how many ops were taken
-	Unsent               // it surely was not carried out
-	Unsure               // it may have been
-	Later                // refused, to be made again
-	Invalid              // refused as no call
+	Answered    Result = iota // the relay answered with the number of ops that it applied
+	NotSent                   // the relay cannot have executed the call
+	Unconfirmed               // the relay may or may not have executed the call
+	Retryable                 // the relay refused the call for now; it is repeated
+	Invalid                   // the relay refused the call as malformed; it is not repeated
 )
 
-// Outcome is what is known once a call has ended.
+// Outcome lists the ops of a call that ended, by what the relay did with them.
 type Outcome struct {
-	Taken   []Op // in force
-	Dropped []Op // refused; never in force
+	Applied  []Op // in effect
+	Rejected []Op // refused; they never took effect
 }
 
-// Limits of the relay and of what may wait here.
+// Limits bounds the size of a call and of the queue.
 type Limits struct {
-	CallBytes int // orders of one call
-	Waiting   int // ops that wait
+	MaxCallBytes int // bytes of op text in one call
+	MaxQueued    int // queued ops
 }
 
-// Box holds what waits and the call in hand.
-type Box struct {
-	limits  Limits
-	waiting []Op
-	void    map[logic.TableID]bool // tables whose ops among these are to be dropped, all in one pass
-	call    *Call
-	next    uint64
-	Merged  uint64 // ops that a later one made void before they were sent
+// Queue holds the ops that have not been sent and the call in flight.
+type Queue struct {
+	limits    Limits
+	queued    []Op
+	discarded map[logic.TableID]bool // tables whose queued ops are to be removed, all in one pass
+	inFlight  *Call
+	lastID    uint64
+	Discarded uint64 // ops removed before they were sent: superseded, or of a discarded table
 }
 
-func New(l Limits) *Box { return &Box{limits: l, void: map[logic.TableID]bool{}} }
+// New returns an empty queue with the given limits.
+func New(l Limits) *Queue { return &Queue{limits: l, discarded: map[logic.TableID]bool{}} }
 
-// ErrFull is that more waits than may. All that waited is dropped.
-var ErrFull = errors.New("more orders wait for the relay than may: all that were not sent are dropped")
+// ErrFull is returned when the queue exceeds its limit. All queued ops are dropped.
+var ErrFull = errors.New("queue of orders for the relay exceeded its limit: all unsent orders were dropped")
 
-// Add takes the ops of one turn. They go as one call, unless an earlier turn still waits: then both go together, since what is one
-// call is one message to each proxy, and a channel that stood still must not be sent all turns at once. What a later turn sets
-// anew goes only once then.
-func (b *Box) Add(turn []Op) (dropped []Op, err error) {
-	if b.sweep(); len(b.waiting) > 0 {
-		later := map[slot]bool{}
+// Add queues the ops of one turn of the decision module. They are sent as one call, unless ops of an earlier turn are
+// still queued: then both turns are sent together, without the earlier ops that the later turn supersedes. Each call
+// becomes one message to each proxy, so a channel that was blocked must not receive every missed turn as a call of its
+// own.
+func (q *Queue) Add(turn []Op) (dropped []Op, err error) {
+	if q.removeDiscarded(); len(q.queued) > 0 {
+		later := map[settingKey]bool{}
 		cleared := map[logic.TableID]bool{}
 		for _, o := range turn {
-			later[o.slot()] = true
+			later[o.key()] = true
 			cleared[o.Table] = cleared[o.Table] || o.Kind == Clear
 		}
-		b.drop(func(o Op) bool {
-			return later[o.slot()] || cleared[o.Table] && (o.Kind == Line || o.Kind == Level && o.Table != NoTable)
+		q.removeFunc(func(o Op) bool {
+			return later[o.key()] || cleared[o.Table] && (o.Kind == Line || o.Kind == Level && o.Table != NoTable)
 		})
 	}
-	b.waiting = append(b.waiting, turn...)
-	if len(b.waiting) > b.limits.Waiting {
-		dropped, b.waiting = b.waiting, nil
+	q.queued = append(q.queued, turn...)
+	if len(q.queued) > q.limits.MaxQueued {
+		dropped, q.queued = q.queued, nil
 		return dropped, ErrFull
 	}
 	return nil, nil
 }
 
-func (b *Box) drop(void func(Op) bool) {
-	kept := b.waiting[:0]
-	for _, o := range b.waiting {
-		if void(o) {
-			b.Merged++
+// removeFunc removes the queued ops for which remove returns true, and counts them.
+func (q *Queue) removeFunc(remove func(Op) bool) {
+	kept := q.queued[:0]
+	for _, o := range q.queued {
+		if remove(o) {
+			q.Discarded++
 			continue
 		}
 		kept = append(kept, o)
 	}
-	b.waiting = kept
+	q.queued = kept
 }
 
-// Forget drops what waits for a table: it is in our charge no more, or was told anew. A director that takes over may forget a
-// thousand at once: they are dropped together.
-func (b *Box) Forget(t logic.TableID) {
-	if len(b.waiting) > 0 {
-		b.void[t] = true
+// DiscardTable drops the queued ops of a table, because the director no longer owns the slice or the module was given
+// its state again. The ops are removed in one pass at the next access, since a takeover may discard a thousand tables
+// at once.
+func (q *Queue) DiscardTable(t logic.TableID) {
+	if len(q.queued) > 0 {
+		q.discarded[t] = true
 	}
 }
 
-func (b *Box) sweep() {
-	if len(b.void) > 0 {
-		b.drop(func(o Op) bool { return b.void[o.Table] })
-		clear(b.void)
+// removeDiscarded removes the queued ops of all discarded tables.
+func (q *Queue) removeDiscarded() {
+	if len(q.discarded) > 0 {
+		q.removeFunc(func(o Op) bool { return q.discarded[o.Table] })
+		clear(q.discarded)
 	}
 }
 
-// Waiting is how many ops wait, beside those of the call in hand.
-func (b *Box) Waiting() int {
-	b.sweep()
-	return len(b.waiting)
+// Queued returns the number of queued ops, without those of the call in flight.
+func (q *Queue) Queued() int {
+	q.removeDiscarded()
+	return len(q.queued)
 }
 
-// InHand is the call in hand, nil if there is none.
-func (b *Box) InHand() *Call { return b.call }
+// InFlight returns the call that has not finished yet, or nil if there is none.
+func (q *Queue) InFlight() *Call { return q.inFlight }
 
-// Next is the call to make now: the one in hand, if it ended without an answer, or a new one. Nil: nothing is to be said. It is not
-// asked while a call is on its way.
-func (b *Box) Next() *Call {
-	if b.sweep(); b.call == nil && len(b.waiting) > 0 {
-		n := b.part()
-		b.next++
-		b.call = &Call{ID: b.next, Ops: append([]Op(nil), b.waiting[:n]...)}
-		if b.waiting = b.waiting[n:]; len(b.waiting) == 0 {
-			b.waiting = nil // what went is not held on to
+// Next returns the call to make now: the call in flight, if it has to be repeated, or a new one. It returns nil if
+// there is nothing to send. It must not be called while a call is being made.
+func (q *Queue) Next() *Call {
+	if q.removeDiscarded(); q.inFlight == nil && len(q.queued) > 0 {
+		n := q.batchSize()
+		q.lastID++
+		q.inFlight = &Call{ID: q.lastID, Ops: append([]Op(nil), q.queued[:n]...)}
+		if q.queued = q.queued[n:]; len(q.queued) == 0 {
+			q.queued = nil // releases the array of the ops that were sent
 		}
-		b.call.write()
+		q.inFlight.encode()
 	}
-	if b.call != nil {
-		b.call.sent++
+	if q.inFlight != nil {
+		q.inFlight.attempts++
 	}
-	return b.call
+	return q.inFlight
 }
 
-// part is how many of the ops that wait fit a call. A table's ops stay together, so that it is never sent empty to be filled by
-// the next call; marks go with the last part.
-func (b *Box) part() int {
+// batchSize returns how many of the queued ops go into the next call. The ops of a table stay together, so that a
+// table is never cleared by one call and filled only by the next. Acknowledgement requests go with the last batch.
+func (q *Queue) batchSize() int {
 	bytes, fits := 0, 0
-	for i, o := range b.waiting {
-		if bytes += len(o.Text) + 1; bytes > b.limits.CallBytes && i > 0 {
+	for i, o := range q.queued {
+		if bytes += len(o.Text) + 1; bytes > q.limits.MaxCallBytes && i > 0 {
 			break
 		}
 		fits = i + 1
 	}
-	if fits == len(b.waiting) {
+	if fits == len(q.queued) {
 		return fits
 	}
-	// How many tables' ops stand on both sides of the cut, while it moves towards the front.
-	before, behind, both := map[logic.TableID]int{}, map[logic.TableID]bool{}, 0
-	for _, o := range b.waiting[:fits] {
+	// Moves the cut towards the front until no table has ops on both sides of it. split counts the tables that have.
+	before, after, split := map[logic.TableID]int{}, map[logic.TableID]bool{}, 0
+	for _, o := range q.queued[:fits] {
 		before[o.Table]++
 	}
-	for _, o := range b.waiting[fits:] {
-		if t := o.Table; before[t] > 0 && t != NoTable && !behind[t] {
-			behind[t] = true
-			both++
+	for _, o := range q.queued[fits:] {
+		if t := o.Table; before[t] > 0 && t != NoTable && !after[t] {
+			after[t] = true
+			split++
 		}
 	}
 	for n := fits; n > 0; n-- {
-		if both == 0 {
-			return b.unmarked(n)
+		if split == 0 {
+			return q.moveAckRequestsLast(n)
 		}
-		o := b.waiting[n-1]
+		o := q.queued[n-1]
 		if before[o.Table]--; o.Table == NoTable {
 			continue
 		}
-		if !behind[o.Table] {
-			behind[o.Table] = true
-			both++
+		if !after[o.Table] {
+			after[o.Table] = true
+			split++
 		}
 		if before[o.Table] == 0 {
-			both--
+			split--
 		}
 	}
-	return b.unmarked(fits) // one table alone is more than a call takes
+	return q.moveAckRequestsLast(fits) // a single table exceeds the size of a call
 }
 
-// unmarked moves the marks among the first n ops behind the others.
-func (b *Box) unmarked(n int) int {
-	if !slices.ContainsFunc(b.waiting[:n], func(o Op) bool { return o.Kind == Mark }) {
+// moveAckRequestsLast moves acknowledgement requests to the end of the queue if any are among the first n ops, and
+// returns how many of those n ops remain in front. If the n ops are all acknowledgement requests, nothing is moved.
+func (q *Queue) moveAckRequestsLast(n int) int {
+	if !slices.ContainsFunc(q.queued[:n], func(o Op) bool { return o.Kind == AckRequest }) {
 		return n
 	}
-	var first, marks, rest []Op
-	for i, o := range b.waiting {
+	var first, requests, rest []Op
+	for i, o := range q.queued {
 		switch {
-		case o.Kind == Mark:
-			marks = append(marks, o)
+		case o.Kind == AckRequest:
+			requests = append(requests, o)
 		case i < n:
 			first = append(first, o)
 		default:
@@ -239,11 +248,12 @@
 	if len(first) == 0 {
 		return n
 	}
-	b.waiting = append(append(first, rest...), marks...)
+	q.queued = append(append(first, rest...), requests...)
 	return len(first)
 }
 
-func (c *Call) write() {
+// encode writes the request line of the call into Text.
+func (c *Call) encode() {
 	c.Text = append(c.Text[:0], `{"jsonrpc":"2.0","id":`...)
 	c.Text = strconv.AppendUint(c.Text, c.ID, 10)
 	c.Text = append(c.Text, `,"method":"commit","params":{"ops":[`...)
@@ -256,49 +266,50 @@
 	c.Text = append(c.Text, "]}}\n"...)
 }
 
-// Marked are the stamps of the call in hand; none: nobody will own up to it.
-func (c *Call) Marked() (all []logic.SerialID) {
+// Serials returns the serials that the call asks the proxies to acknowledge. If there are none, no proxy will confirm
+// the call.
+func (c *Call) Serials() (all []logic.SerialID) {
 	for _, o := range c.Ops {
-		if o.Kind == Mark {
+		if o.Kind == AckRequest {
 			all = append(all, o.Serial)
 		}
 	}
 	return all
 }
 
-// Reset drops the call in hand and all that waits, and gives their ops.
-func (b *Box) Reset() (dropped []Op) {
-	b.sweep()
-	if b.call != nil {
-		dropped = b.call.Ops
+// Reset drops the call in flight and all queued ops, and returns their ops.
+func (q *Queue) Reset() (dropped []Op) {
+	q.removeDiscarded()
+	if q.inFlight != nil {
+		dropped = q.inFlight.Ops
 	}
-	dropped = append(dropped, b.waiting...)
-	b.call, b.waiting = nil, nil
+	dropped = append(dropped, q.queued...)
+	q.inFlight, q.queued = nil, nil
 	return dropped
 }
 
-// Ended says how the call in hand ended. One that ended unsure is made again as it was before anything newer is said: the relay
-// carried it out whole or not at all, and to set the same twice is to set it. One that was taken in part loses the op at fault; the
-// rest goes on as a call of its own, before what waits.
-func (b *Box) Ended(how Fate, taken int) (out Outcome) {
-	c := b.call
-	if c == nil || how == Unsent || how == Unsure || how == Later {
+// Finish records how the call in flight ended. An unconfirmed call is repeated unchanged before any newer ops are
+// sent: the relay executes a call completely or not at all, and ops are idempotent. If the relay applied only the
+// first ops of a call, the op that failed is rejected and the remaining ops become a new call, ahead of the queue.
+func (q *Queue) Finish(result Result, applied int) (out Outcome) {
+	c := q.inFlight
+	if c == nil || result == NotSent || result == Unconfirmed || result == Retryable {
 		return out
 	}
-	b.call = nil
-	if how == Invalid {
-		out.Dropped = c.Ops
+	q.inFlight = nil
+	if result == Invalid {
+		out.Rejected = c.Ops
 		return out
 	}
-	if taken = min(max(0, taken), len(c.Ops)); taken == len(c.Ops) {
-		out.Taken = c.Ops
+	if applied = min(max(0, applied), len(c.Ops)); applied == len(c.Ops) {
+		out.Applied = c.Ops
 		return out
 	}
-	out.Taken, out.Dropped = c.Ops[:taken], c.Ops[taken:taken+1]
-	if rest := c.Ops[taken+1:]; len(rest) > 0 {
-		b.next++
-		b.call = &Call{ID: b.next, Ops: rest}
-		b.call.write()
+	out.Applied, out.Rejected = c.Ops[:applied], c.Ops[applied:applied+1]
+	if rest := c.Ops[applied+1:]; len(rest) > 0 {
+		q.lastID++
+		q.inFlight = &Call{ID: q.lastID, Ops: rest}
+		q.inFlight.encode()
 	}
 	return out
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -39,9 +39,9 @@
 	start  *Start
 	module *logic.Director
 	hosts  *codec.Hosts
-	box    *outbox.Box
-	book   *news.Book
-	calls  *uplink.Calls
+	box    *outbox.Queue
+	book   *news.Tracker
+	calls  *uplink.Caller
 	probes *prober
 	front  *collect.Server
 	ledger *budget.Ledger
@@ -99,7 +99,7 @@
 	failed := make(chan error, 1)
 	go func() { failed <- d.front.Serve() }()
 	go live.Watch(ctx, d.ledger)
-	d.calls = uplink.NewCalls(s.Names, d.inbox.Post, log)
+	d.calls = uplink.NewCaller(s.Names, d.inbox.Post, log)
 	go d.calls.Run(ctx)
 	d.probes = newProber(ctx, s.Names, d.inbox.Post)
 	d.connect(ctx, s)
@@ -111,9 +111,9 @@
 
 func newDirector(s *Start, log *slog.Logger) *director {
 	d := &director{Clock: turns.NewClock(), inbox: turns.NewInbox(), log: log, start: s, hosts: codec.NewHosts(),
-		watches: map[int]watcher{}, box: outbox.New(outbox.Limits{CallBytes: callBytes, Waiting: mostWaiting}), book: news.New(),
+		watches: map[int]watcher{}, box: outbox.New(outbox.Limits{MaxCallBytes: callBytes, MaxQueued: mostWaiting}), book: news.New(),
 		module: logic.New(s.Seed, s.Facts)}
-	d.book.Forgotten = d.box.Forget
+	d.book.DiscardOrders = d.box.DiscardTable
 	r, wrong := d.hosts.Roster(s.Known, logic.FromDisk, s.Names)
 	d.wrong("known", wrong)
 	d.notes = append(d.notes, r)
@@ -184,7 +184,7 @@
 				break
 			}
 			d.stopping, ends, again = true, time.After(leaveFor), nil
-			d.log.Info("director.stopping", "signal", sig.String(), "waiting", d.box.Waiting(), "calling", d.calling, "doubted", d.doubted)
+			d.log.Info("director.stopping", "signal", sig.String(), "waiting", d.box.Queued(), "calling", d.calling, "doubted", d.doubted)
 		case <-again:
 			again = d.reload(ctx, env, asked)
 		case <-figures.C:
@@ -198,7 +198,7 @@
 		began := time.Now()
 		d.turn()
 		d.slow = max(d.slow, time.Since(began))
-		if d.stopping && d.box.InHand() == nil && d.box.Waiting() == 0 {
+		if d.stopping && d.box.InFlight() == nil && d.box.Queued() == 0 {
 			return nil
 		}
 		timer.Reset(d.wakeAfter())
@@ -206,11 +206,11 @@
 }
 
 func (d *director) wakeAfter() time.Duration {
-	if until := d.book.Telling(d.Now()); until > 0 {
+	if until := d.book.SnapshotDeadline(d.Now()); until > 0 {
 		return d.Until(until)
 	}
 	next, some := d.timers.next()
-	if until := d.book.Gathering(); until > 0 && (!some || until < next) {
+	if until := d.book.CollectDeadline(); until > 0 && (!some || until < next) {
 		next, some = until, true
 	}
 	if !some {
@@ -226,8 +226,8 @@
 	for _, x := range in {
 		d.take(now, x)
 	}
-	d.notes = append(d.notes, d.book.Gathered(now, false)...)
-	if d.book.Telling(now) > 0 { // the module would take a part of the fleet for all of it
+	d.notes = append(d.notes, d.book.FlushCollected(now, false)...)
+	if d.book.SnapshotDeadline(now) > 0 { // the module would take a part of the fleet for all of it
 		d.call()
 		return
 	}
@@ -267,17 +267,17 @@
 		if x.address == d.hosts.Address(x.Host) { // what answered at a former address is no word of the host
 			d.notes = append(d.notes, x.Probed)
 		}
-	case uplink.Ended:
+	case uplink.CallEnded:
 		d.ended(x)
-	case uplink.Began:
+	case uplink.Subscribed:
 		d.subscribed(now, x)
-	case uplink.News:
+	case uplink.Notification:
 		if x.Source == d.source {
 			d.told = now
-			d.news(now, x.News)
+			d.news(now, x.Body)
 		}
-	case uplink.Broke:
-		d.log.Warn("news.broke", "source", x.Source, "why", x.Why)
+	case uplink.SubscriptionLost:
+		d.log.Warn("news.broke", "source", x.Source, "why", x.Reason)
 		if d.counts.broke++; x.Source == d.source {
 			d.alive = false
 		}
@@ -306,7 +306,7 @@
 	if n.Kind == codec.SignOfLife {
 		d.notes = append(d.notes, logic.NewsAlive{})
 	}
-	d.notes = append(d.notes, d.book.Take(now, n)...)
+	d.notes = append(d.notes, d.book.Handle(now, n)...)
 }
 
 // carryOut takes the module's orders: timers and probes here, the rest to the relay, as one call.
@@ -346,8 +346,8 @@
 // untold tells the module of what was dropped: it hears once more what the store holds, and takes those tables for it.
 func (d *director) untold(ops []outbox.Op) {
 	d.retell(ops)
-	if slices.ContainsFunc(ops, func(o outbox.Op) bool { return o.Table == outbox.NoTable && o.Kind != outbox.Mark }) {
-		d.notes = append(d.notes, d.book.Rejoin()...) // masks and levels: proxies count as come anew
+	if slices.ContainsFunc(ops, func(o outbox.Op) bool { return o.Table == outbox.NoTable && o.Kind != outbox.AckRequest }) {
+		d.notes = append(d.notes, d.book.ResyncProxies()...) // masks and levels: proxies count as come anew
 	}
 }
 
@@ -357,8 +357,8 @@
 	for _, o := range ops {
 		if !told[o.Table] {
 			told[o.Table] = true
-			d.box.Forget(o.Table)
-			d.notes = append(d.notes, d.book.Doubt(o.Table)...)
+			d.box.DiscardTable(o.Table)
+			d.notes = append(d.notes, d.book.ResyncSlice(o.Table)...)
 		}
 	}
 }
@@ -369,31 +369,31 @@
 		return
 	}
 	if c := d.box.Next(); c != nil {
-		if c.Again() {
+		if c.IsRetry() {
 			d.log.Debug("call.again", "id", c.ID, "ops", len(c.Ops))
 		} else {
 			d.proven = false
 		}
 		d.calling = true
 		d.counts.calls++
-		d.calls.Make(d.relay, c)
+		d.calls.Submit(d.relay, c)
 	}
 }
 
-func (d *director) ended(e uplink.Ended) {
+func (d *director) ended(e uplink.CallEnded) {
 	d.calling = false
-	switch e.How {
-	case outbox.Unsure:
+	switch e.Result {
+	case outbox.Unconfirmed:
 		d.counts.unsure++
-	case outbox.Unsent:
+	case outbox.NotSent:
 		d.counts.unsent++
-	case outbox.Later:
+	case outbox.Retryable:
 		d.counts.later++
 	}
-	if e.How != outbox.Answered {
-		d.log.Info("call.failed", "id", e.ID, "how", int(e.How), "why", e.Why, "spent", e.Spent.String(), "waiting", d.box.Waiting())
+	if e.Result != outbox.Answered {
+		d.log.Info("call.failed", "id", e.ID, "how", int(e.Result), "why", e.Reason, "spent", e.Elapsed.String(), "waiting", d.box.Queued())
 	}
-	if d.resync && e.How != outbox.Answered {
+	if d.resync && e.Result != outbox.Answered {
 		// What the relay holds is told anew, and all proxies count as come anew: what it took of this is in there, and what it did not
 		// is ordered again if it is still wanted. Orders of before the gap could undo what another director did in it.
 		d.resync = false
@@ -401,17 +401,17 @@
 		return
 	}
 	d.resync = false
-	if c := d.box.InHand(); d.proven && c != nil && e.How != outbox.Answered {
+	if c := d.box.InFlight(); d.proven && c != nil && e.Result != outbox.Answered {
 		d.log.Info("call.proven", "id", c.ID)
-		e.How, e.Taken = outbox.Answered, len(c.Ops) // whatever became of this answer: what it would tell is known
-	} else if e.How == outbox.Unsure && c != nil {
-		marked := c.Marked()
+		e.Result, e.Applied = outbox.Answered, len(c.Ops) // whatever became of this answer: what it would tell is known
+	} else if e.Result == outbox.Unconfirmed && c != nil {
+		marked := c.Serials()
 		for _, m := range marked {
 			d.notes = append(d.notes, logic.Unsure{Serial: m})
 		}
 		d.doubted = len(marked) > 0
 	}
-	d.finish(e.How, e.Taken, e.Why)
+	d.finish(e.Result, e.Applied, e.Reason)
 }
 
 // void drops all that was ordered before a gap in the news.
@@ -423,7 +423,7 @@
 
 // resolve is told that the call with a stamp may be made again, or that a proxy owned up to it.
 func (d *director) resolve(serial logic.SerialID) (mine bool) {
-	if c := d.box.InHand(); d.doubted && c != nil && slices.Contains(c.Marked(), serial) {
+	if c := d.box.InFlight(); d.doubted && c != nil && slices.Contains(c.Serials(), serial) {
 		d.doubted = false
 		return true
 	}
@@ -432,8 +432,8 @@
 
 // applied ends an unsure call: it was carried out, and whole.
 func (d *director) applied(n logic.Applied) {
-	c := d.box.InHand()
-	if c == nil || d.proven || !slices.Contains(c.Marked(), n.Serial) {
+	c := d.box.InFlight()
+	if c == nil || d.proven || !slices.Contains(c.Serials(), n.Serial) {
 		return
 	}
 	d.proven = true // also where it is on its way: its answer may still get lost
@@ -443,20 +443,20 @@
 	}
 }
 
-func (d *director) finish(how outbox.Fate, taken int, why string) {
-	out := d.box.Ended(how, taken)
-	d.counts.taken += uint64(len(out.Taken))
-	d.counts.kinds.add(out.Taken)
-	d.book.Taken(out.Taken)
-	for _, o := range out.Dropped {
+func (d *director) finish(how outbox.Result, taken int, why string) {
+	out := d.box.Finish(how, taken)
+	d.counts.taken += uint64(len(out.Applied))
+	d.counts.kinds.add(out.Applied)
+	d.book.OrdersApplied(out.Applied)
+	for _, o := range out.Rejected {
 		d.counts.refused++
 		d.log.Error("order.refused", "order", o.Text, "why", why)
 	}
-	d.untold(out.Dropped)
+	d.untold(out.Rejected)
 }
 
 // subscribed begins on a new subscription's news. Those of former ones are taken no more, and former addresses are let go.
-func (d *director) subscribed(now logic.Millis, b uplink.Began) {
+func (d *director) subscribed(now logic.Millis, b uplink.Subscribed) {
 	if b.Follower != d.follower {
 		return // a former address that came back while it is left
 	}
@@ -469,7 +469,7 @@
 		end()
 	}
 	d.leaving = nil
-	d.book.Begin(continuous)
+	d.book.BeginSnapshot(continuous)
 	if d.resync = !continuous && d.calling; !continuous && d.doubted {
 		d.doubted = false
 		d.void()
--- a/internal/platform/probe.go
+++ b/internal/platform/probe.go
@@ -78,7 +78,7 @@
 	}
 	out := logic.Probed{Host: t.host}
 	status, body, err := watch.Get(ctx, p.client, "http://"+t.address+page, probeFor, mostReport)
-	for err != nil && nets.OwnShortage(err) && time.Since(began) < probeFor && ctx.Err() == nil {
+	for err != nil && nets.IsLocalShortage(err) && time.Since(began) < probeFor && ctx.Err() == nil {
 		turns.Pause(ctx, shortagePause) // no word of the host: it was not asked
 		status, body, err = watch.Get(ctx, p.client, "http://"+t.address+page, probeFor, mostReport)
 	}
--- a/internal/platform/shortage_test.go
+++ b/internal/platform/shortage_test.go
@@ -57,11 +57,11 @@
 	for err, ours := range map[error]bool{syscall.EADDRNOTAVAIL: true, syscall.ENFILE: true, syscall.ENOBUFS: true, syscall.ENETUNREACH: true,
 		syscall.ECONNREFUSED: false, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false, syscall.ECONNRESET: false} {
 		wrapped := fmt.Errorf("get: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)})
-		if nets.OwnShortage(wrapped) != ours {
+		if nets.IsLocalShortage(wrapped) != ours {
 			t.Errorf("%v: ours is %v", err, !ours)
 		}
 	}
-	if nets.OwnShortage(nil) || nets.OwnShortage(errors.New("other")) {
+	if nets.IsLocalShortage(nil) || nets.IsLocalShortage(errors.New("other")) {
 		t.Error("another error was taken for one of ours")
 	}
 }
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -46,7 +46,7 @@
 func persist(ctx context.Context, log *slog.Logger, passes error, try func() error) error {
 	for began := time.Now(); ; turns.Pause(ctx, listenPause) {
 		err := try()
-		passing := nets.OwnShortage(err) || errors.Is(err, passes)
+		passing := nets.IsLocalShortage(err) || errors.Is(err, passes)
 		if err == nil || !passing || ctx.Err() != nil || time.Since(began) > listenFor {
 			return err
 		}
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -19,7 +19,7 @@
 	for _, o := range ops {
 		all.WriteString(o.Text)
 	}
-	d.log.Debug("orders", "n", len(ops), "waiting", d.box.Waiting(), "text", all.String())
+	d.log.Debug("orders", "n", len(ops), "waiting", d.box.Queued(), "text", all.String())
 }
 
 // traceNotes writes what the module hears of, but for reports and its own timers.
--- a/internal/platform/uplink/uplink.go
+++ b/internal/platform/uplink/uplink.go
@@ -19,127 +19,127 @@
 
 // Times of the protocol, with room for a machine that shares its core.
 const (
-	dialFor    = 250 * time.Millisecond
-	answerFor  = 120 * time.Millisecond // an answer comes within 50 ms or never
-	idleFor    = 2 * time.Second        // the other side closes what is idle for longer, maybe with a call on its way
-	writeFor   = 200 * time.Millisecond
-	silence    = 2500 * time.Millisecond // two signs of life and a half
-	retryUnit  = 20 * time.Millisecond
-	mostLine   = 1 << 20
-	subscribed = 1 // the id of the only call on the connection of the news
+	dialTimeout    = 250 * time.Millisecond
+	answerTimeout  = 120 * time.Millisecond // an answer comes within 50 ms or never
+	maxIdle        = 2 * time.Second        // the other side closes what is idle for longer, maybe with a call on its way
+	writeTimeout   = 200 * time.Millisecond
+	silenceTimeout = 2500 * time.Millisecond // two signs of life and a half
+	backoffUnit    = 20 * time.Millisecond
+	maxLineBytes   = 1 << 20
+	subscribeID    = 1 // the id of the only call on the connection of the news
 )
 
 // Ended is put into the inbox when a call has ended.
-type Ended struct {
-	ID    uint64
-	How   outbox.Fate
-	Taken int
-	Why   string
-	Spent time.Duration
+type CallEnded struct {
+	ID      uint64
+	Result  outbox.Result
+	Applied int
+	Reason  string
+	Elapsed time.Duration
 }
 
 // Calls makes calls, one after the other.
-type Calls struct {
-	names *codec.Names
-	post  func(...any)
-	todo  chan todo
-	conn  nets.Conn
-	lines *nets.Lines
-	at    string // that conn goes to
-	used  time.Time
-	fails int
-	log   *slog.Logger
+type Caller struct {
+	names    *codec.Names
+	post     func(...any)
+	requests chan request
+	conn     nets.Conn
+	lines    *nets.LineReader
+	address  string // that conn goes to
+	lastUsed time.Time
+	failures int
+	log      *slog.Logger
 }
 
-type todo struct {
+type request struct {
 	address string
 	call    *outbox.Call
 }
 
-func NewCalls(names *codec.Names, post func(...any), log *slog.Logger) *Calls {
-	return &Calls{names: names, post: post, todo: make(chan todo, 1), log: log}
+func NewCaller(names *codec.Names, post func(...any), log *slog.Logger) *Caller {
+	return &Caller{names: names, post: post, requests: make(chan request, 1), log: log}
 }
 
 // Make has a call made at an address; how it ended is posted. No other is made until then.
-func (c *Calls) Make(address string, call *outbox.Call) { c.todo <- todo{address, call} }
+func (c *Caller) Submit(address string, call *outbox.Call) { c.requests <- request{address, call} }
 
 // Run makes calls until the context ends.
-func (c *Calls) Run(ctx context.Context) {
-	defer func() { c.drop() }()
+func (c *Caller) Run(ctx context.Context) {
+	defer func() { c.closeConn() }()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case t := <-c.todo:
-			if c.fails > 1 { // the first try again is at once
-				turns.Pause(ctx, turns.Backoff(min(c.fails-1, 8), retryUnit, rand.Float64()))
+		case t := <-c.requests:
+			if c.failures > 1 { // the first try again is at once
+				turns.Pause(ctx, turns.Backoff(min(c.failures-1, 8), backoffUnit, rand.Float64()))
 			}
 			began := time.Now()
-			e := c.make(t)
-			e.ID, e.Spent = t.call.ID, time.Since(began)
-			if e.How == outbox.Answered || e.How == outbox.Invalid {
-				c.fails = 0
+			e := c.send(t)
+			e.ID, e.Elapsed = t.call.ID, time.Since(began)
+			if e.Result == outbox.Answered || e.Result == outbox.Invalid {
+				c.failures = 0
 			} else {
-				c.fails++
+				c.failures++
 			}
 			c.post(e)
 		}
 	}
 }
 
-func (c *Calls) drop() {
+func (c *Caller) closeConn() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn, c.lines = nil, nil
 	}
 }
 
-func (c *Calls) make(t todo) (e Ended) {
-	if c.conn != nil && (c.at != t.address || !c.conn.IsActive() || time.Since(c.used) > idleFor) {
-		c.drop()
+func (c *Caller) send(t request) (e CallEnded) {
+	if c.conn != nil && (c.address != t.address || !c.conn.IsActive() || time.Since(c.lastUsed) > maxIdle) {
+		c.closeConn()
 	}
 	if c.conn == nil {
-		conn, err := nets.Dial(t.address, dialFor)
+		conn, err := nets.Dial(t.address, dialTimeout)
 		if err != nil {
-			return Ended{How: outbox.Unsent, Why: err.Error()}
+			return CallEnded{Result: outbox.NotSent, Reason: err.Error()}
 		}
-		c.conn, c.lines, c.at = conn, nets.NewLines(conn, mostLine), t.address
+		c.conn, c.lines, c.address = conn, nets.NewLineReader(conn, maxLineBytes), t.address
 	}
-	c.used = time.Now()
-	c.conn.SetWriteTimeout(writeFor)
+	c.lastUsed = time.Now()
+	c.conn.SetWriteTimeout(writeTimeout)
 	if taken, err := nets.Send(c.conn, t.call.Text); err != nil {
-		c.drop()
+		c.closeConn()
 		if taken == 0 || errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) {
-			return Ended{How: outbox.Unsent, Why: err.Error()} // not a byte of it went
+			return CallEnded{Result: outbox.NotSent, Reason: err.Error()} // not a byte of it went
 		}
 		// A part went, and the rest was still being flushed when the time was over or the other side closed: the poller may have
 		// written the last byte meanwhile.
-		return Ended{How: outbox.Unsure, Why: err.Error()}
+		return CallEnded{Result: outbox.Unconfirmed, Reason: err.Error()}
 	}
-	f, err := c.answer(t.call)
+	f, err := c.readAnswer(t.call)
 	if err != nil {
-		c.drop()
-		return Ended{How: outbox.Unsure, Why: err.Error()}
+		c.closeConn()
+		return CallEnded{Result: outbox.Unconfirmed, Reason: err.Error()}
 	}
 	switch f.Error {
 	case "":
-		return Ended{How: outbox.Answered, Taken: f.Count}
+		return CallEnded{Result: outbox.Answered, Applied: f.Count}
 	case "invalid":
-		return Ended{How: outbox.Invalid, Why: f.Error}
+		return CallEnded{Result: outbox.Invalid, Reason: f.Error}
 	}
-	return Ended{How: outbox.Later, Why: f.Error}
+	return CallEnded{Result: outbox.Retryable, Reason: f.Error}
 }
 
-var errOther = errors.New("the answer is no answer to the call")
+var errUnexpectedAnswer = errors.New("the answer is no answer to the call")
 
-func (c *Calls) answer(call *outbox.Call) (codec.Frame, error) {
-	line, err := c.lines.Next(time.Now().Add(answerFor))
+func (c *Caller) readAnswer(call *outbox.Call) (codec.Frame, error) {
+	line, err := c.lines.Next(time.Now().Add(answerTimeout))
 	if err != nil {
 		return codec.Frame{}, err
 	}
 	f, err := c.names.Frame(line)
 	if err == nil && (f.News != nil || f.ID != call.ID || f.Error == "" && (f.Count < 0 || f.Count > len(call.Ops))) {
-		err = fmt.Errorf("%w: %.200q", errOther, line)
+		err = fmt.Errorf("%w: %.200q", errUnexpectedAnswer, line)
 	}
 	return f, err
 }
@@ -148,17 +148,17 @@
 type (
 	// Began says that the relay took the subscription. Follower tells who follows: an address may be left and come back to while
 	// its former follower is still there.
-	Began struct {
+	Subscribed struct {
 		Follower, Source int
 		Address          string
 	}
-	News struct {
+	Notification struct {
 		Source int
-		News   codec.News
+		Body   codec.News
 	}
-	Broke struct {
+	SubscriptionLost struct {
 		Source int
-		Why    string
+		Reason string
 	}
 )
 
@@ -166,31 +166,31 @@
 func Follow(ctx context.Context, address string, names *codec.Names, follower int, source func() int, post func(...any), log *slog.Logger) {
 	for failures := 0; ctx.Err() == nil; {
 		began, number := time.Now(), source()
-		err := subscribe(ctx, address, names, Began{follower, number, address}, post, log)
+		err := subscribe(ctx, address, names, Subscribed{follower, number, address}, post, log)
 		if ctx.Err() != nil {
 			return
 		}
-		post(Broke{number, err.Error()})
+		post(SubscriptionLost{number, err.Error()})
 		if time.Since(began) > time.Second {
 			failures = 0 // it served; the next try is at once
 		}
-		turns.Pause(ctx, turns.Backoff(min(failures, 8), retryUnit, rand.Float64()))
+		turns.Pause(ctx, turns.Backoff(min(failures, 8), backoffUnit, rand.Float64()))
 		failures++
 	}
 }
 
-func subscribe(ctx context.Context, address string, names *codec.Names, start Began, post func(...any), log *slog.Logger) error {
-	conn, err := nets.Dial(address, dialFor)
+func subscribe(ctx context.Context, address string, names *codec.Names, start Subscribed, post func(...any), log *slog.Logger) error {
+	conn, err := nets.Dial(address, dialTimeout)
 	if err != nil {
 		return err
 	}
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	defer conn.Close()
-	conn.SetWriteTimeout(writeFor)
-	if _, err := nets.Send(conn, fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,"method":"subscribe"}`+"\n", subscribed)); err != nil {
+	conn.SetWriteTimeout(writeTimeout)
+	if _, err := nets.Send(conn, fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,"method":"subscribe"}`+"\n", subscribeID)); err != nil {
 		return err
 	}
-	lines, taken, by := nets.NewLines(conn, mostLine), false, answerFor
+	lines, taken, by := nets.NewLineReader(conn, maxLineBytes), false, answerTimeout
 	for {
 		line, err := lines.Next(time.Now().Add(by))
 		if err != nil {
@@ -204,14 +204,14 @@
 		case err != nil:
 			return err
 		case f.News != nil && taken:
-			post(News{start.Source, *f.News})
+			post(Notification{start.Source, *f.News})
 		case f.News == nil && f.Error != "":
 			return errors.New(f.Error)
 		case f.News == nil && f.OK && !taken:
-			taken, by = true, silence
+			taken, by = true, silenceTimeout
 			post(start)
 		default:
-			return fmt.Errorf("%w: %.200q", errOther, line)
+			return fmt.Errorf("%w: %.200q", errUnexpectedAnswer, line)
 		}
 	}
 }
--- a/internal/platform/uplink/uplink_test.go
+++ b/internal/platform/uplink/uplink_test.go
@@ -15,7 +15,7 @@
 )
 
 // ends makes calls of these texts, one after the other, at a relay that serves its first, second ... connection so.
-func ends(t *testing.T, serve func(c net.Conn, nth int), between func(), texts ...[]byte) (all []Ended) {
+func runCalls(t *testing.T, serve func(c net.Conn, nth int), between func(), texts ...[]byte) (all []CallEnded) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,8 +31,8 @@
 			go serve(c, nth)
 		}
 	}()
-	ended := make(chan Ended, 1)
-	c := NewCalls(&codec.Names{}, func(in ...any) { ended <- in[0].(Ended) }, slog.New(slog.DiscardHandler))
+	ended := make(chan CallEnded, 1)
+	c := NewCaller(&codec.Names{}, func(in ...any) { ended <- in[0].(CallEnded) }, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go c.Run(ctx)
@@ -40,7 +40,7 @@
 		if i > 0 && between != nil {
 			between()
 		}
-		c.Make(ln.Addr().String(), &outbox.Call{ID: uint64(i + 1), Text: text})
+		c.Submit(ln.Addr().String(), &outbox.Call{ID: uint64(i + 1), Text: text})
 		select {
 		case e := <-ended:
 			all = append(all, e)
@@ -53,19 +53,19 @@
 
 // The time to write is over while the rest of a call is still being flushed. Whether its last byte went is not known then: the
 // relay reads on and may have all of it.
-func TestAWriteThatIsCutOffIsUnsure(t *testing.T) {
-	got := ends(t, func(c net.Conn, _ int) { // reads nothing, and keeps the connection
+func TestTimedOutWriteIsUnconfirmed(t *testing.T) {
+	got := runCalls(t, func(c net.Conn, _ int) { // reads nothing, and keeps the connection
 		t.Cleanup(func() { c.Close() })
 	}, nil, append(bytes.Repeat([]byte{' '}, 32<<20), '\n'))
-	if got[0].How != outbox.Unsure {
-		t.Errorf("%v: %s", got[0].How, got[0].Why)
+	if got[0].Result != outbox.Unconfirmed {
+		t.Errorf("%v: %s", got[0].Result, got[0].Reason)
 	}
 }
 
 // The relay resets the connection between two calls: the second goes by a connection of its own, or not a byte of it went.
-func TestAConnectionThatIsResetBetweenCallsLosesNone(t *testing.T) {
+func TestResetBetweenCallsLeavesNoCallUnconfirmed(t *testing.T) {
 	reset, done := make(chan struct{}), make(chan struct{})
-	got := ends(t, func(c net.Conn, nth int) {
+	got := runCalls(t, func(c net.Conn, nth int) {
 		if _, err := bufio.NewReader(c).ReadString('\n'); err != nil {
 			return
 		}
@@ -77,15 +77,15 @@
 			close(done)
 		}
 	}, func() { close(reset); <-done }, []byte("{}\n"), []byte("{}\n"))
-	if got[0].How != outbox.Answered || got[1].How != outbox.Answered && got[1].How != outbox.Unsent {
+	if got[0].Result != outbox.Answered || got[1].Result != outbox.Answered && got[1].Result != outbox.NotSent {
 		t.Errorf("%+v", got)
 	}
 }
 
 // The answer to the first call comes when the second is on its way: it is not taken for the second one's.
-func TestALateAnswerIsNotTheNextCalls(t *testing.T) {
+func TestLateAnswerIsNotTakenForNextCall(t *testing.T) {
 	late := make(chan struct{})
-	got := ends(t, func(c net.Conn, nth int) {
+	got := runCalls(t, func(c net.Conn, nth int) {
 		if _, err := bufio.NewReader(c).ReadString('\n'); err != nil {
 			return
 		}
@@ -97,7 +97,7 @@
 		close(late)
 		fmt.Fprint(c, `{"jsonrpc":"2.0","id":1,"result":{"ok_count":0}}`+"\n") // and once more where the second is waited for
 	}, nil, []byte("{}\n"), []byte("{}\n"))
-	if got[0].How != outbox.Unsure || got[1].How != outbox.Unsure {
+	if got[0].Result != outbox.Unconfirmed || got[1].Result != outbox.Unconfirmed {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/sums/sums.go
+++ b/internal/sums/sums.go
@@ -6,122 +6,122 @@
 
 // Tries is what one proxy met at a host since its last report.
 type Tries struct {
-	Host        logic.HostID
-	Zone        logic.ZoneID
-	Ended, Lost int
-	Spent       float64 // milliseconds of all tries that were answered, added up
-	Load        logic.Load
+	Host              logic.HostID
+	Zone              logic.ZoneID
+	Ended, Unanswered int
+	AnsweredMs        float64 // milliseconds of all tries that were answered, added up
+	Load              logic.Load
 }
 
 // Calls is what came to a proxy for a slice or, without slices, to the proxy itself.
-type Calls struct {
-	Slice       logic.TableID
-	Proxy       logic.ProxyID
-	Route       logic.RouteID
-	Calls, Lost int
+type Demand struct {
+	Slice             logic.TableID
+	Proxy             logic.ProxyID
+	Route             logic.RouteID
+	Calls, Unanswered int
 }
 
 type (
-	metKey struct {
+	triesKey struct {
 		host logic.HostID
 		zone logic.ZoneID
 	}
-	callKey struct {
+	demandKey struct {
 		slice logic.TableID
 		proxy logic.ProxyID
 		route logic.RouteID
 	}
 	row struct {
-		met   Tries
-		calls Calls
-		since logic.Millis
+		tries  Tries
+		demand Demand
+		since  logic.Millis
 	}
 )
 
 // Intake is one director's.
-type Intake struct {
-	sliced    bool
-	every     logic.Millis
-	perSecond float64
-	turn      logic.Millis // when the last period ended
-	credit    float64
-	order     []any // keys of what waits, the oldest first
-	rows      map[any]*row
+type Aggregator struct {
+	bySlice        bool
+	interval       logic.Millis
+	linesPerSecond float64
+	periodEnd      logic.Millis // when the last period ended
+	credit         float64
+	pending        []any // keys of what waits, the oldest first
+	rows           map[any]*row
 }
 
-func New(sliced bool, every logic.Millis, linesPerSecond float64) *Intake {
-	return &Intake{sliced: sliced, every: every, perSecond: linesPerSecond, rows: map[any]*row{}}
+func New(sliced bool, every logic.Millis, linesPerSecond float64) *Aggregator {
+	return &Aggregator{bySlice: sliced, interval: every, linesPerSecond: linesPerSecond, rows: map[any]*row{}}
 }
 
-func (in *Intake) row(now logic.Millis, key any) *row {
+func (in *Aggregator) row(now logic.Millis, key any) *row {
 	r := in.rows[key]
 	if r == nil {
-		if in.turn == 0 {
-			in.turn = now - in.every
+		if in.periodEnd == 0 {
+			in.periodEnd = now - in.interval
 		}
-		r = &row{since: in.turn}
+		r = &row{since: in.periodEnd}
 		in.rows[key] = r
-		in.order = append(in.order, key)
+		in.pending = append(in.pending, key)
 	}
 	return r
 }
 
 // Tried adds what a proxy met at a host. The newest load report among them is kept.
-func (in *Intake) Tried(now logic.Millis, t Tries) {
-	r := in.row(now, metKey{t.Host, t.Zone})
-	load := r.met.Load
+func (in *Aggregator) AddTries(now logic.Millis, t Tries) {
+	r := in.row(now, triesKey{t.Host, t.Zone})
+	load := r.tries.Load
 	if t.Load != (logic.Load{}) {
 		load = t.Load
 	}
-	r.met = Tries{t.Host, t.Zone, r.met.Ended + t.Ended, r.met.Lost + t.Lost, r.met.Spent + t.Spent, load}
+	r.tries = Tries{t.Host, t.Zone, r.tries.Ended + t.Ended, r.tries.Unanswered + t.Unanswered, r.tries.AnsweredMs + t.AnsweredMs, load}
 }
 
 // Came adds the calls of a route.
-func (in *Intake) Came(now logic.Millis, c Calls) {
-	if in.sliced {
+func (in *Aggregator) AddDemand(now logic.Millis, c Demand) {
+	if in.bySlice {
 		c.Proxy = 0
 	}
-	r := in.row(now, callKey{c.Slice, c.Proxy, c.Route})
-	c.Calls, c.Lost = c.Calls+r.calls.Calls, c.Lost+r.calls.Lost
-	r.calls = c
+	r := in.row(now, demandKey{c.Slice, c.Proxy, c.Route})
+	c.Calls, c.Unanswered = c.Calls+r.demand.Calls, c.Unanswered+r.demand.Unanswered
+	r.demand = c
 }
 
 // Next is when the period at hand ends.
-func (in *Intake) Next() logic.Millis { return in.turn + in.every }
+func (in *Aggregator) Next() logic.Millis { return in.periodEnd + in.interval }
 
 // Due gives the lines of a period that has ended, as notes.
-func (in *Intake) Due(now logic.Millis) (notes []any) {
+func (in *Aggregator) Due(now logic.Millis) (notes []any) {
 	if now < in.Next() {
 		return nil
 	}
-	in.credit = min(in.credit+in.perSecond*float64(now-in.turn)/1000, max(1, in.perSecond*float64(in.every)/1000))
-	in.turn = now
-	n := min(len(in.order), int(in.credit))
+	in.credit = min(in.credit+in.linesPerSecond*float64(now-in.periodEnd)/1000, max(1, in.linesPerSecond*float64(in.interval)/1000))
+	in.periodEnd = now
+	n := min(len(in.pending), int(in.credit))
 	in.credit -= float64(n)
-	for _, key := range in.order[:n] {
+	for _, key := range in.pending[:n] {
 		r := in.rows[key]
 		delete(in.rows, key)
 		over := now - r.since
 		switch key.(type) {
-		case metKey:
-			m := logic.Met{Host: r.met.Host, Zone: r.met.Zone, Over: over, Ended: r.met.Ended, Lost: r.met.Lost,
-				Load: r.met.Load}
+		case triesKey:
+			m := logic.Met{Host: r.tries.Host, Zone: r.tries.Zone, Over: over, Ended: r.tries.Ended, Lost: r.tries.Unanswered,
+				Load: r.tries.Load}
 			if good := m.Ended - m.Lost; good > 0 {
-				m.Spent = logic.Millis(r.met.Spent / float64(good))
+				m.Spent = logic.Millis(r.tries.AnsweredMs / float64(good))
 			}
 			notes = append(notes, m)
-		case callKey:
-			c := r.calls
-			if in.sliced {
-				notes = append(notes, logic.Heat{Slice: c.Slice, Route: c.Route, Over: over, Calls: c.Calls, Lost: c.Lost})
+		case demandKey:
+			c := r.demand
+			if in.bySlice {
+				notes = append(notes, logic.Heat{Slice: c.Slice, Route: c.Route, Over: over, Calls: c.Calls, Lost: c.Unanswered})
 			} else {
-				notes = append(notes, logic.Asked{Proxy: c.Proxy, Route: c.Route, Over: over, Calls: c.Calls, Lost: c.Lost})
+				notes = append(notes, logic.Asked{Proxy: c.Proxy, Route: c.Route, Over: over, Calls: c.Calls, Lost: c.Unanswered})
 			}
 		}
 	}
-	in.order = append([]any(nil), in.order[n:]...)
+	in.pending = append([]any(nil), in.pending[n:]...)
 	return notes
 }
 
 // Waiting is how many lines have yet to be heard.
-func (in *Intake) Waiting() int { return len(in.order) }
+func (in *Aggregator) Pending() int { return len(in.pending) }
--- a/internal/sums/sums_test.go
+++ b/internal/sums/sums_test.go
@@ -8,11 +8,11 @@
 	"vetchwood/logic"
 )
 
-func TestLinesAreThinnedTheOldestFirst(t *testing.T) {
+func TestOldestLinesAreReleasedFirst(t *testing.T) {
 	in := New(true, 500, 4) // two lines a period
 	busy := 0.5
 	for host := logic.HostID(1); host <= 3; host++ {
-		in.Tried(1000, Tries{Host: host, Ended: 4, Lost: 1, Spent: 300, Load: logic.Load{Busy: &busy}})
+		in.AddTries(1000, Tries{Host: host, Ended: 4, Unanswered: 1, AnsweredMs: 300, Load: logic.Load{Busy: &busy}})
 	}
 	if got := in.Due(1499 - 500); got != nil {
 		t.Fatalf("before the period ended: %v", got)
@@ -24,7 +24,7 @@
 	if m := first[0].(logic.Met); m.Spent != 100 || m.Ended != 4 || m.Lost != 1 || *m.Load.Busy != 0.5 {
 		t.Fatalf("%+v", m)
 	}
-	in.Tried(1600, Tries{Host: 3, Ended: 6, Spent: 600}) // the rest adds up, and keeps its report
+	in.AddTries(1600, Tries{Host: 3, Ended: 6, AnsweredMs: 600}) // the rest adds up, and keeps its report
 	next := in.Due(2000)
 	m := next[0].(logic.Met)
 	if len(next) != 1 || m.Host != 3 || m.Ended != 10 || m.Over < 1000 || *m.Load.Busy != 0.5 || m.Spent != 100 {
@@ -33,7 +33,7 @@
 }
 
 // What goes in comes out once, at no more than the stated pace.
-func TestNothingIsLostOrCountedTwice(t *testing.T) {
+func TestEachLineIsReleasedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := New(rapid.Bool().Draw(t, "sliced"), 500, 10)
 		now, put, got, lines := logic.Millis(1e12), 0, 0, 0
@@ -56,16 +56,16 @@
 			n := rapid.IntRange(1, 9).Draw(t, "n")
 			put += n
 			if rapid.Bool().Draw(t, "tries") {
-				in.Tried(now, Tries{Host: logic.HostID(rapid.IntRange(1, 6).Draw(t, "host")), Ended: n})
+				in.AddTries(now, Tries{Host: logic.HostID(rapid.IntRange(1, 6).Draw(t, "host")), Ended: n})
 			} else {
-				in.Came(now, Calls{Slice: logic.TableID(rapid.IntRange(0, 6).Draw(t, "slice")), Proxy: 1, Calls: n})
+				in.AddDemand(now, Demand{Slice: logic.TableID(rapid.IntRange(0, 6).Draw(t, "slice")), Proxy: 1, Calls: n})
 			}
 			count(in.Due(now))
 			if most := 10*float64(now-began)/1000 + 5 + 1; float64(lines) > most {
 				t.Fatalf("%d lines in %v ms", lines, now-began)
 			}
 		}
-		for i := 0; in.Waiting() > 0 && i < 100; i++ {
+		for i := 0; in.Pending() > 0 && i < 100; i++ {
 			now += 500
 			count(in.Due(now))
 		}
--- a/internal/turns/turns.go
+++ b/internal/turns/turns.go
@@ -35,10 +35,10 @@
 
 // Inbox gathers what any goroutine puts in for the one that empties it.
 type Inbox struct {
-	mu    sync.Mutex
-	in    []any
-	since time.Time // the oldest came
-	wake  chan struct{}
+	mu     sync.Mutex
+	items  []any
+	oldest time.Time // the oldest came
+	wake   chan struct{}
 }
 
 func NewInbox() *Inbox { return &Inbox{wake: make(chan struct{}, 1)} }
@@ -46,15 +46,15 @@
 // Post puts things in; those of one call are taken together.
 func (b *Inbox) Post(in ...any) {
 	b.mu.Lock()
-	if len(b.in) == 0 {
-		b.since = time.Now()
+	if len(b.items) == 0 {
+		b.oldest = time.Now()
 	}
-	b.in = append(b.in, in...)
+	b.items = append(b.items, in...)
 	b.mu.Unlock()
-	b.ring()
+	b.signal()
 }
 
-func (b *Inbox) ring() {
+func (b *Inbox) signal() {
 	select {
 	case b.wake <- struct{}{}:
 	default:
@@ -69,10 +69,10 @@
 func (b *Inbox) Take(most int) (in []any, since time.Time, more bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	in, since, b.in = b.in, b.since, nil
+	in, since, b.items = b.items, b.oldest, nil
 	if more = most > 0 && len(in) > most; more {
-		in, b.in = in[:most], append([]any(nil), in[most:]...)
-		b.ring()
+		in, b.items = in[:most], append([]any(nil), in[most:]...)
+		b.signal()
 	}
 	return in, since, more
 }
@@ -81,7 +81,7 @@
 func (b *Inbox) Queue() (length int, since time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.in), b.since
+	return len(b.items), b.oldest
 }
 
 // Backoff is the wait before the next try: longer after each failure, up to ten units, and apart from what others wait; chance
--- a/internal/turns/turns_test.go
+++ b/internal/turns/turns_test.go
@@ -7,7 +7,7 @@
 )
 
 // What many put in comes out once, each one's things in their order, however it is taken.
-func TestNothingIsLostOrDoubled(t *testing.T) {
+func TestInboxDeliversEachItemOnce(t *testing.T) {
 	b := NewInbox()
 	const writers, each = 8, 500
 	var all sync.WaitGroup
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestTheClockIsUnixTimeAndSteady(t *testing.T) {
+func TestClockIsUnixTime(t *testing.T) {
 	c := NewClock()
 	if off := float64(c.Now()) - float64(time.Now().UnixMicro())/1000; off < -100 || off > 100 {
 		t.Errorf("off by %v ms", off)
