--- a/internal/channel/channel.go
+++ b/internal/channel/channel.go
@@ -1,35 +1,37 @@
-// Package channel is the way of orders to the proxies: messages leave one after the other at a stated pace of
-// lines a second. What waits is counted, so that the limit on it is a fact. No I/O, no clock.
+// Package channel models the rate-limited way of orders to the proxies: messages leave one after the other at a
+// configured number of lines per second. The queued lines are counted, so that a limit on them can be enforced. The
+// package does no I/O and reads no clock.
 package channel
 
 import "vetchwood/logic"
 
-// Message is what one proxy is told of one reply. Body is the caller's.
+// Message carries the orders of one reply of the decision module to one proxy. Body belongs to the caller.
 type Message struct {
 	Proxy logic.ProxyID
-	Lines float64 // head included
+	Lines float64 // including the head
 	Body  any
 
 	queuedAt, leavesAt logic.Millis
 }
 
-// Channel is one director's.
+// Channel is the channel of one director.
 type Channel struct {
-	linesPerMs     float64 // lines a millisecond
+	linesPerMs     float64
 	queue          []Message
 	queuedLines    float64
-	freeAt         logic.Millis // when the last message leaves
+	freeAt         logic.Millis // when the last queued message leaves
 	maxQueuedLines float64
-	sentAt         [][]logic.Millis // by proxy: their numbers are small and dense
+	sentAt         [][]logic.Millis // recent messages by proxy, whose numbers are small and dense
 	window         logic.Millis
-	maxInWindow    int // most messages written to one proxy within the span
+	maxInWindow    int // highest number of messages to one proxy within the window
 }
 
-func New(linesPerSecond float64, span logic.Millis) *Channel {
-	return &Channel{linesPerMs: linesPerSecond / 1000, window: span}
+// New returns an empty channel. window is the period over which messages to one proxy are counted.
+func New(linesPerSecond float64, window logic.Millis) *Channel {
+	return &Channel{linesPerMs: linesPerSecond / 1000, window: window}
 }
 
-// Offer puts messages at the end of the queue, in their order.
+// Enqueue appends messages to the queue, in their order.
 func (c *Channel) Enqueue(now logic.Millis, all []Message) {
 	for _, m := range all {
 		c.freeAt = max(c.freeAt, now) + logic.Millis(m.Lines/c.linesPerMs)
@@ -41,21 +43,22 @@
 	c.maxQueuedLines = max(c.maxQueuedLines, c.queuedLines)
 }
 
+// countMessage counts a message to a proxy within the window.
 func (c *Channel) countMessage(now logic.Millis, p logic.ProxyID) {
 	for int(p) >= len(c.sentAt) {
 		c.sentAt = append(c.sentAt, nil)
 	}
 	times := c.sentAt[p]
-	over := 0
-	for over < len(times) && now-times[over] > c.window {
-		over++
+	expired := 0
+	for expired < len(times) && now-times[expired] > c.window {
+		expired++
 	}
-	times = append(times[:copy(times, times[over:])], now)
+	times = append(times[:copy(times, times[expired:])], now)
 	c.sentAt[p] = times
 	c.maxInWindow = max(c.maxInWindow, len(times))
 }
 
-// Left gives the messages that have left by now, in order.
+// PopDue removes and returns the messages that have left by now, in order.
 func (c *Channel) PopDue(now logic.Millis) (out []Message) {
 	for len(c.queue) > 0 && c.queue[0].leavesAt <= now {
 		m := c.queue[0]
@@ -70,8 +73,8 @@
 	return out
 }
 
-// Lose drops what waits for a proxy whose stream broke. Its time in the channel is not given to the others:
-// what they wait for was promised with it.
+// DropProxy drops the queued messages of a proxy whose stream broke. Their share of the channel is not given to the
+// messages behind them, whose departure times are already fixed.
 func (c *Channel) DropProxy(p logic.ProxyID) {
 	kept := c.queue[:0]
 	for _, m := range c.queue {
@@ -88,7 +91,7 @@
 	}
 }
 
-// Next is when the first message leaves; false if none waits.
+// Next returns when the first message leaves, or false if none is queued.
 func (c *Channel) Next() (logic.Millis, bool) {
 	if len(c.queue) == 0 {
 		return 0, false
@@ -96,8 +99,11 @@
 	return c.queue[0].leavesAt, true
 }
 
-// Waiting is the lines that wait; Most the highest that this was; Dense the most messages to one proxy within
-// the span.
-func (c *Channel) QueuedLines() float64     { return c.queuedLines }
-func (c *Channel) MaxQueuedLines() float64  { return c.maxQueuedLines }
+// QueuedLines returns the number of queued lines.
+func (c *Channel) QueuedLines() float64 { return c.queuedLines }
+
+// MaxQueuedLines returns the highest number of lines that were queued.
+func (c *Channel) MaxQueuedLines() float64 { return c.maxQueuedLines }
+
+// MaxMessagesInWindow returns the highest number of messages to one proxy within the window.
 func (c *Channel) MaxMessagesInWindow() int { return c.maxInWindow }
--- a/internal/nets/dial.go
+++ b/internal/nets/dial.go
@@ -8,31 +8,32 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Conn is a connection that we opened. Active says whether the other side has closed it, as far as is known.
+// Conn is an outgoing connection.
 type Conn interface {
 	net.Conn
+	// IsActive reports whether the connection is open: it is false once the remote side is known to have closed it.
 	IsActive() bool
-	// Time limits are spans. netpoll keeps the deadlines of net.Conn in Unix time: a step of the system's clock
-	// would end them all at once, or have them last for as long as the step.
+	// SetReadTimeout and SetWriteTimeout take durations. netpoll keeps the deadlines of net.Conn in Unix time: a step
+	// of the system clock would expire all of them at once or extend them by the size of the step.
 	SetReadTimeout(time.Duration) error
 	SetWriteTimeout(time.Duration) error
-	// Writer holds what is written until it went out.
+	// Writer returns the buffer that holds written data until it is sent.
 	Writer() netpoll.Writer
 }
 
-// leastTimeout is the shortest time limit; 0 would be none.
+// minTimeout is the shortest timeout that is set, since netpoll takes 0 for no timeout.
 const minTimeout = time.Millisecond
 
-// Dial opens a connection, within that time.
-func Dial(address string, within time.Duration) (Conn, error) {
-	return netpoll.NewDialer().DialConnection("tcp", address, within)
+// Dial opens a connection; it fails if that takes longer than the timeout.
+func Dial(address string, timeout time.Duration) (Conn, error) {
+	return netpoll.NewDialer().DialConnection("tcp", address, timeout)
 }
 
-// DialContext is the same where the context ends the time.
+// DialContext opens a connection within the deadline of the context, or within 10 seconds if it has none.
 func DialContext(ctx context.Context, _, address string) (net.Conn, error) {
-	within := 10 * time.Second
-	if until, some := ctx.Deadline(); some {
-		within = max(time.Millisecond, time.Until(until))
+	timeout := 10 * time.Second
+	if deadline, ok := ctx.Deadline(); ok {
+		timeout = max(time.Millisecond, time.Until(deadline))
 	}
-	return Dial(address, within)
+	return Dial(address, timeout)
 }
--- a/internal/nets/errors.go
+++ b/internal/nets/errors.go
@@ -9,24 +9,25 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// noRoom are the errors by which the system says that it has no more of something for the moment.
+// exhaustionErrors are returned when the system is temporarily out of descriptors, buffers or memory.
 var exhaustionErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
-// noWay are those of a connection that could not even be tried: no port, no route, a call that was interrupted.
+// untriedErrors are returned for a connection that could not be attempted: no free port, no route, or an interrupted
+// call.
 var untriedErrors = []error{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EINTR, syscall.EAGAIN}
 
-func isOneOf(err error, all []error) bool {
-	return slices.ContainsFunc(all, func(one error) bool { return errors.Is(err, one) })
+func isOneOf(err error, targets []error) bool {
+	return slices.ContainsFunc(targets, func(target error) bool { return errors.Is(err, target) })
 }
 
-// OwnShortage says whether a call failed for a want of this machine. That tells nothing of the other side, and
-// passes by itself.
+// IsLocalShortage reports whether a call failed for lack of a resource on this machine. Such an error says nothing
+// about the remote side and is temporary.
 func IsLocalShortage(err error) bool {
 	return isOneOf(err, exhaustionErrors) || isOneOf(err, untriedErrors)
 }
 
-// busy are the errors of a write that pass by themselves: another goroutine writes, the call was interrupted, or the
-// system has no buffer at hand.
+// transientWriteErrors are the temporary errors of a write: another goroutine is writing, the call was interrupted, or
+// the system is out of buffers.
 var transientWriteErrors = append([]error{netpoll.ErrConcurrentAccess, syscall.EINTR}, exhaustionErrors...)
 
 const (
@@ -41,20 +42,21 @@
 	IsActive() bool
 }
 
-// Send writes a message whole. A write that failed for a moment is tried again: the connection is as good as before, and
-// whoever waits for the message would lose it with the connection. Taken is 0 where not a byte of it was.
-func Send(c Sender, message []byte) (taken int, err error) {
-	taken, err = c.Write(message)
+// Send writes a whole message. A write that failed temporarily is retried, since the connection remains usable and
+// closing it would lose the message. accepted is the number of bytes handed to the connection; it is 0 if none of the
+// message was.
+func Send(c Sender, message []byte) (accepted int, err error) {
+	accepted, err = c.Write(message)
 	for range sendRetries {
 		if err == nil || !isOneOf(err, transientWriteErrors) || !c.IsActive() {
 			break
 		}
 		time.Sleep(sendRetryDelay)
 		if errors.Is(err, netpoll.ErrConcurrentAccess) {
-			taken, err = c.Write(message) // nothing of it was taken
+			accepted, err = c.Write(message) // nothing was accepted
 		} else {
-			err = c.Writer().Flush() // it waits in the connection's buffer
+			err = c.Writer().Flush() // the message is in the connection's buffer
 		}
 	}
-	return taken, err
+	return accepted, err
 }
--- a/internal/nets/lines.go
+++ b/internal/nets/lines.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// ErrLong is a line that is longer than it may be.
-var ErrLineTooLong = errors.New("a line is longer than it may be")
+// ErrLineTooLong is returned by LineReader.Next for a line that exceeds the maximum length.
+var ErrLineTooLong = errors.New("line exceeds the maximum length")
 
-// Lines reads the lines of a connection that we opened. What it gives is good until the next call.
+// LineReader reads lines from an outgoing connection.
 type LineReader struct {
 	conn     Conn
 	buf      []byte
-	start    int // where the next line begins
+	start    int // index in buf at which the next line begins
 	maxBytes int
 }
 
-func NewLineReader(c Conn, most int) *LineReader { return &LineReader{conn: c, maxBytes: most} }
+// NewLineReader returns a reader of lines of up to maxBytes bytes.
+func NewLineReader(c Conn, maxBytes int) *LineReader { return &LineReader{conn: c, maxBytes: maxBytes} }
 
+// minFreeBytes is the least free space in the buffer before a read.
 const minFreeBytes = 4 << 10
 
-// Next gives the next line without its end; it must come whole by then. What has come already when that is over is
-// still read, once.
-func (l *LineReader) Next(by time.Time) ([]byte, error) {
-	over := false
+// Next returns the next line without its line feed. The slice is valid until the next call. The whole line must arrive
+// before the deadline; if that has passed, data that has already arrived is still read, once.
+func (l *LineReader) Next(deadline time.Time) ([]byte, error) {
+	expired := false
 	for at := l.start; ; {
 		for ; at < len(l.buf); at++ {
 			if l.buf[at] == '\n' {
@@ -42,16 +44,16 @@
 			l.start = 0
 		}
 		if len(l.buf) == 0 && cap(l.buf) > 16*minFreeBytes {
-			l.buf = nil // one long line is no reason to keep as much
+			l.buf = nil // releases the large buffer that a long line needed
 		}
 		if free := cap(l.buf) - len(l.buf); free < minFreeBytes {
 			l.buf = append(make([]byte, 0, 2*cap(l.buf)+minFreeBytes), l.buf...)
 		}
-		left := time.Until(by)
-		if left <= 0 && over {
+		left := time.Until(deadline)
+		if left <= 0 && expired {
 			return nil, os.ErrDeadlineExceeded
 		}
-		over = left <= 0
+		expired = left <= 0
 		l.conn.SetReadTimeout(max(minTimeout, left))
 		n, err := l.conn.Read(l.buf[len(l.buf):cap(l.buf)])
 		l.buf = l.buf[:len(l.buf)+n]
--- a/internal/nets/lines_test.go
+++ b/internal/nets/lines_test.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// spans is a connection that takes time limits as spans alone, and gives a byte at a time.
+// timeoutConn is a connection that records its read timeouts and delivers its text one byte at a time.
 type timeoutConn struct {
 	Conn
-	limits []time.Duration
-	text   string
+	timeouts []time.Duration
+	text     string
 }
 
-func (s *timeoutConn) IsActive() bool { return true }
+func (c *timeoutConn) IsActive() bool { return true }
 
-func (s *timeoutConn) SetReadTimeout(d time.Duration) error {
-	s.limits = append(s.limits, d)
+func (c *timeoutConn) SetReadTimeout(d time.Duration) error {
+	c.timeouts = append(c.timeouts, d)
 	return nil
 }
 
-func (s *timeoutConn) SetWriteTimeout(time.Duration) error { return nil }
+func (c *timeoutConn) SetWriteTimeout(time.Duration) error { return nil }
 
-func (s *timeoutConn) Read(b []byte) (int, error) {
-	if s.text == "" {
-		time.Sleep(s.limits[len(s.limits)-1])
+func (c *timeoutConn) Read(b []byte) (int, error) {
+	if c.text == "" {
+		time.Sleep(c.timeouts[len(c.timeouts)-1])
 		return 0, os.ErrDeadlineExceeded
 	}
-	n := copy(b[:1], s.text)
-	s.text = s.text[n:]
+	n := copy(b[:1], c.text)
+	c.text = c.text[n:]
 	return n, nil
 }
 
-// A line's time is a span that shrinks, whatever the system's clock is stepped to: netpoll keeps deadlines as Unix
-// time, and one that lay behind a step back of an hour was waited for so long. Issue 29.
+// The timeout of a line is a shrinking duration, independent of steps of the system clock. netpoll keeps deadlines in
+// Unix time: after the clock was stepped back an hour, a read waited an hour longer (issue 29).
 func TestLineTimeoutIsRelative(t *testing.T) {
 	c := &timeoutConn{text: "ab\nc"}
 	lines := NewLineReader(c, 100)
@@ -42,9 +42,9 @@
 	if err != nil || string(line) != "ab" {
 		t.Fatalf("%q, %v", line, err)
 	}
-	for i, limit := range c.limits {
-		if limit <= 0 || limit > 50*time.Millisecond || i > 0 && limit > c.limits[i-1] {
-			t.Fatalf("limits %v", c.limits)
+	for i, limit := range c.timeouts {
+		if limit <= 0 || limit > 50*time.Millisecond || i > 0 && limit > c.timeouts[i-1] {
+			t.Fatalf("timeouts %v, want a non-increasing series in (0, 50ms]", c.timeouts)
 		}
 	}
 	began := time.Now()
@@ -52,14 +52,14 @@
 		t.Fatal(err)
 	}
 	if spent := time.Since(began); spent < 50*time.Millisecond || spent > time.Second {
-		t.Fatalf("half a line was waited for %v", spent)
+		t.Fatalf("incomplete line timed out after %v, want 50ms to 1s", spent)
 	}
 }
 
-// What dribbles in behind its time is not waited for without end.
+// Data that trickles in after the deadline must not prolong the wait indefinitely.
 func TestOverdueLineTimesOut(t *testing.T) {
 	c := &timeoutConn{text: string(make([]byte, 1000))}
-	if _, err := NewLineReader(c, 1<<20).Next(time.Now().Add(-time.Second)); !errors.Is(err, os.ErrDeadlineExceeded) || len(c.limits) != 1 {
-		t.Fatalf("%v after %d reads", err, len(c.limits))
+	if _, err := NewLineReader(c, 1<<20).Next(time.Now().Add(-time.Second)); !errors.Is(err, os.ErrDeadlineExceeded) || len(c.timeouts) != 1 {
+		t.Fatalf("%v after %d reads", err, len(c.timeouts))
 	}
 }
--- a/internal/nets/monotonic.go
+++ b/internal/nets/monotonic.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// began anchors Monotonic; time.Since goes by the monotonic clock.
+// processStart is the origin of Monotonic; time.Since uses the monotonic clock.
 var processStart = time.Now()
 
-// Monotonic is the time since the program started. Unlike Unix time it is not stepped with the system's clock, so
-// spans are reckoned with it.
+// Monotonic returns the time since the process started. Unlike Unix time it does not jump when the system clock is
+// stepped, so durations are computed from it.
 func Monotonic() time.Duration { return time.Since(processStart) }
--- a/internal/nets/nets.go
+++ b/internal/nets/nets.go
@@ -1,4 +1,5 @@
-// Package nets sets up netpoll for all that uses it; netpoll takes such settings before main alone.
+// Package nets provides client connections, listening sockets and line reading on netpoll. It also configures netpoll
+// for the whole process, in an init function because netpoll accepts these settings only before main.
 package nets
 
 import (
@@ -8,15 +9,15 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// A connection that waits keeps netpoll's buffers, and a request is a few hundred bytes: two buffers of half a KiB in place
-// of 8 and 4. Longer heads and bodies come in several reads.
+// Idle connections keep netpoll's buffers, and a request is a few hundred bytes, so both buffers are reduced to 512
+// bytes from 8 and 4 KiB. Longer headers and bodies arrive in several reads.
 //
-// netpoll's own log is off. What it says (a dial that was reset while it waited, above all) comes back as an error
-// anyhow, and it prints live structures that its other goroutines write.
+// netpoll's own log is disabled. What it reports (mostly a dial that was reset while pending) is also returned as an
+// error, and it prints live structures while its other goroutines write to them.
 func init() {
 	netpoll.LinkBufferCap = 1 << 9
 	netpoll.Configure(netpoll.Config{BufferSize: 1 << 9, LoggerOutput: io.Discard})
 }
 
-// Go runs f on the pool that netpoll itself uses for its handlers.
+// Go runs f on the goroutine pool that netpoll uses for its handlers.
 func Go(f func()) { gopool.Go(f) }
--- a/internal/nets/send_test.go
+++ b/internal/nets/send_test.go
@@ -8,7 +8,8 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// interrupted is a connection whose first writes fail for a moment; what was written waits in its buffer until a flush.
+// flakyConn is a connection whose first writes fail with errs; written data stays in its buffer until a flush
+// succeeds.
 type flakyConn struct {
 	errs         []error
 	buffer, sent string
@@ -42,7 +43,7 @@
 
 func (f flusher) Flush() error { return f.conn.flush() }
 
-// A message goes out once and whole, whatever fails for a moment; an error that does not pass is told.
+// A message is sent once and completely despite transient errors; a permanent error is returned.
 func TestSendRetriesTransientErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		errs []error
@@ -58,7 +59,7 @@
 	} {
 		conn := &flakyConn{errs: c.errs}
 		if _, err := Send(conn, []byte("pong")); !errors.Is(err, c.fail) || conn.sent != c.sent {
-			t.Errorf("%s: %q was sent, %v", name, conn.sent, err)
+			t.Errorf("%s: sent %q, error %v", name, conn.sent, err)
 		}
 	}
 }
--- a/internal/nets/socket.go
+++ b/internal/nets/socket.go
@@ -11,50 +11,55 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Gate says whether one more connection may be accepted. Began says that it is shut from now on.
-type AcceptLimiter interface{ May() (may, began bool) }
+// AcceptLimiter decides whether one more connection may be accepted.
+type AcceptLimiter interface {
+	// May reports whether a connection may be accepted; began is true on the first refusal after a permission.
+	May() (may, began bool)
+}
 
-// gated pauses accepting where its gate is shut or the system has no more descriptors: netpoll takes the listener out of its loop
-// then, and looks at it again after up to a second. Those who connect wait in the kernel's queue meanwhile.
+// limitedListener pauses accepting while its limiter refuses connections or the system is out of descriptors. netpoll
+// then removes the listener from its poll loop and tries again after up to a second; meanwhile new connections wait in
+// the kernel's queue.
 type limitedListener struct {
 	netpoll.Listener
 	limiter AcceptLimiter
 	log     *slog.Logger
-	closing atomic.Bool // nobody is accepted any more
+	closing atomic.Bool // no connection is accepted any more
 }
 
-func (g *limitedListener) Accept() (net.Conn, error) {
-	if g.closing.Load() {
+func (l *limitedListener) Accept() (net.Conn, error) {
+	if l.closing.Load() {
 		return nil, syscall.EMFILE
 	}
-	if may, began := g.limiter.May(); !may {
+	if may, began := l.limiter.May(); !may {
 		if began {
-			g.log.Warn("accept.paused", "listen", g.Addr().String(), "why", "as many connections are open as may be, or memory is short")
+			l.log.Warn("accept.paused", "listen", l.Addr().String(), "why", "connection limit reached or memory is short")
 		}
 		return nil, syscall.EMFILE
 	}
-	c, err := g.Listener.Accept()
+	c, err := l.Listener.Accept()
 	if isOneOf(err, exhaustionErrors) {
-		g.log.Error("accept.paused", "listen", g.Addr().String(), "error", err)
-		return nil, syscall.EMFILE // by which netpoll pauses; of other errors it would ask again without end
+		l.log.Error("accept.paused", "listen", l.Addr().String(), "error", err)
+		return nil, syscall.EMFILE // netpoll pauses on EMFILE; on other errors it would retry in a busy loop
 	}
 	return c, err
 }
 
-// Socket is a listening socket with its loop, as both fronts have one.
+// Socket is a listening socket with its event loop, shared by all servers.
 type Socket struct {
 	ln   *limitedListener
 	loop netpoll.EventLoop
 }
 
-// Listen opens one. Accept hears of each connection before anything is read from it, read of what has come.
-func Listen(address string, read netpoll.OnRequest, accept netpoll.OnPrepare, write time.Duration, gate AcceptLimiter, log *slog.Logger) (*Socket, error) {
+// Listen opens a listening socket. accept is called for each connection before anything is read from it, read when
+// data has arrived.
+func Listen(address string, read netpoll.OnRequest, accept netpoll.OnPrepare, writeTimeout time.Duration, limiter AcceptLimiter, log *slog.Logger) (*Socket, error) {
 	plain, err := netpoll.CreateListener("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	ln := &limitedListener{Listener: plain, limiter: gate, log: log}
-	loop, err := netpoll.NewEventLoop(read, netpoll.WithOnPrepare(accept), netpoll.WithWriteTimeout(write))
+	ln := &limitedListener{Listener: plain, limiter: limiter, log: log}
+	loop, err := netpoll.NewEventLoop(read, netpoll.WithOnPrepare(accept), netpoll.WithWriteTimeout(writeTimeout))
 	if err != nil {
 		ln.Close()
 		return nil, err
@@ -62,14 +67,15 @@
 	return &Socket{ln, loop}, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the socket listens on.
 func (s *Socket) Addr() net.Addr { return s.ln.Addr() }
 
-// Serve answers until Close.
+// Serve accepts and serves connections until Close.
 func (s *Socket) Serve() error { return s.loop.Serve(s.ln) }
 
-// Close closes the socket and all connections. The owner closes its connections before the loop does: what the loop
-// closes may have been read a moment ago. Whoever is not yet accepted by then was not read.
+// Close closes the socket and all connections. conns calls each for every open connection of the owner. These are
+// closed before the loop is shut down, since a connection that the loop closes may have been read a moment ago.
+// Connections that are not accepted by then have not been read.
 func (s *Socket) Close(conns func(each func(netpoll.Connection))) error {
 	s.ln.closing.Store(true)
 	conns(func(c netpoll.Connection) { c.Close() })
@@ -78,7 +84,7 @@
 	err := s.loop.Shutdown(ctx)
 	conns(func(c netpoll.Connection) { c.Close() })
 	if ctx.Err() != nil {
-		return nil // it waits for idle connections only, and ours are closed above
+		return nil // the loop only waits for idle connections, and those of the owner are closed above
 	}
 	return err
 }
--- a/internal/nets/socket_test.go
+++ b/internal/nets/socket_test.go
@@ -14,13 +14,13 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// switchGate lets connections in while it is open.
+// switchLimiter accepts connections while open is set.
 type switchLimiter struct{ open atomic.Bool }
 
-func (g *switchLimiter) May() (may, began bool) { return g.open.Load(), false }
+func (l *switchLimiter) May() (may, began bool) { return l.open.Load(), false }
 
-// answering is a socket that answers each connection's first bytes with its name.
-func serveName(t *testing.T, name string, gate AcceptLimiter) *Socket {
+// serveName opens a socket that answers the first bytes of each connection with its name.
+func serveName(t *testing.T, name string, limiter AcceptLimiter) *Socket {
 	t.Helper()
 	read := func(_ context.Context, c netpoll.Connection) error {
 		c.Reader().Skip(c.Reader().Len())
@@ -29,7 +29,7 @@
 		return err
 	}
 	accept := func(netpoll.Connection) context.Context { return context.Background() }
-	s, err := Listen("127.0.0.1:0", read, accept, time.Second, gate, slog.New(slog.DiscardHandler))
+	s, err := Listen("127.0.0.1:0", read, accept, time.Second, limiter, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	return c
 }
 
-// answerOf is the name by which a connection is answered; empty: it was not within that time.
+// readAnswer returns the name with which a connection is answered, or "" if no answer arrives within the given time.
 func readAnswer(c net.Conn, within time.Duration) string {
 	c.SetReadDeadline(time.Now().Add(within))
 	name, _ := bufio.NewReader(c).ReadString('\n')
@@ -62,27 +62,28 @@
 	return name[:len(name)-1]
 }
 
-// Descriptors run short now and then in the life of a socket, and a socket may be closed while they are short. Accepting pauses
-// then and goes on once there is room; nothing else changes for anybody.
+// Descriptors can run short several times during the life of a socket, and a socket can be closed during a shortage.
+// Accepting pauses meanwhile and resumes once there is room, without any other effect.
 func TestAcceptingThroughShortages(t *testing.T) {
 	t.Run("a closed socket answers nobody", testCloseWhilePaused)
 	t.Run("more than one shortage", testRepeatedShortage)
 }
 
-// closedWhilePaused closes a socket while accepting pauses. Whoever connects to a later socket, whose descriptor may have the
-// number of the closed one, is answered by that later socket alone, and nothing of the closed one goes on.
+// testCloseWhilePaused closes a socket while accepting is paused. Clients of a later socket, whose descriptor may have
+// the number of the closed one, must be answered by that socket only, and no goroutine of the closed socket may
+// remain.
 //
-// What happened (issue 39): the loop that tried to accept again went on after the close, with the number of a descriptor that was
-// no longer its own. The next socket of the same process got that number, and its clients were answered by the closed one: in
-// TestAnswersByTheSpecifications a poll to be refused as busy got "304 Not Modified", which the socket of the test that runs
-// before it answers to all.
+// The fault behind it (issue 39): the loop that retried to accept continued after the close, with a descriptor number
+// that it no longer owned. The next socket of the process got that number, and its clients were answered by the closed
+// socket: in TestAnswersByTheSpecifications a poll that should be refused as busy got "304 Not Modified", which the
+// socket of the preceding test answers to every request.
 func testCloseWhilePaused(t *testing.T) {
 	before := runtime.NumGoroutine()
 	for range 5 {
 		shut := &switchLimiter{}
 		first := serveName(t, "first", shut)
 		waits := dial(t, first)
-		time.Sleep(200 * time.Millisecond) // accepting pauses, and is tried again now and then
+		time.Sleep(200 * time.Millisecond) // accepting is paused and retried periodically
 		shut.open.Store(true)
 		closeSocket(first)
 		waits.Close()
@@ -103,28 +104,29 @@
 	}
 }
 
-// shortMoreThanOnce has descriptors run short more than once. Each time accepting pauses without work that grows, those who
-// connect meanwhile wait, and they are answered once there is room.
+// testRepeatedShortage causes several shortages of descriptors in a row. Each time accepting must pause without a
+// growing number of goroutines, and clients that connect meanwhile must wait and be answered once there is room.
 //
-// What happened (issue 39): netpoll takes a listener out of its loop for the first shortage only. From the second on it asked for
-// a connection without end, and each time started one more goroutine that tried again: 30,869 of them in 300 ms.
+// The fault behind it (issue 39): netpoll removes a listener from its poll loop only on the first shortage. From the
+// second one on it retried to accept in a busy loop and started one more retrying goroutine each time: 30,869 of them
+// in 300 ms.
 func testRepeatedShortage(t *testing.T) {
-	gate := &switchLimiter{}
-	s := serveName(t, "here", gate)
+	limiter := &switchLimiter{}
+	s := serveName(t, "here", limiter)
 	defer closeSocket(s)
 	for pause := range 4 {
-		gate.open.Store(false)
+		limiter.open.Store(false)
 		waits := dial(t, s)
 		before := runtime.NumGoroutine()
 		if name := readAnswer(waits, 300*time.Millisecond); name != "" {
-			t.Fatalf("pause %d: answered by %q while nobody may come in", pause, name)
+			t.Fatalf("pause %d: answered by %q while no connection may be accepted", pause, name)
 		}
 		if grown := runtime.NumGoroutine() - before; grown > 2 {
-			t.Fatalf("pause %d: %d goroutines more after 300 ms", pause, grown)
+			t.Fatalf("pause %d: %d more goroutines after 300 ms, at most 2 allowed", pause, grown)
 		}
-		gate.open.Store(true)
+		limiter.open.Store(true)
 		if name := readAnswer(waits, 3*time.Second); name != "here" {
-			t.Fatalf("pause %d: not answered once there was room", pause)
+			t.Fatalf("pause %d: not answered within 3 s of the end of the shortage", pause)
 		}
 	}
 }
--- a/internal/platform/uplink/uplink.go
+++ b/internal/platform/uplink/uplink.go
@@ -1,5 +1,5 @@
-// Package uplink is the sockets to the relay: one for calls and one that carries the news. It decides nothing: which call is made,
-// and what its end means, is package outbox's.
+// Package uplink manages the connections to the relay: one for commit calls and one for the subscription to
+// notifications. It makes no decisions: package outbox decides which call is made and what its result means.
 package uplink
 
 import (
@@ -17,19 +17,19 @@
 	"vetchwood/internal/turns"
 )
 
-// Times of the protocol, with room for a machine that shares its core.
+// Timeouts and limits of the protocol, with a margin for a machine whose core is shared.
 const (
 	dialTimeout    = 250 * time.Millisecond
-	answerTimeout  = 120 * time.Millisecond // an answer comes within 50 ms or never
-	maxIdle        = 2 * time.Second        // the other side closes what is idle for longer, maybe with a call on its way
+	answerTimeout  = 120 * time.Millisecond // the relay answers within 50 ms or never
+	maxIdle        = 2 * time.Second        // the relay closes connections that are idle for longer, even during a send
 	writeTimeout   = 200 * time.Millisecond
-	silenceTimeout = 2500 * time.Millisecond // two signs of life and a half
-	backoffUnit    = 20 * time.Millisecond
+	silenceTimeout = 2500 * time.Millisecond // two and a half heartbeat intervals
+	backoffUnit    = 20 * time.Millisecond   // added to the delay per failure
 	maxLineBytes   = 1 << 20
-	subscribeID    = 1 // the id of the only call on the connection of the news
+	subscribeID    = 1 // id of the only call on the subscription's connection
 )
 
-// Ended is put into the inbox when a call has ended.
+// CallEnded is posted to the inbox when a call has ended.
 type CallEnded struct {
 	ID      uint64
 	Result  outbox.Result
@@ -38,45 +38,48 @@
 	Elapsed time.Duration
 }
 
-// Calls makes calls, one after the other.
+// Caller makes commit calls, one at a time.
 type Caller struct {
 	names    *codec.Names
 	post     func(...any)
 	requests chan request
 	conn     nets.Conn
 	lines    *nets.LineReader
-	address  string // that conn goes to
+	address  string // address that conn is connected to
 	lastUsed time.Time
 	failures int
 	log      *slog.Logger
 }
 
+// request is a call and the address of the relay that it goes to.
 type request struct {
 	address string
 	call    *outbox.Call
 }
 
+// NewCaller returns a Caller that posts the end of each call.
 func NewCaller(names *codec.Names, post func(...any), log *slog.Logger) *Caller {
 	return &Caller{names: names, post: post, requests: make(chan request, 1), log: log}
 }
 
-// Make has a call made at an address; how it ended is posted. No other is made until then.
+// Submit starts a call to the relay at the address. Its end is posted as a CallEnded; until then no other call may be
+// submitted.
 func (c *Caller) Submit(address string, call *outbox.Call) { c.requests <- request{address, call} }
 
-// Run makes calls until the context ends.
+// Run makes the submitted calls until the context ends.
 func (c *Caller) Run(ctx context.Context) {
 	defer func() { c.closeConn() }()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case t := <-c.requests:
-			if c.failures > 1 { // the first try again is at once
+		case r := <-c.requests:
+			if c.failures > 1 { // the first retry is immediate
 				turns.Pause(ctx, turns.Backoff(min(c.failures-1, 8), backoffUnit, rand.Float64()))
 			}
 			began := time.Now()
-			e := c.send(t)
-			e.ID, e.Elapsed = t.call.ID, time.Since(began)
+			e := c.send(r)
+			e.ID, e.Elapsed = r.call.ID, time.Since(began)
 			if e.Result == outbox.Answered || e.Result == outbox.Invalid {
 				c.failures = 0
 			} else {
@@ -87,6 +90,7 @@
 	}
 }
 
+// closeConn closes the connection, if there is one.
 func (c *Caller) closeConn() {
 	if c.conn != nil {
 		c.conn.Close()
@@ -94,29 +98,30 @@
 	}
 }
 
-func (c *Caller) send(t request) (e CallEnded) {
-	if c.conn != nil && (c.address != t.address || !c.conn.IsActive() || time.Since(c.lastUsed) > maxIdle) {
+// send makes one call, over the open connection if it is still usable, and returns how it ended.
+func (c *Caller) send(r request) (e CallEnded) {
+	if c.conn != nil && (c.address != r.address || !c.conn.IsActive() || time.Since(c.lastUsed) > maxIdle) {
 		c.closeConn()
 	}
 	if c.conn == nil {
-		conn, err := nets.Dial(t.address, dialTimeout)
+		conn, err := nets.Dial(r.address, dialTimeout)
 		if err != nil {
 			return CallEnded{Result: outbox.NotSent, Reason: err.Error()}
 		}
-		c.conn, c.lines, c.address = conn, nets.NewLineReader(conn, maxLineBytes), t.address
+		c.conn, c.lines, c.address = conn, nets.NewLineReader(conn, maxLineBytes), r.address
 	}
 	c.lastUsed = time.Now()
 	c.conn.SetWriteTimeout(writeTimeout)
-	if taken, err := nets.Send(c.conn, t.call.Text); err != nil {
+	if accepted, err := nets.Send(c.conn, r.call.Text); err != nil {
 		c.closeConn()
-		if taken == 0 || errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) {
-			return CallEnded{Result: outbox.NotSent, Reason: err.Error()} // not a byte of it went
+		if accepted == 0 || errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) {
+			return CallEnded{Result: outbox.NotSent, Reason: err.Error()} // no byte was sent
 		}
-		// A part went, and the rest was still being flushed when the time was over or the other side closed: the poller may have
-		// written the last byte meanwhile.
+		// Part of the request was sent, and the rest was still being flushed when the timeout expired or the relay
+		// closed the connection: the poller may have written the last byte meanwhile.
 		return CallEnded{Result: outbox.Unconfirmed, Reason: err.Error()}
 	}
-	f, err := c.readAnswer(t.call)
+	f, err := c.readAnswer(r.call)
 	if err != nil {
 		c.closeConn()
 		return CallEnded{Result: outbox.Unconfirmed, Reason: err.Error()}
@@ -130,8 +135,9 @@
 	return CallEnded{Result: outbox.Retryable, Reason: f.Error}
 }
 
-var errUnexpectedAnswer = errors.New("the answer is no answer to the call")
+var errUnexpectedAnswer = errors.New("unexpected message from the relay")
 
+// readAnswer reads the answer to the call and checks that it belongs to it.
 func (c *Caller) readAnswer(call *outbox.Call) (codec.Frame, error) {
 	line, err := c.lines.Next(time.Now().Add(answerTimeout))
 	if err != nil {
@@ -144,25 +150,28 @@
 	return f, err
 }
 
-// What the news put into the inbox; Source tells one subscription from the next.
+// Messages that Follow posts to the inbox. Source is the number of the subscription.
 type (
-	// Began says that the relay took the subscription. Follower tells who follows: an address may be left and come back to while
-	// its former follower is still there.
+	// Subscribed reports that the relay accepted the subscription. Follower identifies the call of Follow: the
+	// director may leave an address and return to it while the earlier follower of that address still runs.
 	Subscribed struct {
 		Follower, Source int
 		Address          string
 	}
+	// Notification carries one notification of the relay.
 	Notification struct {
 		Source int
 		Body   codec.News
 	}
+	// SubscriptionLost reports that a subscription ended or could not be opened.
 	SubscriptionLost struct {
 		Source int
 		Reason string
 	}
 )
 
-// Follow keeps subscribed at an address until the context ends; source numbers each subscription, and follower the follower.
+// Follow keeps a subscription open at an address until the context ends. Each subscription gets a number from source;
+// follower is the number of this call of Follow.
 func Follow(ctx context.Context, address string, names *codec.Names, follower int, source func() int, post func(...any), log *slog.Logger) {
 	for failures := 0; ctx.Err() == nil; {
 		began, number := time.Now(), source()
@@ -172,13 +181,14 @@
 		}
 		post(SubscriptionLost{number, err.Error()})
 		if time.Since(began) > time.Second {
-			failures = 0 // it served; the next try is at once
+			failures = 0 // the subscription worked; the next attempt is immediate
 		}
 		turns.Pause(ctx, turns.Backoff(min(failures, 8), backoffUnit, rand.Float64()))
 		failures++
 	}
 }
 
+// subscribe opens one subscription and posts its notifications until it fails.
 func subscribe(ctx context.Context, address string, names *codec.Names, start Subscribed, post func(...any), log *slog.Logger) error {
 	conn, err := nets.Dial(address, dialTimeout)
 	if err != nil {
@@ -190,25 +200,25 @@
 	if _, err := nets.Send(conn, fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,"method":"subscribe"}`+"\n", subscribeID)); err != nil {
 		return err
 	}
-	lines, taken, by := nets.NewLineReader(conn, maxLineBytes), false, answerTimeout
+	lines, accepted, timeout := nets.NewLineReader(conn, maxLineBytes), false, answerTimeout
 	for {
-		line, err := lines.Next(time.Now().Add(by))
+		line, err := lines.Next(time.Now().Add(timeout))
 		if err != nil {
 			return err
 		}
 		f, err := names.Frame(line)
-		var spoilt *codec.Spoilt
+		var invalid *codec.Spoilt
 		switch {
-		case errors.As(err, &spoilt) && taken:
+		case errors.As(err, &invalid) && accepted:
 			log.Warn("news.dropped", "error", err, "line", fmt.Sprintf("%.200q", line))
 		case err != nil:
 			return err
-		case f.News != nil && taken:
+		case f.News != nil && accepted:
 			post(Notification{start.Source, *f.News})
 		case f.News == nil && f.Error != "":
 			return errors.New(f.Error)
-		case f.News == nil && f.OK && !taken:
-			taken, by = true, silenceTimeout
+		case f.News == nil && f.OK && !accepted:
+			accepted, timeout = true, silenceTimeout
 			post(start)
 		default:
 			return fmt.Errorf("%w: %.200q", errUnexpectedAnswer, line)
--- a/internal/platform/uplink/uplink_test.go
+++ b/internal/platform/uplink/uplink_test.go
@@ -14,7 +14,8 @@
 	"vetchwood/internal/platform/outbox"
 )
 
-// ends makes calls of these texts, one after the other, at a relay that serves its first, second ... connection so.
+// runCalls makes calls with the given texts, one after the other, against a relay that handles its nth connection with
+// serve, and returns how they ended. between, if not nil, is called before each call but the first.
 func runCalls(t *testing.T, serve func(c net.Conn, nth int), between func(), texts ...[]byte) (all []CallEnded) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,24 +46,24 @@
 		case e := <-ended:
 			all = append(all, e)
 		case <-time.After(5 * time.Second):
-			t.Fatal("a call does not end")
+			t.Fatal("call did not end within 5s")
 		}
 	}
 	return all
 }
 
-// The time to write is over while the rest of a call is still being flushed. Whether its last byte went is not known then: the
-// relay reads on and may have all of it.
+// If the write timeout expires while the rest of a call is being flushed, it is unknown whether the last byte was
+// sent: the relay keeps reading and may receive all of it.
 func TestTimedOutWriteIsUnconfirmed(t *testing.T) {
-	got := runCalls(t, func(c net.Conn, _ int) { // reads nothing, and keeps the connection
+	got := runCalls(t, func(c net.Conn, _ int) { // reads nothing and keeps the connection open
 		t.Cleanup(func() { c.Close() })
 	}, nil, append(bytes.Repeat([]byte{' '}, 32<<20), '\n'))
 	if got[0].Result != outbox.Unconfirmed {
-		t.Errorf("%v: %s", got[0].Result, got[0].Reason)
+		t.Errorf("result is %v (%s), want Unconfirmed", got[0].Result, got[0].Reason)
 	}
 }
 
-// The relay resets the connection between two calls: the second goes by a connection of its own, or not a byte of it went.
+// The relay resets the connection between two calls: the second call uses a new connection, or no byte of it was sent.
 func TestResetBetweenCallsLeavesNoCallUnconfirmed(t *testing.T) {
 	reset, done := make(chan struct{}), make(chan struct{})
 	got := runCalls(t, func(c net.Conn, nth int) {
@@ -82,7 +83,7 @@
 	}
 }
 
-// The answer to the first call comes when the second is on its way: it is not taken for the second one's.
+// The answer to the first call arrives while the second is in flight: it is not taken for the answer to the second.
 func TestLateAnswerIsNotTakenForNextCall(t *testing.T) {
 	late := make(chan struct{})
 	got := runCalls(t, func(c net.Conn, nth int) {
@@ -95,7 +96,7 @@
 			return
 		}
 		close(late)
-		fmt.Fprint(c, `{"jsonrpc":"2.0","id":1,"result":{"ok_count":0}}`+"\n") // and once more where the second is waited for
+		fmt.Fprint(c, `{"jsonrpc":"2.0","id":1,"result":{"ok_count":0}}`+"\n") // again, on the connection of the second call
 	}, nil, []byte("{}\n"), []byte("{}\n"))
 	if got[0].Result != outbox.Unconfirmed || got[1].Result != outbox.Unconfirmed {
 		t.Errorf("%+v", got)
--- a/internal/sums/sums.go
+++ b/internal/sums/sums.go
@@ -1,19 +1,21 @@
-// Package sums adds up what proxies report until the director's module may hear it: at a stated number of lines
-// a second, the oldest first, the rest added up and following. No I/O, no clock.
+// Package sums aggregates the load reports of the proxies until they are passed to the decision module. A report line
+// is the sum for one key: a host and the zone of its callers, or a route and its slice or proxy. Lines are released at
+// a limited rate per second, oldest first; the others keep aggregating and follow later. The package does no I/O and
+// reads no clock.
 package sums
 
 import "vetchwood/logic"
 
-// Tries is what one proxy met at a host since its last report.
+// Tries sums the tries of one proxy at a host since its last report.
 type Tries struct {
 	Host              logic.HostID
 	Zone              logic.ZoneID
 	Ended, Unanswered int
-	AnsweredMs        float64 // milliseconds of all tries that were answered, added up
+	AnsweredMs        float64 // total duration in milliseconds of all answered tries
 	Load              logic.Load
 }
 
-// Calls is what came to a proxy for a slice or, without slices, to the proxy itself.
+// Demand counts the calls of a route for a slice or, without slices, for a proxy.
 type Demand struct {
 	Slice             logic.TableID
 	Proxy             logic.ProxyID
@@ -31,6 +33,7 @@
 		proxy logic.ProxyID
 		route logic.RouteID
 	}
+	// row is a pending report line; since is the start of the time that it covers.
 	row struct {
 		tries  Tries
 		demand Demand
@@ -38,37 +41,40 @@
 	}
 )
 
-// Intake is one director's.
+// Aggregator aggregates the reports to one director.
 type Aggregator struct {
 	bySlice        bool
 	interval       logic.Millis
 	linesPerSecond float64
-	periodEnd      logic.Millis // when the last period ended
+	periodEnd      logic.Millis // end of the latest period
 	credit         float64
-	pending        []any // keys of what waits, the oldest first
+	pending        []any // keys of the pending lines, oldest first
 	rows           map[any]*row
 }
 
-func New(sliced bool, every logic.Millis, linesPerSecond float64) *Aggregator {
-	return &Aggregator{bySlice: sliced, interval: every, linesPerSecond: linesPerSecond, rows: map[any]*row{}}
+// New returns an empty Aggregator that releases lines at the end of each interval. bySlice tells that the key space has
+// slices, so that demand is summed by slice and not by proxy.
+func New(bySlice bool, interval logic.Millis, linesPerSecond float64) *Aggregator {
+	return &Aggregator{bySlice: bySlice, interval: interval, linesPerSecond: linesPerSecond, rows: map[any]*row{}}
 }
 
-func (in *Aggregator) row(now logic.Millis, key any) *row {
-	r := in.rows[key]
+// row returns the pending line for a key, and adds one if there is none.
+func (a *Aggregator) row(now logic.Millis, key any) *row {
+	r := a.rows[key]
 	if r == nil {
-		if in.periodEnd == 0 {
-			in.periodEnd = now - in.interval
+		if a.periodEnd == 0 {
+			a.periodEnd = now - a.interval
 		}
-		r = &row{since: in.periodEnd}
-		in.rows[key] = r
-		in.pending = append(in.pending, key)
+		r = &row{since: a.periodEnd}
+		a.rows[key] = r
+		a.pending = append(a.pending, key)
 	}
 	return r
 }
 
-// Tried adds what a proxy met at a host. The newest load report among them is kept.
-func (in *Aggregator) AddTries(now logic.Millis, t Tries) {
-	r := in.row(now, triesKey{t.Host, t.Zone})
+// AddTries adds the tries of a proxy at a host. Of the hosts' own load figures, the latest are kept.
+func (a *Aggregator) AddTries(now logic.Millis, t Tries) {
+	r := a.row(now, triesKey{t.Host, t.Zone})
 	load := r.tries.Load
 	if t.Load != (logic.Load{}) {
 		load = t.Load
@@ -76,31 +82,32 @@
 	r.tries = Tries{t.Host, t.Zone, r.tries.Ended + t.Ended, r.tries.Unanswered + t.Unanswered, r.tries.AnsweredMs + t.AnsweredMs, load}
 }
 
-// Came adds the calls of a route.
-func (in *Aggregator) AddDemand(now logic.Millis, c Demand) {
-	if in.bySlice {
+// AddDemand adds the calls of a route.
+func (a *Aggregator) AddDemand(now logic.Millis, c Demand) {
+	if a.bySlice {
 		c.Proxy = 0
 	}
-	r := in.row(now, demandKey{c.Slice, c.Proxy, c.Route})
+	r := a.row(now, demandKey{c.Slice, c.Proxy, c.Route})
 	c.Calls, c.Unanswered = c.Calls+r.demand.Calls, c.Unanswered+r.demand.Unanswered
 	r.demand = c
 }
 
-// Next is when the period at hand ends.
-func (in *Aggregator) Next() logic.Millis { return in.periodEnd + in.interval }
+// Next returns when the current period ends.
+func (a *Aggregator) Next() logic.Millis { return a.periodEnd + a.interval }
 
-// Due gives the lines of a period that has ended, as notes.
-func (in *Aggregator) Due(now logic.Millis) (notes []any) {
-	if now < in.Next() {
+// Due returns the lines to release, as events, if the current period has ended. The rate limit is applied as credit,
+// of which at most one interval's worth, or one line, is saved up.
+func (a *Aggregator) Due(now logic.Millis) (events []any) {
+	if now < a.Next() {
 		return nil
 	}
-	in.credit = min(in.credit+in.linesPerSecond*float64(now-in.periodEnd)/1000, max(1, in.linesPerSecond*float64(in.interval)/1000))
-	in.periodEnd = now
-	n := min(len(in.pending), int(in.credit))
-	in.credit -= float64(n)
-	for _, key := range in.pending[:n] {
-		r := in.rows[key]
-		delete(in.rows, key)
+	a.credit = min(a.credit+a.linesPerSecond*float64(now-a.periodEnd)/1000, max(1, a.linesPerSecond*float64(a.interval)/1000))
+	a.periodEnd = now
+	n := min(len(a.pending), int(a.credit))
+	a.credit -= float64(n)
+	for _, key := range a.pending[:n] {
+		r := a.rows[key]
+		delete(a.rows, key)
 		over := now - r.since
 		switch key.(type) {
 		case triesKey:
@@ -109,19 +116,19 @@
 			if good := m.Ended - m.Lost; good > 0 {
 				m.Spent = logic.Millis(r.tries.AnsweredMs / float64(good))
 			}
-			notes = append(notes, m)
+			events = append(events, m)
 		case demandKey:
 			c := r.demand
-			if in.bySlice {
-				notes = append(notes, logic.Heat{Slice: c.Slice, Route: c.Route, Over: over, Calls: c.Calls, Lost: c.Unanswered})
+			if a.bySlice {
+				events = append(events, logic.Heat{Slice: c.Slice, Route: c.Route, Over: over, Calls: c.Calls, Lost: c.Unanswered})
 			} else {
-				notes = append(notes, logic.Asked{Proxy: c.Proxy, Route: c.Route, Over: over, Calls: c.Calls, Lost: c.Unanswered})
+				events = append(events, logic.Asked{Proxy: c.Proxy, Route: c.Route, Over: over, Calls: c.Calls, Lost: c.Unanswered})
 			}
 		}
 	}
-	in.pending = append([]any(nil), in.pending[n:]...)
-	return notes
+	a.pending = append([]any(nil), a.pending[n:]...)
+	return events
 }
 
-// Waiting is how many lines have yet to be heard.
-func (in *Aggregator) Pending() int { return len(in.pending) }
+// Pending returns the number of lines not yet released.
+func (a *Aggregator) Pending() int { return len(a.pending) }
--- a/internal/sums/sums_test.go
+++ b/internal/sums/sums_test.go
@@ -9,37 +9,37 @@
 )
 
 func TestOldestLinesAreReleasedFirst(t *testing.T) {
-	in := New(true, 500, 4) // two lines a period
+	a := New(true, 500, 4) // two lines per period
 	busy := 0.5
 	for host := logic.HostID(1); host <= 3; host++ {
-		in.AddTries(1000, Tries{Host: host, Ended: 4, Unanswered: 1, AnsweredMs: 300, Load: logic.Load{Busy: &busy}})
+		a.AddTries(1000, Tries{Host: host, Ended: 4, Unanswered: 1, AnsweredMs: 300, Load: logic.Load{Busy: &busy}})
 	}
-	if got := in.Due(1499 - 500); got != nil {
-		t.Fatalf("before the period ended: %v", got)
+	if got := a.Due(1499 - 500); got != nil {
+		t.Fatalf("lines released before the period ended: %v", got)
 	}
-	first := in.Due(1500)
+	first := a.Due(1500)
 	if len(first) != 2 || first[0].(logic.Met).Host != 1 || first[1].(logic.Met).Host != 2 {
 		t.Fatalf("%v", first)
 	}
 	if m := first[0].(logic.Met); m.Spent != 100 || m.Ended != 4 || m.Lost != 1 || *m.Load.Busy != 0.5 {
 		t.Fatalf("%+v", m)
 	}
-	in.AddTries(1600, Tries{Host: 3, Ended: 6, AnsweredMs: 600}) // the rest adds up, and keeps its report
-	next := in.Due(2000)
+	a.AddTries(1600, Tries{Host: 3, Ended: 6, AnsweredMs: 600}) // the pending line is added to and keeps its load figures
+	next := a.Due(2000)
 	m := next[0].(logic.Met)
 	if len(next) != 1 || m.Host != 3 || m.Ended != 10 || m.Over < 1000 || *m.Load.Busy != 0.5 || m.Spent != 100 {
 		t.Fatalf("%+v", next)
 	}
 }
 
-// What goes in comes out once, at no more than the stated pace.
+// Everything that is added is released exactly once, at no more than the configured rate.
 func TestEachLineIsReleasedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := New(rapid.Bool().Draw(t, "sliced"), 500, 10)
+		a := New(rapid.Bool().Draw(t, "sliced"), 500, 10)
 		now, put, got, lines := logic.Millis(1e12), 0, 0, 0
 		began := now
-		count := func(notes []any) {
-			for _, n := range notes {
+		count := func(events []any) {
+			for _, n := range events {
 				lines++
 				switch n := n.(type) {
 				case logic.Met:
@@ -56,21 +56,21 @@
 			n := rapid.IntRange(1, 9).Draw(t, "n")
 			put += n
 			if rapid.Bool().Draw(t, "tries") {
-				in.AddTries(now, Tries{Host: logic.HostID(rapid.IntRange(1, 6).Draw(t, "host")), Ended: n})
+				a.AddTries(now, Tries{Host: logic.HostID(rapid.IntRange(1, 6).Draw(t, "host")), Ended: n})
 			} else {
-				in.AddDemand(now, Demand{Slice: logic.TableID(rapid.IntRange(0, 6).Draw(t, "slice")), Proxy: 1, Calls: n})
+				a.AddDemand(now, Demand{Slice: logic.TableID(rapid.IntRange(0, 6).Draw(t, "slice")), Proxy: 1, Calls: n})
 			}
-			count(in.Due(now))
-			if most := 10*float64(now-began)/1000 + 5 + 1; float64(lines) > most {
-				t.Fatalf("%d lines in %v ms", lines, now-began)
+			count(a.Due(now))
+			if limit := 10*float64(now-began)/1000 + 5 + 1; float64(lines) > limit {
+				t.Fatalf("%d lines released in %v ms, above the rate limit", lines, now-began)
 			}
 		}
-		for i := 0; in.Pending() > 0 && i < 100; i++ {
+		for i := 0; a.Pending() > 0 && i < 100; i++ {
 			now += 500
-			count(in.Due(now))
+			count(a.Due(now))
 		}
 		if put != got {
-			t.Fatalf("%d went in, %d came out", put, got)
+			t.Fatalf("added %d, released %d", put, got)
 		}
 	})
 }
--- a/internal/turns/turns.go
+++ b/internal/turns/turns.go
@@ -1,4 +1,5 @@
-// Package turns is what every loop that owns a module needs: its clock, its inbox, gathering, and waits between tries.
+// Package turns provides what the event loop that owns a decision module needs: a clock, an inbox, and pauses with
+// backoff between attempts.
 package turns
 
 import (
@@ -9,41 +10,44 @@
 	"vetchwood/logic"
 )
 
-// Clock is the module's time: Unix milliseconds at the start, and from then on by the steady clock.
+// Clock is the module's time: Unix milliseconds, read from the system clock once at creation and advanced by the
+// monotonic clock.
 type Clock struct {
 	epoch  time.Time
 	offset float64
 }
 
+// NewClock returns a clock that starts at the present Unix time.
 func NewClock() Clock {
 	now := time.Now()
 	return Clock{now, float64(now.UnixMicro()) / 1000}
 }
 
-// Now is the module's time.
+// Now returns the module's time.
 func (c Clock) Now() logic.Millis {
 	return logic.Millis(c.offset + float64(time.Since(c.epoch).Nanoseconds())/1e6)
 }
 
-// Elapsed is how long the clock has run.
+// Elapsed returns how long the clock has run.
 func (c Clock) Elapsed() time.Duration { return time.Since(c.epoch) }
 
-// Until is how long it is till then, 0 if it is over.
-func (c Clock) Until(then logic.Millis) time.Duration {
-	return max(0, time.Duration(float64(then-c.Now())*float64(time.Millisecond)))
+// Until returns the time left until the deadline, or 0 if it has passed.
+func (c Clock) Until(deadline logic.Millis) time.Duration {
+	return max(0, time.Duration(float64(deadline-c.Now())*float64(time.Millisecond)))
 }
 
-// Inbox gathers what any goroutine puts in for the one that empties it.
+// Inbox collects items from any goroutine for the one that takes them.
 type Inbox struct {
 	mu     sync.Mutex
 	items  []any
-	oldest time.Time // the oldest came
+	oldest time.Time // when the oldest item was posted
 	wake   chan struct{}
 }
 
+// NewInbox returns an empty inbox.
 func NewInbox() *Inbox { return &Inbox{wake: make(chan struct{}, 1)} }
 
-// Post puts things in; those of one call are taken together.
+// Post adds items. The items of one call stay adjacent and in order.
 func (b *Inbox) Post(in ...any) {
 	b.mu.Lock()
 	if len(b.items) == 0 {
@@ -54,6 +58,7 @@
 	b.signal()
 }
 
+// signal wakes the owner, unless it has been woken already.
 func (b *Inbox) signal() {
 	select {
 	case b.wake <- struct{}{}:
@@ -61,36 +66,37 @@
 	}
 }
 
-// Wake tells that something is there.
+// Wake returns a channel that receives when items are present.
 func (b *Inbox) Wake() <-chan struct{} { return b.wake }
 
-// Take empties the inbox of at most so many, 0 for all, and says since when the oldest waited. More stays, as old as what goes,
-// near enough, and wakes its owner again.
-func (b *Inbox) Take(most int) (in []any, since time.Time, more bool) {
+// Take removes up to limit items, or all if limit is 0, and returns them with the time when the oldest was posted. If
+// items remain, more is true and the owner is woken again; the remaining items keep the time of the oldest, which is
+// accurate enough.
+func (b *Inbox) Take(limit int) (in []any, since time.Time, more bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	in, since, b.items = b.items, b.oldest, nil
-	if more = most > 0 && len(in) > most; more {
-		in, b.items = in[:most], append([]any(nil), in[most:]...)
+	if more = limit > 0 && len(in) > limit; more {
+		in, b.items = in[:limit], append([]any(nil), in[limit:]...)
 		b.signal()
 	}
 	return in, since, more
 }
 
-// Queue says how many wait, and since when the oldest does.
+// Queue returns the number of items and the time when the oldest was posted.
 func (b *Inbox) Queue() (length int, since time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.items), b.oldest
 }
 
-// Backoff is the wait before the next try: longer after each failure, up to ten units, and apart from what others wait; chance
-// is in [0,1).
-func Backoff(failures int, unit time.Duration, chance float64) time.Duration {
-	return time.Duration(float64(min(failures, 10)) * (0.5 + chance) * float64(unit))
+// Backoff returns the delay before the next attempt. It grows by one unit per failure up to ten units, times a factor
+// of 0.5 to 1.5 set by jitter, which is in [0,1), so that clients don't retry at the same time.
+func Backoff(failures int, unit time.Duration, jitter float64) time.Duration {
+	return time.Duration(float64(min(failures, 10)) * (0.5 + jitter) * float64(unit))
 }
 
-// Pause waits, no longer than the context lasts.
+// Pause waits for d or until the context ends.
 func Pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/turns/turns_test.go
+++ b/internal/turns/turns_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// What many put in comes out once, each one's things in their order, however it is taken.
+// Each posted item is delivered exactly once and in the order of its writer, however the items are taken.
 func TestInboxDeliversEachItemOnce(t *testing.T) {
 	b := NewInbox()
 	const writers, each = 8, 500
@@ -23,7 +23,7 @@
 		select {
 		case <-b.Wake():
 		case <-end:
-			t.Fatalf("%d of %d came", got, 2*writers*each)
+			t.Fatalf("received %d of %d items within 5s", got, 2*writers*each)
 		}
 		in, since, more := b.Take(97)
 		if len(in) > 97 || more && len(in) < 97 || len(in) > 0 && since.IsZero() {
@@ -32,7 +32,7 @@
 		for _, x := range in {
 			if n := x.([2]int); n[1] >= 0 {
 				if n[1] != next[n[0]] {
-					t.Fatalf("writer %d: %d came after %d", n[0], n[1], next[n[0]]-1)
+					t.Fatalf("writer %d: item %d arrived after %d", n[0], n[1], next[n[0]]-1)
 				}
 				next[n[0]]++
 			}
@@ -41,14 +41,14 @@
 	}
 	all.Wait()
 	if n, _ := b.Queue(); n != 0 {
-		t.Errorf("%d are left", n)
+		t.Errorf("%d items remain", n)
 	}
 }
 
 func TestBackoffGrowsToTenUnits(t *testing.T) {
 	for failures, want := range map[int]time.Duration{0: 0, 1: 5, 4: 20, 10: 50, 1000: 50} {
 		if got := Backoff(failures, 10, 0); got != want {
-			t.Errorf("after %d failures %v, wanted %v", failures, got, want)
+			t.Errorf("backoff after %d failures is %v, want %v", failures, got, want)
 		}
 	}
 }
@@ -56,9 +56,9 @@
 func TestClockIsUnixTime(t *testing.T) {
 	c := NewClock()
 	if off := float64(c.Now()) - float64(time.Now().UnixMicro())/1000; off < -100 || off > 100 {
-		t.Errorf("off by %v ms", off)
+		t.Errorf("clock is off by %v ms, at most 100 ms allowed", off)
 	}
 	if c.Until(c.Now()-5) != 0 || c.Until(c.Now()+1000) < 900*time.Millisecond {
-		t.Error("the time until then is wrong")
+		t.Error("Until returns a wrong duration")
 	}
 }
