--- a/internal/channel/channel_test.go
+++ b/internal/channel/channel_test.go
@@ -14,7 +14,7 @@
 	if c.QueuedLines() != 30 || c.MaxQueuedLines() != 30 {
 		t.Fatalf("%v lines queued, maximum %v, want 30 and 30", c.QueuedLines(), c.MaxQueuedLines())
 	}
-	if at, waits := c.Next(); !waits || at != 110 {
+	if at, ok := c.Next(); !ok || at != 110 {
 		t.Fatalf("first message leaves at %v, want 110", at)
 	}
 	if got := c.PopDue(109.9); len(got) != 0 {
--- a/internal/nets/socket_test.go
+++ b/internal/nets/socket_test.go
@@ -82,11 +82,11 @@
 	for range 5 {
 		shut := &switchLimiter{}
 		first := serveName(t, "first", shut)
-		waits := dial(t, first)
+		pending := dial(t, first)
 		time.Sleep(200 * time.Millisecond) // accepting is paused and retried periodically
 		shut.open.Store(true)
 		closeSocket(first)
-		waits.Close()
+		pending.Close()
 		open := &switchLimiter{}
 		open.open.Store(true)
 		second := serveName(t, "second", open)
@@ -116,16 +116,16 @@
 	defer closeSocket(s)
 	for pause := range 4 {
 		limiter.open.Store(false)
-		waits := dial(t, s)
+		pending := dial(t, s)
 		before := runtime.NumGoroutine()
-		if name := readAnswer(waits, 300*time.Millisecond); name != "" {
+		if name := readAnswer(pending, 300*time.Millisecond); name != "" {
 			t.Fatalf("pause %d: answered by %q while no connection may be accepted", pause, name)
 		}
 		if grown := runtime.NumGoroutine() - before; grown > 2 {
 			t.Fatalf("pause %d: %d more goroutines after 300 ms, at most 2 allowed", pause, grown)
 		}
 		limiter.open.Store(true)
-		if name := readAnswer(waits, 3*time.Second); name != "here" {
+		if name := readAnswer(pending, 3*time.Second); name != "here" {
 			t.Fatalf("pause %d: not answered within 3 s of the end of the shortage", pause)
 		}
 	}
--- a/internal/platform/news/news.go
+++ b/internal/platform/news/news.go
@@ -79,8 +79,8 @@
 	if record, is := in.Note.(logic.OnRecord); is {
 		return tr.lineRecorded(now, record)
 	}
-	if custody, is := in.Note.(logic.Custody); is && custody.Given {
-		return tr.sliceAssigned(now, custody.Slice)
+	if change, is := in.Note.(logic.Custody); is && change.Given {
+		return tr.sliceAssigned(now, change.Slice)
 	}
 	if _, is := in.Note.(logic.Joined); !is {
 		// A snapshot consists of joined proxies, assigned slices and lines only: anything else comes after it.
--- a/internal/platform/news/news_test.go
+++ b/internal/platform/news/news_test.go
@@ -140,7 +140,7 @@
 	incomplete := func(now logic.Millis, want bool) {
 		t.Helper()
 		if got := tr.SnapshotDeadline(now) > 0; got != want {
-			t.Errorf("at %v: incomplete is %v, want the opposite", now, got)
+			t.Errorf("at %v: snapshot incomplete = %v, want the opposite", now, got)
 		}
 	}
 	incomplete(1000, false)
--- a/internal/turns/turns_test.go
+++ b/internal/turns/turns_test.go
@@ -27,7 +27,7 @@
 		}
 		in, since, more := b.Take(97)
 		if len(in) > 97 || more && len(in) < 97 || len(in) > 0 && since.IsZero() {
-			t.Fatalf("%d taken, more %v, since %v", len(in), more, since)
+			t.Fatalf("took %d items, more %v, since %v", len(in), more, since)
 		}
 		for _, x := range in {
 			if n := x.([2]int); n[1] >= 0 {
