--- a/internal/nets/lines.go
+++ b/internal/nets/lines.go
@@ -6,53 +6,55 @@
 	"time"
 )
 
-// ErrLong is a line that is longer than it may be.
-var ErrLong = errors.New("a line is longer than it may be")
+// ErrLineTooLong is returned by LineReader.Next for a line that exceeds the maximum length.
+var ErrLineTooLong = errors.New("line exceeds the maximum length")
 
-// Lines reads the lines of a connection that we opened. What it gives is good until the next call.
-type Lines struct {
-	conn Conn
-	buf  []byte
-	from int // where the next line begins
-	most int
+// LineReader reads lines from an outgoing connection.
+type LineReader struct {
+	conn     Conn
+	buf      []byte
+	start    int // index in buf at which the next line begins
+	maxBytes int
 }
 
-func NewLines(c Conn, most int) *Lines { return &Lines{conn: c, most: most} }
+// NewLineReader returns a reader of lines of up to maxBytes bytes.
+func NewLineReader(c Conn, maxBytes int) *LineReader { return &LineReader{conn: c, maxBytes: maxBytes} }
 
-const leastBuffer = 4 << 10
+// minFreeBytes is the least free space in the buffer before a read.
+const minFreeBytes = 4 << 10
 
-// Next gives the next line without its end; it must come whole by then. What has come already when that is over is
-// still read, once.
-func (l *Lines) Next(by time.Time) ([]byte, error) {
-	over := false
-	for at := l.from; ; {
+// Next returns the next line without its line feed. The slice is valid until the next call. The whole line must arrive
+// before the deadline; if that has passed, data that has already arrived is still read, once.
+func (l *LineReader) Next(deadline time.Time) ([]byte, error) {
+	expired := false
+	for at := l.start; ; {
 		for ; at < len(l.buf); at++ {
 			if l.buf[at] == '\n' {
-				line := l.buf[l.from:at]
-				l.from = at + 1
+				line := l.buf[l.start:at]
+				l.start = at + 1
 				return line, nil
 			}
 		}
-		if len(l.buf)-l.from > l.most {
-			return nil, ErrLong
+		if len(l.buf)-l.start > l.maxBytes {
+			return nil, ErrLineTooLong
 		}
-		if l.from > 0 {
-			at -= l.from
-			l.buf = l.buf[:copy(l.buf, l.buf[l.from:])]
-			l.from = 0
+		if l.start > 0 {
+			at -= l.start
+			l.buf = l.buf[:copy(l.buf, l.buf[l.start:])]
+			l.start = 0
 		}
-		if len(l.buf) == 0 && cap(l.buf) > 16*leastBuffer {
-			l.buf = nil // one long line is no reason to keep as much
+		if len(l.buf) == 0 && cap(l.buf) > 16*minFreeBytes {
+			l.buf = nil // releases the large buffer that a long line needed
 		}
-		if free := cap(l.buf) - len(l.buf); free < leastBuffer {
-			l.buf = append(make([]byte, 0, 2*cap(l.buf)+leastBuffer), l.buf...)
+		if free := cap(l.buf) - len(l.buf); free < minFreeBytes {
+			l.buf = append(make([]byte, 0, 2*cap(l.buf)+minFreeBytes), l.buf...)
 		}
-		left := time.Until(by)
-		if left <= 0 && over {
+		left := time.Until(deadline)
+		if left <= 0 && expired {
 			return nil, os.ErrDeadlineExceeded
 		}
-		over = left <= 0
-		l.conn.SetReadTimeout(max(leastTimeout, left))
+		expired = left <= 0
+		l.conn.SetReadTimeout(max(minTimeout, left))
 		n, err := l.conn.Read(l.buf[len(l.buf):cap(l.buf)])
 		l.buf = l.buf[:len(l.buf)+n]
 		if err != nil && n == 0 {
