--- a/cmd/vetchwood/commands.go
+++ b/cmd/vetchwood/commands.go
@@ -77,11 +77,11 @@
 		{"tables", map[bool]string{true: fmt.Sprintf("%d slices of keys", f.Slices), false: "by proxy"}[f.Slices > 0]},
 		{"pick", s.Service.Pick}, {"proxies at most", f.Proxies},
 		{"a proxy has left after", fmt.Sprintf("%v ms without a poll", s.Service.Lease)},
-		{"drains kept within", fmt.Sprintf("%v ms", f.DrainGrace)}, {"bare at most", fmt.Sprintf("%v ms", f.BareLimit)},
-		{"a cold host bears", fmt.Sprintf("%v times what it can do, for %v ms, until %v ms after its start", f.TipMultiple, f.FallAfter, f.WarmAfter)},
+		{"drains kept within", fmt.Sprintf("%v ms", f.DrainGrace)}, {"bare at most", fmt.Sprintf("%v ms", f.EmptyTableLimit)},
+		{"a cold host bears", fmt.Sprintf("%v times what it can do, for %v ms, until %v ms after its start", f.ColdOverloadLimit, f.ColdFailAfter, f.WarmAfter)},
 		{"channel", fmt.Sprintf("%v lines a second, %v wait at most: %.1f s", f.LinesPerSecond, f.QueueLimit, f.QueueLimit/f.LinesPerSecond)},
-		{"one line to all proxies costs", fmt.Sprintf("%v lines, %.0f ms of the channel", float64(f.Proxies)*(f.HeadLines+2),
-			1000*float64(f.Proxies)*(f.HeadLines+2)/f.LinesPerSecond)},
+		{"one line to all proxies costs", fmt.Sprintf("%v lines, %.0f ms of the channel", float64(f.Proxies)*(f.MessageOverhead+2),
+			1000*float64(f.Proxies)*(f.MessageOverhead+2)/f.LinesPerSecond)},
 		{"memory", fmt.Sprintf("%d MiB, for %d connections at most if there are descriptors", s.Memory>>20, budget.Means{Memory: s.Memory, Descriptors: 1 << 30}.Of().Connections)},
 		{"longest wait of a poll", fmt.Sprintf("%v ms", s.Service.LongestWait)}} {
 		fmt.Fprintf(out, "  %-30s %v\n", l.name, l.v)
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -76,8 +76,8 @@
 func New(seed uint64, now logic.Millis, svc Service, saved Saved) (*Core, []any) {
 	f := svc.Facts
 	c := &Core{svc: svc, module: logic.New(seed, f), names: newNames(svc.Zones, f.Proxies, &saved), line: saved.Line,
-		channel: channel.New(f.LinesPerSecond, f.MessageSpan),
-		intake:  sums.New(f.Slices > 0, f.ReportEvery, f.IntakePerSecond), streams: map[logic.ProxyID]*stream{},
+		channel: channel.New(f.LinesPerSecond, f.MessageWindow),
+		intake:  sums.New(f.Slices > 0, f.ReportInterval, f.ReportLinesPerSecond), streams: map[logic.ProxyID]*stream{},
 		readers: map[logic.ProxyID]bool{}, shown: shown{dirty: true, until: logic.Millis(math.Inf(1))}, kept: map[tables.Tag]*tables.Document{}, routes: map[string]logic.RouteID{},
 		listed: map[tables.Address]bool{}, known: newKnown(now), onlookers: map[Ticket]onlooker{}, believed: map[tables.Address]believed{},
 		expected: map[logic.TableID][]expectation{}, healthFrom: map[tables.Address]bool{}}
@@ -117,7 +117,7 @@
 	} else {
 		d.carry(&saved)
 	}
-	c.notes = append(c.notes, logic.Roster{Kind: logic.FromDisk, Entries: c.entries(saved.List, now)})
+	c.notes = append(c.notes, logic.HostList{Kind: logic.HostListFromDisk, Entries: c.entries(saved.List, now)})
 	c.list0, c.pinned = saved.List, map[logic.TableID]Pin{}
 	maps.Copy(c.pinned, saved.Pinned)
 	for t := range logic.TableID(f.Slices) {
@@ -127,7 +127,7 @@
 	}
 	for _, a := range slices.Sorted(maps.Keys(d.is.masked)) {
 		if k, known := c.names.hosts[a]; known {
-			c.notes = append(c.notes, logic.Masked{Host: k.Number})
+			c.notes = append(c.notes, logic.InheritedMask{Host: k.Number})
 		}
 	}
 	c.out = nil
@@ -227,7 +227,7 @@
 			c.tellPins(now, i.Ticket)
 		case Probed:
 			if k, known := c.names.hosts[i.Address]; known {
-				c.notes = append(c.notes, logic.Probed{Host: k.Number, Spent: i.Spent, Good: i.Good, Load: i.Load})
+				c.notes = append(c.notes, logic.ProbeResult{Host: k.Number, Latency: i.Spent, Healthy: i.Good, Load: i.Load})
 			}
 		}
 	}
@@ -242,7 +242,7 @@
 	c.notes = append(c.notes, c.intake.Due(now)...)
 	slices.SortStableFunc(c.timers, func(a, b timer) int { return cmp.Compare(a.at, b.at) })
 	for len(c.timers) > 0 && c.timers[0].at <= now {
-		c.notes = append(c.notes, logic.Due{Timer: c.timers[0].id})
+		c.notes = append(c.notes, logic.TimerFired{Timer: c.timers[0].id})
 		c.timers = c.timers[1:]
 	}
 	if len(c.notes) > 0 {
@@ -271,15 +271,15 @@
 	d := c.draft(float64(now))
 	for _, o := range orders {
 		switch o := o.(type) {
-		case logic.After:
-			c.timers = append(c.timers, timer{now + o.In, o.Timer})
-		case logic.Ping:
+		case logic.SetTimer:
+			c.timers = append(c.timers, timer{now + o.Delay, o.Timer})
+		case logic.Probe:
 			if a := c.names.address[o.Host]; c.svc.Facts.MayProbe && a != "" {
 				c.out = append(c.out, Probe{a})
 			}
-		case logic.Say:
+		case logic.LogText:
 			c.say(Event{Name: "module.says", Detail: o.Text})
-		case logic.Follow, logic.Pull, logic.Tell:
+		case logic.WatchHosts, logic.RequestHosts, logic.SendToPeer:
 			// The list comes by itself, and there is no peer yet.
 		default:
 			d.order(o)
@@ -312,7 +312,7 @@
 		if !concerned && !(d.stamped && d.all) {
 			continue
 		}
-		if lines += c.svc.Facts.HeadLines; d.stamped {
+		if lines += c.svc.Facts.MessageOverhead; d.stamped {
 			lines++
 		}
 		l := same
@@ -398,12 +398,12 @@
 func (c *Core) list(now logic.Millis, hosts []Listed) {
 	c.list0, c.lost = slices.Clone(hosts), 0
 	c.known.list(now, hosts)
-	c.notes = append(c.notes, logic.Roster{Kind: logic.Whole, Entries: c.entries(c.doubt(now, hosts), now)})
+	c.notes = append(c.notes, logic.HostList{Kind: logic.HostListFull, Entries: c.entries(c.doubt(now, hosts), now)})
 	c.out = append(c.out, Persist{Change{Line: c.line, List: slices.Clone(hosts), Known: maps.Clone(c.names.hosts)}})
 	c.say(Event{Name: "list.told", Detail: strconv.Itoa(len(hosts)) + " hosts"})
 }
 
-func (c *Core) entries(hosts []Listed, now logic.Millis) (out []logic.Entry) {
+func (c *Core) entries(hosts []Listed, now logic.Millis) (out []logic.HostEntry) {
 	clear(c.listed)
 	for _, l := range hosts {
 		if c.listed[l.Address] {
@@ -415,10 +415,10 @@
 	return out
 }
 
-func (c *Core) entry(l Listed, now logic.Millis) logic.Entry {
+func (c *Core) entry(l Listed, now logic.Millis) logic.HostEntry {
 	id, _ := c.names.host(l)
-	return logic.Entry{Host: id, State: l.State, Cell: c.names.cell(l.Cell), Zone: c.names.zone(l.Zone), Weight: l.Weight,
-		Born: min(logic.Millis(l.Born), now)}
+	return logic.HostEntry{Host: id, State: l.State, Cell: c.names.cell(l.Cell), Zone: c.names.zone(l.Zone), Weight: l.Weight,
+		StartedAt: min(logic.Millis(l.Born), now)}
 }
 
 // Figures are those of now.
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -29,10 +29,10 @@
 	return Service{Zones: []string{"a", "b"}, Pick: "lottery", ProxyNames: regexp.MustCompile(`^p[0-9]$`), Lease: 2000,
 		LongestWait: 30000, Kept: 16, Routes: []RouteInfo{{"read", tables.Route{Level: tables.Level{Level: 1, Tries: 1},
 			Repeat: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1}}},
-		Facts: logic.Facts{Directors: 1, Proxies: 4, Slices: slices, LinesPerSecond: 1000, QueueLimit: 1000, HeadLines: 4,
-			Transit: 5, WorstTransit: 50, DrainGrace: 2000, WarmAfter: 10000, FallAfter: 1500, TipMultiple: 3, ColdFrom: 0.2,
-			BareLimit: 2000, ReportEvery: 500, IntakePerSecond: 100, MessageSpan: 10000, Levels: logic.LevelShare,
-			Routes: []logic.Route{{SLO: 1000, TimeLimit: 3000, Importance: 1, Repeat: logic.Repeatable}}}}
+		Facts: logic.Config{Directors: 1, Proxies: 4, Slices: slices, LinesPerSecond: 1000, QueueLimit: 1000, MessageOverhead: 4,
+			Transit: 5, WorstTransit: 50, DrainGrace: 2000, WarmAfter: 10000, ColdFailAfter: 1500, ColdOverloadLimit: 3, ColdCapacity: 0.2,
+			EmptyTableLimit: 2000, ReportInterval: 500, ReportLinesPerSecond: 100, MessageWindow: 10000, Levels: logic.LevelShare,
+			Routes: []logic.Route{{SLO: 1000, TimeLimit: 3000, Importance: 1, Idempotency: logic.Idempotent}}}}
 }
 
 func start(t *testing.T, svc Service, disk Saved) *rig {
--- a/internal/control/held.go
+++ b/internal/control/held.go
@@ -141,7 +141,7 @@
 	delete(d.is.tables, t)
 	d.change.Tables[t] = nil
 	delete(c.custody.fences, t)
-	c.notes = append(c.notes, logic.Custody{Slice: t, Given: false})
+	c.notes = append(c.notes, logic.SliceOwnership{Slice: t, Owned: false})
 	c.say(Event{Name: "slice.withdrawn", Version: strconv.Itoa(int(d.is.step)), Detail: strconv.Itoa(int(t))})
 	c.reread(now, d)
 }
--- a/internal/control/known.go
+++ b/internal/control/known.go
@@ -210,7 +210,7 @@
 	for _, d := range con.Doubts {
 		c.say(Event{Name: "peer.doubted", Detail: d.Director + ": " + d.Why})
 	}
-	var entries []logic.Entry
+	var entries []logic.HostEntry
 	for _, h := range con.Hosts {
 		was, again := c.believed[h.Address]
 		c.believed[h.Address] = believed{h, now + believeFor}
@@ -222,7 +222,7 @@
 		c.say(Event{Name: "host.learnt", Host: string(h.Address), Detail: string(h.State)})
 	}
 	if len(entries) > 0 {
-		c.notes = append(c.notes, logic.Roster{Kind: logic.Changes, Entries: entries})
+		c.notes = append(c.notes, logic.HostList{Kind: logic.HostListDelta, Entries: entries})
 	}
 	c.figures.Learnt += uint64(len(entries))
 	for _, h := range con.Health {
@@ -231,9 +231,9 @@
 			continue
 		}
 		c.healthFrom[h.Address] = true
-		m := logic.Met{Host: k.Number, Zone: c.names.zone(h.Zone), Over: logic.Millis(h.Health.Over), Ended: int(math.Round(h.Health.Ended)),
-			Lost: int(math.Round(h.Health.Lost)), Spent: logic.Millis(h.Health.Spent), Load: orca.Of(h.Health.Load)}
-		if m.Ended > 0 {
+		m := logic.HostSample{Host: k.Number, Zone: c.names.zone(h.Zone), Period: logic.Millis(h.Health.Over), Finished: int(math.Round(h.Health.Ended)),
+			Failed: int(math.Round(h.Health.Lost)), MeanLatency: logic.Millis(h.Health.Spent), Load: orca.Of(h.Health.Load)}
+		if m.Finished > 0 {
 			c.notes = append(c.notes, m)
 		}
 	}
@@ -260,7 +260,7 @@
 		}
 		n := int(math.Round(e.Rate * overMs / 1000))
 		if n > 0 {
-			c.notes = append(c.notes, logic.Heat{Slice: slice, Route: route, Over: logic.Millis(overMs), Calls: n, Lost: int(e.Lost * overMs / 1000)})
+			c.notes = append(c.notes, logic.SliceDemand{Slice: slice, Route: route, Period: logic.Millis(overMs), Calls: n, Unanswered: int(e.Lost * overMs / 1000)})
 		}
 	}
 	delete(c.expected, slice)
@@ -290,7 +290,7 @@
 		}
 	}
 	if over && c.known.listed > 0 {
-		c.notes = append(c.notes, logic.Roster{Kind: logic.Whole, Entries: c.entries(c.doubt(now, c.list0), now)})
+		c.notes = append(c.notes, logic.HostList{Kind: logic.HostListFull, Entries: c.entries(c.doubt(now, c.list0), now)})
 	}
 }
 
--- a/internal/control/operate.go
+++ b/internal/control/operate.go
@@ -77,7 +77,7 @@
 	case c.svc.Facts.Slices == 0:
 		c.operator(r.Ticket, Wrong, "proxies have tables of their own here; only tables of slices can be rolled back", nil)
 		return
-	case c.svc.Facts.OneOwner:
+	case c.svc.Facts.SingleOwner:
 		c.operator(r.Ticket, Wrong, "slices have single owners here: a table goes to another only by the module's hand-over", nil)
 		return
 	case c.operated > r.Since:
@@ -116,7 +116,7 @@
 		c.pinned = maps.Clone(c.pinned)
 		for _, h := range o.Tables {
 			if _, had := c.pinned[h.Table]; !had {
-				c.notes = append(c.notes, logic.Custody{Slice: h.Table, Given: false})
+				c.notes = append(c.notes, logic.SliceOwnership{Slice: h.Table, Owned: false})
 			}
 			c.pinned[h.Table] = Pin{Lines: maps.Clone(r.Content[h.Table].Lines), Step: r.To, Who: r.Who}
 		}
@@ -166,11 +166,11 @@
 
 // give puts a slice in the module's charge, with the lines that stand.
 func (c *Core) give(id logic.TableID, w *world) {
-	c.notes = append(c.notes, logic.Custody{Slice: id, Given: true})
+	c.notes = append(c.notes, logic.SliceOwnership{Slice: id, Owned: true})
 	table := w.tables[id]
 	for _, a := range slices.Sorted(maps.Keys(table.Lines)) {
 		if k, known := c.names.hosts[a]; known {
-			c.notes = append(c.notes, logic.OnRecord{Slice: id, Host: k.Number, Weight: table.Lines[a]})
+			c.notes = append(c.notes, logic.StoredLine{Slice: id, Host: k.Number, Weight: table.Lines[a]})
 		}
 	}
 }
@@ -217,7 +217,7 @@
 	}
 	d, listed := c.draft(float64(now)), c.hosts(now)
 	joined := float64(len(c.ids))
-	room := queuePart*c.svc.Facts.QueueLimit - c.channel.Waiting() - joined*c.svc.Facts.HeadLines
+	room := queuePart*c.svc.Facts.QueueLimit - c.channel.Waiting() - joined*c.svc.Facts.MessageOverhead
 	for _, s := range slices.Concat(c.behind, c.unsaved) {
 		for _, m := range s.messages {
 			room -= m.Lines
--- a/internal/control/streams.go
+++ b/internal/control/streams.go
@@ -51,7 +51,7 @@
 	at, _ := slices.BinarySearch(c.ids, id)
 	c.ids = slices.Insert(c.ids, at, id)
 	// What a new one is told here holds the masks and levels that stand, so it is never bare of them.
-	c.notes = append(c.notes, logic.Joined{Proxy: id, Fresh: len(j.Held) == 0, Rate: j.Rate, Zone: c.names.zone(j.Zone)})
+	c.notes = append(c.notes, logic.ProxyJoined{Proxy: id, Fresh: len(j.Held) == 0, Rate: j.Rate, Zone: c.names.zone(j.Zone)})
 	c.say(Event{Name: "proxy.joined", Proxy: j.Proxy})
 	if c.stored.step >= c.opening {
 		c.tell(st, c.document(c.stored, id))
@@ -99,7 +99,7 @@
 	if l.doc.Step > st.holds {
 		return false
 	}
-	c.notes = append(c.notes, logic.Applied{Proxy: id, Serial: l.serial, Spent: now - l.at})
+	c.notes = append(c.notes, logic.Acknowledged{Proxy: id, Serial: l.serial, Latency: now - l.at})
 	return true
 }
 
@@ -118,7 +118,7 @@
 		c.ids = slices.Delete(c.ids, at, at+1)
 	}
 	c.channel.Lose(id)
-	c.notes = append(c.notes, logic.Left{Proxy: id})
+	c.notes = append(c.notes, logic.ProxyLeft{Proxy: id})
 	c.say(Event{Name: "proxy.left", Proxy: st.name, Detail: why})
 }
 
--- a/internal/control/types.go
+++ b/internal/control/types.go
@@ -22,7 +22,7 @@
 // Service is what is directed, in the words of the settings.
 type Service struct {
 	Name        string // of the director
-	Facts       logic.Facts
+	Facts       logic.Config
 	Routes      []RouteInfo
 	Zones       []string
 	Pick        string
--- a/internal/control/world.go
+++ b/internal/control/world.go
@@ -84,7 +84,7 @@
 var everyone func(logic.ProxyID) bool
 
 func (d *draft) users(t logic.TableID) func(logic.ProxyID) bool {
-	if d.c.svc.Facts.Slices > 0 || t == logic.EveryTable {
+	if d.c.svc.Facts.Slices > 0 || t == logic.AllTables {
 		return everyone
 	}
 	return func(id logic.ProxyID) bool {
@@ -136,7 +136,7 @@
 		if o.Weight <= 0 {
 			delete(t.Lines, a)
 		} else {
-			if f.OneOwner {
+			if f.SingleOwner {
 				clear(t.Lines)
 			}
 			t.Lines[a] = o.Weight
@@ -157,16 +157,16 @@
 			d.is.masked = maps.Clone(d.is.masked)
 			d.change.Masked = d.is.masked
 		}
-		if o.Out {
+		if o.On {
 			d.is.masked[a] = true
 		} else {
 			delete(d.is.masked, a)
 		}
 		d.charge(1, d.holders(a))
-		d.c.say(Event{Name: "host.masked", Host: string(a), Detail: strconv.FormatBool(o.Out)})
+		d.c.say(Event{Name: "host.masked", Host: string(a), Detail: strconv.FormatBool(o.On)})
 	case logic.Throttle:
-		to := tables.Level{Level: o.Level, Tries: o.Tries}
-		if o.Table == logic.EveryTable {
+		to := tables.Level{Level: o.Level, Tries: o.Retries}
+		if o.Table == logic.AllTables {
 			if d.change.Levels == nil {
 				d.is.levels = append([]tables.Level(nil), d.is.levels...)
 				d.change.Levels = d.is.levels
@@ -241,8 +241,8 @@
 		return d
 	}
 	f := c.svc.Facts
-	d := &tables.Document{Pick: c.svc.Pick, Ejects: f.EjectsAfter, TryWait: f.TryWait, FullIsProof: !f.FullMayHaveRun,
-		LevelsBy: map[logic.Valve]string{logic.LevelShare: "share", logic.LevelRate: "rate", logic.NoLevels: "none"}[f.Levels],
+	d := &tables.Document{Pick: c.svc.Pick, Ejects: f.EjectAfterFailures, TryWait: f.TryTimeout, FullIsProof: !f.RejectedMayHaveRun,
+		LevelsBy: map[logic.LevelUnit]string{logic.LevelShare: "share", logic.LevelRate: "rate", logic.NoLevels: "none"}[f.Levels],
 		Routes:   map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{},
 		Masked: map[tables.Address]bool{}, Tables: map[string]*tables.Table{}}
 	use := func(name string, t *tables.Table) {
--- a/internal/lrs/lrs_test.go
+++ b/internal/lrs/lrs_test.go
@@ -32,7 +32,7 @@
 		t.Fatalf("%+v", r)
 	}
 	h := r.Tries[0]
-	if h.Address != "127.0.0.1:7001" || h.Ended != 10 || h.Lost != 1 || h.Spent != 900 || *h.Load.Busy != 0.75 || h.Load.Rate != nil {
+	if h.Address != "127.0.0.1:7001" || h.Ended != 10 || h.Lost != 1 || h.Spent != 900 || *h.Load.Utilization != 0.75 || h.Load.Throughput != nil {
 		t.Errorf("%+v", h)
 	}
 }
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -32,17 +32,17 @@
 	}
 	switch name {
 	case Busy:
-		l.Busy = &v
+		l.Utilization = &v
 	case Rate:
-		l.Rate = &v
+		l.Throughput = &v
 	case Errors:
-		l.Errors = &v
+		l.ErrorRate = &v
 	case Queue:
-		l.Queue = &v
+		l.Backlog = &v
 	case InHand:
-		l.InHand = &v
+		l.Outstanding = &v
 	case Recent:
-		l.Recent = &v
+		l.RecentLatency = &v
 	}
 }
 
@@ -51,7 +51,7 @@
 	for _, m := range []struct {
 		name string
 		v    *float64
-	}{{Busy, l.Busy}, {Rate, l.Rate}, {Errors, l.Errors}, {Queue, l.Queue}, {InHand, l.InHand}, {Recent, l.Recent}} {
+	}{{Busy, l.Utilization}, {Rate, l.Throughput}, {Errors, l.ErrorRate}, {Queue, l.Backlog}, {InHand, l.Outstanding}, {Recent, l.RecentLatency}} {
 		if m.v != nil {
 			yield(m.name, *m.v)
 		}
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -24,7 +24,7 @@
 		"":     {-1, -1, -1, -1},
 	} {
 		l, err := Parse(header)
-		if got := [4]float64{of(l.Busy), of(l.Rate), of(l.Queue), of(l.Errors)}; err != nil || got != want {
+		if got := [4]float64{of(l.Utilization), of(l.Throughput), of(l.Backlog), of(l.ErrorRate)}; err != nil || got != want {
 			t.Errorf("%q: %v, %v", header, got, err)
 		}
 	}
@@ -48,7 +48,7 @@
 				t.Fatalf("%s is %v", name, v)
 			}
 		})
-		if again, err := Parse(Text(l)); err != nil || (again.Busy == nil) != (l.Busy == nil) {
+		if again, err := Parse(Text(l)); err != nil || (again.Utilization == nil) != (l.Utilization == nil) {
 			t.Fatalf("%q became %q: %v", header, Text(l), err)
 		}
 	})
@@ -56,7 +56,7 @@
 
 func TestTextWritesWhatIsThere(t *testing.T) {
 	busy, rate := 0.25, 12.0
-	if got := Text(logic.Load{Busy: &busy, Rate: &rate}); got != "TEXT cpu_utilization=0.25,rps_fractional=12" {
+	if got := Text(logic.Load{Utilization: &busy, Throughput: &rate}); got != "TEXT cpu_utilization=0.25,rps_fractional=12" {
 		t.Fatal(got)
 	}
 }
--- a/internal/platform/codec/codec_test.go
+++ b/internal/platform/codec/codec_test.go
@@ -12,7 +12,7 @@
 )
 
 func names() *Names {
-	return NewNames(logic.Facts{Proxies: 4, Slices: 8, LoadColumns: []string{"utilization", "throughput"},
+	return NewNames(logic.Config{Proxies: 4, Slices: 8, LoadColumns: []string{"utilization", "throughput"},
 		Routes: []logic.Route{{TimeLimit: 3000}, {TimeLimit: 4000}}},
 		wire.Names{Routes: []string{"read", "note"}, Zones: []string{"a", "b"}, Kinds: []string{"m"}})
 }
@@ -20,13 +20,13 @@
 func TestWhatComesToTheDirector(t *testing.T) {
 	n, x := names(), 0.61
 	for line, want := range map[string]any{
-		`{"t":"heard","locality":"b","endpoint":"h1","total":7,"errors":2,"rtt":41.5,"interval":1000.0,"metrics":{"utilization":0.61}}`: logic.Met{
-			Host: ID("h1"), Zone: 1, Ended: 7, Lost: 2, Spent: 41.5, Over: 1000, Load: logic.Load{Busy: &x}},
-		`{"t":"heard","locality":"a","endpoint":"h1","total":7.0,"errors":7,"interval":500,"metrics":{"util":0.61}}`: logic.Met{
-			Host: ID("h1"), Ended: 7, Lost: 7, Over: 500, Load: logic.Load{Busy: &x}},
-		`{"t":"heat","shard":7,"route":"note","total":4,"errors":1,"interval":500}`: logic.Heat{Slice: 7, Route: 1, Calls: 4, Lost: 1, Over: 500},
+		`{"t":"heard","locality":"b","endpoint":"h1","total":7,"errors":2,"rtt":41.5,"interval":1000.0,"metrics":{"utilization":0.61}}`: logic.HostSample{
+			Host: ID("h1"), Zone: 1, Finished: 7, Failed: 2, MeanLatency: 41.5, Period: 1000, Load: logic.Load{Utilization: &x}},
+		`{"t":"heard","locality":"a","endpoint":"h1","total":7.0,"errors":7,"interval":500,"metrics":{"util":0.61}}`: logic.HostSample{
+			Host: ID("h1"), Finished: 7, Failed: 7, Period: 500, Load: logic.Load{Utilization: &x}},
+		`{"t":"heat","shard":7,"route":"note","total":4,"errors":1,"interval":500}`: logic.SliceDemand{Slice: 7, Route: 1, Calls: 4, Unanswered: 1, Period: 500},
 		// Calls are lost when they end and counted when they come. Found on sockets: the demand of the busiest slices was dropped.
-		`{"t":"heat","shard":0,"route":"read","total":1,"errors":2,"interval":500}`: logic.Heat{Calls: 1, Lost: 2, Over: 500},
+		`{"t":"heat","shard":0,"route":"read","total":1,"errors":2,"interval":500}`: logic.SliceDemand{Calls: 1, Unanswered: 2, Period: 500},
 	} {
 		if m, err := n.Read([]byte(line)); err != nil || !reflect.DeepEqual(m.Note, want) {
 			t.Errorf("%s: %+v, %v", line, m.Note, err)
@@ -73,11 +73,11 @@
 func TestWhatTheRelaySays(t *testing.T) {
 	n := names()
 	for line, want := range map[string]any{
-		`{"jsonrpc":"2.0","method":"joined","params":{"node":3,"locality":"b","w":21.5,"cold":true}}`: logic.Joined{Proxy: 3, Zone: 1, Rate: 21.5, Fresh: true},
-		`{"jsonrpc":"2.0","method":"left","params":{"node":3}}`:                                       logic.Left{Proxy: 3},
-		`{"jsonrpc":"2.0","method":"applied","params":{"node":0,"nonce":905,"latency":310.4}}`:        logic.Applied{Serial: 905, Spent: 310.4},
-		`{"jsonrpc":"2.0","method":"given","params":{"shard":7,"set":true}}`:                          logic.Custody{Slice: 7, Given: true},
-		`{"jsonrpc":"2.0","method":"held","params":{"shard":7,"endpoint":"h1","w":0.5}}`:              logic.OnRecord{Slice: 7, Host: ID("h1"), Weight: 0.5},
+		`{"jsonrpc":"2.0","method":"joined","params":{"node":3,"locality":"b","w":21.5,"cold":true}}`: logic.ProxyJoined{Proxy: 3, Zone: 1, Rate: 21.5, Fresh: true},
+		`{"jsonrpc":"2.0","method":"left","params":{"node":3}}`:                                       logic.ProxyLeft{Proxy: 3},
+		`{"jsonrpc":"2.0","method":"applied","params":{"node":0,"nonce":905,"latency":310.4}}`:        logic.Acknowledged{Serial: 905, Latency: 310.4},
+		`{"jsonrpc":"2.0","method":"given","params":{"shard":7,"set":true}}`:                          logic.SliceOwnership{Slice: 7, Owned: true},
+		`{"jsonrpc":"2.0","method":"held","params":{"shard":7,"endpoint":"h1","w":0.5}}`:              logic.StoredLine{Slice: 7, Host: ID("h1"), Weight: 0.5},
 		`{"jsonrpc":"2.0","method":"ping"}`:                                                           nil,
 	} {
 		if f, err := n.Frame([]byte(line)); err != nil || f.News == nil || !reflect.DeepEqual(f.News.Note, want) {
@@ -113,24 +113,24 @@
 	n := names()
 	f.Fuzz(func(t *testing.T, line []byte) {
 		if m, err := n.Read(line); err == nil {
-			if heat, is := m.Note.(logic.Heat); is && (heat.Slice < 0 || int(heat.Slice) >= n.Slices || heat.Over <= 0 || heat.Calls < 0) {
+			if heat, is := m.Note.(logic.SliceDemand); is && (heat.Slice < 0 || int(heat.Slice) >= n.Slices || heat.Period <= 0 || heat.Calls < 0) {
 				t.Errorf("%q: %+v", line, heat)
 			}
-			if met, is := m.Note.(logic.Met); is && (met.Lost < 0 || met.Lost > met.Ended || met.Over <= 0 || met.Spent < 0) {
+			if met, is := m.Note.(logic.HostSample); is && (met.Failed < 0 || met.Failed > met.Finished || met.Period <= 0 || met.MeanLatency < 0) {
 				t.Errorf("%q: %+v", line, met)
 			}
 		}
 		n.Frame(line)
 		n.Load(string(line))
 		if l, err := ReadList(line); err == nil {
-			NewHosts().Roster(l, logic.Whole, n)
+			NewHosts().Roster(l, logic.HostListFull, n)
 		}
 	})
 }
 
 func TestTheList(t *testing.T) {
 	h, n := NewHosts(), names()
-	read := func(kind logic.RosterKind, text string) logic.Roster {
+	read := func(kind logic.HostListKind, text string) logic.HostList {
 		t.Helper()
 		l, err := ReadList([]byte(text))
 		if err != nil {
@@ -141,18 +141,18 @@
 	}
 	const h1, h2 = `{"name":"h1","address":"127.0.0.1:1","zone":"b","type":"m","group":3,"status":"active","weight":1,"since_ms":5}`,
 		`{"name":"h2","address":"127.0.0.1:2","zone":"a","type":"m","group":3,"status":"active","weight":1,"since_ms":0}`
-	r := read(logic.FromDisk, `{"index":1,"snapshot":true,"endpoints":[`+h1+`,`+h2+`]}`)
-	if r.Kind != logic.FromDisk || len(r.Entries) != 2 || r.Entries[0] != (logic.Entry{Host: ID("h1"), Cell: 3, Zone: 1, Weight: 1, Born: 5}) {
+	r := read(logic.HostListFromDisk, `{"index":1,"snapshot":true,"endpoints":[`+h1+`,`+h2+`]}`)
+	if r.Kind != logic.HostListFromDisk || len(r.Entries) != 2 || r.Entries[0] != (logic.HostEntry{Host: ID("h1"), Cell: 3, Zone: 1, Weight: 1, StartedAt: 5}) {
 		t.Fatalf("%+v", r)
 	}
 	// A host comes back under another address; one whose entry can't be read stays as it was; one that left needs a name alone.
-	r = read(logic.Whole, `{"index":2,"snapshot":false,"endpoints":[{"name":"h1","address":"127.0.0.1:9","zone":"b","type":"m","group":3,"status":"active",`+
+	r = read(logic.HostListFull, `{"index":2,"snapshot":false,"endpoints":[{"name":"h1","address":"127.0.0.1:9","zone":"b","type":"m","group":3,"status":"active",`+
 		`"weight":1,"since_ms":9},{"name":"h2","address":"127.0.0.1:3","zone":"moon","type":"m","status":"active"},{"name":"h3","status":"left"}]}`)
-	if r.Kind != logic.Changes || len(r.Entries) != 3 || r.Entries[1].Zone != 0 || r.Entries[2].State != logic.Gone ||
+	if r.Kind != logic.HostListDelta || len(r.Entries) != 3 || r.Entries[1].Zone != 0 || r.Entries[2].State != logic.Gone ||
 		h.Address(ID("h1")) != "127.0.0.1:9" || h.Address(ID("h2")) != "127.0.0.1:2" || h.Listed() != 2 {
 		t.Fatalf("%+v", r)
 	}
-	if r = read(logic.Whole, `{"index":3,"snapshot":true,"endpoints":[`+h2+`]}`); r.Kind != logic.Whole || h.Address(ID("h1")) != "" || h.NameOf(ID("h1")) != "h1" {
+	if r = read(logic.HostListFull, `{"index":3,"snapshot":true,"endpoints":[`+h2+`]}`); r.Kind != logic.HostListFull || h.Address(ID("h1")) != "" || h.NameOf(ID("h1")) != "h1" {
 		t.Fatalf("%+v, h1 at %q", r, h.Address(ID("h1")))
 	}
 	for i := range 3 * mostGone {
@@ -173,10 +173,10 @@
 		{logic.SetLine{Table: 4, Host: id, Weight: 1.5}, `{"verb":"share","cluster":4,"endpoint":"h1","w":1.5}`},
 		{logic.SetLine{Table: 4, Host: id, Weight: 1e-7}, `{"verb":"share","cluster":4,"endpoint":"h1","w":0.0000001}`},
 		{logic.DropLines{Table: 4}, `{"verb":"clear","cluster":4}`},
-		{logic.Mask{Host: id, Out: true}, `{"verb":"withdraw","endpoint":"h1"}`},
+		{logic.Mask{Host: id, On: true}, `{"verb":"withdraw","endpoint":"h1"}`},
 		{logic.Mask{Host: id}, `{"verb":"restore","endpoint":"h1"}`},
-		{logic.Throttle{Table: 4, Routes: 2, Level: 0.9, Tries: 1}, `{"verb":"admit","cluster":4,"classes":["note"],"level":0.9,"retry":1}`},
-		{logic.Throttle{Table: logic.EveryTable, Routes: 3, Level: 1}, `{"verb":"admit","level":1,"retry":0}`},
+		{logic.Throttle{Table: 4, Routes: 2, Level: 0.9, Retries: 1}, `{"verb":"admit","cluster":4,"classes":["note"],"level":0.9,"retry":1}`},
+		{logic.Throttle{Table: logic.AllTables, Routes: 3, Level: 1}, `{"verb":"admit","level":1,"retry":0}`},
 		{logic.Stamp{Serial: 905, All: true}, `{"verb":"mark","ticket":905,"set":1}`},
 		{logic.Stamp{Serial: 905}, `{"verb":"mark","ticket":905,"set":0}`},
 	} {
@@ -184,7 +184,7 @@
 			t.Errorf("%+v: %s, %v", c.order, op.Text, err)
 		}
 	}
-	if op, _, _ := n.Op(logic.Throttle{Table: logic.EveryTable, Routes: 1}, h); op.Table != outbox.NoTable || op.Kind != outbox.Level {
+	if op, _, _ := n.Op(logic.Throttle{Table: logic.AllTables, Routes: 1}, h); op.Table != outbox.NoTable || op.Kind != outbox.Level {
 		t.Errorf("%+v", op)
 	}
 	if _, _, err := n.Op(logic.SetLine{Table: 4, Host: id + 1}, h); err == nil {
--- a/internal/platform/codec/hosts.go
+++ b/internal/platform/codec/hosts.go
@@ -27,7 +27,7 @@
 	name, address string
 	listed        bool
 	filed         bool // among those gone
-	entry         logic.Entry
+	entry         logic.HostEntry
 }
 
 // mostGone is how many hosts that are listed no more are still known by name, for orders that take their lines away.
@@ -95,9 +95,9 @@
 
 // Roster takes a list in: what its entries mean, and an error for each that could not be used. A host whose entry can't be
 // read stays as it was.
-func (h *Hosts) Roster(l List, kind logic.RosterKind, n *Names) (r logic.Roster, wrong []error) {
-	if r.Kind = kind; kind != logic.FromDisk && !l.Snapshot {
-		r.Kind = logic.Changes
+func (h *Hosts) Roster(l List, kind logic.HostListKind, n *Names) (r logic.HostList, wrong []error) {
+	if r.Kind = kind; kind != logic.HostListFromDisk && !l.Snapshot {
+		r.Kind = logic.HostListDelta
 	}
 	named := map[logic.HostID]bool{}
 	for i, e := range l.Endpoints {
@@ -119,7 +119,7 @@
 		named[entry.Host] = true
 		r.Entries = append(r.Entries, entry)
 	}
-	if r.Kind != logic.Changes {
+	if r.Kind != logic.HostListDelta {
 		for id, k := range h.by {
 			if k.listed && !named[id] {
 				k.listed = false
@@ -130,7 +130,7 @@
 	return r, wrong
 }
 
-func (h *Hosts) entry(e Endpoint, n *Names) (out logic.Entry, err error) {
+func (h *Hosts) entry(e Endpoint, n *Names) (out logic.HostEntry, err error) {
 	state, known := map[string]logic.HostState{"active": logic.Up, "leaving": logic.Draining, "left": logic.Gone}[e.Status]
 	if !known {
 		return out, fmt.Errorf("status: unknown value %q", e.Status)
@@ -155,6 +155,6 @@
 	if err != nil {
 		return out, fmt.Errorf("name: %w", err)
 	}
-	return logic.Entry{Host: id, State: state, Cell: logic.CellID(e.Group), Zone: zone, Kind: kind, Weight: e.Weight,
-		Born: logic.Millis(e.Since)}, nil
+	return logic.HostEntry{Host: id, State: state, Cell: logic.CellID(e.Group), Zone: zone, Hardware: kind, Weight: e.Weight,
+		StartedAt: logic.Millis(e.Since)}, nil
 }
--- a/internal/platform/codec/messages.go
+++ b/internal/platform/codec/messages.go
@@ -51,16 +51,16 @@
 		out.Zone = f.zone(n, m.Locality)
 	case "heard":
 		out.Host = f.text("endpoint", m.Endpoint)
-		met := logic.Met{Host: ID(out.Host), Zone: f.zone(n, m.Locality), Ended: f.whole("total", m.Total, mostCount),
-			Lost: f.whole("errors", m.Errors, mostCount), Over: logic.Millis(f.number("interval", m.Interval, mostSpan))}
-		if met.Lost > met.Ended {
+		met := logic.HostSample{Host: ID(out.Host), Zone: f.zone(n, m.Locality), Finished: f.whole("total", m.Total, mostCount),
+			Failed: f.whole("errors", m.Errors, mostCount), Period: logic.Millis(f.number("interval", m.Interval, mostSpan))}
+		if met.Failed > met.Finished {
 			f.wrong("errors", "more than total")
 		}
-		if m.RTT != nil || met.Ended > met.Lost { // of no answer there is no time
+		if m.RTT != nil || met.Finished > met.Failed { // of no answer there is no time
 			// Means come with noise, and a call that was begun in time may end after its time limit.
-			met.Spent = logic.Millis(f.number("rtt", m.RTT, 10*max(n.longest, 1000)))
+			met.MeanLatency = logic.Millis(f.number("rtt", m.RTT, 10*max(n.longest, 1000)))
 		}
-		if met.Over == 0 {
+		if met.Period == 0 {
 			f.wrong("interval", "out of range")
 		}
 		if len(m.Metrics) > 0 && string(m.Metrics) != "null" {
@@ -73,10 +73,10 @@
 			f.wrong("route", "unknown value")
 		}
 		// More may be lost than came: calls count when they come, and are lost when they end.
-		heat := logic.Heat{Slice: logic.TableID(f.whole("shard", m.Shard, n.Slices-1)), Route: route,
-			Calls: f.whole("total", m.Total, mostCount), Lost: f.whole("errors", m.Errors, mostCount),
-			Over: logic.Millis(f.number("interval", m.Interval, mostSpan))}
-		if heat.Over == 0 {
+		heat := logic.SliceDemand{Slice: logic.TableID(f.whole("shard", m.Shard, n.Slices-1)), Route: route,
+			Calls: f.whole("total", m.Total, mostCount), Unanswered: f.whole("errors", m.Errors, mostCount),
+			Period: logic.Millis(f.number("interval", m.Interval, mostSpan))}
+		if heat.Period == 0 {
 			f.wrong("interval", "out of range")
 		}
 		out.Note = heat
@@ -105,7 +105,7 @@
 		f.wrong("metrics."+name, "unknown value")
 		return
 	}
-	if to == &l.Busy {
+	if to == &l.Utilization {
 		most = mostBusy
 	}
 	x := f.number("metrics."+name, v, most)
@@ -232,22 +232,22 @@
 	switch kind {
 	case SignOfLife:
 	case "joined":
-		out.Note = logic.Joined{Proxy: node(), Zone: f.zone(n, p.Locality), Rate: f.number("w", p.W, mostCount),
+		out.Note = logic.ProxyJoined{Proxy: node(), Zone: f.zone(n, p.Locality), Rate: f.number("w", p.W, mostCount),
 			Fresh: p.Cold != nil && *p.Cold}
 	case "left":
-		out.Note = logic.Left{Proxy: node()}
+		out.Note = logic.ProxyLeft{Proxy: node()}
 	case "applied":
-		out.Note = logic.Applied{Proxy: node(), Serial: logic.SerialID(f.whole("nonce", p.Nonce, mostSerial)),
-			Spent: logic.Millis(f.number("latency", p.Latency, mostSpan))}
+		out.Note = logic.Acknowledged{Proxy: node(), Serial: logic.SerialID(f.whole("nonce", p.Nonce, mostSerial)),
+			Latency: logic.Millis(f.number("latency", p.Latency, mostSpan))}
 	case "given":
 		if p.Set == nil {
 			f.wrong("set", "missing")
 			break
 		}
-		out.Note = logic.Custody{Slice: shard(), Given: *p.Set}
+		out.Note = logic.SliceOwnership{Slice: shard(), Owned: *p.Set}
 	case "held":
 		out.Host = f.text("endpoint", p.Endpoint)
-		out.Note = logic.OnRecord{Slice: shard(), Host: ID(out.Host), Weight: f.number("w", p.W, mostCount)}
+		out.Note = logic.StoredLine{Slice: shard(), Host: ID(out.Host), Weight: f.number("w", p.W, mostCount)}
 	default:
 		f.wrong("method", "unknown value")
 	}
--- a/internal/platform/codec/names.go
+++ b/internal/platform/codec/names.go
@@ -25,7 +25,7 @@
 var plainNames = map[string]string{"utilization": "util", "throughput": "qps", "backlog": "queue", "outstanding": "inflight",
 	"recent_ms": "latency_ms", "errors_per_s": "eps"}
 
-func NewNames(f logic.Facts, n wire.Names) *Names {
+func NewNames(f logic.Config, n wire.Names) *Names {
 	out := &Names{Names: n, Proxies: f.Proxies, Slices: f.Slices, columns: map[string]string{}}
 	for _, c := range f.LoadColumns {
 		out.columns[c] = c
@@ -47,9 +47,9 @@
 	return logic.ZoneID(i), i >= 0
 }
 
-func (n *Names) kind(name string) (logic.KindID, bool) {
+func (n *Names) kind(name string) (logic.HardwareID, bool) {
 	i := slices.Index(n.Kinds, name)
-	return logic.KindID(i), i >= 0
+	return logic.HardwareID(i), i >= 0
 }
 
 func (n *Names) route(name string) (logic.RouteID, bool) {
--- a/internal/platform/codec/orders.go
+++ b/internal/platform/codec/orders.go
@@ -22,7 +22,7 @@
 		text = append(append(text, `,"endpoint":`...), quoted...)
 	}
 	table := func(t logic.TableID) {
-		if t != logic.EveryTable { // left out, it is all
+		if t != logic.AllTables { // left out, it is all
 			text = strconv.AppendInt(append(text, `,"cluster":`...), int64(t), 10)
 		}
 	}
@@ -43,7 +43,7 @@
 		table(o.Table)
 		op.Table, op.Kind = o.Table, outbox.Clear
 	case logic.Mask:
-		if verb("restore"); o.Out {
+		if verb("restore"); o.On {
 			text = text[:0]
 			verb("withdraw")
 		}
@@ -63,8 +63,8 @@
 			text = append(append(text, `,"classes":`...), quoted...)
 		}
 		number("level", o.Level)
-		number("retry", float64(o.Tries))
-		if op.Kind, op.Routes = outbox.Level, o.Routes; o.Table != logic.EveryTable {
+		number("retry", float64(o.Retries))
+		if op.Kind, op.Routes = outbox.Level, o.Routes; o.Table != logic.AllTables {
 			op.Table = o.Table
 		}
 	case logic.Stamp:
--- a/internal/platform/collect/collect_test.go
+++ b/internal/platform/collect/collect_test.go
@@ -28,7 +28,7 @@
 
 func serveWith(t *testing.T, m budget.Means) (s *Server, notes *atomic.Int64) {
 	t.Helper()
-	n := codec.NewNames(logic.Facts{Proxies: 4, Slices: 8, Routes: make([]logic.Route, 1)}, wire.Names{Routes: []string{"read"}, Zones: []string{"a", "b"}})
+	n := codec.NewNames(logic.Config{Proxies: 4, Slices: 8, Routes: make([]logic.Route, 1)}, wire.Names{Routes: []string{"read"}, Zones: []string{"a", "b"}})
 	notes = &atomic.Int64{}
 	s, err := Listen("127.0.0.1:0", n, budget.New(m), func(in ...any) { notes.Add(int64(len(in))) },
 		slog.New(slog.DiscardHandler))
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -24,7 +24,7 @@
 	Memory                         int64 // bytes
 	Sockets                        int
 	Known                          codec.List
-	Facts                          logic.Facts
+	Facts                          logic.Config
 	Names                          *codec.Names
 	Resolution                     logic.Millis
 }
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -148,11 +148,11 @@
 	d.notes = nil
 	id := codec.ID("h1")
 	d.probes.asked[id] = true
-	d.take(2, answer{logic.Probed{Host: id, Good: true}, "127.0.0.1:9"})
+	d.take(2, answer{logic.ProbeResult{Host: id, Healthy: true}, "127.0.0.1:9"})
 	if len(d.notes) != 0 || d.probes.asked[id] {
 		t.Errorf("%d notes, asked %v", len(d.notes), d.probes.asked[id])
 	}
-	if d.take(3, answer{logic.Probed{Host: id, Good: true}, "127.0.0.1:1"}); len(d.notes) != 1 {
+	if d.take(3, answer{logic.ProbeResult{Host: id, Healthy: true}, "127.0.0.1:1"}); len(d.notes) != 1 {
 		t.Error("the answer of its own address was dropped")
 	}
 }
@@ -253,7 +253,7 @@
 		d.resolve(5) // it may be made again
 		d.box.Next()
 		d.calling = true
-		d.applied(logic.Applied{Proxy: 0, Serial: 5})
+		d.applied(logic.Acknowledged{Proxy: 0, Serial: 5})
 		d.take(2, uplink.Ended{How: how})
 		if d.box.InHand() != nil || d.doubted {
 			t.Errorf("ended %v: the call is still in hand", how)
@@ -278,8 +278,8 @@
 		p.ask(logic.HostID(1+h), hung.Addr().String())
 	}
 	p.ask(99, well.Listener.Addr().String())
-	if first := <-answers; first.Host != 99 || !first.Good {
-		t.Errorf("host %d answered first, good: %v", first.Host, first.Good)
+	if first := <-answers; first.Host != 99 || !first.Healthy {
+		t.Errorf("host %d answered first, good: %v", first.Host, first.Healthy)
 	}
 }
 
--- a/internal/platform/decisions.go
+++ b/internal/platform/decisions.go
@@ -31,37 +31,37 @@
 func (d *director) logHostChanges() {
 	for _, c := range d.module.Changes() {
 		d.log.Info("host.changed", "host", d.hosts.NameOf(c.Host), "from", c.From.String(), "to", c.To.String(),
-			"why", c.Reason.String(), "tries_per_s", round(c.Ended), "failed_per_s", round(c.Failed),
-			"busy", round(c.Busy), "quiet_ms", quiet(c), "expected_per_s", round(c.Expected))
+			"why", c.Reason.String(), "tries_per_s", round(c.TriesPerSecond), "failed_per_s", round(c.FailedPerSecond),
+			"busy", round(c.Utilization), "quiet_ms", quiet(c), "expected_per_s", round(c.ExpectedPerSecond))
 	}
 }
 
 // quiet is the time since the last report of a host, for the log: a host that was not reported on has none.
 func quiet(c logic.HostChange) string {
-	if !c.Heard {
+	if !c.HasReports {
 		return "never"
 	}
-	return strconv.Itoa(int(c.Quiet))
+	return strconv.Itoa(int(c.SinceReport))
 }
 
 // reportLoad writes what admission reckons with, each second in which calls are turned away, hosts are full or answers
 // are late, and once when that is over.
 func (d *director) reportLoad() {
 	r := d.module.Load()
-	strained := r.Full > 0 || r.AnswerTime > d.start.tightestGoal()
-	for _, level := range slices.Concat(r.Levels, r.Written) {
+	strained := r.SaturatedHosts > 0 || r.AnswerTime > d.start.tightestGoal()
+	for _, level := range slices.Concat(r.Levels, r.WrittenLevels) {
 		strained = strained || level < 1
 	}
 	if !strained && !d.strained {
 		return
 	}
 	d.strained = strained
-	d.log.Info("load", "calls_per_s", round(r.Calls), "let_in_per_s", round(r.LetIn),
+	d.log.Info("load", "calls_per_s", round(r.Calls), "let_in_per_s", round(r.Admitted),
 		"unanswered_per_s", round(r.Unanswered), "tries_per_s", round(r.Tries), "demand_per_s", round(r.Demand),
-		"capacity_per_s", round(r.Capacity), "busy", round(r.Busy), "loss", round(r.Loss),
-		"answer_ms", int(r.AnswerTime), "in_hand", round(r.InHand), "waiting", round(r.Waiting),
-		"full_hosts", r.Full, "hosts", r.InUse,
-		"levels", joined(r.Levels), "levels_written", joined(r.Written), "written_for_ms", int(r.WrittenFor))
+		"capacity_per_s", round(r.Capacity), "busy", round(r.Utilization), "loss", round(r.Loss),
+		"answer_ms", int(r.AnswerTime), "in_hand", round(r.Outstanding), "waiting", round(r.Queued),
+		"full_hosts", r.SaturatedHosts, "hosts", r.HostsInUse,
+		"levels", joined(r.Levels), "levels_written", joined(r.WrittenLevels), "written_for_ms", int(r.WrittenAge))
 }
 
 // tightestGoal is the shortest time within which a route wants its answers.
@@ -85,12 +85,12 @@
 		}
 	}
 	d.log.Info("decisions", "demand", round(r.Demand), "capacity", round(r.Capacity), "pressure", round(r.Pressure),
-		"wanted", round(r.Wanted), "busy", round(r.Busy), "loss", round(r.Loss), "levels", joined(r.Levels),
-		"tries", joined(r.Tries), "levels_stand", r.LevelsStand, "serving", by[logic.Serving], "cold", cold,
+		"wanted", round(r.DemandPressure), "busy", round(r.Utilization), "loss", round(r.Loss), "levels", joined(r.Levels),
+		"tries", joined(r.Retries), "levels_stand", r.LevelsPublished, "serving", by[logic.Serving], "cold", cold,
 		"resting", by[logic.Resting], "removed", by[logic.Removed], "on_trial", by[logic.OnTrial],
 		"unproven", by[logic.Unproven], "drained", by[logic.Drained], "masked", r.Masked,
-		"tables_waiting", r.TablesWaiting, "oldest_wait_ms", int(r.OldestWait), "queued_lines", int(r.QueuedLines),
-		"unacknowledged_lines", int(r.UnacknowledgedLines), "messages", r.Messages, "silences", r.Silences,
+		"tables_waiting", r.PendingTables, "oldest_wait_ms", int(r.OldestPending), "queued_lines", int(r.QueuedLines),
+		"unacknowledged_lines", int(r.UnacknowledgedLines), "messages", r.UnacknowledgedMessages, "silences", r.ChannelResets,
 		"acknowledged", d.lag.acknowledged, "lag_ms", mean(d.lag.sum, d.lag.acknowledged),
 		"longest_lag_ms", int(d.lag.longest))
 	d.lag = lag{}
@@ -107,8 +107,8 @@
 		}
 		d.log.Log(context.Background(), level, "host", "host", d.hosts.NameOf(h.Host),
 			"condition", h.Condition.String(), "cold_ms", int(h.ColdFor), "tries", round(h.Tries), "loss", round(h.Loss),
-			"busy", round(h.Busy), "capacity", round(h.Capacity), "laid", round(h.Laid), "share", round(h.Share),
-			"tolerated", round(h.Tolerated), "answer_ms", int(h.AnswerTime), "tables", h.Tables)
+			"busy", round(h.Utilization), "capacity", round(h.Capacity), "laid", round(h.AssignedLoad), "share", round(h.Share),
+			"tolerated", round(h.MaxLoad), "answer_ms", int(h.AnswerTime), "tables", h.Tables)
 	}
 }
 
--- a/internal/platform/figures.go
+++ b/internal/platform/figures.go
@@ -60,10 +60,10 @@
 
 func (h *heard) add(note any) {
 	switch n := note.(type) {
-	case logic.Met:
-		h.hosts, h.tries, h.lost, h.hostOver = h.hosts+1, h.tries+n.Ended, h.lost+n.Lost, h.hostOver+n.Over
-	case logic.Heat:
-		h.slices, h.calls, h.sliceOver = h.slices+1, h.calls+n.Calls, h.sliceOver+n.Over
+	case logic.HostSample:
+		h.hosts, h.tries, h.lost, h.hostOver = h.hosts+1, h.tries+n.Finished, h.lost+n.Failed, h.hostOver+n.Period
+	case logic.SliceDemand:
+		h.slices, h.calls, h.sliceOver = h.slices+1, h.calls+n.Calls, h.sliceOver+n.Period
 	}
 }
 
--- a/internal/platform/news/news.go
+++ b/internal/platform/news/news.go
@@ -34,7 +34,7 @@
 
 // Book is that of one director.
 type Book struct {
-	proxies map[logic.ProxyID]logic.Joined
+	proxies map[logic.ProxyID]logic.ProxyJoined
 	slices  map[logic.TableID]*slice
 
 	present    bool         // the present state is being told
@@ -48,7 +48,7 @@
 }
 
 func New() *Book {
-	return &Book{proxies: map[logic.ProxyID]logic.Joined{}, slices: map[logic.TableID]*slice{}, gathering: map[logic.TableID]bool{},
+	return &Book{proxies: map[logic.ProxyID]logic.ProxyJoined{}, slices: map[logic.TableID]*slice{}, gathering: map[logic.TableID]bool{},
 		Forgotten: func(logic.TableID) {}}
 }
 
@@ -71,27 +71,27 @@
 	if b.present {
 		b.toldAt = now
 	}
-	if held, is := in.Note.(logic.OnRecord); is {
+	if held, is := in.Note.(logic.StoredLine); is {
 		return b.held(now, held)
 	}
-	if custody, is := in.Note.(logic.Custody); is && custody.Given {
+	if custody, is := in.Note.(logic.SliceOwnership); is && custody.Owned {
 		return b.give(now, custody.Slice)
 	}
-	if _, is := in.Note.(logic.Joined); !is {
+	if _, is := in.Note.(logic.ProxyJoined); !is {
 		// Only these three tell the present state: anything else comes behind it.
 		notes = append(b.Gathered(now, true), b.end()...)
 	}
 	switch n := in.Note.(type) {
-	case logic.Joined:
+	case logic.ProxyJoined:
 		notes = append(notes, b.join(n)...)
-	case logic.Left:
+	case logic.ProxyLeft:
 		if _, known := b.proxies[n.Proxy]; known {
 			delete(b.proxies, n.Proxy)
 			notes = append(notes, n)
 		}
-	case logic.Custody:
+	case logic.SliceOwnership:
 		notes = append(notes, b.lose(n.Slice)...)
-	case logic.Applied:
+	case logic.Acknowledged:
 		if _, known := b.proxies[n.Proxy]; known {
 			notes = append(notes, n)
 		}
@@ -102,7 +102,7 @@
 // join tells of a proxy. One that was there before a gap may have left and come back in it, without the masks and levels that
 // were written meanwhile, or may have been there all along: the module hears that it joined, and not that it left, since what
 // was written to it may still wait in the channel. Within a whole run of news it is the same proxy still.
-func (b *Book) join(n logic.Joined) (notes []any) {
+func (b *Book) join(n logic.ProxyJoined) (notes []any) {
 	was, known := b.proxies[n.Proxy]
 	b.proxies[n.Proxy] = n
 	if first := b.present && !b.seen[n.Proxy]; first {
@@ -115,7 +115,7 @@
 		}
 	}
 	if known {
-		notes = append(notes, logic.Left{Proxy: n.Proxy})
+		notes = append(notes, logic.ProxyLeft{Proxy: n.Proxy})
 	}
 	return append(notes, n)
 }
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func (b *Book) held(now logic.Millis, n logic.OnRecord) []any {
+func (b *Book) held(now logic.Millis, n logic.StoredLine) []any {
 	s := b.slices[n.Slice]
 	if s == nil {
 		return nil // a line of what is not ours
@@ -155,7 +155,7 @@
 		delete(b.gathering, t)
 		b.Forgotten(t)
 		if s.told {
-			notes = append(notes, logic.Custody{Slice: t})
+			notes = append(notes, logic.SliceOwnership{Slice: t})
 		}
 	}
 	return notes
@@ -208,9 +208,9 @@
 	if s == nil || !s.told {
 		return nil
 	}
-	notes = append(notes, logic.Custody{Slice: t, Given: true})
+	notes = append(notes, logic.SliceOwnership{Slice: t, Owned: true})
 	for _, h := range slices.Sorted(maps.Keys(s.lines)) {
-		notes = append(notes, logic.OnRecord{Slice: t, Host: h, Weight: s.lines[h]})
+		notes = append(notes, logic.StoredLine{Slice: t, Host: h, Weight: s.lines[h]})
 	}
 	return notes
 }
@@ -224,7 +224,7 @@
 	for _, p := range slices.Sorted(maps.Keys(b.proxies)) {
 		if !b.seen[p] {
 			delete(b.proxies, p)
-			notes = append(notes, logic.Left{Proxy: p})
+			notes = append(notes, logic.ProxyLeft{Proxy: p})
 		}
 	}
 	for _, t := range slices.Sorted(maps.Keys(b.slices)) {
--- a/internal/platform/news/news_test.go
+++ b/internal/platform/news/news_test.go
@@ -17,9 +17,9 @@
 	for _, w := range strings.Fields(words) {
 		var n, host int
 		fmt.Sscanf(w[1:], "%d.%d", &n, &host)
-		in := map[byte]any{'j': logic.Joined{Proxy: logic.ProxyID(n)}, 'J': logic.Joined{Proxy: logic.ProxyID(n), Fresh: true},
-			'l': logic.Left{Proxy: logic.ProxyID(n)}, 'g': logic.Custody{Slice: logic.TableID(n), Given: true}, 't': logic.Custody{Slice: logic.TableID(n)},
-			'h': logic.OnRecord{Slice: logic.TableID(n), Host: logic.HostID(host), Weight: 1}, 'a': logic.Applied{Proxy: logic.ProxyID(n)}}[w[0]]
+		in := map[byte]any{'j': logic.ProxyJoined{Proxy: logic.ProxyID(n)}, 'J': logic.ProxyJoined{Proxy: logic.ProxyID(n), Fresh: true},
+			'l': logic.ProxyLeft{Proxy: logic.ProxyID(n)}, 'g': logic.SliceOwnership{Slice: logic.TableID(n), Owned: true}, 't': logic.SliceOwnership{Slice: logic.TableID(n)},
+			'h': logic.StoredLine{Slice: logic.TableID(n), Host: logic.HostID(host), Weight: 1}, 'a': logic.Acknowledged{Proxy: logic.ProxyID(n)}}[w[0]]
 		notes = append(notes, b.Take(now, codec.News{Note: in})...)
 	}
 	return write(notes)
@@ -29,15 +29,15 @@
 	var out []string
 	for _, n := range notes {
 		switch n := n.(type) {
-		case logic.Joined:
+		case logic.ProxyJoined:
 			out = append(out, fmt.Sprintf("%c%d", map[bool]rune{true: 'J', false: 'j'}[n.Fresh], n.Proxy))
-		case logic.Left:
+		case logic.ProxyLeft:
 			out = append(out, fmt.Sprintf("l%d", n.Proxy))
-		case logic.Custody:
-			out = append(out, fmt.Sprintf("%c%d", map[bool]rune{true: 'g', false: 't'}[n.Given], n.Slice))
-		case logic.OnRecord:
+		case logic.SliceOwnership:
+			out = append(out, fmt.Sprintf("%c%d", map[bool]rune{true: 'g', false: 't'}[n.Owned], n.Slice))
+		case logic.StoredLine:
 			out = append(out, fmt.Sprintf("h%d.%d", n.Slice, n.Host))
-		case logic.Applied:
+		case logic.Acknowledged:
 			out = append(out, fmt.Sprintf("a%d", n.Proxy))
 		}
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -114,7 +114,7 @@
 		watches: map[int]watcher{}, box: outbox.New(outbox.Limits{CallBytes: callBytes, Waiting: mostWaiting}), book: news.New(),
 		module: logic.New(s.Seed, s.Facts)}
 	d.book.Forgotten = d.box.Forget
-	r, wrong := d.hosts.Roster(s.Known, logic.FromDisk, s.Names)
+	r, wrong := d.hosts.Roster(s.Known, logic.HostListFromDisk, s.Names)
 	d.wrong("known", wrong)
 	d.notes = append(d.notes, r)
 	return d
@@ -232,7 +232,7 @@
 		return
 	}
 	for _, t := range d.timers.due(now) {
-		d.notes = append(d.notes, logic.Due{Timer: t})
+		d.notes = append(d.notes, logic.TimerFired{Timer: t})
 	}
 	if notes := d.notes; len(notes) > 0 {
 		d.notes = nil
@@ -259,13 +259,13 @@
 			return
 		}
 		d.counts.lists++
-		r, wrong := d.hosts.Roster(x.List, logic.Whole, d.start.Names)
+		r, wrong := d.hosts.Roster(x.List, logic.HostListFull, d.start.Names)
 		d.wrong("discovery", wrong)
 		d.notes = append(d.notes, r)
 	case answer:
 		delete(d.probes.asked, x.Host)
 		if x.address == d.hosts.Address(x.Host) { // what answered at a former address is no word of the host
-			d.notes = append(d.notes, x.Probed)
+			d.notes = append(d.notes, x.ProbeResult)
 		}
 	case uplink.Ended:
 		d.ended(x)
@@ -299,12 +299,12 @@
 			return
 		}
 	}
-	if a, is := n.Note.(logic.Applied); is {
-		d.lag.add(a.Spent)
+	if a, is := n.Note.(logic.Acknowledged); is {
+		d.lag.add(a.Latency)
 		d.applied(a)
 	}
 	if n.Kind == codec.SignOfLife {
-		d.notes = append(d.notes, logic.NewsAlive{})
+		d.notes = append(d.notes, logic.AckStreamAlive{})
 	}
 	d.notes = append(d.notes, d.book.Take(now, n)...)
 }
@@ -314,15 +314,15 @@
 	var ops []outbox.Op
 	for _, o := range orders {
 		switch o := o.(type) {
-		case logic.After:
-			d.timers.add(now+o.In, o.Timer)
-		case logic.Ping:
+		case logic.SetTimer:
+			d.timers.add(now+o.Delay, o.Timer)
+		case logic.Probe:
 			d.probes.ask(o.Host, d.hosts.Address(o.Host))
-		case logic.Say:
+		case logic.LogText:
 			d.log.Info("module", "says", o.Text)
-		case logic.Again:
+		case logic.Resend:
 			d.resolve(o.Serial)
-		case logic.Follow, logic.Pull, logic.Tell:
+		case logic.WatchHosts, logic.RequestHosts, logic.SendToPeer:
 			// The list is always followed, and directors here have no way to each other.
 		default:
 			op, relays, err := d.start.Names.Op(o, d.hosts)
@@ -407,7 +407,7 @@
 	} else if e.How == outbox.Unsure && c != nil {
 		marked := c.Marked()
 		for _, m := range marked {
-			d.notes = append(d.notes, logic.Unsure{Serial: m})
+			d.notes = append(d.notes, logic.Unconfirmed{Serial: m})
 		}
 		d.doubted = len(marked) > 0
 	}
@@ -431,7 +431,7 @@
 }
 
 // applied ends an unsure call: it was carried out, and whole.
-func (d *director) applied(n logic.Applied) {
+func (d *director) applied(n logic.Acknowledged) {
 	c := d.box.InHand()
 	if c == nil || d.proven || !slices.Contains(c.Marked(), n.Serial) {
 		return
--- a/internal/platform/probe.go
+++ b/internal/platform/probe.go
@@ -37,7 +37,7 @@
 
 // answer is a probe's outcome, and where it was asked.
 type answer struct {
-	logic.Probed
+	logic.ProbeResult
 	address string
 }
 
@@ -71,21 +71,21 @@
 	}
 }
 
-func (p *prober) probe(ctx context.Context, t probe) logic.Probed {
+func (p *prober) probe(ctx context.Context, t probe) logic.ProbeResult {
 	began, page := time.Now(), "/health"
 	if p.names.Loads() {
 		page = "/status/load"
 	}
-	out := logic.Probed{Host: t.host}
+	out := logic.ProbeResult{Host: t.host}
 	status, body, err := watch.Get(ctx, p.client, "http://"+t.address+page, probeFor, mostReport)
 	for err != nil && nets.OwnShortage(err) && time.Since(began) < probeFor && ctx.Err() == nil {
 		turns.Pause(ctx, shortagePause) // no word of the host: it was not asked
 		status, body, err = watch.Get(ctx, p.client, "http://"+t.address+page, probeFor, mostReport)
 	}
-	out.Good = err == nil && status == http.StatusOK
-	if out.Good && p.names.Loads() {
+	out.Healthy = err == nil && status == http.StatusOK
+	if out.Healthy && p.names.Loads() {
 		out.Load, _ = p.names.Load(string(body)) // what can't be read is no report; the host answers all the same
 	}
-	out.Spent = logic.Millis(float64(time.Since(began).Nanoseconds()) / 1e6)
+	out.Latency = logic.Millis(float64(time.Since(began).Nanoseconds()) / 1e6)
 	return out
 }
--- a/internal/platform/rollout_test.go
+++ b/internal/platform/rollout_test.go
@@ -246,8 +246,8 @@
 	if err == nil {
 		io.Copy(io.Discard, response.Body)
 		response.Body.Close()
-		if load, err := orca.Parse(response.Header.Get(orca.Header)); err == nil && load.Busy != nil {
-			t.busy = *load.Busy
+		if load, err := orca.Parse(response.Header.Get(orca.Header)); err == nil && load.Utilization != nil {
+			t.busy = *load.Utilization
 		}
 	}
 	switch {
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -35,15 +35,15 @@
 	}()
 	for _, n := range notes {
 		switch n := n.(type) {
-		case logic.Met, logic.Heat, logic.Due:
-		case logic.Applied:
+		case logic.HostSample, logic.SliceDemand, logic.TimerFired:
+		case logic.Acknowledged:
 			applied[n.Serial]++
-			slowest[n.Serial] = max(slowest[n.Serial], n.Spent)
-		case logic.Roster:
+			slowest[n.Serial] = max(slowest[n.Serial], n.Latency)
+		case logic.HostList:
 			for _, e := range n.Entries {
-				d.log.Debug("note", "kind", "entry", "list", int(n.Kind), "host", d.hosts.NameOf(e.Host), "state", int(e.State), "born", float64(e.Born))
+				d.log.Debug("note", "kind", "entry", "list", int(n.Kind), "host", d.hosts.NameOf(e.Host), "state", int(e.State), "born", float64(e.StartedAt))
 			}
-		case logic.OnRecord:
+		case logic.StoredLine:
 			d.log.Debug("note", "kind", "line", "slice", int(n.Slice), "host", d.hosts.NameOf(n.Host), "weight", n.Weight)
 		default:
 			d.log.Debug("note", "kind", fmt.Sprintf("%T", n), "is", fmt.Sprintf("%+v", n))
--- a/internal/rehearse/play.go
+++ b/internal/rehearse/play.go
@@ -181,9 +181,9 @@
 func (s *stage) terms(from, until float64) judge.Terms {
 	f := s.running.Service.Facts
 	t := judge.Terms{Routes: map[string]tables.Route{}, LateShare: map[string]float64{}, Slices: f.Slices,
-		Bare: float64(f.BareLimit), Grace: float64(f.DrainGrace), Warm: span(f.WarmAfter), ColdFrom: f.ColdFrom,
-		Tip: f.TipMultiple, Fall: span(f.FallAfter), Queue: f.QueueLimit, Head: f.HeadLines, Messages: f.MessageLimit,
-		MessageSpan: float64(f.MessageSpan), From: from, Until: until}
+		Bare: float64(f.EmptyTableLimit), Grace: float64(f.DrainGrace), Warm: span(f.WarmAfter), ColdFrom: f.ColdCapacity,
+		Tip: f.ColdOverloadLimit, Fall: span(f.ColdFailAfter), Queue: f.QueueLimit, Head: f.MessageOverhead, Messages: f.MessageLimit,
+		MessageSpan: float64(f.MessageWindow), From: from, Until: until}
 	for i, r := range s.running.Service.Routes {
 		t.Routes[r.Name], t.LateShare[r.Name] = r.Route, f.Routes[i].LateShare
 	}
--- a/internal/rehearse/stage.go
+++ b/internal/rehearse/stage.go
@@ -211,13 +211,13 @@
 	if s.memories[cell] == nil {
 		span := time.Duration(0)
 		for _, r := range f.Routes {
-			span = max(span, time.Duration(float64(r.RepeatSpan)*float64(time.Millisecond)))
+			span = max(span, time.Duration(float64(r.DedupWindow)*float64(time.Millisecond)))
 		}
 		s.memories[cell] = standin.NewMemory(span)
 	}
 	m := &member{id: fmt.Sprintf("host-%02d", n+1), zone: zone, cell: cell}
-	m.Host = standin.NewHost(standin.HostShape{Cores: fleet.Cores, Queue: fleet.Queue, ColdFrom: f.ColdFrom,
-		Warm: span(f.WarmAfter), Tip: f.TipMultiple, Fall: span(f.FallAfter), Memory: s.memories[cell], Book: s.book,
+	m.Host = standin.NewHost(standin.HostShape{Cores: fleet.Cores, Queue: fleet.Queue, ColdFrom: f.ColdCapacity,
+		Warm: span(f.WarmAfter), Tip: f.ColdOverloadLimit, Fall: span(f.ColdFailAfter), Memory: s.memories[cell], Book: s.book,
 		Now: s.now}, "")
 	if err := m.Start(warm); err != nil {
 		return nil, err
@@ -249,7 +249,7 @@
 	text := fmt.Sprintf("relay %q {\n  listen = \"127.0.0.1:0\"\n  zone = %q\n  directors = [\"%s\"]\n  follow = %q\n  front = %q\n  rate = %g\n  wait = \"5s\"\n"+
 		"  report_every = \"%dms\"\n  drain = \"0s\"\n}\n", name, zones[i%len(zones)], strings.Join(s.urls(mqtt), `", "`),
 		map[bool]string{true: "all", false: "one"}[len(s.directors) > 1], map[bool]string{true: "mqtt", false: "poll"}[mqtt],
-		s.script.Load.Peak/float64(s.script.Fleet.Proxies), int(s.running.Service.Facts.ReportEvery))
+		s.script.Load.Peak/float64(s.script.Fleet.Proxies), int(s.running.Service.Facts.ReportInterval))
 	for _, r := range s.script.Routes {
 		text += fmt.Sprintf("route %q {\n  prefix = %q\n  key = \"header:%s\"\n}\n", r.Name, "/"+r.Name, standin.HeaderSlice)
 	}
--- a/internal/settings/director.go
+++ b/internal/settings/director.go
@@ -107,9 +107,9 @@
 	r.Done()
 }
 
-var repeats = map[string]logic.Repeat{"repeatable": logic.Repeatable, "keyed": logic.Keyed, "mutating": logic.Mutating}
-var reaches = map[string]logic.Reach{"": logic.ReachNone, "all": logic.ReachAll, "zone": logic.ReachZone,
-	"cell": logic.ReachCell}
+var repeats = map[string]logic.Idempotency{"repeatable": logic.Idempotent, "keyed": logic.IdempotentByKey, "mutating": logic.NonIdempotent}
+var reaches = map[string]logic.DedupScope{"": logic.DedupNone, "all": logic.DedupAll, "zone": logic.DedupZone,
+	"cell": logic.DedupCell}
 
 func (out *Running) service(r *Reader) {
 	f, own := &out.Service.Facts, ""
@@ -128,13 +128,13 @@
 		r.Fail("zones", "the director's zone %q is not among them", own)
 	}
 	out.Service.Pick = r.Text("pick", "lottery", "lottery", "wheel", "pair")
-	f.Pick = map[string]logic.Pick{"wheel": logic.PickWheel, "pair": logic.PickPair}[out.Service.Pick]
+	f.Pick = map[string]logic.PickPolicy{"wheel": logic.PickRoundRobin, "pair": logic.PickTwoChoices}[out.Service.Pick]
 	f.Slices = r.Whole("slices", 0, 0, 4096)
-	if f.OneOwner = r.Truth("one_owner", false); f.OneOwner && f.Slices == 0 {
+	if f.SingleOwner = r.Truth("one_owner", false); f.SingleOwner && f.Slices == 0 {
 		r.Fail("one_owner", "takes slices")
 	}
 	f.WarmKeys = r.Truth("warm_keys", false)
-	f.Levels = map[string]logic.Valve{"share": logic.LevelShare, "rate": logic.LevelRate}[r.Text("levels", "share",
+	f.Levels = map[string]logic.LevelUnit{"share": logic.LevelShare, "rate": logic.LevelRate}[r.Text("levels", "share",
 		"share", "rate", "none")]
 	routes, names := r.Blocks("route", 1, 1, 63)
 	for i, in := range routes {
@@ -156,27 +156,27 @@
 	if limit < slo {
 		r.Fail("time_limit", "%v is shorter than the SLO time, %v", limit, slo)
 	}
-	route := logic.Route{SLO: millis(slo), TimeLimit: millis(limit), RepeatSpan: millis(span),
+	route := logic.Route{SLO: millis(slo), TimeLimit: millis(limit), DedupWindow: millis(span),
 		Importance: r.Number("importance", math.NaN(), 0, 1e6), LateShare: r.Number("late_share", 0, 0, 1),
-		Repeat: repeats[repeat], Reach: reaches[reach], OwnZone: r.Truth("own_zone", false),
-		Writes: r.Truth("writes", false)}
+		Idempotency: repeats[repeat], DedupScope: reaches[reach], OwnZone: r.Truth("own_zone", false),
+		IsWrite: r.Truth("writes", false)}
 	f.Routes = append(f.Routes, route)
 	out.Service.Routes = append(out.Service.Routes, control.RouteInfo{Name: name, Route: tables.Route{
-		Repeat: repeat, Reach: reach, SpanMs: float64(route.RepeatSpan), SLOMs: float64(route.SLO),
-		TimeLimitMs: float64(route.TimeLimit), Importance: route.Importance, Writes: route.Writes,
+		Repeat: repeat, Reach: reach, SpanMs: float64(route.DedupWindow), SLOMs: float64(route.SLO),
+		TimeLimitMs: float64(route.TimeLimit), Importance: route.Importance, Writes: route.IsWrite,
 		OwnZone: route.OwnZone}})
 	r.Done()
 }
 
-func (out *Running) hosts(r *Reader, f *logic.Facts) {
-	f.ColdFrom = r.Number("cold_from", 0.2, 0.01, 1)
+func (out *Running) hosts(r *Reader, f *logic.Config) {
+	f.ColdCapacity = r.Number("cold_from", 0.2, 0.01, 1)
 	f.WarmAfter = millis(r.Span("warm_after", -1, 0, time.Hour))
-	f.TipMultiple = r.Number("tip_multiple", 3, 1, 1000)
-	f.FallAfter = millis(r.Span("fall_after", 2*time.Second, 0, time.Hour))
+	f.ColdOverloadLimit = r.Number("tip_multiple", 3, 1, 1000)
+	f.ColdFailAfter = millis(r.Span("fall_after", 2*time.Second, 0, time.Hour))
 	f.DrainGrace = millis(r.Span("drain_grace", -1, 100*time.Millisecond, time.Hour))
 	f.Weighted = r.Truth("weighted", false)
-	f.FullMayHaveRun = r.Truth("full_may_have_run", true)
-	f.GoneIsAdvice = r.Truth("gone_is_advice", false)
+	f.RejectedMayHaveRun = r.Truth("full_may_have_run", true)
+	f.RemovalIsAdvisory = r.Truth("gone_is_advice", false)
 	names := map[string]string{"busy": "utilization", "rate": "throughput", "queue": "backlog",
 		"in_hand": "outstanding", "recent": "recent_ms", "errors": "errors_per_s"}
 	for _, l := range r.Texts("load", false, "busy", "rate", "queue", "in_hand", "recent", "errors") {
@@ -190,7 +190,7 @@
 	r.Done()
 }
 
-func (out *Running) proxies(r *Reader, f *logic.Facts) {
+func (out *Running) proxies(r *Reader, f *logic.Config) {
 	f.Proxies = r.Whole("most", 0, 1, 65535)
 	names := r.Text("names", ".+")
 	pattern, err := regexp.Compile(`\A(?:` + names + `)\z`)
@@ -200,15 +200,15 @@
 	}
 	out.Service.ProxyNames = pattern
 	out.Service.Lease = millis(r.Span("lease", 3*time.Second, 200*time.Millisecond, time.Hour))
-	f.BareLimit = millis(r.Span("bare_limit", -1, time.Millisecond, time.Hour))
-	f.EjectsAfter = r.Whole("ejects_after", 0, 0, 1000)
-	f.TriesUnlessTold = r.Whole("tries", 1, 0, 3)
-	f.TryWait = r.Number("try_wait", 1.2, 0.01, 100)
-	f.WaitsForTable = millis(r.Span("waits_for_table", 0, 0, time.Minute))
+	f.EmptyTableLimit = millis(r.Span("bare_limit", -1, time.Millisecond, time.Hour))
+	f.EjectAfterFailures = r.Whole("ejects_after", 0, 0, 1000)
+	f.DefaultRetries = r.Whole("tries", 1, 0, 3)
+	f.TryTimeout = r.Number("try_wait", 1.2, 0.01, 100)
+	f.TableWait = millis(r.Span("waits_for_table", 0, 0, time.Minute))
 	f.WriteLease = millis(r.Span("write_lease", 0, 0, time.Hour))
 	f.WriteSettle = millis(r.Span("write_settle", 0, 0, time.Hour))
 	for i := range out.Service.Routes {
-		out.Service.Routes[i].Level = tables.Level{Level: 1, Tries: f.TriesUnlessTold}
+		out.Service.Routes[i].Level = tables.Level{Level: 1, Tries: f.DefaultRetries}
 		if f.Levels == logic.LevelRate {
 			out.Service.Routes[i].Level.Level = 1e6
 		}
@@ -216,19 +216,19 @@
 	r.Done()
 }
 
-func (out *Running) channel(r *Reader, f *logic.Facts) {
+func (out *Running) channel(r *Reader, f *logic.Config) {
 	f.LinesPerSecond = r.Number("lines_per_second", math.NaN(), 1, 1e7)
 	f.QueueLimit = r.Number("queue_lines", math.NaN(), 1, 1e8)
-	f.HeadLines = r.Number("head_lines", 0, 0, 1e4)
+	f.MessageOverhead = r.Number("head_lines", 0, 0, 1e4)
 	f.Transit = millis(r.Span("transit", 20*time.Millisecond, 0, time.Minute))
 	f.WorstTransit = millis(r.Span("worst_transit", 250*time.Millisecond, 0, time.Minute))
 	if f.WorstTransit < f.Transit {
 		r.Fail("worst_transit", "is shorter than transit")
 	}
 	f.MessageLimit = r.Whole("messages", 0, 0, 1e6)
-	f.MessageSpan = millis(r.Span("message_span", 10*time.Second, 0, time.Hour))
+	f.MessageWindow = millis(r.Span("message_span", 10*time.Second, 0, time.Hour))
 	// What can't be put off must fit: a message with one line for every proxy, twice.
-	if least := 2 * float64(f.Proxies) * (f.HeadLines + 2); f.QueueLimit < least {
+	if least := 2 * float64(f.Proxies) * (f.MessageOverhead + 2); f.QueueLimit < least {
 		r.Fail("queue_lines", "%v is under %v: two messages of one line for each of %d proxies", f.QueueLimit, least, f.Proxies)
 	}
 	r.Done()
@@ -238,8 +238,8 @@
 	f := &out.Service.Facts
 	f.Directors = 1
 	in := r.One("reports", false)
-	f.ReportEvery = millis(in.Span("every", 500*time.Millisecond, 10*time.Millisecond, time.Minute))
-	f.IntakePerSecond = in.Number("lines_per_second", 1000, 1, 1e6)
+	f.ReportInterval = millis(in.Span("every", 500*time.Millisecond, 10*time.Millisecond, time.Minute))
+	f.ReportLinesPerSecond = in.Number("lines_per_second", 1000, 1, 1e6)
 	in.Done()
 
 	in = r.One("roster", true)
@@ -302,7 +302,7 @@
 	if f.Slices == 0 {
 		in.Fail("", "custody takes slices: without them each director has tables of its own for the proxies that poll it")
 	}
-	if f.OneOwner {
+	if f.SingleOwner {
 		in.Fail("", "custody is not yet to be had where slices have single owners")
 	}
 	out.Service.Learns = in.Truth("learn", true)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,8 +25,8 @@
 	}
 	f := s.Service.Facts
 	if s.Name != "d1" || s.StorePath != "/etc/v/d.db" || f.Slices != 64 || f.DrainGrace != 2500 || f.Levels != logic.LevelShare ||
-		!f.MayProbe || len(f.Routes) != 2 || f.Routes[1].Repeat != logic.Keyed || f.Routes[1].Reach != logic.ReachCell ||
-		f.Routes[1].RepeatSpan != 4000 || !f.Routes[1].Writes || s.Service.Routes[1].Name != "batch-note" ||
+		!f.MayProbe || len(f.Routes) != 2 || f.Routes[1].Idempotency != logic.IdempotentByKey || f.Routes[1].DedupScope != logic.DedupCell ||
+		f.Routes[1].DedupWindow != 4000 || !f.Routes[1].IsWrite || s.Service.Routes[1].Name != "batch-note" ||
 		f.LoadColumns[0] != "utilization" || s.Service.ProxyNames.MatchString("x-relay-1") || f.Directors != 1 {
 		t.Fatalf("%+v", s)
 	}
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -240,7 +240,7 @@
 	h.done++
 	if span := now - h.loadAt; span >= loadEvery {
 		busy, rate, queue := math.Min(1, h.spent/span/float64(h.shape.Cores)), h.done/span*1000, float64(max(0, h.queued-h.shape.Cores))
-		h.load, h.loadAt, h.spent, h.done = logic.Load{Busy: &busy, Rate: &rate, Queue: &queue}, now, 0, 0
+		h.load, h.loadAt, h.spent, h.done = logic.Load{Utilization: &busy, Throughput: &rate, Backlog: &queue}, now, 0, 0
 	}
 	load := h.load
 	h.mu.Unlock()
--- a/internal/sums/sums.go
+++ b/internal/sums/sums.go
@@ -104,18 +104,18 @@
 		over := now - r.since
 		switch key.(type) {
 		case metKey:
-			m := logic.Met{Host: r.met.Host, Zone: r.met.Zone, Over: over, Ended: r.met.Ended, Lost: r.met.Lost,
+			m := logic.HostSample{Host: r.met.Host, Zone: r.met.Zone, Period: over, Finished: r.met.Ended, Failed: r.met.Lost,
 				Load: r.met.Load}
-			if good := m.Ended - m.Lost; good > 0 {
-				m.Spent = logic.Millis(r.met.Spent / float64(good))
+			if good := m.Finished - m.Failed; good > 0 {
+				m.MeanLatency = logic.Millis(r.met.Spent / float64(good))
 			}
 			notes = append(notes, m)
 		case callKey:
 			c := r.calls
 			if in.sliced {
-				notes = append(notes, logic.Heat{Slice: c.Slice, Route: c.Route, Over: over, Calls: c.Calls, Lost: c.Lost})
+				notes = append(notes, logic.SliceDemand{Slice: c.Slice, Route: c.Route, Period: over, Calls: c.Calls, Unanswered: c.Lost})
 			} else {
-				notes = append(notes, logic.Asked{Proxy: c.Proxy, Route: c.Route, Over: over, Calls: c.Calls, Lost: c.Lost})
+				notes = append(notes, logic.RouteDemand{Proxy: c.Proxy, Route: c.Route, Period: over, Calls: c.Calls, Unanswered: c.Lost})
 			}
 		}
 	}
--- a/internal/sums/sums_test.go
+++ b/internal/sums/sums_test.go
@@ -12,22 +12,22 @@
 	in := New(true, 500, 4) // two lines a period
 	busy := 0.5
 	for host := logic.HostID(1); host <= 3; host++ {
-		in.Tried(1000, Tries{Host: host, Ended: 4, Lost: 1, Spent: 300, Load: logic.Load{Busy: &busy}})
+		in.Tried(1000, Tries{Host: host, Ended: 4, Lost: 1, Spent: 300, Load: logic.Load{Utilization: &busy}})
 	}
 	if got := in.Due(1499 - 500); got != nil {
 		t.Fatalf("before the period ended: %v", got)
 	}
 	first := in.Due(1500)
-	if len(first) != 2 || first[0].(logic.Met).Host != 1 || first[1].(logic.Met).Host != 2 {
+	if len(first) != 2 || first[0].(logic.HostSample).Host != 1 || first[1].(logic.HostSample).Host != 2 {
 		t.Fatalf("%v", first)
 	}
-	if m := first[0].(logic.Met); m.Spent != 100 || m.Ended != 4 || m.Lost != 1 || *m.Load.Busy != 0.5 {
+	if m := first[0].(logic.HostSample); m.MeanLatency != 100 || m.Finished != 4 || m.Failed != 1 || *m.Load.Utilization != 0.5 {
 		t.Fatalf("%+v", m)
 	}
 	in.Tried(1600, Tries{Host: 3, Ended: 6, Spent: 600}) // the rest adds up, and keeps its report
 	next := in.Due(2000)
-	m := next[0].(logic.Met)
-	if len(next) != 1 || m.Host != 3 || m.Ended != 10 || m.Over < 1000 || *m.Load.Busy != 0.5 || m.Spent != 100 {
+	m := next[0].(logic.HostSample)
+	if len(next) != 1 || m.Host != 3 || m.Finished != 10 || m.Period < 1000 || *m.Load.Utilization != 0.5 || m.MeanLatency != 100 {
 		t.Fatalf("%+v", next)
 	}
 }
@@ -42,11 +42,11 @@
 			for _, n := range notes {
 				lines++
 				switch n := n.(type) {
-				case logic.Met:
-					got += n.Ended
-				case logic.Heat:
+				case logic.HostSample:
+					got += n.Finished
+				case logic.SliceDemand:
 					got += n.Calls
-				case logic.Asked:
+				case logic.RouteDemand:
 					got += n.Calls
 				}
 			}
--- a/internal/wire/facts.go
+++ b/internal/wire/facts.go
@@ -46,18 +46,18 @@
 }
 
 // Facts reads the settings of a start where they stand by themselves.
-func Facts(text json.RawMessage) (logic.Facts, Names, error) {
+func Facts(text json.RawMessage) (logic.Config, Names, error) {
 	o := object{raw: map[string]json.RawMessage{"Facts": text}}
 	f, n := facts(&o)
 	return f, n, o.err
 }
 
-func facts(o *object) (logic.Facts, Names) {
+func facts(o *object) (logic.Config, Names) {
 	var s settings
 	var n Names
 	v, ok := o.get("Facts", true)
 	if !ok {
-		return logic.Facts{}, n
+		return logic.Config{}, n
 	}
 	if err := json.Unmarshal(v, &s); err != nil {
 		var kind *json.UnmarshalTypeError
@@ -66,41 +66,41 @@
 		} else {
 			o.fail("Facts", err.Error())
 		}
-		return logic.Facts{}, n
+		return logic.Config{}, n
 	}
 	ms := func(v float64) logic.Millis { return logic.Millis(v) }
 	at := func(marks []bool, i int) bool { return i < len(marks) && marks[i] }
 	p, r := s.Specifics, s.Rules
-	f := logic.Facts{Me: logic.DirectorID(s.Me), Directors: s.Balancers, Proxies: p.DataPlaneSize,
-		Zone: logic.ZoneID(s.Zone), MayProbe: s.Bounds.MayProbe, MayTell: s.Bounds.Peers,
-		AsksForList: s.MembershipMode == "ask", AskWithin: ms(r.AskWithinMs), ColdFrom: r.ColdFrom,
-		TipMultiple: r.TipMultiple, WarmAfter: ms(r.WarmAfterMs), FallAfter: ms(r.FallMs),
-		DrainGrace: ms(r.DrainGraceMs), FullMayHaveRun: r.FullMayHaveRun, GoneIsAdvice: r.GoneIsAdvice,
-		Weighted: s.Weights != "none" && s.Weights != "", Slices: p.Slices, OneOwner: p.OneOwner,
+	f := logic.Config{Self: logic.DirectorID(s.Me), Directors: s.Balancers, Proxies: p.DataPlaneSize,
+		Zone: logic.ZoneID(s.Zone), MayProbe: s.Bounds.MayProbe, MayMessagePeers: s.Bounds.Peers,
+		HostListOnRequest: s.MembershipMode == "ask", HostListDeadline: ms(r.AskWithinMs), ColdCapacity: r.ColdFrom,
+		ColdOverloadLimit: r.TipMultiple, WarmAfter: ms(r.WarmAfterMs), ColdFailAfter: ms(r.FallMs),
+		DrainGrace: ms(r.DrainGraceMs), RejectedMayHaveRun: r.FullMayHaveRun, RemovalIsAdvisory: r.GoneIsAdvice,
+		Weighted: s.Weights != "none" && s.Weights != "", Slices: p.Slices, SingleOwner: p.OneOwner,
 		WarmKeys: p.WarmKeys, WriteLease: ms(p.WriteLeaseMs), WriteSettle: ms(p.InFlightMaxMs),
-		BareLimit: ms(p.UnservedMaxMs), WaitsForTable: ms(p.WaitsForTableMs), EjectsAfter: p.Ejects,
-		TriesUnlessTold: p.RetryDefault, TryWait: p.PerTry, LinesPerSecond: p.EgressPerS,
-		IntakePerSecond: p.IntakePerS, QueueLimit: p.PendingMax, HeadLines: p.FixedCost,
+		EmptyTableLimit: ms(p.UnservedMaxMs), TableWait: ms(p.WaitsForTableMs), EjectAfterFailures: p.Ejects,
+		DefaultRetries: p.RetryDefault, TryTimeout: p.PerTry, LinesPerSecond: p.EgressPerS,
+		ReportLinesPerSecond: p.IntakePerS, QueueLimit: p.PendingMax, MessageOverhead: p.FixedCost,
 		Transit: ms(p.PropagationMs), WorstTransit: ms(p.WorstTransitMs), MessageLimit: p.MessagesMost,
-		MessageSpan: ms(p.UpdateWindowMs), ReportEvery: ms(p.PeriodMs),
-		Levels: map[string]logic.Valve{"ratio": logic.LevelShare, "rps": logic.LevelRate}[p.Admission],
-		Pick:   map[string]logic.Pick{"wheel": logic.PickWheel, "pair": logic.PickPair}[p.SelectsBy]}
+		MessageWindow: ms(p.UpdateWindowMs), ReportInterval: ms(p.PeriodMs),
+		Levels: map[string]logic.LevelUnit{"ratio": logic.LevelShare, "rps": logic.LevelRate}[p.Admission],
+		Pick:   map[string]logic.PickPolicy{"wheel": logic.PickRoundRobin, "pair": logic.PickTwoChoices}[p.SelectsBy]}
 	if s.Report.Via != "none" {
 		f.LoadColumns = s.Report.Columns
 	}
 	n.Zones, n.Kinds, n.Resolution = s.Dcs, s.HostTypes, ms(s.ResolutionMs)
 	for i, c := range s.Classes {
 		n.Routes = append(n.Routes, c.Name)
-		repeat, known := map[string]logic.Repeat{"safe": logic.Repeatable, "keyed": logic.Keyed,
-			"unsafe": logic.Mutating}[c.Repeat]
+		repeat, known := map[string]logic.Idempotency{"safe": logic.Idempotent, "keyed": logic.IdempotentByKey,
+			"unsafe": logic.NonIdempotent}[c.Repeat]
 		if !known {
 			o.fail(fmt.Sprintf("Facts.Classes[%d].Repeat", i), fmt.Sprintf("unknown value %q", c.Repeat))
 		}
 		f.Routes = append(f.Routes, logic.Route{SLO: ms(c.TargetMs), TimeLimit: ms(c.DeadlineMs),
-			RepeatSpan: ms(c.MemorySpanMs), Importance: c.Worth, LateShare: c.LateShare, Repeat: repeat,
-			Reach: map[string]logic.Reach{"all": logic.ReachAll, "zone": logic.ReachZone,
-				"cell": logic.ReachCell}[c.Group],
-			OwnZone: at(p.ClassOwnZone, i), Writes: at(p.WriteClasses, i)})
+			DedupWindow: ms(c.MemorySpanMs), Importance: c.Worth, LateShare: c.LateShare, Idempotency: repeat,
+			DedupScope: map[string]logic.DedupScope{"all": logic.DedupAll, "zone": logic.DedupZone,
+				"cell": logic.DedupCell}[c.Group],
+			OwnZone: at(p.ClassOwnZone, i), IsWrite: at(p.WriteClasses, i)})
 	}
 	return f, n
 }
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -72,38 +72,38 @@
 	case logic.Mask:
 		r.verb("Mask", d)
 		r.whole("Host", int64(o.Host))
-		r.flag("Flag", o.Out)
+		r.flag("Flag", o.On)
 	case logic.Throttle:
 		r.verb("Valve", d)
 		r.whole("RouteTable", int64(o.Table))
 		r.whole("ClassBits", int64(o.Routes))
 		r.number("Level", o.Level)
-		r.whole("Resend", int64(o.Tries))
+		r.whole("Resend", int64(o.Retries))
 	case logic.Stamp:
 		r.verb("Stamp", d)
 		r.whole("Serial", int64(o.Serial))
 		r.flag("Flag", o.All)
-	case logic.After:
+	case logic.SetTimer:
 		r.verb("After", d)
-		r.number("InMs", float64(o.In))
+		r.number("InMs", float64(o.Delay))
 		r.buf = append(r.buf, `,"Nonce":`...)
 		r.buf = strconv.AppendUint(r.buf, uint64(o.Timer), 10)
-	case logic.Ping:
+	case logic.Probe:
 		r.verb("Ping", d)
 		r.whole("Host", int64(o.Host))
-	case logic.Tell:
+	case logic.SendToPeer:
 		r.verb("BroadcastTo", d)
 		r.whole("Target", int64(o.To))
-		for len(o.Bytes) > 256 || !utf8.ValidString(o.Bytes) {
-			o.Bytes = o.Bytes[:len(o.Bytes)-1]
+		for len(o.Payload) > 256 || !utf8.ValidString(o.Payload) {
+			o.Payload = o.Payload[:len(o.Payload)-1]
 		}
-		r.text("Raw", o.Bytes)
-	case logic.Follow:
+		r.text("Raw", o.Payload)
+	case logic.WatchHosts:
 		r.verb("StreamChanges", d)
 		r.flag("Flag", o.On)
-	case logic.Pull:
+	case logic.RequestHosts:
 		r.verb("Pull", d)
-	case logic.Say:
+	case logic.LogText:
 		r.verb("SayLog", d)
 		r.text("Words", o.Text)
 	default:
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -23,7 +23,7 @@
 // Begin starts an instance.
 type Begin struct {
 	Seed  uint64
-	Facts logic.Facts
+	Facts logic.Config
 }
 
 // Batch is one line of input.
@@ -33,7 +33,7 @@
 }
 
 // Decoder keeps the numbered lists from one batch to the next.
-type Decoder struct{ lists map[int64][]logic.Entry }
+type Decoder struct{ lists map[int64][]logic.HostEntry }
 
 // object reads typed fields and remembers the first that could not be read.
 type object struct {
@@ -129,17 +129,17 @@
 func Column(l *logic.Load, name string) **float64 {
 	switch name {
 	case "utilization":
-		return &l.Busy
+		return &l.Utilization
 	case "throughput":
-		return &l.Rate
+		return &l.Throughput
 	case "backlog":
-		return &l.Queue
+		return &l.Backlog
 	case "outstanding":
-		return &l.InHand
+		return &l.Outstanding
 	case "recent_ms":
-		return &l.Recent
+		return &l.RecentLatency
 	case "errors_per_s":
-		return &l.Errors
+		return &l.ErrorRate
 	}
 	return nil
 }
@@ -201,7 +201,7 @@
 		return Batch{}, top.err
 	}
 	if d.lists == nil {
-		d.lists = map[int64][]logic.Entry{}
+		d.lists = map[int64][]logic.HostEntry{}
 	}
 	for i, fields := range news {
 		o := object{raw: fields}
@@ -226,16 +226,16 @@
 	if v, ok := o.get("Items", false); ok && json.Unmarshal(v, &items) != nil {
 		o.fail("Items", "not an array of objects")
 	}
-	entries := make([]logic.Entry, 0, len(items))
+	entries := make([]logic.HostEntry, 0, len(items))
 	for i, fields := range items {
 		in := object{raw: fields}
-		entries = append(entries, logic.Entry{
+		entries = append(entries, logic.HostEntry{
 			Host: logic.HostID(in.ranged("Host", true, mostHost)),
 			State: choice(&in, "Availability", map[string]logic.HostState{
 				"up": logic.Up, "draining": logic.Draining, "removed": logic.Gone}),
 			Cell: logic.CellID(in.whole("Block", false)), Zone: logic.ZoneID(in.whole("Az", false)),
-			Kind: logic.KindID(in.whole("GenerationHw", false)), Weight: in.number("W", false),
-			Born: logic.Millis(in.number("BornMs", false))})
+			Hardware: logic.HardwareID(in.whole("GenerationHw", false)), Weight: in.number("W", false),
+			StartedAt: logic.Millis(in.number("BornMs", false))})
 		if in.err != nil {
 			o.fail(fmt.Sprintf("Items[%d]", i), in.err.Error())
 		}
@@ -258,9 +258,9 @@
 	case "Killed":
 		e.Killed = true
 	case "Sync":
-		r := logic.Roster{Kind: choice(o, "Kind", map[string]logic.RosterKind{"diff": logic.Changes,
-			"snapshot": logic.Whole, "disk": logic.FromDisk, "error": logic.AskFailed})}
-		if r.Kind != logic.AskFailed {
+		r := logic.HostList{Kind: choice(o, "Kind", map[string]logic.HostListKind{"diff": logic.HostListDelta,
+			"snapshot": logic.HostListFull, "disk": logic.HostListFromDisk, "error": logic.HostListFailed})}
+		if r.Kind != logic.HostListFailed {
 			entries, known := d.lists[o.whole("RosterId", true)]
 			if !known {
 				o.fail("RosterId", "no such list was defined")
@@ -269,33 +269,33 @@
 		}
 		e.Note = r
 	case "TickDue":
-		e.Note = logic.Due{Timer: logic.TimerID(o.natural("Nonce"))}
+		e.Note = logic.TimerFired{Timer: logic.TimerID(o.natural("Nonce"))}
 	case "Checked":
 		how := choice(o, "How", map[string]string{"delivered": "delivered", "app_error": "", "shed": "",
 			"expired": "", "dial_failed": "", "dropped": "", "revoked": "", "unused": ""})
-		e.Note = logic.Probed{Host: host(), Spent: span("SpentMs"), Good: how != "", Load: o.load("HealthInfo")}
+		e.Note = logic.ProbeResult{Host: host(), Latency: span("SpentMs"), Healthy: how != "", Load: o.load("HealthInfo")}
 	case "Heard":
-		e.Note = logic.Said{From: logic.DirectorID(o.whole("Neighbour", true)), Bytes: o.text("Raw", false)}
+		e.Note = logic.PeerMessage{From: logic.DirectorID(o.whole("Neighbour", true)), Payload: o.text("Raw", false)}
 	case "Joined":
-		e.Note = logic.Joined{Proxy: proxy(), Fresh: o.truth("Flag"), Rate: o.number("W", false), Zone: zone()}
+		e.Note = logic.ProxyJoined{Proxy: proxy(), Fresh: o.truth("Flag"), Rate: o.number("W", false), Zone: zone()}
 	case "DroppedOff":
-		e.Note = logic.Left{Proxy: proxy()}
+		e.Note = logic.ProxyLeft{Proxy: proxy()}
 	case "TrafficReport":
-		e.Note = logic.Met{Host: host(), Zone: zone(), Over: span("PeriodLenMs"), Spent: span("SpentMs"),
-			Ended: count("Many"), Lost: count("Lost"), Load: o.load("HealthInfo")}
+		e.Note = logic.HostSample{Host: host(), Zone: zone(), Period: span("PeriodLenMs"), MeanLatency: span("SpentMs"),
+			Finished: count("Many"), Failed: count("Lost"), Load: o.load("HealthInfo")}
 	case "Demand":
-		e.Note = logic.Asked{Proxy: proxy(), Route: logic.RouteID(o.ranged("Lane", true, 63)),
-			Over: span("PeriodLenMs"), Calls: count("Many"), Lost: count("Lost")}
+		e.Note = logic.RouteDemand{Proxy: proxy(), Route: logic.RouteID(o.ranged("Lane", true, 63)),
+			Period: span("PeriodLenMs"), Calls: count("Many"), Unanswered: count("Lost")}
 	case "Heat":
-		e.Note = logic.Heat{Slice: table(), Route: logic.RouteID(o.ranged("Lane", true, 63)),
-			Over: span("PeriodLenMs"), Calls: count("Many"), Lost: count("Lost")}
+		e.Note = logic.SliceDemand{Slice: table(), Route: logic.RouteID(o.ranged("Lane", true, 63)),
+			Period: span("PeriodLenMs"), Calls: count("Many"), Unanswered: count("Lost")}
 	case "Custody":
-		e.Note = logic.Custody{Slice: table(), Given: o.truth("Flag")}
+		e.Note = logic.SliceOwnership{Slice: table(), Owned: o.truth("Flag")}
 	case "OnRecord":
-		e.Note = logic.OnRecord{Slice: table(), Host: host(), Weight: o.number("W", true)}
+		e.Note = logic.StoredLine{Slice: table(), Host: host(), Weight: o.number("W", true)}
 	case "TookEffect":
-		e.Note = logic.Applied{Proxy: proxy(), Serial: logic.SerialID(o.ranged("Serial", true, mostSmall)),
-			Spent: span("SpentMs")}
+		e.Note = logic.Acknowledged{Proxy: proxy(), Serial: logic.SerialID(o.ranged("Serial", true, mostSmall)),
+			Latency: span("SpentMs")}
 	default:
 		return e, false // a later wire's event; like an unknown key, it is skipped
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,19 +35,19 @@
 		t.Fatalf("clock %v, %d events", b.Clock, len(b.Events))
 	}
 	f := b.Events[0].Begin
-	if f.Seed != 1<<63 || f.Facts.Slices != 7 || f.Facts.Levels != logic.LevelRate || !f.Facts.OneOwner ||
-		f.Facts.Routes[0].Reach != logic.ReachCell || !f.Facts.Routes[1].Writes || f.Facts.Pick != logic.PickPair {
+	if f.Seed != 1<<63 || f.Facts.Slices != 7 || f.Facts.Levels != logic.LevelRate || !f.Facts.SingleOwner ||
+		f.Facts.Routes[0].DedupScope != logic.DedupCell || !f.Facts.Routes[1].IsWrite || f.Facts.Pick != logic.PickTwoChoices {
 		t.Errorf("facts: %+v", f)
 	}
 	// A number is taken by the newer list, also later in one batch.
-	first, second := b.Events[1].Note.(logic.Roster), b.Events[2].Note.(logic.Roster)
+	first, second := b.Events[1].Note.(logic.HostList), b.Events[2].Note.(logic.HostList)
 	if len(first.Entries) != 1 || first.Entries[0].Host != 1<<32-1 || len(second.Entries) != 0 {
 		t.Errorf("lists: %+v, %+v", first, second)
 	}
-	if due := b.Events[4].Note.(logic.Due); due.Timer != 1<<63-1 {
+	if due := b.Events[4].Note.(logic.TimerFired); due.Timer != 1<<63-1 {
 		t.Errorf("nonce %d", due.Timer)
 	}
-	if m := b.Events[5].Note.(logic.Met); m.Load.Busy == nil || *m.Load.Busy != 0.5 || m.Load.Rate != nil {
+	if m := b.Events[5].Note.(logic.HostSample); m.Load.Utilization == nil || *m.Load.Utilization != 0.5 || m.Load.Throughput != nil {
 		t.Errorf("load: %+v", m.Load)
 	}
 }
@@ -83,9 +83,9 @@
 	}
 	r.Reset()
 	for _, o := range []logic.Order{logic.SetLine{Table: 1, Host: 1<<32 - 1, Weight: 0.75}, logic.DropLines{Table: 2},
-		logic.Bind{Proxy: 3, Table: 1, Routes: 2}, logic.Mask{Host: 4, Out: true}, logic.Stamp{Serial: 9},
-		logic.Throttle{Table: logic.EveryTable, Routes: 2, Level: 0.5, Tries: 1}, logic.After{In: 0.5, Timer: 1 << 63},
-		logic.Ping{Host: 4}, logic.Tell{To: -1, Bytes: "hi"}, logic.Follow{On: true}, logic.Pull{}, logic.Say{Text: "\"\n"}} {
+		logic.Bind{Proxy: 3, Table: 1, Routes: 2}, logic.Mask{Host: 4, On: true}, logic.Stamp{Serial: 9},
+		logic.Throttle{Table: logic.AllTables, Routes: 2, Level: 0.5, Retries: 1}, logic.SetTimer{Delay: 0.5, Timer: 1 << 63},
+		logic.Probe{Host: 4}, logic.SendToPeer{To: -1, Payload: "hi"}, logic.WatchHosts{On: true}, logic.RequestHosts{}, logic.LogText{Text: "\"\n"}} {
 		r.Add(3, o)
 	}
 	r.Broken(3, "x")
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -6,7 +6,7 @@
 // Found on real sockets (issue 34): 300 a second beside 120 that came, for 20 s.
 func TestDemandIsNoMoreThanComes(t *testing.T) {
 	const cheap, lead = RouteID(0), RouteID(1)
-	d := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare,
+	d := New(1, Config{Slices: 1, ReportInterval: 500, Levels: LevelShare,
 		Routes: []Route{{Importance: 1, SLO: 1000}, {Importance: 3, SLO: 1000}}})
 	g := d.gate
 	g.usual = []float64{9, 1}
@@ -22,7 +22,7 @@
 
 // A level that is told as whole turns nobody away, and what comes usually is learnt again.
 func TestLevelsToldAsWholeThrottleNothing(t *testing.T) {
-	g := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}, {SLO: 1000}}}).gate
+	g := New(1, Config{Slices: 1, ReportInterval: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}, {SLO: 1000}}}).gate
 	if g.level = 1.98; g.throttles() {
 		t.Error("a level that is told as 1 is taken to throttle")
 	}
@@ -37,7 +37,7 @@
 func TestWhatIsLetInFitsAllCallsThatCome(t *testing.T) {
 	const cheap, lead = RouteID(0), RouteID(1)
 	const able = 100.0
-	g := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare,
+	g := New(1, Config{Slices: 1, ReportInterval: 500, Levels: LevelShare,
 		Routes: []Route{{Importance: 1, SLO: 1000}, {Importance: 3, SLO: 1000}}}).gate
 	g.now = 10000
 	g.usual = []float64{60, 30} // wanted, as learnt before
@@ -54,7 +54,7 @@
 // Levels ease to what hosts have room for, not at once to all that come: that was the next burst.
 func TestLevelsEaseByTheRoomOfHosts(t *testing.T) {
 	const able, busyShare, level = 200.0, 0.5, 0.3
-	g := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}}}).gate
+	g := New(1, Config{Slices: 1, ReportInterval: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}}}).gate
 	g.now = 10000
 	g.usual = []float64{100}
 	g.asked[0].add(g.now, gateMemory, 1000)
--- a/logic/age.go
+++ b/logic/age.go
@@ -26,8 +26,8 @@
 
 // restamped finds the hosts whose stamps were moved by a step of the clock: more than half of those in use, all by
 // the same time, to where no new start could be. They did not start anew, and only their stamps are taken over.
-func (d *Director) restamped(r Roster) {
-	var moved []Entry
+func (d *Director) restamped(r HostList) {
+	var moved []HostEntry
 	var step Millis
 	up := 0
 	for _, e := range r.Entries {
@@ -36,8 +36,8 @@
 			continue
 		}
 		up++
-		by := e.Born - h.entry.Born
-		if h.entry.Born <= 0 || e.Born <= 0 || by == 0 || e.Born > d.now-longestWord && e.Born <= d.now {
+		by := e.StartedAt - h.entry.StartedAt
+		if h.entry.StartedAt <= 0 || e.StartedAt <= 0 || by == 0 || e.StartedAt > d.now-longestWord && e.StartedAt <= d.now {
 			continue
 		}
 		if len(moved) == 0 {
@@ -52,6 +52,6 @@
 		return
 	}
 	for _, e := range moved {
-		d.hosts.get(e.Host).entry.Born = e.Born
+		d.hosts.get(e.Host).entry.StartedAt = e.StartedAt
 	}
 }
--- a/logic/api.go
+++ b/logic/api.go
@@ -8,7 +8,7 @@
 	RouteID    int
 	ZoneID     int
 	CellID     int
-	KindID     int
+	HardwareID int
 	DirectorID int
 	TimerID    uint64
 	SerialID   int
@@ -17,157 +17,157 @@
 )
 
 // EveryTable stands for all tables of all joined proxies in a Throttle order.
-const EveryTable TableID = 65535
+const AllTables TableID = 65535
 
 // Repeat says when a call may take effect a second time without harm.
-type Repeat int
+type Idempotency int
 
 const (
-	Mutating Repeat = iota
-	Keyed
-	Repeatable
+	NonIdempotent Idempotency = iota
+	IdempotentByKey
+	Idempotent
 )
 
 // Reach names the hosts that know each other's repeats of a keyed call.
-type Reach int
+type DedupScope int
 
 const (
-	ReachNone Reach = iota
-	ReachAll
-	ReachZone
-	ReachCell
+	DedupNone DedupScope = iota
+	DedupAll
+	DedupZone
+	DedupCell
 )
 
 // Valve says what a level counts.
-type Valve int
+type LevelUnit int
 
 const (
-	NoLevels Valve = iota
+	NoLevels LevelUnit = iota
 	LevelShare
 	LevelRate
 )
 
 // Pick is the way a proxy chooses one of its lines.
-type Pick int
+type PickPolicy int
 
 const (
-	PickLottery Pick = iota
-	PickWheel
-	PickPair
+	PickRandom PickPolicy = iota
+	PickRoundRobin
+	PickTwoChoices
 )
 
 // Route is what a director is told of a route.
 type Route struct {
-	SLO, TimeLimit, RepeatSpan Millis
-	Importance, LateShare      float64
-	Repeat                     Repeat
-	Reach                      Reach
-	OwnZone, Writes            bool
+	SLO, TimeLimit, DedupWindow Millis
+	Importance, LateShare       float64
+	Idempotency                 Idempotency
+	DedupScope                  DedupScope
+	OwnZone, IsWrite            bool
 }
 
 // Facts are the settings of a start, in our words.
-type Facts struct {
-	Me                                 DirectorID
-	Directors, Proxies                 int
-	Zone                               ZoneID
-	Routes                             []Route
-	MayProbe, MayTell, AsksForList     bool
-	AskWithin                          Millis
-	ColdFrom, TipMultiple              float64
-	WarmAfter, FallAfter, DrainGrace   Millis
-	FullMayHaveRun, GoneIsAdvice       bool
-	Weighted                           bool
-	LoadColumns                        []string
-	Slices                             int
-	OneOwner, WarmKeys                 bool
-	WriteLease, WriteSettle, BareLimit Millis
-	WaitsForTable                      Millis
-	Levels                             Valve
-	Pick                               Pick
-	EjectsAfter, TriesUnlessTold       int
-	TryWait                            float64
-	LinesPerSecond, IntakePerSecond    float64
-	QueueLimit, HeadLines              float64
-	Transit, WorstTransit              Millis
-	MessageLimit                       int
-	MessageSpan, ReportEvery           Millis
+type Config struct {
+	Self                                         DirectorID
+	Directors, Proxies                           int
+	Zone                                         ZoneID
+	Routes                                       []Route
+	MayProbe, MayMessagePeers, HostListOnRequest bool
+	HostListDeadline                             Millis
+	ColdCapacity, ColdOverloadLimit              float64
+	WarmAfter, ColdFailAfter, DrainGrace         Millis
+	RejectedMayHaveRun, RemovalIsAdvisory        bool
+	Weighted                                     bool
+	LoadColumns                                  []string
+	Slices                                       int
+	SingleOwner, WarmKeys                        bool
+	WriteLease, WriteSettle, EmptyTableLimit     Millis
+	TableWait                                    Millis
+	Levels                                       LevelUnit
+	Pick                                         PickPolicy
+	EjectAfterFailures, DefaultRetries           int
+	TryTimeout                                   float64
+	LinesPerSecond, ReportLinesPerSecond         float64
+	QueueLimit, MessageOverhead                  float64
+	Transit, WorstTransit                        Millis
+	MessageLimit                                 int
+	MessageWindow, ReportInterval                Millis
 }
 
 // Notes in. Handle takes any of these; each is something that happened at the time of the call.
 type (
 	// Roster brings entries: all there are, or only what changed.
-	Roster struct {
-		Kind    RosterKind
-		Entries []Entry
+	HostList struct {
+		Kind    HostListKind
+		Entries []HostEntry
 	}
-	Joined struct {
+	ProxyJoined struct {
 		Proxy ProxyID
 		Fresh bool
 		Rate  float64
 		Zone  ZoneID
 	}
-	Left struct{ Proxy ProxyID }
+	ProxyLeft struct{ Proxy ProxyID }
 	// Met sums what joined proxies of one zone met at a host.
-	Met struct {
-		Host        HostID
-		Zone        ZoneID
-		Over, Spent Millis
-		Ended, Lost int
-		Load        Load
+	HostSample struct {
+		Host                HostID
+		Zone                ZoneID
+		Period, MeanLatency Millis
+		Finished, Failed    int
+		Load                Load
 	}
 	// Asked sums the calls of a route that came to a proxy; Heat those for a slice.
-	Asked struct {
-		Proxy       ProxyID
-		Route       RouteID
-		Over        Millis
-		Calls, Lost int
-	}
-	Heat struct {
-		Slice       TableID
-		Route       RouteID
-		Over        Millis
-		Calls, Lost int
-	}
-	Custody struct {
+	RouteDemand struct {
+		Proxy             ProxyID
+		Route             RouteID
+		Period            Millis
+		Calls, Unanswered int
+	}
+	SliceDemand struct {
+		Slice             TableID
+		Route             RouteID
+		Period            Millis
+		Calls, Unanswered int
+	}
+	SliceOwnership struct {
 		Slice TableID
-		Given bool
+		Owned bool
 	}
-	OnRecord struct {
+	StoredLine struct {
 		Slice  TableID
 		Host   HostID
 		Weight float64
 	}
 	// Masked is told at a start of a host that proxies hold a mask of from an earlier one.
-	Masked  struct{ Host HostID }
-	Applied struct {
-		Proxy  ProxyID
-		Serial SerialID
-		Spent  Millis
+	InheritedMask struct{ Host HostID }
+	Acknowledged  struct {
+		Proxy   ProxyID
+		Serial  SerialID
+		Latency Millis
 	}
 	// NewsAlive tells that the connection that brings acknowledgements has just shown a sign of life.
-	NewsAlive struct{}
+	AckStreamAlive struct{}
 	// Unsure tells that the channel may have taken the reply that bore this stamp, or may not.
-	Unsure struct{ Serial SerialID }
-	Due    struct{ Timer TimerID }
-	Probed struct {
-		Host  HostID
-		Spent Millis
-		Good  bool
-		Load  Load
-	}
-	Said struct {
-		From  DirectorID
-		Bytes string
+	Unconfirmed struct{ Serial SerialID }
+	TimerFired  struct{ Timer TimerID }
+	ProbeResult struct {
+		Host    HostID
+		Latency Millis
+		Healthy bool
+		Load    Load
+	}
+	PeerMessage struct {
+		From    DirectorID
+		Payload string
 	}
 )
 
-type RosterKind int
+type HostListKind int
 
 const (
-	Changes RosterKind = iota
-	Whole
-	FromDisk
-	AskFailed
+	HostListDelta HostListKind = iota
+	HostListFull
+	HostListFromDisk
+	HostListFailed
 )
 
 type HostState int
@@ -178,18 +178,18 @@
 	Gone
 )
 
-type Entry struct {
-	Host   HostID
-	State  HostState
-	Cell   CellID
-	Zone   ZoneID
-	Kind   KindID
-	Weight float64
-	Born   Millis
+type HostEntry struct {
+	Host      HostID
+	State     HostState
+	Cell      CellID
+	Zone      ZoneID
+	Hardware  HardwareID
+	Weight    float64
+	StartedAt Millis
 }
 
 // Load is a load report; a nil field was not in it.
-type Load struct{ Busy, Rate, Queue, InHand, Recent, Errors *float64 }
+type Load struct{ Utilization, Throughput, Backlog, Outstanding, RecentLatency, ErrorRate *float64 }
 
 // Orders out.
 type Order any
@@ -208,30 +208,30 @@
 	}
 	Mask struct {
 		Host HostID
-		Out  bool
+		On   bool
 	}
 	Throttle struct {
-		Table  TableID
-		Routes RouteSet
-		Level  float64
-		Tries  int
+		Table   TableID
+		Routes  RouteSet
+		Level   float64
+		Retries int
 	}
 	Stamp struct {
 		Serial SerialID
 		All    bool
 	}
 	// Again has a reply written once more that is Unsure. An Applied of it that comes before makes it void.
-	Again struct{ Serial SerialID }
-	After struct {
-		In    Millis
+	Resend   struct{ Serial SerialID }
+	SetTimer struct {
+		Delay Millis
 		Timer TimerID
 	}
-	Ping struct{ Host HostID }
-	Tell struct {
-		To    DirectorID
-		Bytes string
+	Probe      struct{ Host HostID }
+	SendToPeer struct {
+		To      DirectorID
+		Payload string
 	}
-	Follow struct{ On bool }
-	Pull   struct{}
-	Say    struct{ Text string }
+	WatchHosts   struct{ On bool }
+	RequestHosts struct{}
+	LogText      struct{ Text string }
 )
--- a/logic/channel.go
+++ b/logic/channel.go
@@ -75,12 +75,12 @@
 
 // own hears that a proxy has applied all up to a stamp: a stream keeps its order, so what was written to it
 // before has come too, whether we heard of that or not.
-func (p *publisher) own(n Applied) {
+func (p *publisher) own(n Acknowledged) {
 	for i, f := range p.flights {
 		// An acknowledgement tells how long ago its message was written. One of the message written again proves
 		// that the first is not on its way any more, since a stream keeps its order; one of the first says nothing
 		// of the other.
-		if f.serial == n.Serial && !(f.second && p.now-n.Spent < f.written) {
+		if f.serial == n.Serial && !(f.second && p.now-n.Latency < f.written) {
 			for _, before := range p.flights[:i+1] {
 				before.left.drop(n.Proxy)
 			}
@@ -162,14 +162,14 @@
 	return lines, all
 }
 
-func (p *publisher) doubt(n Unsure) {
+func (p *publisher) doubt(n Unconfirmed) {
 	for _, f := range p.flights {
 		if f.serial == n.Serial && !f.second {
 			f.doubt = p.now
 			return
 		}
 	}
-	p.order(Again{n.Serial}) // nobody is left who could own up to it
+	p.order(Resend{n.Serial}) // nobody is left who could own up to it
 }
 
 // again has written once more what may not have reached the channel. It may just as well wait there, and its
@@ -194,7 +194,7 @@
 			second.left.put(n, lines)
 		}
 		p.flights = append(p.flights, second)
-		p.order(Again{f.serial})
+		p.order(Resend{f.serial})
 	}
 	return doubted
 }
--- a/logic/health.go
+++ b/logic/health.go
@@ -37,7 +37,7 @@
 // itself, and the calls that go on coming keep it jammed. It would harm where the load itself is the cause.
 func (h *host) judge(reported Millis) {
 	if h.unproven && h.entry.State == Up && h.now >= h.probeAt {
-		h.order(Ping{h.id})
+		h.order(Probe{h.id})
 		h.probeEvery = min(4*checkEvery, max(checkEvery, 2*h.probeEvery))
 		h.probeAt = h.now + h.probeEvery
 	}
@@ -144,9 +144,9 @@
 // trial counts what a host made of the calls since it entered its state.
 type trial struct{ ended, lost int }
 
-func (t *trial) add(m Met) {
-	t.ended += m.Ended
-	t.lost += m.Lost
+func (t *trial) add(m HostSample) {
+	t.ended += m.Finished
+	t.lost += m.Failed
 }
 
 // passed says whether the host may serve again.
--- a/logic/health_test.go
+++ b/logic/health_test.go
@@ -49,11 +49,11 @@
 		silent bool
 	}{"answers": {0, false}, "time-outs": {5, true}} {
 		h := &host{loop: &loop{now: 10000}, due: 4}
-		h.rules = derive(Facts{ReportEvery: 500})
-		h.met(Met{Over: 500, Ended: 5})
+		h.rules = derive(Config{ReportInterval: 500})
+		h.met(HostSample{Period: 500, Finished: 5})
 		h.dueSince, h.now = 10000, 15000
 		h.missing(h.now)
-		h.met(Met{Over: 500, Ended: 5, Lost: c.lost})
+		h.met(HostSample{Period: 500, Finished: 5, Failed: c.lost})
 		if got := h.silent(h.now - h.lastAnswer); got != c.silent {
 			t.Errorf("after a line of %s: silent %v", name, got)
 		}
--- a/logic/host.go
+++ b/logic/host.go
@@ -6,7 +6,7 @@
 // of itself.
 
 // list follows the list. A new birth is a cold host, also where it never left our tables.
-func (h *host) list(e Entry) {
+func (h *host) list(e HostEntry) {
 	why := ReasonList
 	since(&h.unlistedAt, e.State == Gone, h.now)
 	if e.State == Gone && h.known {
@@ -15,9 +15,9 @@
 			e.State = Draining
 		}
 	}
-	if e.State == Up && (!h.known || e.Born != h.entry.Born || h.entry.State != Up) {
-		born := startOf(e.Born, h.now, h.known || h.followed)
-		if h.known && e.Born == h.entry.Born {
+	if e.State == Up && (!h.known || e.StartedAt != h.entry.StartedAt || h.entry.State != Up) {
+		born := startOf(e.StartedAt, h.now, h.known || h.followed)
+		if h.known && e.StartedAt == h.entry.StartedAt {
 			born = h.now
 		}
 		if born > 0 {
@@ -33,32 +33,32 @@
 	h.changed(why)
 }
 
-func (h *host) met(m Met) {
-	h.ended.add(h.now, h.rules.health, float64(m.Ended))
-	h.lost.add(h.now, h.rules.health, float64(m.Lost))
+func (h *host) met(m HostSample) {
+	h.ended.add(h.now, h.rules.health, float64(m.Finished))
+	h.lost.add(h.now, h.rules.health, float64(m.Failed))
 	h.trial.add(m)
-	h.unproven = h.unproven && m.Ended == m.Lost
+	h.unproven = h.unproven && m.Finished == m.Failed
 	h.changed(ReasonAnswer)
-	h.spent.add(h.now, h.rules.health, float64(m.Spent)*float64(m.Ended-m.Lost))
+	h.spent.add(h.now, h.rules.health, float64(m.MeanLatency)*float64(m.Finished-m.Failed))
 	if h.lastLine > 0 && h.now > h.lastLine {
 		h.gap += (h.now - h.lastLine - h.gap) * 0.2
 	}
 	h.lastLine = h.now
-	if m.Ended > m.Lost {
+	if m.Finished > m.Failed {
 		h.lastAnswer, h.missed, h.countedTo = h.now, 0, h.now
 	}
-	rate := 1000 * float64(m.Ended-m.Lost) / max(1, float64(m.Over))
+	rate := 1000 * float64(m.Finished-m.Failed) / max(1, float64(m.Period))
 	// Read as reports come in, so that the rate doesn't ripple with them.
 	part := (1 - math.Exp2(-float64(h.rules.reportEvery/h.rules.health))) * 1000 / float64(h.rules.reportEvery)
 	h.flow = h.ended.read(h.now, h.rules.health) * part
-	busy, press := m.Load.Busy, float64(m.Spent)*rate/1000
+	busy, press := m.Load.Utilization, float64(m.MeanLatency)*rate/1000
 	if busy != nil {
 		// A host that always has a call of ours in hand is not idle: such reports are void, or they would draw
 		// load. One alone may be newer than the answers it came with, unless it denies those answers too.
 		since(&h.voidSince, *busy < 0.1 && press > 1, h.now)
-		denied := m.Load.Rate != nil && *m.Load.Rate < rate/4
+		denied := m.Load.Throughput != nil && *m.Load.Throughput < rate/4
 		if h.void = h.voidSince > 0 && (denied || h.now-h.voidSince >= failFor); h.void {
-			guess := min(1, float64(m.Spent/h.rules.slo))
+			guess := min(1, float64(m.MeanLatency/h.rules.slo))
 			busy = &guess
 		}
 		if h.busy == 0 {
@@ -66,18 +66,18 @@
 		}
 		h.busy += (*busy - h.busy) * 0.4 // one report is noisy
 		// Little is learnt while work is wasted, or a jam would teach at once that the host can do nothing.
-		trust := 1 - 0.7*float64(bit(m.Lost*3 >= m.Ended, 0))
+		trust := 1 - 0.7*float64(bit(m.Failed*3 >= m.Finished, 0))
 		h.good.add(h.now, loadMemory, trust*(h.flow-h.lost.read(h.now, h.rules.health)*part))
 		h.used.add(h.now, loadMemory, trust*max(0.05, *busy))
 		press = *busy
-	} else if m.Load.InHand != nil {
-		press = *m.Load.InHand
+	} else if m.Load.Outstanding != nil {
+		press = *m.Load.Outstanding
 	}
 	if h.void {
 		return
 	}
-	if m.Load.Rate != nil {
-		rate = *m.Load.Rate
+	if m.Load.Throughput != nil {
+		rate = *m.Load.Throughput
 	}
 	h.rate.add(h.now, loadMemory, rate)
 	h.press.add(h.now, loadMemory, press)
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -58,18 +58,18 @@
 	zoneTables  TableID = 60000
 )
 
-func derive(f Facts) bounds {
-	b := bounds{sliced: f.Slices > 0, oneOwner: f.OneOwner, asks: f.AsksForList, probes: f.MayProbe,
-		shared: f.Directors > 1 && f.Slices > 0 && !f.OneOwner,
-		advice: f.GoneIsAdvice, listed: f.Weighted, queue: f.QueueLimit, head: f.HeadLines,
+func derive(f Config) bounds {
+	b := bounds{sliced: f.Slices > 0, oneOwner: f.SingleOwner, asks: f.HostListOnRequest, probes: f.MayProbe,
+		shared: f.Directors > 1 && f.Slices > 0 && !f.SingleOwner,
+		advice: f.RemovalIsAdvisory, listed: f.Weighted, queue: f.QueueLimit, head: f.MessageOverhead,
 		pace: max(1, f.LinesPerSecond) / 1000, transit: f.Transit, worstTransit: f.WorstTransit, messages: f.MessageLimit,
-		span:   f.MessageSpan,
-		levels: f.Levels, reportEvery: max(1, f.ReportEvery), warmFor: f.WarmAfter,
+		span:   f.MessageWindow,
+		levels: f.Levels, reportEvery: max(1, f.ReportInterval), warmFor: f.WarmAfter,
 		settle: f.WriteLease + f.WriteSettle + f.WorstTransit}
 	b.health = max(healthMemory, b.reportEvery*5/4) // shorter, it would see but the last report
 	// Quarter room is right only while cold keys and chance can't take it past what tips a cold host.
-	b.freshRoom = min(freshRoom, max(0.05, f.ColdFrom*f.TipMultiple/3))
-	if b.standby = standbyPart; f.Pick == PickPair {
+	b.freshRoom = min(freshRoom, max(0.05, f.ColdCapacity*f.ColdOverloadLimit/3))
+	if b.standby = standbyPart; f.Pick == PickTwoChoices {
 		b.standby = pairPart
 	}
 	if b.hurry = max(0, min(gather, (f.DrainGrace-f.WorstTransit)/4)); b.messages > 0 {
@@ -79,10 +79,10 @@
 	b.outWithin = f.DrainGrace*graceShare - f.WorstTransit - beat
 	for i, r := range f.Routes {
 		// One that may take effect twice is tried again only after proof that it never ran.
-		b.ways = append(b.ways, 1+int(bit(r.Repeat == Repeatable, 0)))
+		b.ways = append(b.ways, 1+int(bit(r.Idempotency == Idempotent, 0)))
 		b.cheap = append(b.cheap, RouteID(i))
 		b.everyRoute |= bit(true, i)
-		b.writes |= bit(r.Writes, i)
+		b.writes |= bit(r.IsWrite, i)
 		b.ownZone |= bit(r.OwnZone, i)
 		if b.slo == 0 || r.SLO < b.slo {
 			b.slo = r.SLO
@@ -94,7 +94,7 @@
 	return b
 }
 
-func New(seed uint64, f Facts) *Director {
+func New(seed uint64, f Config) *Director {
 	d := &Director{}
 	d.seed, d.rules = seed, derive(f)
 	d.publish = &publisher{loop: &d.loop}
@@ -110,12 +110,12 @@
 	d.now, d.out, d.changes = now, nil, nil
 	if !d.ticking {
 		d.ticking = true
-		d.order(After{beat, 0})
+		d.order(SetTimer{beat, 0})
 		d.place.listBy = now + listWithin
 	}
 	if d.rules.asks && !d.follows && now >= d.askAgain {
 		d.follows = true
-		d.order(Follow{true})
+		d.order(WatchHosts{true})
 	}
 	for _, n := range notes {
 		d.post(d, n)
@@ -141,8 +141,8 @@
 	return d.out
 }
 
-func (d *Director) roster(r Roster) {
-	if r.Kind == AskFailed {
+func (d *Director) roster(r HostList) {
+	if r.Kind == HostListFailed {
 		d.follows, d.askAgain = false, d.now+checkEvery
 		return
 	}
@@ -153,7 +153,7 @@
 		if !d.hosts.has(e.Host) {
 			// One that the list adds later may be none of ours, and take calls that it never answers.
 			h := d.meet(e.Host)
-			h.unproven = d.rules.probes && r.Kind != FromDisk
+			h.unproven = d.rules.probes && r.Kind != HostListFromDisk
 			h.followed = d.told
 			if standing[e.Host] {
 				h.vouchedUntil = d.now + vouchFor
@@ -162,11 +162,11 @@
 		d.post(d.hosts.get(e.Host), e)
 	}
 	for id, h := range d.hosts.all() {
-		if r.Kind != Changes && !named[id] {
-			d.post(h, Entry{Host: id, State: Gone})
+		if r.Kind != HostListDelta && !named[id] {
+			d.post(h, HostEntry{Host: id, State: Gone})
 		}
 	}
-	if r.Kind != FromDisk && !d.told {
+	if r.Kind != HostListFromDisk && !d.told {
 		d.told, d.place.listBy, d.place.dirty = true, 0, true
 		for _, held := range d.publish.stands.all() {
 			d.unlist(held)
@@ -187,7 +187,7 @@
 func (d *Director) unlist(held lines) {
 	for _, l := range held {
 		if d.told && !d.hosts.has(l.host) {
-			d.post(d.meet(l.host), Entry{Host: l.host, State: Gone})
+			d.post(d.meet(l.host), HostEntry{Host: l.host, State: Gone})
 		}
 	}
 }
--- a/logic/loop.go
+++ b/logic/loop.go
@@ -62,32 +62,32 @@
 
 func (d *Director) take(n any) {
 	switch n := n.(type) {
-	case Roster:
+	case HostList:
 		d.roster(n)
-	case OnRecord:
+	case StoredLine:
 		if d.stored.has(n.Slice) && n.Weight > 0 {
 			d.stored.put(n.Slice, append(d.stored.get(n.Slice), line{n.Host, n.Weight}))
 		}
-	case Met:
+	case HostSample:
 		if h := d.hosts.get(n.Host); h != nil {
 			d.reported = d.now
 			d.post(h, n)
 		}
-	case Asked:
-		d.post(d, Heat{TableID(n.Proxy) + 1, n.Route, n.Over, n.Calls, n.Lost})
-	case Probed:
+	case RouteDemand:
+		d.post(d, SliceDemand{TableID(n.Proxy) + 1, n.Route, n.Period, n.Calls, n.Unanswered})
+	case ProbeResult:
 		if h := d.hosts.get(n.Host); h != nil {
 			d.post(h, n)
 		}
-	case Custody:
+	case SliceOwnership:
 		d.stored.drop(n.Slice)
 		d.post(d.place, n)
 		d.post(d.publish, n)
-		if n.Given {
+		if n.Owned {
 			d.stored.put(n.Slice, nil)
 		}
-	case Due:
-		d.order(After{beat, 0})
+	case TimerFired:
+		d.order(SetTimer{beat, 0})
 		d.forget()
 		for _, h := range d.hosts.all() {
 			d.post(h, pulse{d.reported})
@@ -105,18 +105,18 @@
 	switch n := n.(type) {
 	case standing:
 		g.seats.put(n.id, n)
-	case Heat:
+	case SliceDemand:
 		if int(n.Route) < len(g.asked) {
 			since(&g.heardSince, true, g.now)
 			g.lasting.add(g.now, demandMemory, float64(n.Calls))
 			g.asked[n.Route].add(g.now, gateMemory, float64(n.Calls))
-			g.unanswered[n.Route].add(g.now, gateMemory, float64(n.Lost))
+			g.unanswered[n.Route].add(g.now, gateMemory, float64(n.Unanswered))
 		}
-	case Joined:
+	case ProxyJoined:
 		g.joined.put(n.Proxy, true)
-	case Left:
+	case ProxyLeft:
 		g.joined.drop(n.Proxy)
-	case Due:
+	case TimerFired:
 		if g.now >= g.next {
 			g.next = g.now + weighEvery
 			g.weigh()
@@ -126,16 +126,16 @@
 
 func (h *host) take(n any) {
 	switch n := n.(type) {
-	case Entry:
+	case HostEntry:
 		h.list(n)
-	case Met:
+	case HostSample:
 		h.met(n)
 	case expected:
 		h.expect(n.rate)
 	case fleet:
 		h.around = n
-	case Probed:
-		h.unproven = h.unproven && !n.Good
+	case ProbeResult:
+		h.unproven = h.unproven && !n.Healthy
 		h.changed(ReasonAnswer)
 	case pulse:
 		h.judge(n.reported)
@@ -156,19 +156,19 @@
 		if pc := p.own.get(n.table); pc != nil {
 			pc.laid, pc.held = pc.parts, n.lines
 		}
-	case Custody:
+	case SliceOwnership:
 		p.own.drop(n.Slice)
-	case Joined:
+	case ProxyJoined:
 		if t := TableID(n.Proxy) + 1; !p.rules.sliced && !p.own.has(t) {
 			p.adopt(t, nil)
 		}
-	case Left:
+	case ProxyLeft:
 		if !p.rules.sliced {
 			p.own.drop(TableID(n.Proxy) + 1)
 		}
-	case Heat:
+	case SliceDemand:
 		p.hear(n)
-	case Due:
+	case TimerFired:
 		if p.now >= p.next {
 			p.next = p.now + checkEvery
 			p.check()
@@ -182,7 +182,7 @@
 	switch n := n.(type) {
 	case kept:
 		p.given(n)
-	case Custody:
+	case SliceOwnership:
 		p.stands.drop(n.Slice)
 		p.wants.drop(n.Slice)
 		p.shut.drop(n.Slice)
@@ -206,17 +206,17 @@
 		p.move(n)
 	case levelled:
 		p.levels = n
-	case Masked:
+	case InheritedMask:
 		p.inherit(n)
-	case Joined:
+	case ProxyJoined:
 		p.join(n)
-	case Left:
+	case ProxyLeft:
 		p.leave(n)
-	case Applied:
+	case Acknowledged:
 		p.own(n)
-	case Unsure:
+	case Unconfirmed:
 		p.doubt(n)
-	case NewsAlive:
+	case AckStreamAlive:
 		p.newsAlive()
 	case settleNow:
 		p.forgetSilent()
--- a/logic/masks.go
+++ b/logic/masks.go
@@ -110,7 +110,7 @@
 
 // inherit takes over a mask of an earlier start, to be lifted like our own. Taken for open, its host would be
 // the only line of a table once the other is masked, and the table bare with nobody knowing.
-func (p *publisher) inherit(n Masked) {
+func (p *publisher) inherit(n InheritedMask) {
 	if !p.rules.oneOwner {
 		p.doors.put(n.Host, opened)
 		p.masked.put(n.Host, true)
--- a/logic/observe.go
+++ b/logic/observe.go
@@ -44,58 +44,58 @@
 
 // HostChange is a change of a host's condition, with what was known of it then.
 type HostChange struct {
-	Host          HostID
-	From, To      Condition
-	Reason        Reason
-	Ended, Failed float64 // tries a second, lately
-	Busy          float64
-	Heard         bool    // whether it was reported on since it entered its state
-	Quiet         Millis  // since the last report of it, if it was heard
-	Expected      float64 // calls a second that standing tables bring it
+	Host                            HostID
+	From, To                        Condition
+	Reason                          Reason
+	TriesPerSecond, FailedPerSecond float64 // tries a second, lately
+	Utilization                     float64
+	HasReports                      bool    // whether it was reported on since it entered its state
+	SinceReport                     Millis  // since the last report of it, if it was heard
+	ExpectedPerSecond               float64 // calls a second that standing tables bring it
 }
 
 // LoadReport is what admission reckons with, and what it has come to.
 type LoadReport struct {
-	Calls, LetIn, Unanswered float64 // calls a second that came, were let in, and were let in and got no answer
-	Demand, Capacity, Tries  float64 // a second, as reckoned
-	Busy, Loss               float64
-	AnswerTime               Millis    // mean of the answers at hosts
-	InHand                   float64   // calls that hosts hold at a time
-	Waiting                  float64   // those of them that wait, as reckoned
-	Levels                   []float64 // by route, as wanted
-	Written                  []float64 // by route, as last written; nil: unknown
-	WrittenFor               Millis    // since they were
-	Full                     int       // hosts in use that report full work
-	InUse                    int
+	Calls, Admitted, Unanswered float64 // calls a second that came, were let in, and were let in and got no answer
+	Demand, Capacity, Tries     float64 // a second, as reckoned
+	Utilization, Loss           float64
+	AnswerTime                  Millis    // mean of the answers at hosts
+	Outstanding                 float64   // calls that hosts hold at a time
+	Queued                      float64   // those of them that wait, as reckoned
+	Levels                      []float64 // by route, as wanted
+	WrittenLevels               []float64 // by route, as last written; nil: unknown
+	WrittenAge                  Millis    // since they were
+	SaturatedHosts              int       // hosts in use that report full work
+	HostsInUse                  int
 }
 
 // HostReport is one host in a Report.
 type HostReport struct {
-	Host                   HostID
-	Condition              Condition
-	Cold                   bool
-	ColdFor                Millis // still
-	Laid, Share, Tolerated float64
-	Tries, Loss            float64
-	Busy, Capacity         float64
-	AnswerTime             Millis
-	Tables                 int // that name it
+	Host                         HostID
+	Condition                    Condition
+	Cold                         bool
+	ColdFor                      Millis // still
+	AssignedLoad, Share, MaxLoad float64
+	Tries, Loss                  float64
+	Utilization, Capacity        float64
+	AnswerTime                   Millis
+	Tables                       int // that name it
 }
 
 // Report is the state of the decisions at one moment.
 type Report struct {
-	Hosts                                    []HostReport
-	Demand, Capacity, Pressure, Wanted, Busy float64
-	Loss                                     float64
-	Levels                                   []float64 // by route, as wanted
-	Tries                                    []int     // further tries by route, as wanted
-	LevelsStand                              bool      // and as last written
-	TablesWaiting                            int
-	OldestWait                               Millis
-	QueuedLines, UnacknowledgedLines         float64
-	Messages                                 int // that some proxy has not acknowledged
-	Silences                                 int // times that messages were let go which nobody acknowledged
-	Masked                                   int
+	Hosts                                                   []HostReport
+	Demand, Capacity, Pressure, DemandPressure, Utilization float64
+	Loss                                                    float64
+	Levels                                                  []float64 // by route, as wanted
+	Retries                                                 []int     // further tries by route, as wanted
+	LevelsPublished                                         bool      // and as last written
+	PendingTables                                           int
+	OldestPending                                           Millis
+	QueuedLines, UnacknowledgedLines                        float64
+	UnacknowledgedMessages                                  int // that some proxy has not acknowledged
+	ChannelResets                                           int // times that messages were let go which nobody acknowledged
+	Masked                                                  int
 }
 
 // Changes are the changes of hosts in the last call of Handle.
@@ -104,14 +104,14 @@
 // Report tells the present state.
 func (d *Director) Report() Report {
 	g, p := d.gate, d.publish
-	r := Report{Demand: g.demand, Capacity: g.capacity, Levels: p.levels.level, Tries: p.levels.tries,
-		Pressure: g.around.pressure, Wanted: g.around.wanted, Busy: g.around.busy, Loss: g.around.loss,
-		LevelsStand: !p.relevels(), TablesWaiting: p.wants.len()}
+	r := Report{Demand: g.demand, Capacity: g.capacity, Levels: p.levels.level, Retries: p.levels.tries,
+		Pressure: g.around.pressure, DemandPressure: g.around.wanted, Utilization: g.around.busy, Loss: g.around.loss,
+		LevelsPublished: !p.relevels(), PendingTables: p.wants.len()}
 	for _, w := range p.wants.all() {
-		r.OldestWait = max(r.OldestWait, d.now-w.at)
+		r.OldestPending = max(r.OldestPending, d.now-w.at)
 	}
 	r.QueuedLines, r.UnacknowledgedLines = p.waiting()
-	r.Messages, r.Silences = len(p.flights), p.silences
+	r.UnacknowledgedMessages, r.ChannelResets = len(p.flights), p.silences
 	for _, out := range p.masked.all() {
 		r.Masked += int(bit(out, 0))
 	}
@@ -124,8 +124,8 @@
 	for id, h := range d.hosts.all() {
 		if s := d.place.seats.get(id); s != nil && h.known && (h.entry.State == Up || tables[id] > 0) {
 			r.Hosts = append(r.Hosts, HostReport{Host: id, Condition: h.condition(), Cold: s.cold,
-				ColdFor: max(0, h.coldUntil-d.now), Laid: s.load, Share: s.share, Tolerated: s.bears, Tries: s.flow,
-				Loss: s.loss, Busy: s.busy, Capacity: s.able, AnswerTime: Millis(s.spent), Tables: tables[id]})
+				ColdFor: max(0, h.coldUntil-d.now), AssignedLoad: s.load, Share: s.share, MaxLoad: s.bears, Tries: s.flow,
+				Loss: s.loss, Utilization: s.busy, Capacity: s.able, AnswerTime: Millis(s.spent), Tables: tables[id]})
 		}
 	}
 	return r
@@ -134,15 +134,15 @@
 // Load tells what admission reckons with.
 func (d *Director) Load() LoadReport {
 	g, p := d.gate, d.publish
-	r := LoadReport{Demand: g.demand, Capacity: g.capacity, Busy: g.around.busy, Loss: g.around.loss, Waiting: g.waiting,
-		Levels: p.levels.level, Written: p.stood.level, WrittenFor: d.now - p.stoodAt}
+	r := LoadReport{Demand: g.demand, Capacity: g.capacity, Utilization: g.around.busy, Loss: g.around.loss, Queued: g.waiting,
+		Levels: p.levels.level, WrittenLevels: p.stood.level, WrittenAge: d.now - p.stoodAt}
 	for route := range g.asked {
 		calls := g.asked[route].rate(d.now, gateMemory, 0)
 		r.Calls += calls
 		r.Unanswered += g.unanswered[route].rate(d.now, gateMemory, 0)
 		if part := 1.0; p.stood.level != nil && g.rules.levels == LevelShare {
 			part = min(part, p.stood.level[route])
-			r.LetIn += calls * part
+			r.Admitted += calls * part
 		}
 	}
 	answers := 0.0
@@ -151,11 +151,11 @@
 			continue
 		}
 		good := s.flow * (1 - s.loss)
-		r.InUse, r.Tries, answers = r.InUse+1, r.Tries+s.flow, answers+good
-		r.InHand += good * s.spent / 1000
-		r.Full += int(bit(s.busy > full, 0))
+		r.HostsInUse, r.Tries, answers = r.HostsInUse+1, r.Tries+s.flow, answers+good
+		r.Outstanding += good * s.spent / 1000
+		r.SaturatedHosts += int(bit(s.busy > full, 0))
 	}
-	r.AnswerTime = Millis(r.InHand * 1000 / max(answers, 0.1))
+	r.AnswerTime = Millis(r.Outstanding * 1000 / max(answers, 0.1))
 	return r
 }
 
@@ -185,8 +185,8 @@
 	}
 	perSecond := 1000 * math.Ln2 / float64(h.rules.health) // of a decaying sum
 	h.changes = append(h.changes, HostChange{Host: h.id, From: h.shown, To: to, Reason: why,
-		Ended:  h.ended.read(h.now, h.rules.health) * perSecond,
-		Failed: h.lost.read(h.now, h.rules.health) * perSecond,
-		Busy:   h.busy, Heard: h.lastLine > 0, Quiet: h.now - h.lastLine, Expected: h.due})
+		TriesPerSecond:  h.ended.read(h.now, h.rules.health) * perSecond,
+		FailedPerSecond: h.lost.read(h.now, h.rules.health) * perSecond,
+		Utilization:     h.busy, HasReports: h.lastLine > 0, SinceReport: h.now - h.lastLine, ExpectedPerSecond: h.due})
 	h.shown = to
 }
--- a/logic/parts.go
+++ b/logic/parts.go
@@ -16,7 +16,7 @@
 	span, hurry, settle, reportEvery Millis
 	transit, worstTransit            Millis
 	slo, warmFor, health             Millis
-	levels                           Valve
+	levels                           LevelUnit
 	ways                             []int     // further tries that can't take effect twice, by route
 	cheap                            []RouteID // routes by importance, least first
 	writes, ownZone, everyRoute      RouteSet
@@ -109,7 +109,7 @@
 	id                      HostID
 	place                   *placer
 	gate                    *gate
-	entry                   Entry
+	entry                   HostEntry
 	known                   bool
 	ended, lost, good, used sum
 	spent                   sum     // time of the answers
--- a/logic/placement.go
+++ b/logic/placement.go
@@ -71,11 +71,11 @@
 	p.dirty = true
 }
 
-func (p *placer) hear(n Heat) {
+func (p *placer) hear(n SliceDemand) {
 	if pc := p.own.get(n.Slice); pc != nil {
 		p.dirty = p.dirty || !p.rules.sliced && !pc.heard
 		// A thinned report covers long and comes at once: its calls are weighed as if heard one by one.
-		span := float64(max(1, n.Over)) / (float64(demandMemory) / math.Ln2)
+		span := float64(max(1, n.Period)) / (float64(demandMemory) / math.Ln2)
 		pc.heat.add(p.now, demandMemory, float64(n.Calls)*(1-math.Exp(-span))/span)
 		pc.heard, pc.last = true, p.now
 		since(&p.firstHeat, true, p.now)
--- a/logic/play_test.go
+++ b/logic/play_test.go
@@ -17,7 +17,7 @@
 type stage struct {
 	t        *testing.T
 	where    string
-	facts    Facts
+	facts    Config
 	d        *Director
 	now      Millis
 	notes    []any
@@ -27,7 +27,7 @@
 	levels   map[string]Throttle
 	bound    map[ProxyID]TableID
 	joined   map[ProxyID]bool
-	acks     map[Millis][]Applied
+	acks     map[Millis][]Acknowledged
 	feeds    map[string][]any
 	every    Millis
 	lastFeed Millis
@@ -48,7 +48,7 @@
 }
 
 // owned takes off what a proxy has applied.
-func (s *stage) owned(a Applied) {
+func (s *stage) owned(a Acknowledged) {
 	for i, m := range s.written[a.Proxy] {
 		if m.serial == a.Serial {
 			s.written[a.Proxy] = s.written[a.Proxy][i+1:]
@@ -81,12 +81,12 @@
 }
 
 func (s *stage) setFacts(words []string) {
-	s.facts = Facts{Directors: 1, Slices: 8, QueueLimit: 5000, HeadLines: 10, LinesPerSecond: 5000,
-		ColdFrom: 0.2, TipMultiple: 3,
-		WarmAfter: 15000, FallAfter: 2000, DrainGrace: 2000, Transit: 200, WorstTransit: 500,
-		MessageSpan: 10000, ReportEvery: 500, Levels: LevelShare, WriteLease: 2500, WriteSettle: 4000,
-		Routes: []Route{{SLO: 1000, Importance: 1, Repeat: Repeatable},
-			{SLO: 1000, Importance: 3, Repeat: Mutating, Writes: true}}}
+	s.facts = Config{Directors: 1, Slices: 8, QueueLimit: 5000, MessageOverhead: 10, LinesPerSecond: 5000,
+		ColdCapacity: 0.2, ColdOverloadLimit: 3,
+		WarmAfter: 15000, ColdFailAfter: 2000, DrainGrace: 2000, Transit: 200, WorstTransit: 500,
+		MessageWindow: 10000, ReportInterval: 500, Levels: LevelShare, WriteLease: 2500, WriteSettle: 4000,
+		Routes: []Route{{SLO: 1000, Importance: 1, Idempotency: Idempotent},
+			{SLO: 1000, Importance: 3, Idempotency: NonIdempotent, IsWrite: true}}}
 	for _, w := range words {
 		k, v, _ := strings.Cut(w, "=")
 		switch k {
@@ -103,15 +103,15 @@
 		case "weighted":
 			s.facts.Weighted = true
 		case "owner":
-			s.facts.OneOwner = true
+			s.facts.SingleOwner = true
 		case "ask":
-			s.facts.AsksForList = true
+			s.facts.HostListOnRequest = true
 		case "probe":
 			s.facts.MayProbe = true
 		case "advice":
-			s.facts.GoneIsAdvice = true
+			s.facts.RemovalIsAdvisory = true
 		case "keyed":
-			s.facts.Routes[1].Repeat = Keyed
+			s.facts.Routes[1].Idempotency = IdempotentByKey
 		case "shared":
 			s.facts.Directors = 2
 		case "ownzone":
@@ -130,12 +130,12 @@
 	case "facts":
 		s.setFacts(rest)
 	case "list", "whole", "disk":
-		kind := map[string]RosterKind{"list": Changes, "whole": Whole, "disk": FromDisk}[words[0]]
-		r := Roster{Kind: kind}
+		kind := map[string]HostListKind{"list": HostListDelta, "whole": HostListFull, "disk": HostListFromDisk}[words[0]]
+		r := HostList{Kind: kind}
 		for _, w := range rest { // host=state[@born][/zone][*weight], a cell a host
 			id, state, _ := strings.Cut(w, "=")
 			state, weight, has := strings.Cut(state, "*")
-			e := Entry{Host: HostID(number(id)), Weight: 1}
+			e := HostEntry{Host: HostID(number(id)), Weight: 1}
 			if e.Cell = CellID(e.Host); has {
 				e.Weight = number(weight)
 			}
@@ -143,7 +143,7 @@
 				state, e.Zone = before, ZoneID(number(zone))
 			}
 			if before, born, has := strings.Cut(state, "@"); has {
-				state, e.Born = before, Millis(number(born))
+				state, e.StartedAt = before, Millis(number(born))
 			}
 			e.State = map[string]HostState{"up": Up, "draining": Draining, "gone": Gone}[state]
 			r.Entries = append(r.Entries, e)
@@ -161,37 +161,37 @@
 			s.do([]string{"give", fmt.Sprint(t), fmt.Sprint(h+1, ":1"), fmt.Sprint((h+1)%n+1, ":0.06")})
 		}
 	case "refused":
-		s.notes = append(s.notes, Roster{Kind: AskFailed})
+		s.notes = append(s.notes, HostList{Kind: HostListFailed})
 	case "give":
 		for _, w := range strings.Split(rest[0], ",") {
 			t := TableID(number(w))
-			s.notes = append(s.notes, Custody{t, true})
+			s.notes = append(s.notes, SliceOwnership{t, true})
 			s.tables[t] = map[HostID]float64{}
 			for _, p := range pairs(rest[1:]) {
-				s.notes = append(s.notes, OnRecord{t, HostID(p[0]), p[1]})
+				s.notes = append(s.notes, StoredLine{t, HostID(p[0]), p[1]})
 				s.tables[t][HostID(p[0])] = p[1]
 			}
 		}
 	case "take":
-		s.notes = append(s.notes, Custody{TableID(number(rest[0])), false})
+		s.notes = append(s.notes, SliceOwnership{TableID(number(rest[0])), false})
 		delete(s.tables, TableID(number(rest[0])))
 	case "join":
 		for _, w := range rest {
-			s.notes = append(s.notes, Joined{Proxy: ProxyID(number(w)), Rate: 5})
+			s.notes = append(s.notes, ProxyJoined{Proxy: ProxyID(number(w)), Rate: 5})
 			s.joined[ProxyID(number(w))] = true
 		}
 	case "left":
 		p := ProxyID(number(rest[0]))
-		s.notes = append(s.notes, Left{p})
+		s.notes = append(s.notes, ProxyLeft{p})
 		delete(s.joined, p)
 		delete(s.bound, p)
 		delete(s.written, p)
 	case "heat", "asked": // calls of route 0 in each report
 		s.feeds[words[0]] = nil
 		for _, p := range pairs(rest) {
-			var n any = Heat{Slice: TableID(p[0]), Over: s.every, Calls: int(p[1])}
+			var n any = SliceDemand{Slice: TableID(p[0]), Period: s.every, Calls: int(p[1])}
 			if words[0] == "asked" {
-				n = Asked{Proxy: ProxyID(p[0]), Over: s.every, Calls: int(p[1])}
+				n = RouteDemand{Proxy: ProxyID(p[0]), Period: s.every, Calls: int(p[1])}
 			}
 			s.feeds[words[0]] = append(s.feeds[words[0]], n)
 		}
@@ -201,17 +201,17 @@
 			s.met(HostID(p[0]), what)
 		}
 	case "probed": // host, good or bad
-		s.notes = append(s.notes, Probed{Host: HostID(number(rest[0])), Spent: 5, Good: rest[1] == "good"})
+		s.notes = append(s.notes, ProbeResult{Host: HostID(number(rest[0])), Latency: 5, Healthy: rest[1] == "good"})
 	case "masked": // a mask of an earlier start
 		s.masked[HostID(number(rest[0]))] = true
-		s.notes = append(s.notes, Masked{HostID(number(rest[0]))})
+		s.notes = append(s.notes, InheritedMask{HostID(number(rest[0]))})
 	case "unsure": // whether the channel took the last reply
 		for _, o := range s.orders {
 			if stamp, is := o.(Stamp); is {
 				s.last = stamp.Serial
 			}
 		}
-		s.notes = append(s.notes, Unsure{s.last})
+		s.notes = append(s.notes, Unconfirmed{s.last})
 	case "alive": // what brings acknowledgements shows a sign of life each second from now on
 		s.alive = s.now
 	case "deaf": // proxies own up to nothing any more
@@ -247,27 +247,27 @@
 	}
 	at := s.now + 300
 	for p := range s.joined {
-		s.acks[at] = append(s.acks[at], Applied{Proxy: p, Serial: serial, Spent: 300})
+		s.acks[at] = append(s.acks[at], Acknowledged{Proxy: p, Serial: serial, Latency: 300})
 	}
-	slices.SortStableFunc(s.acks[at], func(a, b Applied) int { return int(a.Proxy - b.Proxy) })
+	slices.SortStableFunc(s.acks[at], func(a, b Acknowledged) int { return int(a.Proxy - b.Proxy) })
 }
 
 func (s *stage) met(id HostID, what string) {
 	name := fmt.Sprint("met", id)
 	if s.feeds[name] = nil; what != "none" {
 		f := strings.Split(what, "/")
-		m := Met{Host: id, Over: s.every, Spent: 200}
-		m.Ended, m.Lost = int(number(f[0])), int(number(f[1]))
+		m := HostSample{Host: id, Period: s.every, MeanLatency: 200}
+		m.Finished, m.Failed = int(number(f[0])), int(number(f[1]))
 		if len(f) > 2 {
 			busy := number(f[2])
-			m.Load.Busy = &busy
+			m.Load.Utilization = &busy
 		}
 		if len(f) > 3 {
 			rate := number(f[3])
-			m.Load.Rate = &rate
+			m.Load.Throughput = &rate
 		}
 		if len(f) > 4 {
-			m.Spent = Millis(number(f[4]))
+			m.MeanLatency = Millis(number(f[4]))
 		}
 		s.feeds[name] = []any{m}
 	}
@@ -276,7 +276,7 @@
 func (s *stage) tick() {
 	s.due = slices.DeleteFunc(s.due, func(at Millis) bool {
 		if at <= s.now {
-			s.notes = append(s.notes, Due{})
+			s.notes = append(s.notes, TimerFired{})
 		}
 		return at <= s.now
 	})
@@ -290,7 +290,7 @@
 		}
 	}
 	if s.alive > 0 && s.now >= s.alive {
-		s.notes = append(s.notes, NewsAlive{})
+		s.notes = append(s.notes, AckStreamAlive{})
 		s.alive = s.now + 1000
 	}
 	if s.now-s.lastFeed >= s.every {
@@ -343,7 +343,7 @@
 		switch o := o.(type) {
 		case SetLine:
 			wrote = true
-			if s.tables[o.Table] == nil || s.facts.OneOwner {
+			if s.tables[o.Table] == nil || s.facts.SingleOwner {
 				s.tables[o.Table] = map[HostID]float64{}
 			}
 			if s.tables[o.Table][o.Host] = o.Weight; o.Weight == 0 {
@@ -351,7 +351,7 @@
 			}
 		case Mask:
 			wrote = true
-			s.masked[o.Host] = o.Out
+			s.masked[o.Host] = o.On
 		case Throttle:
 			wrote = true
 			for r := range s.facts.Routes {
@@ -362,15 +362,15 @@
 		case Bind:
 			wrote = true
 			s.bound[o.Proxy] = o.Table
-		case After:
-			s.due = append(s.due, s.now+o.In)
+		case SetTimer:
+			s.due = append(s.due, s.now+o.Delay)
 		case Stamp:
 			for p := range s.joined {
-				s.written[p] = append(s.written[p], message{o.Serial, s.facts.HeadLines + float64(len(orders)-1)})
+				s.written[p] = append(s.written[p], message{o.Serial, s.facts.MessageOverhead + float64(len(orders)-1)})
 			}
 			s.unheard[o.Serial] = s.deaf
 			s.acknowledge(o.Serial)
-		case Again:
+		case Resend:
 			if s.unheard[o.Serial] { // the first never reached the channel
 				s.acknowledge(o.Serial)
 			}
@@ -442,7 +442,7 @@
 	case "level": // table route
 		got = s.levels[w[1]+":"+w[2]].Level
 	case "tries":
-		got = float64(s.levels[w[1]+":"+w[2]].Tries)
+		got = float64(s.levels[w[1]+":"+w[2]].Retries)
 	case "bound":
 		got = float64(s.bound[ProxyID(number(w[1]))])
 	case "orders": // of a kind
@@ -466,7 +466,7 @@
 		t.Fatal(err)
 	}
 	s := &stage{t: t, tables: map[TableID]map[HostID]float64{}, masked: map[HostID]bool{},
-		levels: map[string]Throttle{}, bound: map[ProxyID]TableID{}, joined: map[ProxyID]bool{}, acks: map[Millis][]Applied{},
+		levels: map[string]Throttle{}, bound: map[ProxyID]TableID{}, joined: map[ProxyID]bool{}, acks: map[Millis][]Acknowledged{},
 		feeds: map[string][]any{}, every: 500, now: 100000}
 	var all []Order
 	for i, text := range strings.Split(string(text), "\n") {
@@ -499,13 +499,13 @@
 
 // What a director holds grows with its fleet, and not with the hosts that it ever had.
 func TestHostsThatAreGoneAreForgotten(t *testing.T) {
-	d := New(1, Facts{Slices: 8, LinesPerSecond: 8000, QueueLimit: 8000, HeadLines: 16, ReportEvery: 500, DrainGrace: 2000,
-		Routes: []Route{{SLO: 1000, Importance: 1, Repeat: Repeatable}}})
+	d := New(1, Config{Slices: 8, LinesPerSecond: 8000, QueueLimit: 8000, MessageOverhead: 16, ReportInterval: 500, DrainGrace: 2000,
+		Routes: []Route{{SLO: 1000, Importance: 1, Idempotency: Idempotent}}})
 	now := Millis(100000)
-	d.Handle(now, []any{Joined{Proxy: 0}, Custody{Slice: 0, Given: true}})
+	d.Handle(now, []any{ProxyJoined{Proxy: 0}, SliceOwnership{Slice: 0, Owned: true}})
 	for n := range 500 {
 		now += 1000
-		d.Handle(now, []any{Due{}, Roster{Kind: Whole, Entries: []Entry{{Host: HostID(n + 1), State: Up}, {Host: HostID(n + 2), State: Up}}}})
+		d.Handle(now, []any{TimerFired{}, HostList{Kind: HostListFull, Entries: []HostEntry{{Host: HostID(n + 1), State: Up}, {Host: HostID(n + 2), State: Up}}}})
 	}
 	if held := d.hosts.len() + d.place.seats.len() + d.gate.seats.len(); held > 3*80 {
 		t.Fatalf("%d hosts are held after 500, of which two at a time were there", held)
--- a/logic/publish.go
+++ b/logic/publish.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func (p *publisher) join(n Joined) {
+func (p *publisher) join(n ProxyJoined) {
 	from := p.missedFrom(n)
 	for id, open := range p.doors.all() {
 		// It has missed what was written while it was away, in either direction. One that holds nothing has no mask.
@@ -64,7 +64,7 @@
 // missedFrom is from when on a proxy that joins may have missed what was written; always, where it was not seen to
 // leave. A proxy that loses its stream keeps what it holds: where dozens come back each second, telling all of them
 // all masks anew filled the channel.
-func (p *publisher) missedFrom(n Joined) Millis {
+func (p *publisher) missedFrom(n ProxyJoined) Millis {
 	from := Millis(math.Inf(-1))
 	if p.away.has(n.Proxy) && !p.streams.has(n.Proxy) {
 		from = p.away.get(n.Proxy)
@@ -75,7 +75,7 @@
 }
 
 // leave notes that a proxy has left: what it did not acknowledge may not have reached it.
-func (p *publisher) leave(n Left) {
+func (p *publisher) leave(n ProxyLeft) {
 	from := p.now
 	for _, f := range p.flights {
 		if f.left.has(n.Proxy) {
@@ -180,7 +180,7 @@
 func (p *publisher) writeLevels() {
 	for i, level := range p.levels.level {
 		if p.stood.level == nil || level != p.stood.level[i] || p.levels.tries[i] != p.stood.tries[i] {
-			p.order(Throttle{EveryTable, 1 << i, level, p.levels.tries[i]})
+			p.order(Throttle{AllTables, 1 << i, level, p.levels.tries[i]})
 		}
 	}
 	p.stood, p.stoodAt = p.levels, p.now
--- a/logic/rollout_test.go
+++ b/logic/rollout_test.go
@@ -31,11 +31,11 @@
 	staleAfter      = Millis(6000) // a line of a host that is gone
 )
 
-func rolloutFacts() Facts {
-	return Facts{Directors: 1, Proxies: simulatedFleet, Slices: simulatedSlices, MayProbe: true, ColdFrom: 0.2, TipMultiple: 3,
-		WarmAfter: warmAfter, FallAfter: 1500, DrainGrace: 2000, BareLimit: 2300, ReportEvery: reportPeriod, IntakePerSecond: 150,
-		LinesPerSecond: 8000, QueueLimit: 8000, HeadLines: 16, Transit: 100, WorstTransit: 300, Levels: LevelShare, TriesUnlessTold: 1,
-		Routes: []Route{{SLO: callGoal, TimeLimit: callDeadline, Importance: 1, Repeat: Repeatable}}}
+func rolloutFacts() Config {
+	return Config{Directors: 1, Proxies: simulatedFleet, Slices: simulatedSlices, MayProbe: true, ColdCapacity: 0.2, ColdOverloadLimit: 3,
+		WarmAfter: warmAfter, ColdFailAfter: 1500, DrainGrace: 2000, EmptyTableLimit: 2300, ReportInterval: reportPeriod, ReportLinesPerSecond: 150,
+		LinesPerSecond: 8000, QueueLimit: 8000, MessageOverhead: 16, Transit: 100, WorstTransit: 300, Levels: LevelShare, DefaultRetries: 1,
+		Routes: []Route{{SLO: callGoal, TimeLimit: callDeadline, Importance: 1, Idempotency: Idempotent}}}
 }
 
 type simulatedCall struct {
@@ -114,19 +114,19 @@
 // startDirector starts one that knows the hosts of the beginning from disk, and is told the present state.
 func (p *rolloutPlay) startDirector(seed uint64) {
 	p.director, p.due, p.started = New(seed, rolloutFacts()), nil, p.now
-	var disk []Entry
+	var disk []HostEntry
 	for h := range simulatedHosts {
-		disk = append(disk, Entry{Host: HostID(1 + h), Cell: CellID(h), Weight: 1})
+		disk = append(disk, HostEntry{Host: HostID(1 + h), Cell: CellID(h), Weight: 1})
 	}
-	p.notes = append(p.notes[:0], Roster{Kind: FromDisk, Entries: disk})
+	p.notes = append(p.notes[:0], HostList{Kind: HostListFromDisk, Entries: disk})
 	for n := range simulatedFleet {
-		p.notes = append(p.notes, Joined{Proxy: ProxyID(n), Fresh: true})
+		p.notes = append(p.notes, ProxyJoined{Proxy: ProxyID(n), Fresh: true})
 	}
 	for t := range simulatedSlices {
-		p.notes = append(p.notes, Custody{Slice: TableID(t), Given: true})
+		p.notes = append(p.notes, SliceOwnership{Slice: TableID(t), Owned: true})
 		for _, id := range p.order {
 			if weight := p.lines[TableID(t)][id]; weight > 0 {
-				p.notes = append(p.notes, OnRecord{Slice: TableID(t), Host: id, Weight: weight})
+				p.notes = append(p.notes, StoredLine{Slice: TableID(t), Host: id, Weight: weight})
 			}
 		}
 	}
@@ -136,10 +136,10 @@
 
 // list tells the director the list as it is.
 func (p *rolloutPlay) list() {
-	r := Roster{Kind: Whole}
+	r := HostList{Kind: HostListFull}
 	for _, id := range p.order {
 		if h := p.hosts[id]; h.state != Gone {
-			r.Entries = append(r.Entries, Entry{Host: id, State: h.state, Cell: CellID(id - 1), Weight: 1, Born: max(0, h.born)})
+			r.Entries = append(r.Entries, HostEntry{Host: id, State: h.state, Cell: CellID(id - 1), Weight: 1, StartedAt: max(0, h.born)})
 		}
 	}
 	p.notes = append(p.notes, r)
@@ -165,7 +165,7 @@
 				p.outcome.newLines++
 			}
 		case Mask:
-			p.masked[o.Host] = o.Out
+			p.masked[o.Host] = o.On
 			p.outcome.masks++
 		case Throttle:
 			p.level = o.Level
@@ -173,12 +173,12 @@
 		case Stamp:
 			p.outcome.messages++
 			for n := range simulatedFleet {
-				p.after(wayToProxies, Applied{Proxy: ProxyID(n), Serial: o.Serial, Spent: wayToProxies})
+				p.after(wayToProxies, Acknowledged{Proxy: ProxyID(n), Serial: o.Serial, Latency: wayToProxies})
 			}
-		case After:
-			p.due = append(p.due, p.now+o.In)
-		case Ping:
-			p.after(simulatedTick, Probed{Host: o.Host, Good: true, Spent: simulatedTick})
+		case SetTimer:
+			p.due = append(p.due, p.now+o.Delay)
+		case Probe:
+			p.after(simulatedTick, ProbeResult{Host: o.Host, Healthy: true, Latency: simulatedTick})
 		}
 	}
 }
@@ -256,16 +256,16 @@
 			continue
 		}
 		busy, good := h.busy, h.ended-h.lost
-		m := Met{Host: id, Over: reportPeriod, Ended: h.ended, Lost: h.lost, Load: Load{Busy: &busy}}
+		m := HostSample{Host: id, Period: reportPeriod, Finished: h.ended, Failed: h.lost, Load: Load{Utilization: &busy}}
 		if good > 0 {
-			m.Spent = h.answerTime / Millis(good)
+			m.MeanLatency = h.answerTime / Millis(good)
 		}
 		p.notes = append(p.notes, m)
 		h.ended, h.lost, h.answerTime = 0, 0, 0
 	}
 	for t := range simulatedSlices {
 		if calls := p.heat[TableID(t)]; calls > 0 {
-			p.notes = append(p.notes, Heat{Slice: TableID(t), Calls: calls, Over: reportPeriod})
+			p.notes = append(p.notes, SliceDemand{Slice: TableID(t), Calls: calls, Period: reportPeriod})
 		}
 	}
 	clear(p.heat)
@@ -301,11 +301,11 @@
 			p.report()
 		}
 		if tick%int(1000/simulatedTick) == 0 {
-			p.notes = append(p.notes, NewsAlive{})
+			p.notes = append(p.notes, AckStreamAlive{})
 		}
 		p.due = slices.DeleteFunc(p.due, func(at Millis) bool {
 			if at <= p.now {
-				p.notes = append(p.notes, Due{})
+				p.notes = append(p.notes, TimerFired{})
 			}
 			return at <= p.now
 		})
