--- a/logic/health.go
+++ b/logic/health.go
@@ -2,60 +2,80 @@
 
 import "math"
 
-// Health of hosts: which are taken out of use for failing or for silence, which rest for a moment, and how one comes
-// back. A host is always set against the others, and what is expected of it is what tables that stand bring it.
+// Health of hosts: which are removed for failures or for silence, which are masked for a moment as saturated, and how
+// a removed host is readmitted. A host is always compared with the others, and the answers expected of it are those
+// to the calls that the published tables send to it.
 
 const (
-	failPeriod       = Millis(3000) // most tries lost for so long: removed
-	minTries         = 1.5          // lately: below it nothing is judged
-	maxMissedAnswers = 6            // expected of a host without a word of it, before it counts as silent
-	silenceSlack     = Millis(1000) // beside twice the usual time between reports of it
-	restMaxFleetLoss = 0.3          // of the fleet's tries: below it a host that jams is an exception, and may rest
-	// surely is how many standard deviations a host's losses must be above what all lose. Where half of all tries fail,
-	// a host with a handful of them loses most by chance alone, and dozens were taken out for it together.
+	// failPeriod is how long most tries at a host must fail before it is removed.
+	failPeriod = Millis(3000)
+	// minTries is the decaying sum of finished tries below which a host is not judged.
+	minTries = 1.5
+	// maxMissedAnswers is the number of expected answers that a host may miss before it counts as silent.
+	maxMissedAnswers = 6
+	// silenceSlack is the time that the silence of a host must last beyond twice its usual time between samples.
+	silenceSlack = Millis(1000)
+	// restMaxFleetLoss is the share of failed tries in the fleet below which a saturated host is an exception and may
+	// be masked for restPeriod.
+	restMaxFleetLoss = 0.3
+	// lossSigmas is the number of standard deviations by which the failures of a host must exceed those of the fleet.
+	// Where half of all tries fail, a host with a handful of tries fails most of them by chance alone, and dozens of
+	// hosts were removed for that together.
 	lossSigmas = 2.5
-	// mostOut is the part of the hosts that may be out for failing. Beyond it one that still answers stays: the rest
-	// would have to bear its calls, too.
-	maxRemovedShare    = 0.2
-	totalLoss          = 0.97       // of its tries: it answers nothing to speak of
-	overloadAnswers    = 0.5        // answers lately that show a host at full work to be overloaded, not sick
-	proofPeriod        = failPeriod // within which a host that standing tables name has to answer after a start
-	reportDelayPeriods = 2          // periods of reports until what came to a host is heard of
+	// maxRemovedShare is the share of hosts that may be out of use for failures. Beyond it a host that still answers
+	// stays, since the rest would have to take over its calls, too.
+	maxRemovedShare = 0.2
+	// totalLoss is the share of failed tries from which a host counts as not answering at all.
+	totalLoss = 0.97
+	// overloadAnswers is the decaying sum of answers above which a saturated host is overloaded and not faulty.
+	overloadAnswers = 0.5
+	// proofPeriod is how long after a start a host that published tables name is used without having answered.
+	proofPeriod = failPeriod
+	// reportDelayPeriods is the number of report intervals until the calls to a host show up in samples.
+	reportDelayPeriods = 2
 
-	// A removed host is tried again with few calls. What it makes of them adds up for as long as the trial lasts:
-	// the calls of a few standby lines may be less than one a second, and a sum that decays as fast as that of a
-	// host in service never showed enough.
-	minTrialTries = 3    // ended, before a trial is judged
-	maxTrialLoss  = 0.25 // of them, at most
+	// A removed host is tried with few calls, and their outcomes add up for the whole trial: the calls of a few standby
+	// lines may be fewer than one a second, and a sum that decays as fast as that of a host in service never reached
+	// enough. minTrialTries is the number of finished tries that a trial needs, and maxTrialLoss the share of them that
+	// may fail.
+	minTrialTries = 3
+	maxTrialLoss  = 0.25
 )
 
-// judge finds a host that fails most of its tries, or one into which calls go and out of which nothing comes.
-// One that turns calls away while it reports full work is overloaded, not sick: taking it out would pass its
-// load on to the next. What all lose is no sign against one: in a fault of one route half of the hosts and more lose
-// most of their tries, while the mean over all tries is lower. And silence is one only while others are heard.
-// Where the fleet has room a jammed host rests: in a large one no proxy meets it often enough to avoid it by
-// itself, and the calls that go on coming keep it jammed. It would harm where the load itself is the cause.
-func (h *host) evaluate(reported Millis) {
+// evaluate removes a host at which most tries fail, or which receives calls and gives no answers. It takes the time of
+// the last sample of any host.
+//
+// A host that rejects calls while it reports itself saturated is overloaded and not faulty: its removal would pass
+// its load on to the next. Failures that all hosts share do not count against one: in a fault of one route half of the
+// hosts and more fail most of their tries, while the mean over all tries is lower. Silence counts only while other
+// hosts are reported on.
+//
+// Where the fleet has room, a saturated host is masked for a moment: in a large fleet no proxy calls it often enough to
+// avoid it by itself, and the calls that go on coming keep it saturated. Where the load itself is the cause, this would
+// do harm.
+func (h *host) evaluate(lastReport Millis) {
 	if h.unproven && h.entry.State == Up && h.now >= h.nextProbe {
 		h.emit(Probe{h.id})
 		h.probeInterval = min(4*checkInterval, max(checkInterval, 2*h.probeInterval))
 		h.nextProbe = h.now + h.probeInterval
 	}
-	ended, lost := h.finished.read(h.now, h.params.health), h.failed.read(h.now, h.params.health)
-	bad := ended > minTries && h.isOutlier(ended, lost)
-	jam := bad || ended > minTries && h.latency.read(h.now, h.params.health) > (ended-lost)*float64(h.params.slo)
-	bad = bad && !(h.utilization > saturatedUtilization && ended-lost > overloadAnswers)
-	if jam && h.fleet.loss < restMaxFleetLoss && h.fleet.utilization < targetPressure && h.now > h.restUntil+restPeriod {
+	finished, failed := h.finished.read(h.now, h.params.health), h.failed.read(h.now, h.params.health)
+	failing := finished > minTries && h.isOutlier(finished, failed)
+	saturated := failing ||
+		finished > minTries && h.latency.read(h.now, h.params.health) > (finished-failed)*float64(h.params.slo)
+	failing = failing && !(h.utilization > saturatedUtilization && finished-failed > overloadAnswers)
+	if saturated && h.fleet.loss < restMaxFleetLoss && h.fleet.utilization < targetPressure &&
+		h.now > h.restUntil+restPeriod {
 		h.restUntil = h.now + restPeriod
 		h.recordChange(ReasonJammed)
 	}
-	quiet := reported - max(h.lastAnswer, h.expectedSince)
-	h.countMissing(reported)
-	silent := h.isSilent(quiet)
-	trackSince(&h.failingSince, bad || silent, h.now)
-	why := ReasonFailing
+	silence := lastReport - max(h.lastAnswer, h.expectedSince)
+	h.countMissing(lastReport)
+	silent := h.isSilent(silence)
+	trackSince(&h.failingSince, failing || silent, h.now)
+	reason := ReasonFailing
 	if silent {
-		why = ReasonSilent
+		reason = ReasonSilent
 	}
 	h.recordChange(ReasonRested)
 	switch h.state {
@@ -65,39 +85,41 @@
 			h.recordChange(ReasonTrialDue)
 		}
 	case serving:
-		if silent && quiet > failPeriod || bad && !h.isSpared(ended, lost) && h.now-h.failingSince >= failPeriod {
-			h.remove(why)
+		if silent && silence > failPeriod ||
+			failing && !h.isSpared(finished, failed) && h.now-h.failingSince >= failPeriod {
+			h.remove(reason)
 		}
 	case onTrial:
-		if bad || silent && quiet > failPeriod {
-			h.remove(why)
+		if failing || silent && silence > failPeriod {
+			h.remove(reason)
 		} else if h.trial.hasPassed() && h.now-h.removedUntil > failPeriod {
-			h.freshUntil = h.now + freshPeriod/2 // it may be well, but it is not cold
+			h.freshUntil = h.now + freshPeriod/2 // it may be healthy, but its caches are not cold
 			h.enterState(serving)
 			h.recordChange(ReasonRecovered)
 		}
 	}
 }
 
-// standsOut says whether a host loses more of its tries than can be laid to what all lose.
-func (h *host) isOutlier(ended, lost float64) bool {
-	usual := min(1, max(h.fleet.loss, h.fleet.medianLoss))
-	chance := lossSigmas * math.Sqrt(ended*usual*(1-usual))
-	return lost > ended*(1+usual)/2 && lost > ended*usual+chance
+// isOutlier tells whether more tries fail at a host than the failures of the whole fleet and chance explain.
+func (h *host) isOutlier(finished, failed float64) bool {
+	usualLoss := min(1, max(h.fleet.loss, h.fleet.medianLoss))
+	chance := lossSigmas * math.Sqrt(finished*usualLoss*(1-usualLoss))
+	return failed > finished*(1+usualLoss)/2 && failed > finished*usualLoss+chance
 }
 
-// spared says whether a failing host stays, since it answers some calls and many hosts are out already.
-func (h *host) isSpared(ended, lost float64) bool {
-	return h.fleet.unfitShare >= maxRemovedShare && lost < ended*totalLoss
+// isSpared tells whether a failing host stays in service, since it answers some calls and many hosts are out already.
+func (h *host) isSpared(finished, failed float64) bool {
+	return h.fleet.unfitShare >= maxRemovedShare && failed < finished*totalLoss
 }
 
-// remove takes the host out of use. The change is noted before what is known of its tries is cleared.
-func (h *host) remove(why Reason) {
+// remove takes the host out of use. The change is recorded before the sums of its tries are cleared.
+func (h *host) remove(reason Reason) {
 	h.state = removed
-	h.recordChange(why)
+	h.recordChange(reason)
 	h.enterState(removed)
 }
 
+// enterState changes the state and clears what was known of the host's tries in the last one.
 func (h *host) enterState(s hostState) {
 	if h.removedUntil = h.now; s == removed {
 		h.removedUntil += trialDelay
@@ -108,8 +130,8 @@
 	h.expectedRate, h.missedAnswers, h.pendingRate = 0, 0, 0
 }
 
-// expect takes in what tables bring a host. More of it is expected only once it can have been heard of: a message
-// takes its time through the channel, and what came of it is reported later.
+// setExpectedRate takes in the rate of calls that the published tables send to a host. A higher rate counts only once
+// samples can show it: a message takes its time through the channel, and the calls that follow are reported later.
 func (h *host) setExpectedRate(rate float64) {
 	if rate <= h.expectedRate {
 		h.expectedRate, h.pendingRate = rate, 0
@@ -120,28 +142,29 @@
 	trackSince(&h.expectedSince, h.expectedRate > 0, h.now)
 }
 
-// missing adds up the answers that should have come from a host since the last one, while reports of others came: of
-// those calls that are answered, as all hosts go. A host that hangs has lines, too, once its calls have timed out.
-func (h *host) countMissing(reported Millis) {
+// countMissing adds up the answers that should have come from a host since its last one, for as long as samples of any
+// host came: the expected calls times the share that hosts usually answer. Samples alone do not show that a host
+// answers, since one that hangs has samples, too, once its calls have timed out.
+func (h *host) countMissing(lastReport Millis) {
 	if h.pendingRate > 0 && h.now >= h.pendingAt {
 		h.expectedRate, h.pendingRate = h.expectedRate+h.pendingRate, 0
 		trackSince(&h.expectedSince, true, h.now)
 	}
 	if h.now < h.restUntil+h.params.heardAfter && h.restUntil > 0 {
-		h.missedAnswers = 0 // we keep calls from it, or did until a moment ago
-	} else if reported > h.missedCountedTo {
-		answered := 1 - min(1, max(h.fleet.loss, h.fleet.medianLoss))
-		h.missedAnswers += h.expectedRate * answered * float64(reported-h.missedCountedTo) / 1000
+		h.missedAnswers = 0 // a mask keeps calls from it, or did until a moment ago
+	} else if lastReport > h.missedCountedTo {
+		answeredShare := 1 - min(1, max(h.fleet.loss, h.fleet.medianLoss))
+		h.missedAnswers += h.expectedRate * answeredShare * float64(lastReport-h.missedCountedTo) / 1000
 	}
-	h.missedCountedTo = max(h.missedCountedTo, reported)
+	h.missedCountedTo = max(h.missedCountedTo, lastReport)
 }
 
-// silent says whether calls go to a host and nothing is heard of it, though of others it is.
-func (h *host) isSilent(quiet Millis) bool {
-	return h.lastAnswer > 0 && h.missedAnswers > maxMissedAnswers && quiet > 2*h.reportGap+silenceSlack
+// isSilent tells whether a host receives calls and gives no answers, while samples of other hosts come.
+func (h *host) isSilent(silence Millis) bool {
+	return h.lastAnswer > 0 && h.missedAnswers > maxMissedAnswers && silence > 2*h.reportGap+silenceSlack
 }
 
-// trial counts what a host made of the calls since it entered its state.
+// trial counts the tries at a host since it entered its state.
 type trial struct{ finished, failed int }
 
 func (t *trial) add(m HostSample) {
@@ -149,7 +172,7 @@
 	t.failed += m.Failed
 }
 
-// passed says whether the host may serve again.
+// hasPassed tells whether the host may serve again.
 func (t trial) hasPassed() bool {
 	return t.finished >= minTrialTries && float64(t.failed) <= maxTrialLoss*float64(t.finished)
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -5,9 +5,9 @@
 // The interface is in api.go, the state of the actors in parts.go, their inboxes in loop.go, decaying sums and ordered
 // maps in collections.go, reports for operators in observe.go, and the rationale in docs/design.md. The actors are the
 // Director (logic.go, forget.go), one host actor for each host (host.go, health.go, age.go), the placer (placement.go:
-// the block tree and the algorithm of the paper; traffic.go), the gate (admission.go: admission levels and retries) and
-// the publisher (publish.go, draft.go, masks.go, channel.go, write_order.go: what is published, what is wanted, and what
-// the channel can carry).
+// the block tree and the algorithm of the paper; traffic.go), the gate (admission.go: admission levels and retries)
+// and the publisher (publish.go, draft.go, masks.go, channel.go, write_order.go: what is published, what is wanted,
+// and what the channel can carry).
 package logic
 
 import (
--- a/logic/observe.go
+++ b/logic/observe.go
@@ -2,70 +2,74 @@
 
 import "math"
 
-// What operators are told of the decisions: changes of hosts as they happen, and a report of the present state.
-// Nothing here decides, and nothing that decides reads it.
+// Reports for operators: changes of hosts' conditions as they happen, and the present state. Nothing here decides, and
+// no decision reads it.
 
-// Condition is how a host stands with the director.
+// Condition is how the director judges and uses a host.
 type Condition int
 
+// The conditions of a host.
 const (
 	Unlisted Condition = iota
-	Unproven           // listed, but it has yet to answer
+	Unproven           // listed, but without any answer so far
 	Serving
-	Resting // jammed, masked for a moment
-	Removed // judged unfit
+	Resting // saturated, and masked for a moment
+	Removed // taken out of use for failures or silence
 	OnTrial // removed before, and given a few calls again
-	Drained // the list says that it drains or is gone
+	Drained // draining or gone by the host list
 )
 
 var conditionNames = [...]string{"unlisted", "unproven", "serving", "resting", "removed", "on trial", "drained"}
 
+// String returns the name of the condition in logs.
 func (c Condition) String() string { return conditionNames[c] }
 
 // Reason is why a host's condition changed.
 type Reason int
 
+// The reasons for a change of a host's condition.
 const (
-	ReasonList    Reason = iota // the list says so
-	ReasonRestart               // the list tells of a new start
-	ReasonAnswer                // it answered for the first time
-	ReasonFailing
-	ReasonSilent
-	ReasonJammed
-	ReasonTrialDue
-	ReasonRecovered
-	ReasonRested
+	ReasonList      Reason = iota // the host list has changed
+	ReasonRestart                 // the host list reports a new start
+	ReasonAnswer                  // the first answer
+	ReasonFailing                 // too many failed tries
+	ReasonSilent                  // no answers
+	ReasonJammed                  // saturated
+	ReasonTrialDue                // the removal is over
+	ReasonRecovered               // the trial has been passed
+	ReasonRested                  // the time as saturated is over
 )
 
 var reasonNames = [...]string{"list", "restart", "answer", "failing", "silent", "jammed", "trial due", "recovered",
 	"rested"}
 
+// String returns the name of the reason in logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// HostChange is a change of a host's condition, with what was known of it then.
+// HostChange is a change of a host's condition, with what was known of the host at that time.
 type HostChange struct {
 	Host                            HostID
 	From, To                        Condition
 	Reason                          Reason
-	TriesPerSecond, FailedPerSecond float64 // tries a second, lately
+	TriesPerSecond, FailedPerSecond float64 // recent rate of finished and of failed tries
 	Utilization                     float64
-	HasReports                      bool    // whether it was reported on since it entered its state
-	SinceReport                     Millis  // since the last report of it, if it was heard
-	ExpectedPerSecond               float64 // calls a second that standing tables bring it
+	HasReports                      bool    // whether a sample has come since it entered its state
+	SinceReport                     Millis  // time since the last sample, if HasReports
+	ExpectedPerSecond               float64 // calls a second that published tables send to it
 }
 
-// LoadReport is what admission reckons with, and what it has come to.
+// LoadReport is the input of admission and its results.
 type LoadReport struct {
-	Calls, Admitted, Unanswered float64 // calls a second that came, were let in, and were let in and got no answer
-	Demand, Capacity, Tries     float64 // a second, as reckoned
+	Calls, Admitted, Unanswered float64 // calls a second: all, admitted, and admitted without an answer
+	Demand, Capacity, Tries     float64 // a second, as estimated
 	Utilization, Loss           float64
-	AnswerTime                  Millis    // mean of the answers at hosts
-	Outstanding                 float64   // calls that hosts hold at a time
-	Queued                      float64   // those of them that wait, as reckoned
+	AnswerTime                  Millis    // mean at the hosts
+	Outstanding                 float64   // calls in progress or queued at hosts
+	Queued                      float64   // those of them that are queued, as estimated
 	Levels                      []float64 // by route, as wanted
-	WrittenLevels               []float64 // by route, as last written; nil: unknown
-	WrittenAge                  Millis    // since they were
-	SaturatedHosts              int       // hosts in use that report full work
+	WrittenLevels               []float64 // by route, as last written; nil if unknown
+	WrittenAge                  Millis    // time since they were written
+	SaturatedHosts              int       // hosts in use that report saturation
 	HostsInUse                  int
 }
 
@@ -74,12 +78,12 @@
 	Host                         HostID
 	Condition                    Condition
 	Cold                         bool
-	ColdFor                      Millis // still
+	ColdFor                      Millis // time until the host counts as warm
 	AssignedLoad, Share, MaxLoad float64
 	Tries, Loss                  float64
 	Utilization, Capacity        float64
 	AnswerTime                   Millis
-	Tables                       int // that name it
+	Tables                       int // number of tables that name the host
 }
 
 // Report is the state of the decisions at one moment.
@@ -88,32 +92,32 @@
 	Demand, Capacity, Pressure, DemandPressure, Utilization float64
 	Loss                                                    float64
 	Levels                                                  []float64 // by route, as wanted
-	Retries                                                 []int     // further tries by route, as wanted
-	LevelsPublished                                         bool      // and as last written
+	Retries                                                 []int     // by route, as wanted
+	LevelsPublished                                         bool      // whether levels and retries are written as wanted
 	PendingTables                                           int
 	OldestPending                                           Millis
 	QueuedLines, UnacknowledgedLines                        float64
-	UnacknowledgedMessages                                  int // that some proxy has not acknowledged
-	ChannelResets                                           int // times that messages were let go which nobody acknowledged
+	UnacknowledgedMessages                                  int // messages that some proxy has not acknowledged
+	ChannelResets                                           int // times that unacknowledged messages were given up
 	Masked                                                  int
 }
 
-// Changes are the changes of hosts in the last call of Handle.
+// Changes returns the changes of hosts' conditions in the last call of Handle.
 func (d *Director) Changes() []HostChange { return d.hostChanges }
 
-// Report tells the present state.
+// Report returns the present state of the decisions.
 func (d *Director) Report() Report {
 	g, p := d.gate, d.publish
 	r := Report{Demand: g.demand, Capacity: g.capacity, Levels: p.levels.level, Retries: p.levels.tries,
-		Pressure: g.around.pressure, DemandPressure: g.around.demandPressure, Utilization: g.around.utilization, Loss: g.around.loss,
-		LevelsPublished: !p.relevels(), PendingTables: p.wants.len()}
+		Pressure: g.around.pressure, DemandPressure: g.around.demandPressure, Utilization: g.around.utilization,
+		Loss: g.around.loss, LevelsPublished: !p.relevels(), PendingTables: p.wants.len()}
 	for _, w := range p.wants.all() {
 		r.OldestPending = max(r.OldestPending, d.now-w.at)
 	}
 	r.QueuedLines, r.UnacknowledgedLines = p.waiting()
 	r.UnacknowledgedMessages, r.ChannelResets = len(p.flights), p.silences
-	for _, out := range p.masked.all() {
-		r.Masked += int(bit(out, 0))
+	for _, isMasked := range p.masked.all() {
+		r.Masked += int(bit(isMasked, 0))
 	}
 	tables := map[HostID]int{}
 	for _, t := range p.stands.all() {
@@ -124,25 +128,26 @@
 	for id, h := range d.hosts.all() {
 		if s := d.place.seats.get(id); s != nil && h.hasEntry && (h.entry.State == Up || tables[id] > 0) {
 			r.Hosts = append(r.Hosts, HostReport{Host: id, Condition: h.condition(), Cold: s.cold,
-				ColdFor: max(0, h.coldUntil-d.now), AssignedLoad: s.load, Share: s.share, MaxLoad: s.bears, Tries: s.tryRate,
-				Loss: s.loss, Utilization: s.utilization, Capacity: s.capacity, AnswerTime: Millis(s.latency), Tables: tables[id]})
+				ColdFor: max(0, h.coldUntil-d.now), AssignedLoad: s.load, Share: s.share, MaxLoad: s.bears,
+				Tries: s.tryRate, Loss: s.loss, Utilization: s.utilization, Capacity: s.capacity,
+				AnswerTime: Millis(s.latency), Tables: tables[id]})
 		}
 	}
 	return r
 }
 
-// Load tells what admission reckons with.
+// Load returns the input of admission and its results.
 func (d *Director) Load() LoadReport {
 	g, p := d.gate, d.publish
-	r := LoadReport{Demand: g.demand, Capacity: g.capacity, Utilization: g.around.utilization, Loss: g.around.loss, Queued: g.waiting,
-		Levels: p.levels.level, WrittenLevels: p.stood.level, WrittenAge: d.now - p.stoodAt}
+	r := LoadReport{Demand: g.demand, Capacity: g.capacity, Utilization: g.around.utilization, Loss: g.around.loss,
+		Queued: g.waiting, Levels: p.levels.level, WrittenLevels: p.stood.level, WrittenAge: d.now - p.stoodAt}
 	for route := range g.asked {
 		calls := g.asked[route].rate(d.now, admissionHalfLife, 0)
 		r.Calls += calls
 		r.Unanswered += g.unanswered[route].rate(d.now, admissionHalfLife, 0)
-		if part := 1.0; p.stood.level != nil && g.params.levels == LevelShare {
-			part = min(part, p.stood.level[route])
-			r.Admitted += calls * part
+		if admitted := 1.0; p.stood.level != nil && g.params.levels == LevelShare {
+			admitted = min(admitted, p.stood.level[route])
+			r.Admitted += calls * admitted
 		}
 	}
 	answers := 0.0
@@ -150,15 +155,16 @@
 		if !s.usable {
 			continue
 		}
-		good := s.tryRate * (1 - s.loss)
-		r.HostsInUse, r.Tries, answers = r.HostsInUse+1, r.Tries+s.tryRate, answers+good
-		r.Outstanding += good * s.latency / 1000
+		answered := s.tryRate * (1 - s.loss)
+		r.HostsInUse, r.Tries, answers = r.HostsInUse+1, r.Tries+s.tryRate, answers+answered
+		r.Outstanding += answered * s.latency / 1000
 		r.SaturatedHosts += int(bit(s.utilization > saturatedUtilization, 0))
 	}
 	r.AnswerTime = Millis(r.Outstanding * 1000 / max(answers, 0.1))
 	return r
 }
 
+// condition derives the condition of a host from its state.
 func (h *host) condition() Condition {
 	switch {
 	case !h.hasEntry:
@@ -177,16 +183,17 @@
 	return Serving
 }
 
-// changed notes a host's condition if it is another than the one last noted.
-func (h *host) recordChange(why Reason) {
+// recordChange records the host's condition if it differs from the one recorded last.
+func (h *host) recordChange(reason Reason) {
 	to := h.condition()
 	if to == h.lastCondition {
 		return
 	}
-	perSecond := 1000 * math.Ln2 / float64(h.params.health) // of a decaying sum
-	h.hostChanges = append(h.hostChanges, HostChange{Host: h.id, From: h.lastCondition, To: to, Reason: why,
+	perSecond := 1000 * math.Ln2 / float64(h.params.health) // converts a decaying sum to a rate
+	h.hostChanges = append(h.hostChanges, HostChange{Host: h.id, From: h.lastCondition, To: to, Reason: reason,
 		TriesPerSecond:  h.finished.read(h.now, h.params.health) * perSecond,
 		FailedPerSecond: h.failed.read(h.now, h.params.health) * perSecond,
-		Utilization:     h.utilization, HasReports: h.lastReport > 0, SinceReport: h.now - h.lastReport, ExpectedPerSecond: h.expectedRate})
+		Utilization:     h.utilization, HasReports: h.lastReport > 0, SinceReport: h.now - h.lastReport,
+		ExpectedPerSecond: h.expectedRate})
 	h.lastCondition = to
 }
--- a/logic/play_test.go
+++ b/logic/play_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// stage plays one scenario: it stands in for the store, the proxies and the clock, nothing more. The notation
-// is told in scenarios/README.md.
+// scenarioRunner runs one scenario. It only stands in for the store, the proxies and the clock. The notation of
+// scenarios is described in scenarios/README.md.
 type scenarioRunner struct {
 	t                 *testing.T
 	position          string
@@ -34,20 +34,21 @@
 	sentAt            []Millis
 	lastSerial        SerialID
 	acksLost          bool
-	nextAlive         Millis            // when the next sign of life of the news comes; 0: none does
-	sentWhileLost     map[SerialID]bool // stamps written while proxies were deaf
+	nextAlive         Millis            // when the next sign of life of the acknowledgement stream comes; 0 for none
+	sentWhileLost     map[SerialID]bool // stamps written while acknowledgements were lost
 	orders            []Order
 	movedSlices       int
-	unacknowledged    map[ProxyID][]message // what each proxy has not owned up to, in its order
-	maxUnacknowledged float64               // most lines of these since the mark
+	unacknowledged    map[ProxyID][]message // what each proxy has not acknowledged, in the order of its stream
+	maxUnacknowledged float64               // most unacknowledged lines since the last mark
 }
 
+// message is what one reply sent to a proxy.
 type message struct {
 	serial SerialID
 	lines  float64
 }
 
-// owned takes off what a proxy has applied.
+// dropAcknowledged removes the messages that a proxy has acknowledged.
 func (s *scenarioRunner) dropAcknowledged(a Acknowledged) {
 	for i, m := range s.unacknowledged[a.Proxy] {
 		if m.serial == a.Serial {
@@ -65,7 +66,7 @@
 	return f
 }
 
-// pairs reads a:b and a-z:b words.
+// parsePairs reads words of the forms a:b and a-z:b.
 func parsePairs(words []string) (out [][2]float64) {
 	for _, w := range words {
 		a, b, _ := strings.Cut(w, ":")
@@ -80,6 +81,7 @@
 	return out
 }
 
+// setConfig starts a director with the default settings of scenarios and those that the words set.
 func (s *scenarioRunner) setConfig(words []string) {
 	s.config = Config{Directors: 1, Slices: 8, QueueLimit: 5000, MessageOverhead: 10, LinesPerSecond: 5000,
 		ColdCapacity: 0.2, ColdOverloadLimit: 3,
@@ -117,7 +119,7 @@
 		case "ownzone":
 			s.config.Routes[0].OwnZone = true
 		default:
-			panic("no such fact: " + k)
+			panic("unknown setting: " + k)
 		}
 	}
 	s.director = New(7, s.config)
@@ -125,6 +127,7 @@
 	s.sentWhileLost = map[SerialID]bool{}
 }
 
+// perform carries out one step of a scenario.
 func (s *scenarioRunner) perform(words []string) {
 	switch rest := words[1:]; words[0] {
 	case "facts":
@@ -149,7 +152,7 @@
 			r.Entries = append(r.Entries, e)
 		}
 		s.events = append(s.events, r)
-	case "even": // hosts 1 to this, slices in equal blocks, each with the next host as its standby
+	case "even": // hosts 1 to n, slices in equal blocks, each with the next host as its standby
 		n := int(parseNumber(rest[0]))
 		var all []string
 		for i := range n {
@@ -195,28 +198,28 @@
 			}
 			s.reports[words[0]] = append(s.reports[words[0]], n)
 		}
-	case "met": // host:ended/lost/busy[/rate[/spent]]; none: nothing is heard of the host
+	case "met": // host:finished/failed[/utilization[/throughput[/latency]]]; none: no samples of the host
 		ids, what, _ := strings.Cut(rest[0], ":")
 		for _, p := range parsePairs([]string{ids + ":0"}) {
 			s.setSamples(HostID(p[0]), what)
 		}
 	case "probed": // host, good or bad
 		s.events = append(s.events, ProbeResult{Host: HostID(parseNumber(rest[0])), Latency: 5, Healthy: rest[1] == "good"})
-	case "masked": // a mask of an earlier start
+	case "masked": // by an order of an earlier start
 		s.masked[HostID(parseNumber(rest[0]))] = true
 		s.events = append(s.events, InheritedMask{HostID(parseNumber(rest[0]))})
-	case "unsure": // whether the channel took the last reply
+	case "unsure": // it is unknown whether the channel took the last reply
 		for _, o := range s.orders {
 			if stamp, is := o.(Stamp); is {
 				s.lastSerial = stamp.Serial
 			}
 		}
 		s.events = append(s.events, Unconfirmed{s.lastSerial})
-	case "alive": // what brings acknowledgements shows a sign of life each second from now on
+	case "alive": // the acknowledgement stream shows a sign of life each second from now on
 		s.nextAlive = s.now
-	case "deaf": // proxies own up to nothing any more
+	case "deaf": // acknowledgements are lost from now on
 		s.acksLost = true
-	case "hears": // they do again
+	case "hears": // they arrive again
 		s.acksLost = false
 	case "run":
 		s.handle()
@@ -236,11 +239,11 @@
 			s.expect(strings.Fields(e))
 		}
 	default:
-		panic("no such word: " + words[0])
+		panic("unknown verb: " + words[0])
 	}
 }
 
-// acknowledge has proxies own up to a message that was just written, unless they are deaf.
+// acknowledge schedules the acknowledgements of a message that was just written, unless they are lost.
 func (s *scenarioRunner) acknowledge(serial SerialID) {
 	if s.acksLost {
 		return
@@ -252,6 +255,7 @@
 	slices.SortStableFunc(s.pendingAcks[at], func(a, b Acknowledged) int { return int(a.Proxy - b.Proxy) })
 }
 
+// setSamples sets the regular samples of a host.
 func (s *scenarioRunner) setSamples(id HostID, what string) {
 	name := fmt.Sprint("met", id)
 	if s.reports[name] = nil; what != "none" {
@@ -259,12 +263,12 @@
 		m := HostSample{Host: id, Period: s.reportInterval, MeanLatency: 200}
 		m.Finished, m.Failed = int(parseNumber(f[0])), int(parseNumber(f[1]))
 		if len(f) > 2 {
-			busy := parseNumber(f[2])
-			m.Load.Utilization = &busy
+			utilization := parseNumber(f[2])
+			m.Load.Utilization = &utilization
 		}
 		if len(f) > 3 {
-			rate := parseNumber(f[3])
-			m.Load.Throughput = &rate
+			throughput := parseNumber(f[3])
+			m.Load.Throughput = &throughput
 		}
 		if len(f) > 4 {
 			m.MeanLatency = Millis(parseNumber(f[4]))
@@ -273,6 +277,7 @@
 	}
 }
 
+// tick delivers what is due at the present time.
 func (s *scenarioRunner) tick() {
 	s.timers = slices.DeleteFunc(s.timers, func(at Millis) bool {
 		if at <= s.now {
@@ -312,14 +317,14 @@
 	return keys
 }
 
-// offers is what a table offers to proxies.
+// offered returns the lines of a table that proxies can use.
 func (s *scenarioRunner) offered(t TableID) map[HostID]float64 {
 	open := maps.Clone(s.tables[t])
 	maps.DeleteFunc(open, func(id HostID, _ float64) bool { return s.masked[id] })
 	return open
 }
 
-// main is the host with the most weight in a table.
+// mainHost returns the host with the highest weight in a table.
 func (s *scenarioRunner) mainHost(t TableID) (best HostID) {
 	open := s.offered(t)
 	for id, w := range open {
@@ -330,6 +335,8 @@
 	return best
 }
 
+// handle passes the pending events to the director and carries out its orders. It fails the test if a table loses its
+// last usable host.
 func (s *scenarioRunner) handle() {
 	before := map[TableID]HostID{}
 	for t := range s.tables {
@@ -366,12 +373,13 @@
 			s.timers = append(s.timers, s.now+o.Delay)
 		case Stamp:
 			for p := range s.joined {
-				s.unacknowledged[p] = append(s.unacknowledged[p], message{o.Serial, s.config.MessageOverhead + float64(len(orders)-1)})
+				s.unacknowledged[p] = append(s.unacknowledged[p],
+					message{o.Serial, s.config.MessageOverhead + float64(len(orders)-1)})
 			}
 			s.sentWhileLost[o.Serial] = s.acksLost
 			s.acknowledge(o.Serial)
 		case Resend:
-			if s.sentWhileLost[o.Serial] { // the first never reached the channel
+			if s.sentWhileLost[o.Serial] { // the first one never reached the channel
 				s.acknowledge(o.Serial)
 			}
 		}
@@ -388,7 +396,7 @@
 	}
 	for t := range s.tables {
 		if len(s.offered(t)) == 0 && before[t] != 0 {
-			s.t.Errorf("%s: table %d is bare at %v", s.position, t, s.now)
+			s.t.Errorf("%s: table %d has no usable host at %v", s.position, t, s.now)
 		}
 		if before[t] != 0 && s.mainHost(t) != before[t] {
 			s.movedSlices++
@@ -396,7 +404,7 @@
 	}
 }
 
-// load is the weight of a host over all tables, in whole slices.
+// load returns the load of a host over all tables, in slices.
 func (s *scenarioRunner) load(id HostID) (sum float64) {
 	for t := range s.tables {
 		lines, whole := s.offered(t), 0.0
@@ -408,6 +416,7 @@
 	return sum
 }
 
+// maxMessages returns the largest number of messages within any span of that length.
 func (s *scenarioRunner) maxMessages(span Millis) (most int) {
 	for i, at := range s.sentAt {
 		n := 0
@@ -421,7 +430,7 @@
 	return most
 }
 
-// expect compares: a quantity, then is, over or under, then a number.
+// expect checks an expectation: a quantity, then is, over or under, then a number.
 func (s *scenarioRunner) expect(w []string) {
 	var got float64
 	switch w[0] {
@@ -435,9 +444,9 @@
 		got = s.load(HostID(parseNumber(w[1])))
 	case "moved":
 		got = float64(s.movedSlices)
-	case "messages": // most within a span
+	case "messages": // the most within a span
 		got = float64(s.maxMessages(Millis(parseNumber(w[1]))))
-	case "waiting": // most lines that proxies had not owned up to
+	case "waiting": // the most unacknowledged lines
 		got = s.maxUnacknowledged
 	case "level": // table route
 		got = s.levels[w[1]+":"+w[2]].Level
@@ -452,7 +461,7 @@
 			}
 		}
 	default:
-		panic("nothing to expect of " + w[0])
+		panic("unknown quantity: " + w[0])
 	}
 	want := parseNumber(w[len(w)-1])
 	if ok := map[string]bool{"is": got == want, "over": got > want, "under": got < want}[w[len(w)-2]]; !ok {
@@ -460,14 +469,16 @@
 	}
 }
 
+// playScenario runs a scenario file and returns all orders.
 func playScenario(t *testing.T, path string) []Order {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &scenarioRunner{t: t, tables: map[TableID]map[HostID]float64{}, masked: map[HostID]bool{},
-		levels: map[string]Throttle{}, bound: map[ProxyID]TableID{}, joined: map[ProxyID]bool{}, pendingAcks: map[Millis][]Acknowledged{},
-		reports: map[string][]any{}, reportInterval: 500, now: 100000}
+		levels: map[string]Throttle{}, bound: map[ProxyID]TableID{}, joined: map[ProxyID]bool{},
+		pendingAcks: map[Millis][]Acknowledged{},
+		reports:     map[string][]any{}, reportInterval: 500, now: 100000}
 	var all []Order
 	for i, text := range strings.Split(string(text), "\n") {
 		text, _, _ := strings.Cut(text, "#")
@@ -482,7 +493,8 @@
 	return all
 }
 
-// Every scenario is played twice: the same notes must give the same orders.
+// Runs every scenario, and runs it a second time to guard against decisions that depend on more than the events: the
+// same events must give the same orders.
 func TestScenarios(t *testing.T) {
 	paths, _ := filepath.Glob("scenarios/*.txt")
 	if len(paths) == 0 {
@@ -491,31 +503,34 @@
 	for _, path := range paths {
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".txt"), func(t *testing.T) {
 			if first := playScenario(t, path); !t.Failed() && !reflect.DeepEqual(first, playScenario(t, path)) {
-				t.Error("the same notes gave other orders")
+				t.Error("the same events gave other orders")
 			}
 		})
 	}
 }
 
-// What a director holds grows with its fleet, and not with the hosts that it ever had.
+// Guards against a leak: the memory of a director grows with its fleet and not with all hosts that it ever had.
 func TestHostsThatAreGoneAreForgotten(t *testing.T) {
-	d := New(1, Config{Slices: 8, LinesPerSecond: 8000, QueueLimit: 8000, MessageOverhead: 16, ReportInterval: 500, DrainGrace: 2000,
-		Routes: []Route{{SLO: 1000, Importance: 1, Idempotency: Idempotent}}})
+	d := New(1, Config{Slices: 8, LinesPerSecond: 8000, QueueLimit: 8000, MessageOverhead: 16, ReportInterval: 500,
+		DrainGrace: 2000, Routes: []Route{{SLO: 1000, Importance: 1, Idempotency: Idempotent}}})
 	now := Millis(100000)
 	d.Handle(now, []any{ProxyJoined{Proxy: 0}, SliceOwnership{Slice: 0, Owned: true}})
 	for n := range 500 {
 		now += 1000
-		d.Handle(now, []any{TimerFired{}, HostList{Kind: HostListFull, Entries: []HostEntry{{Host: HostID(n + 1), State: Up}, {Host: HostID(n + 2), State: Up}}}})
+		d.Handle(now, []any{TimerFired{}, HostList{Kind: HostListFull,
+			Entries: []HostEntry{{Host: HostID(n + 1), State: Up}, {Host: HostID(n + 2), State: Up}}}})
 	}
 	if held := d.hosts.len() + d.place.seats.len() + d.gate.seats.len(); held > 3*80 {
-		t.Fatalf("%d hosts are held after 500, of which two at a time were there", held)
+		t.Fatalf("%d entries of hosts are held after 500 hosts, two of them listed at a time", held)
 	}
 }
 
-// Levels go before tables that can wait: what is left of the queue is theirs first.
+// Guards against admission levels that wait behind tables: what is left of the queue goes to levels first, and then to
+// tables that can wait.
 func TestLevelsGoBeforeTables(t *testing.T) {
 	both := 0
-	for _, path := range []string{"scenarios/overload.txt", "scenarios/cold-throttled.txt", "scenarios/cold-crowd.txt", "scenarios/tries.txt"} {
+	for _, path := range []string{"scenarios/overload.txt", "scenarios/cold-throttled.txt",
+		"scenarios/cold-crowd.txt", "scenarios/tries.txt"} {
 		levels, tables := false, false
 		for _, o := range playScenario(t, path) {
 			switch o.(type) {
@@ -528,13 +543,13 @@
 				tables = true
 			case Throttle:
 				if tables {
-					t.Fatalf("%s: a level behind tables", path)
+					t.Fatalf("%s: a level is written after tables", path)
 				}
 				levels = true
 			}
 		}
 	}
 	if both == 0 {
-		t.Fatal("no message bore both")
+		t.Fatal("no message held both levels and tables")
 	}
 }
