--- a/internal/platform/codec/hosts.go
+++ b/internal/platform/codec/hosts.go
@@ -29,7 +29,7 @@
 	name, address string
 	listed        bool
 	queued        bool // in evictionQueue
-	entry         logic.Entry
+	entry         logic.HostEntry
 }
 
 // maxUnlistedHosts limits how many unlisted hosts keep their names. Orders that remove the lines of a host that has
@@ -101,9 +101,9 @@
 
 // Apply updates the hosts from a host list. It returns the list as an event, and an error for each entry that could
 // not be used. A listed host whose entry cannot be decoded keeps its former entry.
-func (h *Hosts) Apply(l List, kind logic.RosterKind, schema *Schema) (r logic.Roster, errs []error) {
-	if r.Kind = kind; kind != logic.FromDisk && !l.Snapshot {
-		r.Kind = logic.Changes
+func (h *Hosts) Apply(l List, kind logic.HostListKind, schema *Schema) (r logic.HostList, errs []error) {
+	if r.Kind = kind; kind != logic.HostListFromDisk && !l.Snapshot {
+		r.Kind = logic.HostListDelta
 	}
 	mentioned := map[logic.HostID]bool{}
 	for i, e := range l.Endpoints {
@@ -125,7 +125,7 @@
 		mentioned[entry.Host] = true
 		r.Entries = append(r.Entries, entry)
 	}
-	if r.Kind != logic.Changes {
+	if r.Kind != logic.HostListDelta {
 		for id, k := range h.byID {
 			if k.listed && !mentioned[id] {
 				k.listed = false
@@ -137,7 +137,7 @@
 }
 
 // decodeEntry validates an entry of the host list and registers the name of its host.
-func (h *Hosts) decodeEntry(e Endpoint, schema *Schema) (out logic.Entry, err error) {
+func (h *Hosts) decodeEntry(e Endpoint, schema *Schema) (out logic.HostEntry, err error) {
 	state, known := map[string]logic.HostState{"active": logic.Up, "leaving": logic.Draining, "left": logic.Gone}[e.Status]
 	if !known {
 		return out, fmt.Errorf("status: unknown value %q", e.Status)
@@ -162,6 +162,6 @@
 	if err != nil {
 		return out, fmt.Errorf("name: %w", err)
 	}
-	return logic.Entry{Host: id, State: state, Cell: logic.CellID(e.Group), Zone: zone, Kind: kind, Weight: e.Weight,
-		Born: logic.Millis(e.Since)}, nil
+	return logic.HostEntry{Host: id, State: state, Cell: logic.CellID(e.Group), Zone: zone, Hardware: kind, Weight: e.Weight,
+		StartedAt: logic.Millis(e.Since)}, nil
 }
--- a/internal/platform/codec/messages.go
+++ b/internal/platform/codec/messages.go
@@ -51,16 +51,16 @@
 		out.Zone = f.zoneID(s, m.Locality)
 	case "heard":
 		out.Host = f.text("endpoint", m.Endpoint)
-		report := logic.Met{Host: IDOf(out.Host), Zone: f.zoneID(s, m.Locality), Ended: f.integer("total", m.Total, maxCount),
-			Lost: f.integer("errors", m.Errors, maxCount), Over: logic.Millis(f.number("interval", m.Interval, maxIntervalMs))}
-		if report.Lost > report.Ended {
+		report := logic.HostSample{Host: IDOf(out.Host), Zone: f.zoneID(s, m.Locality), Finished: f.integer("total", m.Total, maxCount),
+			Failed: f.integer("errors", m.Errors, maxCount), Period: logic.Millis(f.number("interval", m.Interval, maxIntervalMs))}
+		if report.Failed > report.Finished {
 			f.fail("errors", "more than total")
 		}
-		if m.RTT != nil || report.Ended > report.Lost { // without a successful call there is no round-trip time
+		if m.RTT != nil || report.Finished > report.Failed { // without a successful call there is no round-trip time
 			// The limit leaves room for noise in the mean, and for calls that begin in time and end after their time limit.
-			report.Spent = logic.Millis(f.number("rtt", m.RTT, 10*max(s.longestCallMs, 1000)))
+			report.MeanLatency = logic.Millis(f.number("rtt", m.RTT, 10*max(s.longestCallMs, 1000)))
 		}
-		if report.Over == 0 {
+		if report.Period == 0 {
 			f.fail("interval", "out of range")
 		}
 		if len(m.Metrics) > 0 && string(m.Metrics) != "null" {
@@ -73,10 +73,10 @@
 			f.fail("route", "unknown value")
 		}
 		// Errors may exceed the total: a call is counted when it arrives, and its failure when it ends.
-		demand := logic.Heat{Slice: logic.TableID(f.integer("shard", m.Shard, s.Slices-1)), Route: route,
-			Calls: f.integer("total", m.Total, maxCount), Lost: f.integer("errors", m.Errors, maxCount),
-			Over: logic.Millis(f.number("interval", m.Interval, maxIntervalMs))}
-		if demand.Over == 0 {
+		demand := logic.SliceDemand{Slice: logic.TableID(f.integer("shard", m.Shard, s.Slices-1)), Route: route,
+			Calls: f.integer("total", m.Total, maxCount), Unanswered: f.integer("errors", m.Errors, maxCount),
+			Period: logic.Millis(f.number("interval", m.Interval, maxIntervalMs))}
+		if demand.Period == 0 {
 			f.fail("interval", "out of range")
 		}
 		out.Event = demand
@@ -107,7 +107,7 @@
 		f.fail("metrics."+name, "unknown value")
 		return
 	}
-	if target == &l.Busy {
+	if target == &l.Utilization {
 		limit = maxUtilization
 	}
 	x := f.number("metrics."+name, v, limit)
@@ -235,22 +235,22 @@
 	switch kind {
 	case KindPing:
 	case "joined":
-		out.Event = logic.Joined{Proxy: node(), Zone: f.zoneID(s, p.Locality), Rate: f.number("w", p.W, maxCount),
+		out.Event = logic.ProxyJoined{Proxy: node(), Zone: f.zoneID(s, p.Locality), Rate: f.number("w", p.W, maxCount),
 			Fresh: p.Cold != nil && *p.Cold}
 	case "left":
-		out.Event = logic.Left{Proxy: node()}
+		out.Event = logic.ProxyLeft{Proxy: node()}
 	case "applied":
-		out.Event = logic.Applied{Proxy: node(), Serial: logic.SerialID(f.integer("nonce", p.Nonce, maxSerial)),
-			Spent: logic.Millis(f.number("latency", p.Latency, maxIntervalMs))}
+		out.Event = logic.Acknowledged{Proxy: node(), Serial: logic.SerialID(f.integer("nonce", p.Nonce, maxSerial)),
+			Latency: logic.Millis(f.number("latency", p.Latency, maxIntervalMs))}
 	case "given":
 		if p.Set == nil {
 			f.fail("set", "missing")
 			break
 		}
-		out.Event = logic.Custody{Slice: shard(), Given: *p.Set}
+		out.Event = logic.SliceOwnership{Slice: shard(), Owned: *p.Set}
 	case "held":
 		out.Host = f.text("endpoint", p.Endpoint)
-		out.Event = logic.OnRecord{Slice: shard(), Host: IDOf(out.Host), Weight: f.number("w", p.W, maxCount)}
+		out.Event = logic.StoredLine{Slice: shard(), Host: IDOf(out.Host), Weight: f.number("w", p.W, maxCount)}
 	default:
 		f.fail("method", "unknown value")
 	}
--- a/internal/platform/codec/names.go
+++ b/internal/platform/codec/names.go
@@ -27,7 +27,7 @@
 	"recent_ms": "latency_ms", "errors_per_s": "eps"}
 
 // NewSchema returns the schema that follows from a director's settings.
-func NewSchema(f logic.Facts, names wire.Names) *Schema {
+func NewSchema(f logic.Config, names wire.Names) *Schema {
 	s := &Schema{Names: names, Proxies: f.Proxies, Slices: f.Slices, columnByName: map[string]string{}}
 	for _, c := range f.LoadColumns {
 		s.columnByName[c] = c
@@ -49,9 +49,9 @@
 	return logic.ZoneID(i), i >= 0
 }
 
-func (s *Schema) kindID(name string) (logic.KindID, bool) {
+func (s *Schema) kindID(name string) (logic.HardwareID, bool) {
 	i := slices.Index(s.Kinds, name)
-	return logic.KindID(i), i >= 0
+	return logic.HardwareID(i), i >= 0
 }
 
 func (s *Schema) routeID(name string) (logic.RouteID, bool) {
--- a/internal/platform/collect/collect_test.go
+++ b/internal/platform/collect/collect_test.go
@@ -30,7 +30,7 @@
 // serveWith is like serve, with explicit limits of memory and descriptors.
 func serveWith(t *testing.T, m budget.Means) (s *Server, messages *atomic.Int64) {
 	t.Helper()
-	schema := codec.NewSchema(logic.Facts{Proxies: 4, Slices: 8, Routes: make([]logic.Route, 1)}, wire.Names{Routes: []string{"read"}, Zones: []string{"a", "b"}})
+	schema := codec.NewSchema(logic.Config{Proxies: 4, Slices: 8, Routes: make([]logic.Route, 1)}, wire.Names{Routes: []string{"read"}, Zones: []string{"a", "b"}})
 	messages = &atomic.Int64{}
 	s, err := Listen("127.0.0.1:0", schema, budget.New(m), func(in ...any) { messages.Add(int64(len(in))) },
 		slog.New(slog.DiscardHandler))
--- a/internal/platform/news/news.go
+++ b/internal/platform/news/news.go
@@ -38,7 +38,7 @@
 
 // Tracker tracks the proxies and slices of one director.
 type Tracker struct {
-	proxies map[logic.ProxyID]logic.Joined
+	proxies map[logic.ProxyID]logic.ProxyJoined
 	slices  map[logic.TableID]*sliceState
 
 	inSnapshot      bool                   // a snapshot is being received
@@ -53,7 +53,7 @@
 
 // New returns a tracker that knows no proxies and no slices.
 func New() *Tracker {
-	return &Tracker{proxies: map[logic.ProxyID]logic.Joined{}, slices: map[logic.TableID]*sliceState{}, collecting: map[logic.TableID]bool{},
+	return &Tracker{proxies: map[logic.ProxyID]logic.ProxyJoined{}, slices: map[logic.TableID]*sliceState{}, collecting: map[logic.TableID]bool{},
 		DiscardOrders: func(logic.TableID) {}}
 }
 
@@ -76,27 +76,27 @@
 	if tr.inSnapshot {
 		tr.snapshotAt = now
 	}
-	if record, is := in.Event.(logic.OnRecord); is {
+	if record, is := in.Event.(logic.StoredLine); is {
 		return tr.lineRecorded(now, record)
 	}
-	if change, is := in.Event.(logic.Custody); is && change.Given {
+	if change, is := in.Event.(logic.SliceOwnership); is && change.Owned {
 		return tr.sliceAssigned(now, change.Slice)
 	}
-	if _, is := in.Event.(logic.Joined); !is {
+	if _, is := in.Event.(logic.ProxyJoined); !is {
 		// A snapshot consists of joined proxies, assigned slices and lines only: anything else comes after it.
 		events = append(tr.FlushCollected(now, true), tr.endSnapshot()...)
 	}
 	switch n := in.Event.(type) {
-	case logic.Joined:
+	case logic.ProxyJoined:
 		events = append(events, tr.proxyJoined(n)...)
-	case logic.Left:
+	case logic.ProxyLeft:
 		if _, known := tr.proxies[n.Proxy]; known {
 			delete(tr.proxies, n.Proxy)
 			events = append(events, n)
 		}
-	case logic.Custody:
+	case logic.SliceOwnership:
 		events = append(events, tr.sliceRemoved(n.Slice)...)
-	case logic.Applied:
+	case logic.Acknowledged:
 		if _, known := tr.proxies[n.Proxy]; known {
 			events = append(events, n)
 		}
@@ -108,7 +108,7 @@
 // during the gap, and so lack the masks and levels written meanwhile, or may have been connected all along. The module
 // is told that it joined but not that it left, since messages to it may still be queued in the channel. Without a gap
 // it is the same connection, and there is no event.
-func (tr *Tracker) proxyJoined(n logic.Joined) (events []any) {
+func (tr *Tracker) proxyJoined(n logic.ProxyJoined) (events []any) {
 	was, known := tr.proxies[n.Proxy]
 	tr.proxies[n.Proxy] = n
 	if first := tr.inSnapshot && !tr.snapshotProxies[n.Proxy]; first {
@@ -121,7 +121,7 @@
 		}
 	}
 	if known {
-		events = append(events, logic.Left{Proxy: n.Proxy})
+		events = append(events, logic.ProxyLeft{Proxy: n.Proxy})
 	}
 	return append(events, n)
 }
@@ -141,7 +141,7 @@
 }
 
 // lineRecorded adds a line of the store to those collected for its slice.
-func (tr *Tracker) lineRecorded(now logic.Millis, n logic.OnRecord) []any {
+func (tr *Tracker) lineRecorded(now logic.Millis, n logic.StoredLine) []any {
 	s := tr.slices[n.Slice]
 	if s == nil {
 		return nil // a line of a slice that this director does not own
@@ -164,7 +164,7 @@
 		delete(tr.collecting, t)
 		tr.DiscardOrders(t)
 		if s.announced {
-			events = append(events, logic.Custody{Slice: t})
+			events = append(events, logic.SliceOwnership{Slice: t})
 		}
 	}
 	return events
@@ -218,9 +218,9 @@
 	if s == nil || !s.announced {
 		return nil
 	}
-	events = append(events, logic.Custody{Slice: t, Given: true})
+	events = append(events, logic.SliceOwnership{Slice: t, Owned: true})
 	for _, h := range slices.Sorted(maps.Keys(s.lines)) {
-		events = append(events, logic.OnRecord{Slice: t, Host: h, Weight: s.lines[h]})
+		events = append(events, logic.StoredLine{Slice: t, Host: h, Weight: s.lines[h]})
 	}
 	return events
 }
@@ -235,7 +235,7 @@
 	for _, p := range slices.Sorted(maps.Keys(tr.proxies)) {
 		if !tr.snapshotProxies[p] {
 			delete(tr.proxies, p)
-			events = append(events, logic.Left{Proxy: p})
+			events = append(events, logic.ProxyLeft{Proxy: p})
 		}
 	}
 	for _, t := range slices.Sorted(maps.Keys(tr.slices)) {
--- a/internal/sums/sums.go
+++ b/internal/sums/sums.go
@@ -111,18 +111,18 @@
 		over := now - r.since
 		switch key.(type) {
 		case triesKey:
-			m := logic.Met{Host: r.tries.Host, Zone: r.tries.Zone, Over: over, Ended: r.tries.Ended, Lost: r.tries.Unanswered,
+			m := logic.HostSample{Host: r.tries.Host, Zone: r.tries.Zone, Period: over, Finished: r.tries.Ended, Failed: r.tries.Unanswered,
 				Load: r.tries.Load}
-			if good := m.Ended - m.Lost; good > 0 {
-				m.Spent = logic.Millis(r.tries.AnsweredMs / float64(good))
+			if good := m.Finished - m.Failed; good > 0 {
+				m.MeanLatency = logic.Millis(r.tries.AnsweredMs / float64(good))
 			}
 			events = append(events, m)
 		case demandKey:
 			c := r.demand
 			if a.bySlice {
-				events = append(events, logic.Heat{Slice: c.Slice, Route: c.Route, Over: over, Calls: c.Calls, Lost: c.Unanswered})
+				events = append(events, logic.SliceDemand{Slice: c.Slice, Route: c.Route, Period: over, Calls: c.Calls, Unanswered: c.Unanswered})
 			} else {
-				events = append(events, logic.Asked{Proxy: c.Proxy, Route: c.Route, Over: over, Calls: c.Calls, Lost: c.Unanswered})
+				events = append(events, logic.RouteDemand{Proxy: c.Proxy, Route: c.Route, Period: over, Calls: c.Calls, Unanswered: c.Unanswered})
 			}
 		}
 	}
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -73,39 +73,39 @@
 	case logic.Mask:
 		r.openOrder("Mask", d)
 		r.integer("Host", int64(o.Host))
-		r.boolean("Flag", o.Out)
+		r.boolean("Flag", o.On)
 	case logic.Throttle:
 		r.openOrder("Valve", d)
 		r.integer("RouteTable", int64(o.Table))
 		r.integer("ClassBits", int64(o.Routes))
 		r.number("Level", o.Level)
-		r.integer("Resend", int64(o.Tries))
+		r.integer("Resend", int64(o.Retries))
 	case logic.Stamp:
 		r.openOrder("Stamp", d)
 		r.integer("Serial", int64(o.Serial))
 		r.boolean("Flag", o.All)
-	case logic.After:
+	case logic.SetTimer:
 		r.openOrder("After", d)
-		r.number("InMs", float64(o.In))
+		r.number("InMs", float64(o.Delay))
 		r.buf = append(r.buf, `,"Nonce":`...)
 		r.buf = strconv.AppendUint(r.buf, uint64(o.Timer), 10)
-	case logic.Ping:
+	case logic.Probe:
 		r.openOrder("Ping", d)
 		r.integer("Host", int64(o.Host))
-	case logic.Tell:
+	case logic.SendToPeer:
 		r.openOrder("BroadcastTo", d)
 		r.integer("Target", int64(o.To))
 		// The message is truncated to at most 256 bytes of valid UTF-8.
-		for len(o.Bytes) > 256 || !utf8.ValidString(o.Bytes) {
-			o.Bytes = o.Bytes[:len(o.Bytes)-1]
+		for len(o.Payload) > 256 || !utf8.ValidString(o.Payload) {
+			o.Payload = o.Payload[:len(o.Payload)-1]
 		}
-		r.text("Raw", o.Bytes)
-	case logic.Follow:
+		r.text("Raw", o.Payload)
+	case logic.WatchHosts:
 		r.openOrder("StreamChanges", d)
 		r.boolean("Flag", o.On)
-	case logic.Pull:
+	case logic.RequestHosts:
 		r.openOrder("Pull", d)
-	case logic.Say:
+	case logic.LogText:
 		r.openOrder("SayLog", d)
 		r.text("Words", o.Text)
 	default:
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -23,7 +23,7 @@
 // Start starts an instance.
 type Start struct {
 	Seed  uint64
-	Facts logic.Facts
+	Facts logic.Config
 }
 
 // Batch is one line of input: the events at one time.
@@ -33,7 +33,7 @@
 }
 
 // Decoder decodes batches. It keeps the host lists that a batch has defined by number for later batches.
-type Decoder struct{ lists map[int64][]logic.Entry }
+type Decoder struct{ lists map[int64][]logic.HostEntry }
 
 // object reads typed fields of a JSON object and keeps the first error.
 type object struct {
@@ -138,17 +138,17 @@
 func LoadField(l *logic.Load, name string) **float64 {
 	switch name {
 	case "utilization":
-		return &l.Busy
+		return &l.Utilization
 	case "throughput":
-		return &l.Rate
+		return &l.Throughput
 	case "backlog":
-		return &l.Queue
+		return &l.Backlog
 	case "outstanding":
-		return &l.InHand
+		return &l.Outstanding
 	case "recent_ms":
-		return &l.Recent
+		return &l.RecentLatency
 	case "errors_per_s":
-		return &l.Errors
+		return &l.ErrorRate
 	}
 	return nil
 }
@@ -212,7 +212,7 @@
 		return Batch{}, top.err
 	}
 	if d.lists == nil {
-		d.lists = map[int64][]logic.Entry{}
+		d.lists = map[int64][]logic.HostEntry{}
 	}
 	for i, fields := range events {
 		o := object{raw: fields}
@@ -238,16 +238,16 @@
 	if v, ok := o.get("Items", false); ok && json.Unmarshal(v, &items) != nil {
 		o.fail("Items", "not an array of objects")
 	}
-	entries := make([]logic.Entry, 0, len(items))
+	entries := make([]logic.HostEntry, 0, len(items))
 	for i, fields := range items {
 		item := object{raw: fields}
-		entries = append(entries, logic.Entry{
+		entries = append(entries, logic.HostEntry{
 			Host: logic.HostID(item.boundedInteger("Host", true, maxHostID)),
 			State: enum(&item, "Availability", map[string]logic.HostState{
 				"up": logic.Up, "draining": logic.Draining, "removed": logic.Gone}),
 			Cell: logic.CellID(item.integer("Block", false)), Zone: logic.ZoneID(item.integer("Az", false)),
-			Kind: logic.KindID(item.integer("GenerationHw", false)), Weight: item.number("W", false),
-			Born: logic.Millis(item.number("BornMs", false))})
+			Hardware: logic.HardwareID(item.integer("GenerationHw", false)), Weight: item.number("W", false),
+			StartedAt: logic.Millis(item.number("BornMs", false))})
 		if item.err != nil {
 			o.fail(fmt.Sprintf("Items[%d]", i), item.err.Error())
 		}
@@ -271,9 +271,9 @@
 	case "Killed":
 		e.Killed = true
 	case "Sync":
-		r := logic.Roster{Kind: enum(o, "Kind", map[string]logic.RosterKind{"diff": logic.Changes,
-			"snapshot": logic.Whole, "disk": logic.FromDisk, "error": logic.AskFailed})}
-		if r.Kind != logic.AskFailed {
+		r := logic.HostList{Kind: enum(o, "Kind", map[string]logic.HostListKind{"diff": logic.HostListDelta,
+			"snapshot": logic.HostListFull, "disk": logic.HostListFromDisk, "error": logic.HostListFailed})}
+		if r.Kind != logic.HostListFailed {
 			entries, known := d.lists[o.integer("RosterId", true)]
 			if !known {
 				o.fail("RosterId", "list is not defined")
@@ -282,33 +282,33 @@
 		}
 		e.Payload = r
 	case "TickDue":
-		e.Payload = logic.Due{Timer: logic.TimerID(o.unsigned("Nonce"))}
+		e.Payload = logic.TimerFired{Timer: logic.TimerID(o.unsigned("Nonce"))}
 	case "Checked":
 		outcome := enum(o, "How", map[string]string{"delivered": "delivered", "app_error": "", "shed": "",
 			"expired": "", "dial_failed": "", "dropped": "", "revoked": "", "unused": ""})
-		e.Payload = logic.Probed{Host: host(), Spent: duration("SpentMs"), Good: outcome != "", Load: o.load("HealthInfo")}
+		e.Payload = logic.ProbeResult{Host: host(), Latency: duration("SpentMs"), Healthy: outcome != "", Load: o.load("HealthInfo")}
 	case "Heard":
-		e.Payload = logic.Said{From: logic.DirectorID(o.integer("Neighbour", true)), Bytes: o.text("Raw", false)}
+		e.Payload = logic.PeerMessage{From: logic.DirectorID(o.integer("Neighbour", true)), Payload: o.text("Raw", false)}
 	case "Joined":
-		e.Payload = logic.Joined{Proxy: proxy(), Fresh: o.boolean("Flag"), Rate: o.number("W", false), Zone: zone()}
+		e.Payload = logic.ProxyJoined{Proxy: proxy(), Fresh: o.boolean("Flag"), Rate: o.number("W", false), Zone: zone()}
 	case "DroppedOff":
-		e.Payload = logic.Left{Proxy: proxy()}
+		e.Payload = logic.ProxyLeft{Proxy: proxy()}
 	case "TrafficReport":
-		e.Payload = logic.Met{Host: host(), Zone: zone(), Over: duration("PeriodLenMs"), Spent: duration("SpentMs"),
-			Ended: count("Many"), Lost: count("Lost"), Load: o.load("HealthInfo")}
+		e.Payload = logic.HostSample{Host: host(), Zone: zone(), Period: duration("PeriodLenMs"), MeanLatency: duration("SpentMs"),
+			Finished: count("Many"), Failed: count("Lost"), Load: o.load("HealthInfo")}
 	case "Demand":
-		e.Payload = logic.Asked{Proxy: proxy(), Route: logic.RouteID(o.boundedInteger("Lane", true, 63)),
-			Over: duration("PeriodLenMs"), Calls: count("Many"), Lost: count("Lost")}
+		e.Payload = logic.RouteDemand{Proxy: proxy(), Route: logic.RouteID(o.boundedInteger("Lane", true, 63)),
+			Period: duration("PeriodLenMs"), Calls: count("Many"), Unanswered: count("Lost")}
 	case "Heat":
-		e.Payload = logic.Heat{Slice: table(), Route: logic.RouteID(o.boundedInteger("Lane", true, 63)),
-			Over: duration("PeriodLenMs"), Calls: count("Many"), Lost: count("Lost")}
+		e.Payload = logic.SliceDemand{Slice: table(), Route: logic.RouteID(o.boundedInteger("Lane", true, 63)),
+			Period: duration("PeriodLenMs"), Calls: count("Many"), Unanswered: count("Lost")}
 	case "Custody":
-		e.Payload = logic.Custody{Slice: table(), Given: o.boolean("Flag")}
+		e.Payload = logic.SliceOwnership{Slice: table(), Owned: o.boolean("Flag")}
 	case "OnRecord":
-		e.Payload = logic.OnRecord{Slice: table(), Host: host(), Weight: o.number("W", true)}
+		e.Payload = logic.StoredLine{Slice: table(), Host: host(), Weight: o.number("W", true)}
 	case "TookEffect":
-		e.Payload = logic.Applied{Proxy: proxy(), Serial: logic.SerialID(o.boundedInteger("Serial", true, maxSmallID)),
-			Spent: duration("SpentMs")}
+		e.Payload = logic.Acknowledged{Proxy: proxy(), Serial: logic.SerialID(o.boundedInteger("Serial", true, maxSmallID)),
+			Latency: duration("SpentMs")}
 	default:
 		return e, false // events of later protocol versions are skipped, like unknown keys
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -36,19 +36,19 @@
 		t.Fatalf("clock %v, %d events", b.Clock, len(b.Events))
 	}
 	start := b.Events[0].Start
-	if start.Seed != 1<<63 || start.Facts.Slices != 7 || start.Facts.Levels != logic.LevelRate || !start.Facts.OneOwner ||
-		start.Facts.Routes[0].Reach != logic.ReachCell || !start.Facts.Routes[1].Writes || start.Facts.Pick != logic.PickPair {
+	if start.Seed != 1<<63 || start.Facts.Slices != 7 || start.Facts.Levels != logic.LevelRate || !start.Facts.SingleOwner ||
+		start.Facts.Routes[0].DedupScope != logic.DedupCell || !start.Facts.Routes[1].IsWrite || start.Facts.Pick != logic.PickTwoChoices {
 		t.Errorf("facts: %+v", start)
 	}
 	// A later list replaces the former one of the same number, also within a batch.
-	first, second := b.Events[1].Payload.(logic.Roster), b.Events[2].Payload.(logic.Roster)
+	first, second := b.Events[1].Payload.(logic.HostList), b.Events[2].Payload.(logic.HostList)
 	if len(first.Entries) != 1 || first.Entries[0].Host != 1<<32-1 || len(second.Entries) != 0 {
 		t.Errorf("lists: %+v, %+v", first, second)
 	}
-	if due := b.Events[4].Payload.(logic.Due); due.Timer != 1<<63-1 {
+	if due := b.Events[4].Payload.(logic.TimerFired); due.Timer != 1<<63-1 {
 		t.Errorf("nonce %d", due.Timer)
 	}
-	if report := b.Events[5].Payload.(logic.Met); report.Load.Busy == nil || *report.Load.Busy != 0.5 || report.Load.Rate != nil {
+	if report := b.Events[5].Payload.(logic.HostSample); report.Load.Utilization == nil || *report.Load.Utilization != 0.5 || report.Load.Throughput != nil {
 		t.Errorf("load: %+v", report.Load)
 	}
 }
@@ -84,9 +84,9 @@
 	}
 	r.Reset()
 	for _, o := range []logic.Order{logic.SetLine{Table: 1, Host: 1<<32 - 1, Weight: 0.75}, logic.DropLines{Table: 2},
-		logic.Bind{Proxy: 3, Table: 1, Routes: 2}, logic.Mask{Host: 4, Out: true}, logic.Stamp{Serial: 9},
-		logic.Throttle{Table: logic.EveryTable, Routes: 2, Level: 0.5, Tries: 1}, logic.After{In: 0.5, Timer: 1 << 63},
-		logic.Ping{Host: 4}, logic.Tell{To: -1, Bytes: "hi"}, logic.Follow{On: true}, logic.Pull{}, logic.Say{Text: "\"\n"}} {
+		logic.Bind{Proxy: 3, Table: 1, Routes: 2}, logic.Mask{Host: 4, On: true}, logic.Stamp{Serial: 9},
+		logic.Throttle{Table: logic.AllTables, Routes: 2, Level: 0.5, Retries: 1}, logic.SetTimer{Delay: 0.5, Timer: 1 << 63},
+		logic.Probe{Host: 4}, logic.SendToPeer{To: -1, Payload: "hi"}, logic.WatchHosts{On: true}, logic.RequestHosts{}, logic.LogText{Text: "\"\n"}} {
 		r.Add(3, o)
 	}
 	r.AddFailure(3, "x")
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -44,7 +44,7 @@
 // just started and have not reported, since the reports of the others are then too old to tell. In a burst all reports
 // are older than the burst, so they are scaled by its growth.
 func (c fleetCapacity) hasRoom() bool {
-	return c.busyCapacity > 0 && c.busyWeighted*max(1, c.growth) < c.busyCapacity*idle && c.unmeasured <= c.usable*crowd
+	return c.busyCapacity > 0 && c.busyWeighted*max(1, c.growth) < c.busyCapacity*unthrottledUtilization && c.unmeasured <= c.usable*massRestartShare
 }
 
 // measure sums up the state of the hosts.
@@ -62,8 +62,8 @@
 			c.capacity += each * s.listedWeight * s.warmShare / 2
 		}
 		c.capacity, c.tryRate, c.lossRate = c.capacity+s.capacity, c.tryRate+s.tryRate, c.lossRate+s.loss*s.tryRate
-		if s.busy > 0 {
-			c.busyWeighted, c.busyCapacity = c.busyWeighted+s.busy*s.capacity, c.busyCapacity+s.capacity
+		if s.utilization > 0 {
+			c.busyWeighted, c.busyCapacity = c.busyWeighted+s.utilization*s.capacity, c.busyCapacity+s.capacity
 		}
 		c.queuedCalls += max(0, s.answerTime-queueingFactor*g.calmAnswerTime) / 1000 * s.tryRate * (1 - s.loss)
 	}
@@ -81,7 +81,9 @@
 }
 
 // callRate returns the rate of a route's calls, including repeated ones.
-func (g *admitter) callRate(r RouteID) float64 { return g.callSums[r].rate(g.now, gateMemory, 0) }
+func (g *admitter) callRate(r RouteID) float64 {
+	return g.callSums[r].rate(g.now, admissionHalfLife, 0)
+}
 
 // totalCallRate returns the rate of the calls of all routes, including repeated ones.
 func (g *admitter) totalCallRate() (sum float64) {
@@ -94,7 +96,7 @@
 // callGrowth returns the present rate of calls over that of the last seconds, or 1 where the difference may be a ripple
 // of the reports.
 func (g *admitter) callGrowth() float64 {
-	lately := g.recentCalls.rate(g.now, demandMemory, g.firstReport-g.rules.reportInterval)
+	lately := g.recentCalls.rate(g.now, demandHalfLife, g.firstReport-g.params.reportInterval)
 	if growth := g.totalCallRate() / max(lately, 0.1); growth > burstGrowth {
 		return growth
 	}
@@ -103,7 +105,7 @@
 
 // newCallRate returns the rate of a route's calls without those that are repeated for want of an answer.
 func (g *admitter) newCallRate(r RouteID) float64 {
-	return max(0, g.callRate(r)-repeatedShare*g.unanswered[r].rate(g.now, gateMemory, 0))
+	return max(0, g.callRate(r)-repeatedShare*g.unanswered[r].rate(g.now, admissionHalfLife, 0))
 }
 
 // isThrottling says whether some calls are rejected: levels are published in steps, and less than half a step is no
@@ -122,7 +124,7 @@
 		}
 		usual += g.usualRates[r]
 	}
-	for _, lead := range slices.Backward(g.rules.byImportance) {
+	for _, lead := range slices.Backward(g.params.byImportance) {
 		if g.usualRates[lead] > 0 {
 			return min(total, usual*g.newCallRate(lead)/g.usualRates[lead]), usual
 		}
@@ -137,7 +139,7 @@
 	c.growth = g.callGrowth()
 	all, usual := g.estimateDemand()
 	fleet := fleetLoad{pressure: c.tryRate / max(c.capacity, 0.1), loss: c.lossRate / max(c.tryRate, 0.1),
-		busy: c.busyWeighted / max(c.busyCapacity, 0.1), typicalLoss: g.typicalLoss(),
+		utilization: c.busyWeighted / max(c.busyCapacity, 0.1), medianLoss: g.typicalLoss(),
 		unfitShare: c.unfit / max(c.unfit+c.usable, 1)}
 	if g.isThrottling() { // otherwise the pressure includes all calls
 		fleet.demandRatio = all / max(c.capacity, 0.1)
@@ -147,13 +149,13 @@
 	for _, s := range g.hosts.all() {
 		g.post(s.actor, fleet)
 	}
-	if g.rules.levelKind != NoLevels && c.capacity > 0 && usual > 0 {
+	if g.params.levelKind != NoLevels && c.capacity > 0 && usual > 0 {
 		g.adjustLevel(c)
 	}
 	if g.published.level == nil && (c.capacity == 0 || usual == 0) {
 		return // proxies may hold levels of an earlier start, which are based on more than is known yet
 	}
-	now := g.routeLevels(g.isThrottling() || fleet.pressure > strain || c.restarting > c.usable*crowd)
+	now := g.routeLevels(g.isThrottling() || fleet.pressure > targetPressure || c.restarting > c.usable*massRestartShare)
 	if !slices.Equal(now.level, g.published.level) || !slices.Equal(now.tries, g.published.tries) {
 		g.published = now
 		g.post(g.publisher, now)
@@ -165,7 +167,7 @@
 // alone admitted twice the capacity once calls were lost or rejected and then repeated, and the losses kept it so.
 func (g *admitter) adjustLevel(c fleetCapacity) {
 	total := g.totalCallRate()
-	admissible := strain * c.capacity
+	admissible := targetPressure * c.capacity
 	if c.hasRoom() {
 		admissible = max(admissible, g.rateWithRoom(c, total))
 	}
@@ -173,42 +175,42 @@
 	// hosts only. The reserve above the target load is used for that first: answer times show the queues of some
 	// seconds ago, and with all queued calls subtracted, only half of the capacity was admitted long after hosts had
 	// room again.
-	backlog := c.queuedCalls * 1000 / float64(max(1, g.rules.slo))
-	admissible = max(0, min(admissible, admissible/strain-backlog))
-	want, excess := float64(len(g.rules.byImportance)), total-admissible
-	for _, r := range g.rules.byImportance {
+	backlog := c.queuedCalls * 1000 / float64(max(1, g.params.slo))
+	admissible = max(0, min(admissible, admissible/targetPressure-backlog))
+	want, excess := float64(len(g.params.byImportance)), total-admissible
+	for _, r := range g.params.byImportance {
 		cut := min(1, max(0, excess)/max(g.callRate(r), 0.001))
 		want, excess = want-cut, excess-cut*g.callRate(r)
 	}
-	ease := max(levelEase*float64(admissionInterval)/1000, levelEaseShare*(want-g.level))
-	g.level = max(levelLow, min(want, g.level+ease))
+	ease := max(levelEasePerSecond*float64(admissionInterval)/1000, levelEaseShare*(want-g.level))
+	g.level = max(minLevel, min(want, g.level+ease))
 }
 
 // rateWithRoom returns the rate of calls to admit while hosts have room to spare: all, or, while calls are rejected,
 // the present rate raised in proportion to the room. All at once would be a burst.
 func (g *admitter) rateWithRoom(c fleetCapacity, total float64) float64 {
-	if !g.isThrottling() || len(g.published.level) == 0 || g.rules.levelKind != LevelShare {
+	if !g.isThrottling() || len(g.published.level) == 0 || g.params.levelKind != LevelShare {
 		return total
 	}
 	admitted := 0.0
 	for r, level := range g.published.level {
 		admitted += level * g.callRate(RouteID(r))
 	}
-	return admitted * strain * c.busyCapacity / c.busyWeighted
+	return admitted * targetPressure * c.busyCapacity / c.busyWeighted
 }
 
 // routeLevels returns the levels and retries that follow from the level. Under strain there is at most one retry, since
 // retries add work where there is already too much.
 func (g *admitter) routeLevels(isStrained bool) admissionLevels {
-	top := float64(len(g.rules.byImportance))
+	top := float64(len(g.params.byImportance))
 	now := admissionLevels{make([]float64, len(g.usualRates)), make([]int, len(g.usualRates))}
-	for i, r := range g.rules.byImportance {
-		part := max(levelLow, min(1, g.level-(top-1-float64(i))))
-		now.level[r], now.tries[r] = math.Round(part*levelSteps)/levelSteps, g.rules.retries[r]
+	for i, r := range g.params.byImportance {
+		part := max(minLevel, min(1, g.level-(top-1-float64(i))))
+		now.level[r], now.tries[r] = math.Round(part*levelSteps)/levelSteps, g.params.retries[r]
 		if isStrained {
 			now.tries[r] = min(1, now.tries[r])
 		}
-		if g.rules.levelKind == LevelRate {
+		if g.params.levelKind == LevelRate {
 			if now.level[r] = 1e6; part < 1 && g.proxies.len() > 0 {
 				now.level[r] = math.Ceil(part * g.callRate(r) / float64(g.proxies.len()))
 			}
@@ -225,7 +227,7 @@
 			all = append(all, value)
 		}
 	}
-	return middle(all)
+	return median(all)
 }
 
 // typicalCapacity returns the median capacity of hosts for each unit of listed weight.
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -7,15 +7,15 @@
 // came.
 func TestDemandIsNoMoreThanComes(t *testing.T) {
 	const cheap, lead = RouteID(0), RouteID(1)
-	d := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare,
+	d := New(1, Config{Slices: 1, ReportInterval: 500, Levels: LevelShare,
 		Routes: []Route{{Importance: 1, SLO: 1000}, {Importance: 3, SLO: 1000}}})
 	g := d.gate
 	g.usualRates = []float64{9, 1}
 	g.level = 1.5
 	d.now = 10000
-	g.callSums[cheap].add(d.now, gateMemory, 80)
-	g.callSums[lead].add(d.now, gateMemory, 40)
-	total := g.callSums[cheap].rate(d.now, gateMemory, 0) + g.callSums[lead].rate(d.now, gateMemory, 0)
+	g.callSums[cheap].add(d.now, admissionHalfLife, 80)
+	g.callSums[lead].add(d.now, admissionHalfLife, 40)
+	total := g.callSums[cheap].rate(d.now, admissionHalfLife, 0) + g.callSums[lead].rate(d.now, admissionHalfLife, 0)
 	if all, _ := g.estimateDemand(); all > total+0.001 {
 		t.Errorf("estimated demand is %.1f calls a second where %.1f come", all, total)
 	}
@@ -23,7 +23,7 @@
 
 // A level that is published as whole rejects nothing, so the usual call rates are learnt again.
 func TestLevelsToldAsWholeThrottleNothing(t *testing.T) {
-	g := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}, {SLO: 1000}}}).gate
+	g := New(1, Config{Slices: 1, ReportInterval: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}, {SLO: 1000}}}).gate
 	if g.level = 1.98; g.isThrottling() {
 		t.Error("a level that is published as 1 counts as throttling")
 	}
@@ -37,12 +37,12 @@
 func TestWhatIsLetInFitsAllCallsThatCome(t *testing.T) {
 	const cheap, lead = RouteID(0), RouteID(1)
 	const able = 100.0
-	g := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare,
+	g := New(1, Config{Slices: 1, ReportInterval: 500, Levels: LevelShare,
 		Routes: []Route{{Importance: 1, SLO: 1000}, {Importance: 3, SLO: 1000}}}).gate
 	g.now = 10000
 	g.usualRates = []float64{60, 30} // wanted, as learnt before
-	g.callSums[cheap].add(g.now, gateMemory, 300)
-	g.callSums[lead].add(g.now, gateMemory, 40)
+	g.callSums[cheap].add(g.now, admissionHalfLife, 300)
+	g.callSums[lead].add(g.now, admissionHalfLife, 40)
 	g.adjustLevel(fleetCapacity{capacity: able, busyWeighted: able, busyCapacity: able})
 	levels := g.routeLevels(true).level
 	admitted := levels[cheap]*g.callRate(cheap) + levels[lead]*g.callRate(lead)
@@ -54,15 +54,15 @@
 // Levels rise to what hosts have room for, not at once to all calls: that caused the next burst.
 func TestLevelsEaseByTheRoomOfHosts(t *testing.T) {
 	const able, busyShare, level = 200.0, 0.5, 0.3
-	g := New(1, Facts{Slices: 1, ReportEvery: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}}}).gate
+	g := New(1, Config{Slices: 1, ReportInterval: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}}}).gate
 	g.now = 10000
 	g.usualRates = []float64{100}
-	g.callSums[0].add(g.now, gateMemory, 1000)
+	g.callSums[0].add(g.now, admissionHalfLife, 1000)
 	g.level, g.published.level = level, []float64{level}
 	before := level * g.callRate(0)
 	g.adjustLevel(fleetCapacity{capacity: able, busyWeighted: able * busyShare, busyCapacity: able})
 	after := g.level * g.callRate(0)
-	if most := before * strain / busyShare; after > most+0.001 || after <= before {
+	if most := before * targetPressure / busyShare; after > most+0.001 || after <= before {
 		t.Errorf("admitted %.0f calls a second after %.0f, with hosts half idle; want more than before and at most %.0f",
 			after, before, most)
 	}
--- a/logic/channel.go
+++ b/logic/channel.go
@@ -9,7 +9,7 @@
 
 // hasRoom says whether the given part of the queue has room for more lines.
 func (f *channelMessage) hasRoom(part, lines float64) bool {
-	return f.filled+lines <= f.queueLimit*part && f.totalUnacknowledged+lines <= f.queueLimit*surePart
+	return f.filled+lines <= f.queueLimit*part && f.totalUnacknowledged+lines <= f.queueLimit*unacknowledgedBudget
 }
 
 // reserve charges lines to each proxy that uses a table, if the given part of the queue has room for all of them.
@@ -25,12 +25,12 @@
 		return false
 	}
 	back := f.returningLines + lines*f.returningProxies
-	if f.returningProxies > 0 && f.filled+more+back > f.queueLimit*surePart {
+	if f.returningProxies > 0 && f.filled+more+back > f.queueLimit*unacknowledgedBudget {
 		return false
 	}
 	f.filled, f.totalUnacknowledged, f.returningLines = f.filled+more, f.totalUnacknowledged+more, back
 	for _, n := range users {
-		f.unacknowledged.put(n, f.unacknowledged.get(n)+lines)
+		f.unacknowledged.set(n, f.unacknowledged.get(n)+lines)
 	}
 	return true
 }
@@ -41,7 +41,7 @@
 // reserveForReturns leaves room for proxies that left recently. When a network partition ends they come back by the
 // hundred, and what is written goes to all that are back, while the director learns of them a moment later.
 func (p *publisher) reserveForReturns(f *channelMessage) {
-	if !p.rules.sliced {
+	if !p.params.sliced {
 		return
 	}
 	for _, left := range p.leftAt.all() {
@@ -53,7 +53,7 @@
 // addOverhead adds the overhead of each proxy's message and returns the lines of all messages.
 func (f *channelMessage) addOverhead() float64 {
 	for n, lines := range f.unacknowledged.all() {
-		f.unacknowledged.put(n, lines+f.overhead)
+		f.unacknowledged.set(n, lines+f.overhead)
 	}
 	return f.lineCount()
 }
@@ -75,13 +75,13 @@
 
 // acknowledge handles a proxy's acknowledgement of a stamp: a stream is ordered, so everything written to the proxy
 // before has arrived too, whether or not an acknowledgement of it was received.
-func (p *publisher) acknowledge(n Applied) {
+func (p *publisher) acknowledge(n Acknowledged) {
 	for i, f := range p.inFlight {
 		// An acknowledgement tells how long ago its message was written. One of a repeat proves that the first copy is
 		// no longer in flight, since a stream is ordered; one of the first copy says nothing about the repeat.
-		if f.serial == n.Serial && !(f.isRepeat && p.now-n.Spent < f.writtenAt) {
+		if f.serial == n.Serial && !(f.isRepeat && p.now-n.Latency < f.writtenAt) {
 			for _, before := range p.inFlight[:i+1] {
-				before.unacknowledged.drop(n.Proxy)
+				before.unacknowledged.delete(n.Proxy)
 			}
 			f.unconfirmedSince = 0
 			p.acknowledgedAt = p.now
@@ -91,13 +91,15 @@
 
 func (p *publisher) extendWriteStops() {
 	for t, until := range p.writesStoppedUntil.all() {
-		p.writesStoppedUntil.put(t, max(until, p.now+p.rules.settleTime))
+		p.writesStoppedUntil.set(t, max(until, p.now+p.params.settleTime))
 	}
 }
 
 // silenceTimeout is how long after its sending began a working channel may show no acknowledgement at all. A message is
 // sent to one proxy after the other, so the first proxies answer however slow the channel is.
-func (p *publisher) silenceTimeout() Millis { return slowest*p.rules.transit + p.rules.worstTransit }
+func (p *publisher) silenceTimeout() Millis {
+	return maxSlowdown*p.params.transit + p.params.worstTransit
+}
 
 // maxAliveGap is the longest time between two signs of life of a working connection: one comes each second.
 const maxAliveGap = Millis(1500)
@@ -137,7 +139,7 @@
 	p.inFlight = nil
 	p.silences++
 	for id := range p.availability.all() {
-		p.masked.drop(id)
+		p.masked.delete(id)
 	}
 	p.writtenLevels = admissionLevels{}
 }
@@ -147,7 +149,7 @@
 // message, all unacknowledged lines, which is correct at any rate. Messages that are never acknowledged, because they
 // or the acknowledgements were lost, are dropped after a time.
 func (p *publisher) queuedLines() (lines, all float64) {
-	most := slowest * (Millis(p.rules.queueLimit/p.rules.linesPerMilli) + p.rules.transit)
+	most := maxSlowdown * (Millis(p.params.queueLimit/p.params.linesPerMilli) + p.params.transit)
 	p.inFlight = slices.DeleteFunc(p.inFlight, func(f *channelMessage) bool {
 		return f.unconfirmedSince == 0 && (f.unacknowledged.len() == 0 || p.now >= f.clearAt+most)
 	})
@@ -155,8 +157,8 @@
 	for _, f := range p.inFlight {
 		size := f.lineCount()
 		all += size
-		lines += min(size, max(0, float64(f.clearAt-p.now)*p.rules.linesPerMilli))
-		slow = slow || !f.isRepeat && p.now > f.clearAt+p.rules.transit*3/2 && f.unacknowledged.len()*2 > p.proxies.len()
+		lines += min(size, max(0, float64(f.clearAt-p.now)*p.params.linesPerMilli))
+		slow = slow || !f.isRepeat && p.now > f.clearAt+p.params.transit*3/2 && f.unacknowledged.len()*2 > p.proxies.len()
 	}
 	if slow {
 		return all, all
@@ -164,14 +166,14 @@
 	return lines, all
 }
 
-func (p *publisher) markUnconfirmed(n Unsure) {
+func (p *publisher) markUnconfirmed(n Unconfirmed) {
 	for _, f := range p.inFlight {
 		if f.serial == n.Serial && !f.isRepeat {
 			f.unconfirmedSince = p.now
 			return
 		}
 	}
-	p.order(Again{n.Serial}) // no proxy is left that could acknowledge it
+	p.emit(Resend{n.Serial}) // no proxy is left that could acknowledge it
 }
 
 // repeatUnconfirmed orders unconfirmed messages to be written again and says whether some still wait for that. An
@@ -183,21 +185,21 @@
 	filled, all := p.queuedLines()
 	for _, f := range p.inFlight {
 		size := f.lineCount()
-		begins := f.clearAt - Millis(size/p.rules.linesPerMilli)
-		full := filled+size > p.rules.queueLimit*urgentPart || all+size > p.rules.queueLimit*surePart
-		if f.unconfirmedSince == 0 || p.now < begins+p.rules.transit || full && p.now < f.clearAt+3*p.rules.transit {
+		begins := f.clearAt - Millis(size/p.params.linesPerMilli)
+		full := filled+size > p.params.queueLimit*urgentBudget || all+size > p.params.queueLimit*unacknowledgedBudget
+		if f.unconfirmedSince == 0 || p.now < begins+p.params.transit || full && p.now < f.clearAt+3*p.params.transit {
 			waiting = waiting || f.unconfirmedSince > 0
 			continue
 		}
-		p.clearAt = max(p.clearAt, p.now) + Millis(size/p.rules.linesPerMilli)
+		p.clearAt = max(p.clearAt, p.now) + Millis(size/p.params.linesPerMilli)
 		f.clearAt, f.unconfirmedSince, filled, all = p.clearAt, 0, filled+size, all+size
 		// Both have the same stamp: what a proxy acknowledges of the first copy frees no room of the second.
 		repeat := &channelMessage{serial: f.serial, clearAt: p.clearAt, isRepeat: true, writtenAt: p.now}
 		for n, lines := range f.unacknowledged.all() {
-			repeat.unacknowledged.put(n, lines)
+			repeat.unacknowledged.set(n, lines)
 		}
 		p.inFlight = append(p.inFlight, repeat)
-		p.order(Again{f.serial})
+		p.emit(Resend{f.serial})
 	}
 	return waiting
 }
--- a/logic/draft.go
+++ b/logic/draft.go
@@ -11,7 +11,7 @@
 }
 
 func (p *publisher) newDraft() *draft {
-	f := &channelMessage{proxies: &p.proxies, overhead: p.rules.headLines + 1, queueLimit: p.rules.queueLimit}
+	f := &channelMessage{proxies: &p.proxies, overhead: p.params.headLines + 1, queueLimit: p.params.queueLimit}
 	overhead := float64(p.proxies.len()) * f.overhead
 	f.filled, f.totalUnacknowledged = p.queuedLines()
 	f.filled, f.totalUnacknowledged = f.filled+overhead, f.totalUnacknowledged+overhead
@@ -23,14 +23,14 @@
 
 // usersOf returns a function that says whether a proxy holds a table.
 func (d *draft) usersOf(t TableID) func(*joinedProxy) bool {
-	return func(s *joinedProxy) bool { return d.rules.sliced || s.bound && s.table == t || t >= zoneTables }
+	return func(s *joinedProxy) bool { return d.params.sliced || s.bound && s.table == t || t >= firstZoneTable }
 }
 
 // writeMasks writes the outdated masks of hosts with an availability, except some.
 func (d *draft) writeMasks(state availability, except func(HostID) bool) {
 	for _, id := range d.hostsToMask(state) {
-		if !except(id) && d.message.reserve(urgentPart, 1, everyProxy) {
-			d.order(Mask{id, state != available})
+		if !except(id) && d.message.reserve(urgentBudget, 1, everyProxy) {
+			d.emit(Mask{id, state != available})
 			d.setMask(id, state != available)
 		}
 	}
@@ -39,7 +39,7 @@
 // writeExhaustedTables writes the tables that have no host to offer, the longest pending first.
 func (d *draft) writeExhaustedTables() {
 	for _, w := range d.pendingTables(true, func(w wantedTable) float64 { return -float64(w.pendingSince) }) {
-		d.writeTable(w, d.nextStep(w, false), urgentPart)
+		d.writeTable(w, d.nextStep(w, false), urgentBudget)
 	}
 }
 
@@ -76,7 +76,7 @@
 
 // isFull says whether there is no room for one line to every proxy.
 func (d *draft) isFull(part float64) bool {
-	return d.rules.sliced && !d.message.hasRoom(part, float64(d.proxies.len()))
+	return d.params.sliced && !d.message.hasRoom(part, float64(d.proxies.len()))
 }
 
 func (d *draft) priority(w wantedTable) float64 { return w.priority(d.now) }
@@ -85,18 +85,18 @@
 // them. A table that does not fit does not hold up those behind it: a smaller one may fit.
 func (d *draft) writeTable(w wantedTable, next lines, part float64) (written bool) {
 	t, changes := w.table, d.tableOrders(w.table, next)
-	if d.rules.sliced && !d.message.hasRoom(part, float64(len(changes)*d.proxies.len())) {
+	if d.params.sliced && !d.message.hasRoom(part, float64(len(changes)*d.proxies.len())) {
 		return false // found without visiting thousands of proxies for each of as many tables
 	}
 	if !d.message.reserve(part, float64(len(changes)), d.usersOf(t)) {
 		return false
 	}
-	d.out = append(d.out, changes...)
-	if d.current.put(t, next); slices.Equal(next, w.lines) {
-		d.pending.drop(t)
+	d.orders = append(d.orders, changes...)
+	if d.current.set(t, next); slices.Equal(next, w.lines) {
+		d.pending.delete(t)
 	} else if len(changes) > 0 {
 		w.pendingSince, w.urgent = d.now, false // its calls go where they should: the rest can wait
-		d.pending.put(t, w)
+		d.pending.set(t, w)
 	}
 	d.post(d.placer, tableWritten{t, next})
 	for _, l := range next {
@@ -104,8 +104,8 @@
 			d.setMask(l.host, false)
 		}
 	}
-	if d.rules.singleOwner {
-		d.writesStoppedUntil.put(t, d.now+d.rules.settleTime)
+	if d.params.singleOwner {
+		d.writesStoppedUntil.set(t, d.now+d.params.settleTime)
 	}
 	return true
 }
@@ -113,17 +113,17 @@
 // bindProxies binds proxies to the tables that they are to use, at sites without slices.
 func (d *draft) bindProxies() {
 	for n, s := range d.proxies.all() {
-		zone := zoneTables + TableID(s.zone)
+		zone := firstZoneTable + TableID(s.zone)
 		lines := 2 + float64(len(d.current.get(s.wantedTable))+len(d.current.get(zone)))
-		if d.rules.sliced || s.bound && s.wantedTable == s.table || !d.current.has(s.wantedTable) ||
-			!d.message.reserve(barePart, lines, func(x *joinedProxy) bool { return x == s }) {
+		if d.params.sliced || s.bound && s.wantedTable == s.table || !d.current.has(s.wantedTable) ||
+			!d.message.reserve(unslicedBudget, lines, func(x *joinedProxy) bool { return x == s }) {
 			continue
 		}
-		if own := d.rules.ownZoneRoutes; own != 0 && !s.bound {
-			d.order(Bind{n, zone, own})
+		if own := d.params.ownZoneRoutes; own != 0 && !s.bound {
+			d.emit(Bind{n, zone, own})
 		}
-		if rest := d.rules.allRoutes &^ d.rules.ownZoneRoutes; rest != 0 {
-			d.order(Bind{n, s.wantedTable, rest})
+		if rest := d.params.allRoutes &^ d.params.ownZoneRoutes; rest != 0 {
+			d.emit(Bind{n, s.wantedTable, rest})
 		}
 		s.table, s.bound = s.wantedTable, true
 	}
--- a/logic/host.go
+++ b/logic/host.go
@@ -2,112 +2,120 @@
 
 import "math"
 
-// What a host is known by: the list's word on it, what reports tell of its load and answers, and what it makes known
-// of itself.
+// The state of a host: what the host list tells of it, what samples tell of its load and its answers, and the status
+// that it sends to the placer and the gate.
 
-// list follows the list. A new birth is a cold host, also where it never left our tables.
-func (h *host) list(e Entry) {
-	why := ReasonList
-	since(&h.unlistedAt, e.State == Gone, h.now)
-	if e.State == Gone && h.known {
-		// Being dropped may be advice, but the drain that went before it binds until the host is up again.
+// updateEntry takes in the entry of the host list. A new start time makes the host cold, also where it never left the
+// tables.
+func (h *host) updateEntry(e HostEntry) {
+	reason := ReasonList
+	trackSince(&h.unlistedAt, e.State == Gone, h.now)
+	if e.State == Gone && h.hasEntry {
+		// The removal may be advisory, but a drain before it stays binding until the host is up again.
 		if e.Zone, e.Cell = h.entry.Zone, h.entry.Cell; h.entry.State == Draining {
 			e.State = Draining
 		}
 	}
-	if e.State == Up && (!h.known || e.Born != h.entry.Born || h.entry.State != Up) {
-		born := startOf(e.Born, h.now, h.known || h.followed)
-		if h.known && e.Born == h.entry.Born {
-			born = h.now
+	if e.State == Up && (!h.hasEntry || e.StartedAt != h.entry.StartedAt || h.entry.State != Up) {
+		startedAt := startTime(e.StartedAt, h.now, h.hasEntry || h.addedLater)
+		if h.hasEntry && e.StartedAt == h.entry.StartedAt {
+			startedAt = h.now
 		}
-		if born > 0 {
-			h.freshUntil, h.coldUntil = born+freshFor, born+max(freshFor, h.rules.warmUpTime)
+		if startedAt > 0 {
+			h.freshUntil, h.coldUntil = startedAt+freshPeriod, startedAt+max(freshPeriod, h.params.warmUpTime)
 		}
-		if h.known {
-			why = ReasonRestart
-			h.enter(serving)
-			h.rate, h.press, h.good, h.used, h.busy, h.voidSince = sum{}, sum{}, sum{}, sum{}, 0, 0
+		if h.hasEntry {
+			reason = ReasonRestart
+			h.enterState(serving)
+			h.throughput, h.pressure, h.answered, h.utilizations, h.utilization, h.implausibleSince =
+				decayingSum{}, decayingSum{}, decayingSum{}, decayingSum{}, 0, 0
 		}
 	}
-	h.entry, h.known = e, true
-	h.changed(why)
+	h.entry, h.hasEntry = e, true
+	h.recordChange(reason)
 }
 
-func (h *host) met(m Met) {
-	h.ended.add(h.now, h.rules.healthHalfLife, float64(m.Ended))
-	h.lost.add(h.now, h.rules.healthHalfLife, float64(m.Lost))
+// recordSample adds a sample to the sums of tries, answer times and load.
+func (h *host) recordSample(m HostSample) {
+	h.finished.add(h.now, h.params.healthHalfLife, float64(m.Finished))
+	h.failed.add(h.now, h.params.healthHalfLife, float64(m.Failed))
 	h.trial.add(m)
-	h.unproven = h.unproven && m.Ended == m.Lost
-	h.changed(ReasonAnswer)
-	h.spent.add(h.now, h.rules.healthHalfLife, float64(m.Spent)*float64(m.Ended-m.Lost))
-	if h.lastLine > 0 && h.now > h.lastLine {
-		h.gap += (h.now - h.lastLine - h.gap) * 0.2
+	h.unproven = h.unproven && m.Finished == m.Failed
+	h.recordChange(ReasonAnswer)
+	h.latency.add(h.now, h.params.healthHalfLife, float64(m.MeanLatency)*float64(m.Finished-m.Failed))
+	if h.lastReport > 0 && h.now > h.lastReport {
+		h.reportGap += (h.now - h.lastReport - h.reportGap) * 0.2
 	}
-	h.lastLine = h.now
-	if m.Ended > m.Lost {
-		h.lastAnswer, h.missed, h.countedTo = h.now, 0, h.now
+	h.lastReport = h.now
+	if m.Finished > m.Failed {
+		h.lastAnswer, h.missedAnswers, h.missedCountedTo = h.now, 0, h.now
 	}
-	rate := 1000 * float64(m.Ended-m.Lost) / max(1, float64(m.Over))
-	// Read as reports come in, so that the rate doesn't ripple with them.
-	part := (1 - math.Exp2(-float64(h.rules.reportInterval/h.rules.healthHalfLife))) * 1000 / float64(h.rules.reportInterval)
-	h.flow = h.ended.read(h.now, h.rules.healthHalfLife) * part
-	busy, press := m.Load.Busy, float64(m.Spent)*rate/1000
-	if busy != nil {
-		// A host that always has a call of ours in hand is not idle: such reports are void, or they would draw
-		// load. One alone may be newer than the answers it came with, unless it denies those answers too.
-		since(&h.voidSince, *busy < 0.1 && press > 1, h.now)
-		denied := m.Load.Rate != nil && *m.Load.Rate < rate/4
-		if h.void = h.voidSince > 0 && (denied || h.now-h.voidSince >= failFor); h.void {
-			guess := min(1, float64(m.Spent/h.rules.slo))
-			busy = &guess
+	throughput := 1000 * float64(m.Finished-m.Failed) / max(1, float64(m.Period))
+	// The rate is computed when a sample arrives, so that it does not ripple with the period of the samples.
+	perSecond := (1 - math.Exp2(-float64(h.params.reportInterval/h.params.healthHalfLife))) * 1000 / float64(h.params.reportInterval)
+	h.tryRate = h.finished.read(h.now, h.params.healthHalfLife) * perSecond
+	utilization, pressure := m.Load.Utilization, float64(m.MeanLatency)*throughput/1000
+	if utilization != nil {
+		// A host that always holds a call is not idle. Reports that say so would attract load, so an estimate takes their
+		// place. A single one may be newer than the answers it came with, unless its throughput contradicts those, too.
+		trackSince(&h.implausibleSince, *utilization < 0.1 && pressure > 1, h.now)
+		contradicts := m.Load.Throughput != nil && *m.Load.Throughput < throughput/4
+		if h.implausible = h.implausibleSince > 0 &&
+			(contradicts || h.now-h.implausibleSince >= failPeriod); h.implausible {
+			estimate := min(1, float64(m.MeanLatency/h.params.slo))
+			utilization = &estimate
 		}
-		if h.busy == 0 {
-			h.busy = *busy
+		if h.utilization == 0 {
+			h.utilization = *utilization
 		}
-		h.busy += (*busy - h.busy) * 0.4 // one report is noisy
-		// Little is learnt while work is wasted, or a jam would teach at once that the host can do nothing.
-		trust := 1 - 0.7*float64(bit(m.Lost*3 >= m.Ended, 0))
-		h.good.add(h.now, loadMemory, trust*(h.flow-h.lost.read(h.now, h.rules.healthHalfLife)*part))
-		h.used.add(h.now, loadMemory, trust*max(0.05, *busy))
-		press = *busy
-	} else if m.Load.InHand != nil {
-		press = *m.Load.InHand
+		h.utilization += (*utilization - h.utilization) * 0.4 // smoothed, since single reports are noisy
+		// Samples with many failed tries count little: otherwise an overload would at once bring the estimated capacity
+		// down to nothing.
+		trust := 1 - 0.7*float64(bit(m.Failed*3 >= m.Finished, 0))
+		h.answered.add(h.now, loadHalfLife, trust*(h.tryRate-h.failed.read(h.now, h.params.healthHalfLife)*perSecond))
+		h.utilizations.add(h.now, loadHalfLife, trust*max(0.05, *utilization))
+		pressure = *utilization
+	} else if m.Load.Outstanding != nil {
+		pressure = *m.Load.Outstanding
 	}
-	if h.void {
+	if h.implausible {
 		return
 	}
-	if m.Load.Rate != nil {
-		rate = *m.Load.Rate
+	if m.Load.Throughput != nil {
+		throughput = *m.Load.Throughput
 	}
-	h.rate.add(h.now, loadMemory, rate)
-	h.press.add(h.now, loadMemory, press)
+	h.throughput.add(h.now, loadHalfLife, throughput)
+	h.pressure.add(h.now, loadHalfLife, pressure)
 }
 
-// untried says whether a host must not be used yet: it has answered nothing, and no standing table vouches for it.
-func (h *host) untried() bool { return h.unproven && h.now >= h.vouchedUntil }
+// isUnproven tells whether a host must not be used yet: it has answered nothing, and no published table attests it.
+func (h *host) isUnproven() bool { return h.unproven && h.now >= h.trustedUntil }
 
-func (h *host) tell() {
-	ended, listed := h.ended.read(h.now, h.rules.healthHalfLife), h.known && h.entry.State == Up
+// publishStatus sends the present status to the placer and the gate.
+func (h *host) publishStatus() {
+	finished, listed := h.finished.read(h.now, h.params.healthHalfLife), h.hasEntry && h.entry.State == Up
 	s := hostStatus{id: h.id, actor: h, zone: h.entry.Zone, cell: h.entry.Cell, fresh: h.now < h.freshUntil,
-		warmShare: 1 - (1-h.rules.freshShare)*float64(max(0, h.freshUntil-h.now)/freshFor), listedWeight: 1,
-		tryRate: min(h.flow, 2*ended), busy: h.busy, invalidReports: h.void, dueRate: h.due + h.rising,
-		loss: h.lost.read(h.now, h.rules.healthHalfLife) / max(ended, 0.1), cold: h.now < h.coldUntil,
-		resting: h.now < h.restUntil, unproven: listed && h.untried()}
-	s.answerTime = h.spent.read(h.now, h.rules.healthHalfLife) / max(0.1, ended*(1-s.loss))
-	up := listed && !h.untried()
-	if h.rules.goneIsAdvisory && h.known && h.entry.State == Gone {
-		up = ended > 0.5 && s.loss < 0.5 // the list may be wrong there: a host that answers well stays
+		warmShare: 1 - (1-h.params.freshShare)*float64(max(0, h.freshUntil-h.now)/freshPeriod), listedWeight: 1,
+		tryRate: min(h.tryRate, 2*finished), utilization: h.utilization, invalidReports: h.implausible,
+		dueRate: h.expectedRate + h.pendingRate,
+		loss:    h.failed.read(h.now, h.params.healthHalfLife) / max(finished, 0.1), cold: h.now < h.coldUntil,
+		resting: h.now < h.restUntil, unproven: listed && h.isUnproven()}
+	s.answerTime = h.latency.read(h.now, h.params.healthHalfLife) / max(0.1, finished*(1-s.loss))
+	up := listed && !h.isUnproven()
+	if h.params.goneIsAdvisory && h.hasEntry && h.entry.State == Gone {
+		up = finished > 0.5 && s.loss < 0.5 // the host list may be wrong: a host that answers well stays
 	}
-	s.leaving = h.known && !listed && !up && (h.entry.State == Draining || !h.rules.goneIsAdvisory)
+	s.leaving = h.hasEntry && !listed && !up && (h.entry.State == Draining || !h.params.goneIsAdvisory)
 	s.usable, s.unfit, s.onTrial = up && h.state == serving, up && h.state != serving, up && h.state == onTrial
-	if h.rules.weighted && h.entry.Weight > 0 {
+	if h.params.weighted && h.entry.Weight > 0 {
 		s.listedWeight = h.entry.Weight
 	}
-	if press, rate := h.press.read(h.now, loadMemory), h.rate.read(h.now, loadMemory); press > 0.3 && rate > 0 {
-		s.callsPerPressure = rate / press
+	if pressure, throughput := h.pressure.read(h.now, loadHalfLife),
+		h.throughput.read(h.now, loadHalfLife); pressure > 0.3 && throughput > 0 {
+		s.callsPerPressure = throughput / pressure
 	}
-	if used := h.used.read(h.now, loadMemory); used > 0.01 {
-		s.capacity = h.good.read(h.now, loadMemory) / used
+	if utilizations := h.utilizations.read(h.now, loadHalfLife); utilizations > 0.01 {
+		s.capacity = h.answered.read(h.now, loadHalfLife) / utilizations
 	}
 	h.post(h.place, s)
 	h.post(h.gate, s)
--- a/logic/loop.go
+++ b/logic/loop.go
@@ -1,4 +1,5 @@
-// The machinery the parts run on: inboxes, the loop that empties them, and chance. No decisions.
+// The runtime of the actors: inboxes, the loop that drains them, and random numbers. It decides nothing.
+
 package logic
 
 import (
@@ -7,116 +8,121 @@
 	"slices"
 )
 
-// inbox is where a part's notes wait; loop empties all of them in the order in which they filled.
-type inbox struct{ waiting []any }
+// inbox holds the pending messages of an actor. The loop drains inboxes in the order in which they got their first one.
+type inbox struct{ pending []any }
 
-func (b *inbox) box() *inbox { return b }
+func (b *inbox) mailbox() *inbox { return b }
 
-type part interface {
-	box() *inbox
-	take(n any)
+// actor is one part of the decisions. It acts on the messages in its inbox and shares nothing with others but the loop.
+type actor interface {
+	mailbox() *inbox
+	handle(msg any)
 }
 
+// loop passes messages between actors and collects their orders.
 type loop struct {
-	now   Millis
-	seed  uint64
-	drawn uint64
-	ready []part
-	out   []Order
-	rules params
-	// changes are those of hosts in the call at hand, for the log.
-	changes []HostChange
+	now    Millis
+	seed   uint64
+	draws  uint64
+	ready  []actor
+	orders []Order
+	params params
+	// hostChanges are the changes of hosts' conditions in the current call of Handle, for the log.
+	hostChanges []HostChange
 }
 
-func (l *loop) post(to part, n any) {
-	b := to.box()
-	if len(b.waiting) == 0 {
+// post puts a message into the inbox of an actor.
+func (l *loop) post(to actor, msg any) {
+	b := to.mailbox()
+	if len(b.pending) == 0 {
 		l.ready = append(l.ready, to)
 	}
-	b.waiting = append(b.waiting, n)
+	b.pending = append(b.pending, msg)
 }
 
-func (l *loop) order(o Order) { l.out = append(l.out, o) }
+// emit adds an order to the reply of the current call of Handle.
+func (l *loop) emit(o Order) { l.orders = append(l.orders, o) }
 
-func (l *loop) empty() {
+// drainInboxes delivers messages until no inbox holds any.
+func (l *loop) drainInboxes() {
 	for len(l.ready) > 0 {
-		p := l.ready[0]
+		a := l.ready[0]
 		l.ready = l.ready[1:]
-		b := p.box()
-		notes := b.waiting
-		b.waiting = nil
-		for _, n := range notes {
-			p.take(n)
+		b := a.mailbox()
+		msgs := b.pending
+		b.pending = nil
+		for _, msg := range msgs {
+			a.handle(msg)
 		}
 	}
 }
 
-// chance is in [0,1), from the seed and a counter alone so that a run can be played again.
-func (l *loop) chance() float64 {
+// random returns a number in [0,1). It depends on the seed and a counter alone, so that a run can be replayed.
+func (l *loop) random() float64 {
 	var raw [16]byte
 	binary.LittleEndian.PutUint64(raw[:], l.seed)
-	binary.LittleEndian.PutUint64(raw[8:], l.drawn)
-	l.drawn++
+	binary.LittleEndian.PutUint64(raw[8:], l.draws)
+	l.draws++
 	return float64(crc32.ChecksumIEEE(raw[:])) / (1 << 32)
 }
 
-func (d *Director) take(n any) {
-	switch n := n.(type) {
-	case Roster:
-		d.roster(n)
-	case OnRecord:
-		if d.stored.has(n.Slice) && n.Weight > 0 {
-			d.stored.put(n.Slice, append(d.stored.get(n.Slice), line{n.Host, n.Weight}))
-		}
-	case Met:
-		if h := d.hosts.get(n.Host); h != nil {
-			d.reported = d.now
-			d.post(h, n)
-		}
-	case Asked:
-		d.post(d, Heat{TableID(n.Proxy) + 1, n.Route, n.Over, n.Calls, n.Lost})
-	case Probed:
-		if h := d.hosts.get(n.Host); h != nil {
-			d.post(h, n)
-		}
-	case Custody:
-		d.stored.drop(n.Slice)
-		d.post(d.place, n)
-		d.post(d.publish, n)
-		if n.Given {
-			d.stored.put(n.Slice, nil)
-		}
-	case Due:
-		d.order(After{beat, 0})
-		d.forget()
+func (d *Director) handle(msg any) {
+	switch msg := msg.(type) {
+	case HostList:
+		d.updateHosts(msg)
+	case StoredLine:
+		if d.storedLines.has(msg.Slice) && msg.Weight > 0 {
+			d.storedLines.set(msg.Slice, append(d.storedLines.get(msg.Slice), line{msg.Host, msg.Weight}))
+		}
+	case HostSample:
+		if h := d.hosts.get(msg.Host); h != nil {
+			d.lastReport = d.now
+			d.post(h, msg)
+		}
+	case RouteDemand:
+		d.post(d, SliceDemand{TableID(msg.Proxy) + 1, msg.Route, msg.Period, msg.Calls, msg.Unanswered})
+	case ProbeResult:
+		if h := d.hosts.get(msg.Host); h != nil {
+			d.post(h, msg)
+		}
+	case SliceOwnership:
+		d.storedLines.delete(msg.Slice)
+		d.post(d.place, msg)
+		d.post(d.publish, msg)
+		if msg.Owned {
+			d.storedLines.set(msg.Slice, nil)
+		}
+	case TimerFired:
+		d.emit(SetTimer{tickInterval, 0})
+		d.forgetHosts()
 		for _, h := range d.hosts.all() {
-			d.post(h, pulse{d.reported})
+			d.post(h, tick{d.lastReport})
 		}
-		d.post(d.gate, n)
-		d.post(d.place, n)
+		d.post(d.gate, msg)
+		d.post(d.place, msg)
 	default:
-		d.post(d.place, n)
-		d.post(d.gate, n)
-		d.post(d.publish, n)
+		d.post(d.place, msg)
+		d.post(d.gate, msg)
+		d.post(d.publish, msg)
 	}
 }
 
-func (g *admitter) take(n any) {
-	switch n := n.(type) {
+func (g *admitter) handle(msg any) {
+	switch msg := msg.(type) {
 	case hostStatus:
-		g.hosts.put(n.id, n)
-	case Heat:
-		if int(n.Route) < len(g.callSums) {
-			since(&g.firstReport, true, g.now)
-			g.recentCalls.add(g.now, demandMemory, float64(n.Calls))
-			g.callSums[n.Route].add(g.now, gateMemory, float64(n.Calls))
-			g.unanswered[n.Route].add(g.now, gateMemory, float64(n.Lost))
-		}
-	case Joined:
-		g.proxies.put(n.Proxy, true)
-	case Left:
-		g.proxies.drop(n.Proxy)
-	case Due:
+		g.hosts.set(msg.id, msg)
+	case SliceDemand:
+		if int(msg.Route) < len(g.callSums) {
+			trackSince(&g.firstReport, true, g.now)
+			g.recentCalls.add(g.now, demandHalfLife, float64(msg.Calls))
+			g.callSums[msg.Route].add(g.now, admissionHalfLife, float64(msg.Calls))
+			g.unanswered[msg.Route].add(g.now, admissionHalfLife, float64(msg.Unanswered))
+		}
+	case ProxyJoined:
+		g.proxies.set(msg.Proxy, true)
+	case ProxyLeft:
+		g.proxies.delete(msg.Proxy)
+	case TimerFired:
 		if g.now >= g.nextUpdate {
 			g.nextUpdate = g.now + admissionInterval
 			g.update()
@@ -124,53 +130,53 @@
 	}
 }
 
-func (h *host) take(n any) {
-	switch n := n.(type) {
-	case Entry:
-		h.list(n)
-	case Met:
-		h.met(n)
+func (h *host) handle(msg any) {
+	switch msg := msg.(type) {
+	case HostEntry:
+		h.updateEntry(msg)
+	case HostSample:
+		h.recordSample(msg)
 	case expectedRate:
-		h.expect(n.rate)
+		h.setExpectedRate(msg.rate)
 	case fleetLoad:
-		h.around = n
-	case Probed:
-		h.unproven = h.unproven && !n.Good
-		h.changed(ReasonAnswer)
-	case pulse:
-		h.judge(n.reported)
+		h.fleet = msg
+	case ProbeResult:
+		h.unproven = h.unproven && !msg.Healthy
+		h.recordChange(ReasonAnswer)
+	case tick:
+		h.evaluate(msg.lastReport)
 	case endOfBatch:
-		h.tell()
+		h.publishStatus()
 	}
 }
 
-func (p *placer) take(n any) {
-	switch n := n.(type) {
+func (p *placer) handle(msg any) {
+	switch msg := msg.(type) {
 	case hostStatus:
-		p.updateHost(n)
+		p.updateHost(msg)
 	case fleetLoad:
-		p.fleet = n
+		p.fleet = msg
 	case storedTable:
-		p.addSlice(n.table, n.lines)
+		p.addSlice(msg.table, msg.lines)
 	case tableWritten:
-		if pc := p.owned.get(n.table); pc != nil {
-			pc.written, pc.writtenTable = pc.planned, n.lines
+		if pc := p.owned.get(msg.table); pc != nil {
+			pc.written, pc.writtenTable = pc.planned, msg.lines
 		}
-	case Custody:
-		p.owned.drop(n.Slice)
-	case Joined:
-		if t := TableID(n.Proxy) + 1; !p.rules.sliced && !p.owned.has(t) {
+	case SliceOwnership:
+		p.owned.delete(msg.Slice)
+	case ProxyJoined:
+		if t := TableID(msg.Proxy) + 1; !p.params.sliced && !p.owned.has(t) {
 			p.addSlice(t, nil)
 		}
-	case Left:
-		if !p.rules.sliced {
-			p.owned.drop(TableID(n.Proxy) + 1)
+	case ProxyLeft:
+		if !p.params.sliced {
+			p.owned.delete(TableID(msg.Proxy) + 1)
 		}
-	case Heat:
-		p.recordDemand(n)
-	case Due:
+	case SliceDemand:
+		p.recordDemand(msg)
+	case TimerFired:
 		if p.now >= p.nextCheck {
-			p.nextCheck = p.now + checkEvery
+			p.nextCheck = p.now + checkInterval
 			p.rebalance()
 		}
 	case endOfBatch:
@@ -178,45 +184,45 @@
 	}
 }
 
-func (p *publisher) take(n any) {
-	switch n := n.(type) {
+func (p *publisher) handle(msg any) {
+	switch msg := msg.(type) {
 	case storedTable:
-		p.addTable(n)
-	case Custody:
-		p.current.drop(n.Slice)
-		p.pending.drop(n.Slice)
-		p.writesStoppedUntil.drop(n.Slice)
-		p.writtenLevels = admissionLevels{} // a slice given is let in whole
+		p.addTable(msg)
+	case SliceOwnership:
+		p.current.delete(msg.Slice)
+		p.pending.delete(msg.Slice)
+		p.writesStoppedUntil.delete(msg.Slice)
+		p.writtenLevels = admissionLevels{} // calls for a new slice are admitted in full
 	case wantedTable:
-		if s := p.proxies.get(ProxyID(n.table) - 1); s != nil {
-			s.wantedTable = n.table
+		if s := p.proxies.get(ProxyID(msg.table) - 1); s != nil {
+			s.wantedTable = msg.table
 		}
-		if n.pendingSince = p.now; p.pending.has(n.table) {
-			n.pendingSince = p.pending.get(n.table).pendingSince
+		if msg.pendingSince = p.now; p.pending.has(msg.table) {
+			msg.pendingSince = p.pending.get(msg.table).pendingSince
 		}
-		if p.pending.drop(n.table); !slices.Equal(p.current.get(n.table), n.lines) {
-			p.pending.put(n.table, n)
+		if p.pending.delete(msg.table); !slices.Equal(p.current.get(msg.table), msg.lines) {
+			p.pending.set(msg.table, msg)
 		}
 	case gainUpdate:
-		if w := p.pending.get(n.table); p.pending.has(n.table) {
-			w.gain = n.gain
-			p.pending.put(n.table, w)
+		if w := p.pending.get(msg.table); p.pending.has(msg.table) {
+			w.gain = msg.gain
+			p.pending.set(msg.table, w)
 		}
 	case availabilityChange:
-		p.setAvailability(n)
+		p.setAvailability(msg)
 	case admissionLevels:
-		p.levels = n
-	case Masked:
-		p.inheritMask(n)
-	case Joined:
-		p.addProxy(n)
-	case Left:
-		p.removeProxy(n)
-	case Applied:
-		p.acknowledge(n)
-	case Unsure:
-		p.markUnconfirmed(n)
-	case NewsAlive:
+		p.levels = msg
+	case InheritedMask:
+		p.inheritMask(msg)
+	case ProxyJoined:
+		p.addProxy(msg)
+	case ProxyLeft:
+		p.removeProxy(msg)
+	case Acknowledged:
+		p.acknowledge(msg)
+	case Unconfirmed:
+		p.markUnconfirmed(msg)
+	case AckStreamAlive:
 		p.recordAlive()
 	case endOfBatch:
 		p.dropLostMessages()
--- a/logic/masks.go
+++ b/logic/masks.go
@@ -34,7 +34,7 @@
 // isOffered says whether a current table of this director names a host.
 func (p *publisher) isOffered(id HostID) bool {
 	for _, table := range p.current.all() {
-		if table.holds(id) {
+		if table.contains(id) {
 			return true
 		}
 	}
@@ -50,7 +50,7 @@
 // exceedsWanted says whether a current table would offer a host more than is wanted if its mask were lifted now.
 func (p *publisher) exceedsWanted(id HostID) bool {
 	for t, table := range p.current.all() {
-		if p.pending.has(t) && table.part(id) > p.pending.get(t).lines.part(id) {
+		if p.pending.has(t) && table.weightOf(id) > p.pending.get(t).lines.weightOf(id) {
 			return true
 		}
 	}
@@ -68,7 +68,7 @@
 // isOnlyHost says whether some table has no other host to offer.
 func (p *publisher) isOnlyHost(id HostID) bool {
 	for t, table := range p.current.all() {
-		if table.holds(id) && p.isExhausted(t, id) {
+		if table.contains(id) && p.isExhausted(t, id) {
 			return true
 		}
 	}
@@ -83,7 +83,7 @@
 // The host's own mask may still have to be lifted, or to be written again.
 func (p *publisher) isOnlyConfirmedHost(id HostID) bool {
 	for t, table := range p.current.all() {
-		if table.holds(id) && !p.hasConfirmedHost(t, id) {
+		if table.contains(id) && !p.hasConfirmedHost(t, id) {
 			return true
 		}
 	}
@@ -98,25 +98,25 @@
 }
 
 func (p *publisher) setAvailability(n availabilityChange) {
-	if p.rules.singleOwner {
+	if p.params.singleOwner {
 		return // there a table has no other host
 	}
 	if !p.availability.has(n.host) && !p.masked.has(n.host) {
-		p.masked.put(n.host, false)
+		p.masked.set(n.host, false)
 	}
 	if n.availability == resting && p.isOnlyHost(n.host) {
 		n.availability = available
 	}
-	p.availability.put(n.host, n.availability)
-	p.changedAt.put(n.host, p.now)
+	p.availability.set(n.host, n.availability)
+	p.changedAt.set(n.host, p.now)
 }
 
 // inheritMask takes over a mask of an earlier start, to be lifted like one of this start. If its host were taken for
 // unmasked, it could be the only line of a table left once the other host is masked, and the table would be exhausted
 // unnoticed.
-func (p *publisher) inheritMask(n Masked) {
-	if !p.rules.singleOwner {
-		p.availability.put(n.Host, available)
-		p.masked.put(n.Host, true)
+func (p *publisher) inheritMask(n InheritedMask) {
+	if !p.params.singleOwner {
+		p.availability.set(n.Host, available)
+		p.masked.set(n.Host, true)
 	}
 }
--- a/logic/parts.go
+++ b/logic/parts.go
@@ -21,7 +21,7 @@
 	transit, worstTransit                                   Millis
 	slo, warmUpTime, healthHalfLife                         Millis
 
-	levelKind    Valve
+	levelKind    LevelUnit
 	retries      []int     // retries that can't take effect a second time, by route
 	byImportance []RouteID // routes by importance, least important first
 
@@ -30,9 +30,9 @@
 
 // Messages between the actors.
 type (
-	pulse      struct{ reported Millis } // a tick, with the time of the last load report
-	endOfBatch struct{}                  // all events of a call of Handle have been delivered: act on them
-	hostStatus struct {                  // state of a host, from its actor to the placer and the admitter
+	tick       struct{ lastReport Millis } // a tick, with the time of the last load report
+	endOfBatch struct{}                    // all events of a call of Handle have been delivered: act on them
+	hostStatus struct {                    // state of a host, from its actor to the placer and the admitter
 		id                     HostID
 		usable, onTrial, fresh bool
 		cold                   bool    // its caches may not be warm yet
@@ -43,7 +43,7 @@
 		resting                bool    // saturated: it gets no calls for a moment
 		listedWeight           float64 // weight by the host list, 1 if that gives none
 		callsPerPressure       float64 // calls a second for each unit of pressure; 0: unknown
-		busy                   float64 // recently reported busy share, 0: none was reported
+		utilization            float64 // recently reported busy share, 0: none was reported
 		answerTime             float64 // mean answer time in milliseconds
 		loss                   float64 // share of tries without a good answer
 		tryRate, capacity      float64 // tries a second that it gets, and that it could answer
@@ -56,7 +56,7 @@
 	// fleetLoad is the load of all hosts: the tries over the capacity, the share of tries lost, the busy share and,
 	// while calls are throttled, all calls over the capacity. typicalLoss is the median over hosts of the share of
 	// tries lost, unfitShare the share of the listed hosts that are judged unfit.
-	fleetLoad    struct{ pressure, loss, busy, demandRatio, typicalLoss, unfitShare float64 }
+	fleetLoad    struct{ pressure, loss, utilization, demandRatio, medianLoss, unfitShare float64 }
 	expectedRate struct{ rate float64 } // calls a second that the current tables send to a host
 	wantedTable  struct {
 		table        TableID
@@ -97,55 +97,55 @@
 type Director struct {
 	inbox
 	loop
-	hosts    shelf[HostID, *host]
-	stored   shelf[TableID, lines]
-	place    *placer
-	gate     *admitter
-	publish  *publisher
-	ticking  bool
-	askAgain Millis
-	follows  bool
-	told     bool // whether a host list has come that is not the one from disk
-	reported Millis
-	forgetAt Millis // when hosts that are gone are next looked for
+	hosts           orderedMap[HostID, *host]
+	storedLines     orderedMap[TableID, lines]
+	place           *placer
+	gate            *admitter
+	publish         *publisher
+	ticking         bool
+	nextHostRequest Millis
+	watchesHosts    bool
+	hasLiveList     bool // whether a host list has come that is not the one from disk
+	lastReport      Millis
+	nextForget      Millis // when hosts that are gone are next looked for
 }
 
 // host is the actor that judges one host by the reports of proxies.
 type host struct {
 	inbox
 	*loop
-	id                      HostID
-	place                   *placer
-	gate                    *admitter
-	entry                   Entry
-	known                   bool
-	ended, lost, good, used sum
-	spent                   sum     // time that its answers took
-	flow                    float64 // tries a second
-	rate, press             sum
-	busy                    float64 // recently reported busy share
-	lastLine, gap           Millis  // the time of the last report of it, and the usual time between two
-	lastAnswer              Millis  // the time of the last report that contained an answer of it
-	due                     float64 // calls a second that the current tables send to it
-	dueSince, badSince      Millis
-	rising                  float64 // further calls a second, by tables that were written recently
-	risesAt                 Millis  // when those are expected to show in reports
-	missed                  float64 // answers that were expected since the last one
-	countedTo               Millis  // the time up to which those have been counted
-	voidSince               Millis
-	outUntil                Millis
-	freshUntil, restUntil   Millis
-	coldUntil               Millis
-	around                  fleetLoad
-	state                   hostState
-	trial                   trial
-	unlistedAt              Millis // when it was removed from the list; 0: it is listed
-	unproven                bool   // it has not answered anything yet
-	vouchedUntil            Millis // the time until which it is used although it is unproven
-	followed                bool   // a host list came before the one that first contained it
-	shown                   Condition
-	probeAt, probeEvery     Millis
-	void                    bool // its load reports contradict the calls that it answers
+	id                                       HostID
+	place                                    *placer
+	gate                                     *admitter
+	entry                                    HostEntry
+	hasEntry                                 bool
+	finished, failed, answered, utilizations decayingSum
+	latency                                  decayingSum // time that its answers took
+	tryRate                                  float64     // tries a second
+	throughput, pressure                     decayingSum
+	utilization                              float64 // recently reported busy share
+	lastReport, reportGap                    Millis  // the time of the last report of it, and the usual time between two
+	lastAnswer                               Millis  // the time of the last report that contained an answer of it
+	expectedRate                             float64 // calls a second that the current tables send to it
+	expectedSince, failingSince              Millis
+	pendingRate                              float64 // further calls a second, by tables that were written recently
+	pendingAt                                Millis  // when those are expected to show in reports
+	missedAnswers                            float64 // answers that were expected since the last one
+	missedCountedTo                          Millis  // the time up to which those have been counted
+	implausibleSince                         Millis
+	removedUntil                             Millis
+	freshUntil, restUntil                    Millis
+	coldUntil                                Millis
+	fleet                                    fleetLoad
+	state                                    hostState
+	trial                                    trial
+	unlistedAt                               Millis // when it was removed from the list; 0: it is listed
+	unproven                                 bool   // it has not answered anything yet
+	trustedUntil                             Millis // the time until which it is used although it is unproven
+	addedLater                               bool   // a host list came before the one that first contained it
+	lastCondition                            Condition
+	nextProbe, probeInterval                 Millis
+	implausible                              bool // its load reports contradict the calls that it answers
 }
 
 // hostState says whether a host is used.
@@ -188,7 +188,7 @@
 	writtenTable lines   // the table as last written, with its standby
 	unassigned   float64 // the part of the slice that the current assignment has to place
 	standby      HostID
-	calls        sum
+	calls        decayingSum
 	since        Millis
 	reported     bool
 	lastReport   Millis  // time of the last load report of it
@@ -207,8 +207,8 @@
 	inbox
 	*loop
 	publisher              *publisher
-	hosts                  shelf[HostID, *placementHost]
-	owned                  shelf[TableID, *sliceState]
+	hosts                  orderedMap[HostID, *placementHost]
+	owned                  orderedMap[TableID, *sliceState]
 	firstReport, nextCheck Millis
 	checksOverMaximum      int
 	totalRate, meanRate    float64 // calls a second of all own slices, and their mean for a slice
@@ -223,18 +223,18 @@
 	*loop
 	publisher *publisher
 	placer    *placer
-	hosts     shelf[HostID, hostStatus]
-	callSums  []sum
+	hosts     orderedMap[HostID, hostStatus]
+	callSums  []decayingSum
 	// recentCalls sums the calls of all routes over the last seconds, firstReport is the time of the first report of
 	// calls.
-	recentCalls sum
+	recentCalls decayingSum
 	firstReport Millis
 	// unanswered sums the calls that were admitted and got no answer, by route.
-	unanswered []sum
+	unanswered []decayingSum
 	usualRates []float64 // calls a second by route while none is throttled
 	level      float64   // number of routes that are admitted whole, the most important first
 	nextUpdate Millis
-	proxies    shelf[ProxyID, bool]
+	proxies    orderedMap[ProxyID, bool]
 	published  admissionLevels
 	// The results of the last update.
 	fleet            fleetLoad
@@ -253,10 +253,10 @@
 // channelMessage is the messages of one reply that are in flight, with the number of lines sent to each proxy.
 type channelMessage struct {
 	serial         SerialID
-	unacknowledged shelf[ProxyID, float64]
+	unacknowledged orderedMap[ProxyID, float64]
 	// Used while the message is filled: the proxies that may get lines, the overhead of a message to a proxy in lines,
 	// the queue limit, and the lines in the queue including this message.
-	proxies                      *shelf[ProxyID, *joinedProxy]
+	proxies                      *orderedMap[ProxyID, *joinedProxy]
 	overhead, queueLimit, filled float64
 	totalUnacknowledged          float64 // lines that proxies have not acknowledged, including this message
 	returningProxies             float64 // proxies that left recently and may be back unnoticed
@@ -272,10 +272,10 @@
 	inbox
 	*loop
 	placer                    *placer
-	current                   shelf[TableID, lines] // tables as last written
-	pending                   shelf[TableID, wantedTable]
+	current                   orderedMap[TableID, lines] // tables as last written
+	pending                   orderedMap[TableID, wantedTable]
 	pendingSince, urgentSince Millis // since when ordinary changes, and urgent ones, have been pending
-	proxies                   shelf[ProxyID, *joinedProxy]
+	proxies                   orderedMap[ProxyID, *joinedProxy]
 	sentAt                    []Millis
 	inFlight                  []*channelMessage
 	acknowledgedAt            Millis // when a proxy last acknowledged a message
@@ -286,14 +286,14 @@
 	clearAt               Millis // when the channel is empty at the usual rate
 	levels, writtenLevels admissionLevels
 	levelsWrittenAt       Millis
-	availability          shelf[HostID, availability] // wanted availability of hosts that were ever unavailable
-	changedAt             shelf[HostID, Millis]       // when the wanted availability last changed
-	masked                shelf[HostID, bool]         // the masks as last written, where they are known
-	maskedAt              shelf[HostID, Millis]       // when they were written
+	availability          orderedMap[HostID, availability] // wanted availability of hosts that were ever unavailable
+	changedAt             orderedMap[HostID, Millis]       // when the wanted availability last changed
+	masked                orderedMap[HostID, bool]         // the masks as last written, where they are known
+	maskedAt              orderedMap[HostID, Millis]       // when they were written
 	// Proxies that left, with the time since when they may have missed what was written, and when they left.
-	missedSince shelf[ProxyID, Millis]
-	leftAt      shelf[ProxyID, Millis]
+	missedSince orderedMap[ProxyID, Millis]
+	leftAt      orderedMap[ProxyID, Millis]
 	// Single owners: slices whose writes are stopped until those of the former owner have settled; 0: the stop is not
 	// written yet.
-	writesStoppedUntil shelf[TableID, Millis]
+	writesStoppedUntil orderedMap[TableID, Millis]
 }
--- a/logic/placement.go
+++ b/logic/placement.go
@@ -12,7 +12,7 @@
 	s := p.hosts.get(n.id)
 	if s == nil {
 		s = &placementHost{}
-		p.hosts.put(n.id, s)
+		p.hosts.set(n.id, s)
 		if p.publisher.masked.get(n.id) {
 			p.post(p.publisher, availabilityChange{n.id, available}) // proxies still hold a mask of its earlier time
 		}
@@ -60,27 +60,27 @@
 func (p *placer) addSlice(t TableID, stored lines) {
 	slice := &sliceState{table: t, since: p.now, requested: stored, writtenTable: stored, rate: p.meanRate}
 	for _, l := range stored {
-		if l.weight < 0.999 && stored.whole() > 1.001 {
+		if l.weight < 0.999 && stored.total() > 1.001 {
 			slice.standby = l.host
 		} else {
 			slice.planned = append(slice.planned, l)
 		}
 	}
-	slice.planned = slice.planned.scaled()
+	slice.planned = slice.planned.normalized()
 	slice.written = slice.planned
-	p.owned.put(t, slice)
+	p.owned.set(t, slice)
 	p.dirty = true
 }
 
-func (p *placer) recordDemand(n Heat) {
+func (p *placer) recordDemand(n SliceDemand) {
 	if slice := p.owned.get(n.Slice); slice != nil {
-		p.dirty = p.dirty || !p.rules.sliced && !slice.reported
+		p.dirty = p.dirty || !p.params.sliced && !slice.reported
 		// A thinned-out report covers a long time and comes at once: its calls get the weight that they would have had
 		// if reported one by one.
-		span := float64(max(1, n.Over)) / (float64(demandMemory) / math.Ln2)
-		slice.calls.add(p.now, demandMemory, float64(n.Calls)*(1-math.Exp(-span))/span)
+		span := float64(max(1, n.Period)) / (float64(demandHalfLife) / math.Ln2)
+		slice.calls.add(p.now, demandHalfLife, float64(n.Calls)*(1-math.Exp(-span))/span)
 		slice.reported, slice.lastReport = true, p.now
-		since(&p.firstReport, true, p.now)
+		trackSince(&p.firstReport, true, p.now)
 	}
 }
 
@@ -96,9 +96,9 @@
 	shares := 0.0
 	for _, slice := range p.owned.all() {
 		// There are no reports of a newly owned slice yet: until they come it counts as much as the mean slice.
-		from := max(slice.since, p.firstReport-p.rules.reportInterval)
-		if slice.reported || p.firstReport > 0 && p.now-from > demandMemory/2 {
-			slice.rate = slice.calls.rate(max(slice.lastReport, p.now-2*demandMemory), demandMemory, from)
+		from := max(slice.since, p.firstReport-p.params.reportInterval)
+		if slice.reported || p.firstReport > 0 && p.now-from > demandHalfLife/2 {
+			slice.rate = slice.calls.rate(max(slice.lastReport, p.now-2*demandHalfLife), demandHalfLife, from)
 		}
 		p.totalRate += slice.rate
 		for _, l := range p.effectiveLines(slice) {
@@ -107,9 +107,9 @@
 			}
 		}
 		if s := p.hosts.get(slice.standby); s != nil {
-			s.standbyLoad += slice.rate * p.rules.standbyWeight
-			s.load += slice.rate * p.rules.standbyWeight
-			p.totalRate += slice.rate * p.rules.standbyWeight
+			s.standbyLoad += slice.rate * p.params.standbyWeight
+			s.load += slice.rate * p.params.standbyWeight
+			p.totalRate += slice.rate * p.params.standbyWeight
 		}
 	}
 	if p.totalRate > 0 { // without slices yet, the mean stays, so that those to come count as equal and not as nothing
@@ -139,11 +139,11 @@
 	}
 	for _, s := range p.hosts.all() {
 		s.share *= p.totalRate / max(shares, 1e-9)
-		if s.tolerated = s.share * p.tolerance(s); s.busy > 0 && s.busy < roomy && !s.cold &&
+		if s.tolerated = s.share * p.tolerance(s); s.utilization > 0 && s.utilization < lowUtilization && !s.cold &&
 			s.answerTime < typicalTime*3/2 {
 			// A computed share is rough, and among many hosts some are always far off: a host that reports room to
 			// spare and answers as fast as the others is not overloaded, whatever was computed.
-			s.tolerated = max(s.tolerated, s.load*roomy/s.busy)
+			s.tolerated = max(s.tolerated, s.load*lowUtilization/s.utilization)
 		}
 	}
 }
@@ -156,9 +156,9 @@
 		return 1
 	}
 	if p.fleet.pressure == 0 {
-		return maximum // no load is known yet
+		return maxImbalance // no load is known yet
 	}
-	return max(maximum, min(2, headroom/p.fleet.pressure))
+	return max(maxImbalance, min(2, safeHostLoad/p.fleet.pressure))
 }
 
 // imbalance is the paper's measure, the load of the most overloaded host over its tolerated load, and beside it the
@@ -186,7 +186,7 @@
 		}
 		p.assignBlocks(false)
 		p.checksOverMaximum = 0
-		if _, after := p.imbalance(); after > before*worthMoving {
+		if _, after := p.imbalance(); after > before*maxRemainingImbalance {
 			p.checksOverMaximum = 1
 			for _, slice := range p.owned.all() {
 				slice.planned = slice.previous
@@ -200,7 +200,7 @@
 // demandKnown says whether reports have come for long enough to know the demand of each slice. Until then all slices
 // count as equal, which does not justify a move: after a restart, hosts that had just started lost slices that they
 // bore well.
-func (p *placer) demandKnown() bool { return p.firstReport > 0 && p.now-p.firstReport > demandMemory }
+func (p *placer) demandKnown() bool { return p.firstReport > 0 && p.now-p.firstReport > demandHalfLife }
 
 // releaseParts unassigns the parts that have to move. Parts that fit stay, those of the slices with the most calls
 // first, so that few move. With onlyMust, a host that is merely too full keeps its parts, and a recently started one
@@ -211,7 +211,7 @@
 	}
 	for _, slice := range p.slicesByRate() {
 		var stay lines
-		if slice.unassigned = 1; !p.rules.sliced && !slice.reported {
+		if slice.unassigned = 1; !p.params.sliced && !slice.reported {
 			slice.unassigned = 0 // the common table serves until the demand of a proxy is known
 		}
 		for _, l := range slice.planned {
@@ -254,12 +254,12 @@
 	if l.fraction == 0 {
 		return nil
 	}
-	if span == 1 && !p.rules.sliced && l.fraction > 1.0/64 {
+	if span == 1 && !p.params.sliced && l.fraction > 1.0/64 {
 		// One proxy may have more calls than a host can serve, and has no keys of a slice to keep warm: it is placed in
 		// sixteenths.
 		return slices.Repeat([]block{{first, 1, l.fraction / 16, l.load / 16}}, 16)
 	}
-	if all && p.rules.sliced || span == 1 {
+	if all && p.params.sliced || span == 1 {
 		return []block{l}
 	}
 	return append(p.unassignedBlocks(first, span/2), p.unassignedBlocks(first+span/2, span/2)...)
@@ -282,7 +282,7 @@
 func (p *placer) assignBlocks(onlyMust bool) {
 	p.releaseParts(onlyMust)
 	span := 1
-	for n := p.owned.len(); n > 0 && span <= int(p.owned.sorted()[n-1]); {
+	for n := p.owned.len(); n > 0 && span <= int(p.owned.sortedKeys()[n-1]); {
 		span *= 2
 	}
 	blocks, base := p.unassignedBlocks(0, span), p.hostWithMostRoom(nil, false)
@@ -301,7 +301,7 @@
 		l := blocks[0]
 		blocks = blocks[1:]
 		room := s.share - s.load
-		if l.load < min(p.totalRate*chunk, s.share*chunkPart) {
+		if l.load < min(p.totalRate*smallBlockShare, s.share*smallBlockHostShare) {
 			room = s.share*p.tolerance(s) - s.load
 		}
 		if l.load > room {
@@ -328,7 +328,7 @@
 	if half := l.span / 2; half > 0 {
 		return append(p.unassignedBlocks(l.first, half), p.unassignedBlocks(l.first+half, half)...)
 	}
-	if p.rules.singleOwner || l.load <= share/2 || l.fraction < 0.2 {
+	if p.params.singleOwner || l.load <= share/2 || l.fraction < 0.2 {
 		return nil
 	}
 	half := block{l.first, 1, l.fraction / 2, l.load / 2}
@@ -338,16 +338,16 @@
 // publishTables tells the publisher what each table is to contain, and each host the calls that the tables send to
 // it.
 func (p *placer) publishTables(urgent bool) {
-	nth, every := 0, max(1, p.owned.len()/trialSlices)
+	nth, every := 0, max(1, p.owned.len()/trialSliceCount)
 	for id, s := range p.hosts.all() {
 		for i := nth % every; s.onTrial && i < p.owned.len(); i += every {
-			p.owned.get(p.owned.sorted()[i]).standby = id
+			p.owned.get(p.owned.sortedKeys()[i]).standby = id
 		}
 		nth += int(bit(s.onTrial, 0))
 	}
 	for t, slice := range p.owned.all() {
 		table := p.buildTable(slice)
-		if !p.rules.sliced && (!slice.reported || p.now-slice.since < checkEvery) {
+		if !p.params.sliced && (!slice.reported || p.now-slice.since < checkInterval) {
 			continue
 		}
 		if len(table) > 0 && !slices.Equal(table, slice.requested) {
@@ -365,7 +365,7 @@
 	for _, s := range p.hosts.all() {
 		p.post(s.actor, expectedRate{s.expectedRate})
 	}
-	if !p.rules.sliced {
+	if !p.params.sliced {
 		p.publishCommonTables(urgent)
 	}
 }
@@ -373,18 +373,18 @@
 // publishCommonTables publishes, at sites without slices, the small table that all proxies get first, and a table for
 // each zone with the routes that stay in their zone.
 func (p *placer) publishCommonTables(urgent bool) {
-	var tables shelf[TableID, lines]
+	var tables orderedMap[TableID, lines]
 	for id, s := range p.hosts.all() {
 		part := s.listedWeight
 		if s.fresh {
-			part *= freshRoom
+			part *= freshCapacity
 		}
-		zone := zoneTables + TableID(s.zone)
-		if table := tables.get(commonTable); s.inUse && len(table) < commonSize {
-			tables.put(commonTable, append(table, line{id, part}))
+		zone := firstZoneTable + TableID(s.zone)
+		if table := tables.get(commonTable); s.inUse && len(table) < commonTableSize {
+			tables.set(commonTable, append(table, line{id, part}))
 		}
-		if s.inUse && p.rules.ownZoneRoutes != 0 {
-			tables.put(zone, append(tables.get(zone), line{id, part}))
+		if s.inUse && p.params.ownZoneRoutes != 0 {
+			tables.set(zone, append(tables.get(zone), line{id, part}))
 		}
 	}
 	for t, all := range tables.all() {
@@ -397,13 +397,13 @@
 // and costs cold caches for its share of the calls. A host on trial gets its few calls by the same line.
 func (p *placer) buildTable(slice *sliceState) lines {
 	out := slices.Clone(slice.planned)
-	if p.rules.singleOwner || len(out) == 0 {
+	if p.params.singleOwner || len(out) == 0 {
 		return out
 	}
-	s, part := p.hosts.get(slice.standby), p.rules.standbyWeight
+	s, part := p.hosts.get(slice.standby), p.params.standbyWeight
 	if s != nil && s.onTrial {
-		part = min(part, trialPart)
-	} else if !p.awaitsFirstList(slice.standby) && (s == nil || !s.inUse || s.fresh) || out.holds(slice.standby) {
+		part = min(part, trialWeight)
+	} else if !p.awaitsFirstList(slice.standby) && (s == nil || !s.inUse || s.fresh) || out.contains(slice.standby) {
 		if slice.standby = p.chooseStandby(slice); slice.standby != 0 {
 			p.hosts.get(slice.standby).load += slice.rate * part
 		}
@@ -411,7 +411,7 @@
 	if len(out) == 1 && slice.standby != 0 {
 		out = append(out, line{slice.standby, part})
 	}
-	return out.sorted()
+	return out.sortByHost()
 }
 
 // chooseStandby chooses a standby at random by the room of hosts, from another cell if there is one, since the hosts
@@ -419,14 +419,14 @@
 func (p *placer) chooseStandby(slice *sliceState) (best HostID) {
 	main, most := p.hosts.get(slice.planned[0].host), 0.0
 	for id, s := range p.hosts.all() {
-		score := (s.share - s.load) / s.share * (1 + p.chance()/4)
+		score := (s.share - s.load) / s.share * (1 + p.random()/4)
 		if main == nil || s.cell != main.cell {
 			score += 100
 		}
 		if !s.cold {
 			score++ // it may get all calls of the slice at once
 		}
-		if s.inUse && !s.fresh && !slice.planned.holds(id) && (best == 0 || score > most) {
+		if s.inUse && !s.fresh && !slice.planned.contains(id) && (best == 0 || score > most) {
 			best, most = id, score
 		}
 	}
@@ -441,7 +441,7 @@
 			all = append(all, x)
 		}
 	}
-	return middle(all), len(all)
+	return median(all), len(all)
 }
 
 func (p *placer) slicesByRate() []*sliceState {
@@ -456,7 +456,7 @@
 func (p *placer) assign(l block, to HostID) {
 	for t, slice := range p.owned.all() {
 		if int(t) >= l.first && int(t) < l.first+l.span {
-			slice.planned = slice.planned.plus(to, l.fraction)
+			slice.planned = slice.planned.add(to, l.fraction)
 		}
 	}
 }
--- a/logic/publish.go
+++ b/logic/publish.go
@@ -35,19 +35,19 @@
 }
 
 func (p *publisher) addTable(n storedTable) {
-	p.current.put(n.table, n.lines)
-	if p.rules.singleOwner {
-		p.writesStoppedUntil.put(n.table, 0) // the former owner may have moved the slice in its last moments
+	p.current.set(n.table, n.lines)
+	if p.params.singleOwner {
+		p.writesStoppedUntil.set(n.table, 0) // the former owner may have moved the slice in its last moments
 	}
 }
 
-func (p *publisher) addProxy(n Joined) {
+func (p *publisher) addProxy(n ProxyJoined) {
 	from := p.takeMissedSince(n)
 	for id, state := range p.availability.all() {
 		// It missed what was written while it was away, masks and their removal alike. A proxy that holds nothing has
 		// no masks.
 		if n.Fresh && (state != available || p.masked.get(id)) || !n.Fresh && p.maskedAt.get(id) >= from {
-			p.masked.drop(id)
+			p.masked.delete(id)
 		}
 	}
 	p.writtenLevels = admissionLevels{} // it may hold levels of an earlier time
@@ -59,41 +59,41 @@
 		s.wantedTable = known.wantedTable
 		p.extendWriteStops()
 	}
-	p.proxies.put(n.Proxy, s)
+	p.proxies.set(n.Proxy, s)
 }
 
 // takeMissedSince returns the time since when a proxy that joins may have missed what was written: minus infinity where
 // it was not seen to leave. A proxy that loses its stream keeps its tables: where dozens rejoin each second, writing
 // all masks again for each of them filled the channel.
-func (p *publisher) takeMissedSince(n Joined) Millis {
+func (p *publisher) takeMissedSince(n ProxyJoined) Millis {
 	from := Millis(math.Inf(-1))
 	if p.missedSince.has(n.Proxy) && !p.proxies.has(n.Proxy) {
 		from = p.missedSince.get(n.Proxy)
 	}
-	p.missedSince.drop(n.Proxy)
-	p.leftAt.drop(n.Proxy)
+	p.missedSince.delete(n.Proxy)
+	p.leftAt.delete(n.Proxy)
 	return from
 }
 
 // removeProxy handles a proxy that left: what it did not acknowledge may not have reached it.
-func (p *publisher) removeProxy(n Left) {
+func (p *publisher) removeProxy(n ProxyLeft) {
 	from := p.now
 	for _, f := range p.inFlight {
 		if f.unacknowledged.has(n.Proxy) {
 			from = min(from, f.writtenAt)
 		}
-		f.unacknowledged.drop(n.Proxy)
+		f.unacknowledged.delete(n.Proxy)
 	}
-	p.missedSince.put(n.Proxy, from)
-	p.leftAt.put(n.Proxy, p.now)
-	p.proxies.drop(n.Proxy)
+	p.missedSince.set(n.Proxy, from)
+	p.leftAt.set(n.Proxy, p.now)
+	p.proxies.delete(n.Proxy)
 	p.extendWriteStops()
 }
 
 // setMask records a mask as written.
 func (p *publisher) setMask(id HostID, out bool) {
-	p.masked.put(id, out)
-	p.maskedAt.put(id, p.now)
+	p.masked.set(id, out)
+	p.maskedAt.set(id, p.now)
 }
 
 // isDue says whether to write now. Ordinary changes are gathered, and leave a part of the messages that a proxy may get
@@ -101,8 +101,8 @@
 func (p *publisher) isDue() bool {
 	rebind, reopen, pressing, urgent := false, false, false, false
 	for _, s := range p.proxies.all() {
-		rebind = rebind || !p.rules.sliced && (!s.bound || s.wantedTable != s.table)
-		pressing = pressing || !p.rules.sliced && !s.bound
+		rebind = rebind || !p.params.sliced && (!s.bound || s.wantedTable != s.table)
+		pressing = pressing || !p.params.sliced && !s.bound
 	}
 	for _, until := range p.writesStoppedUntil.all() {
 		reopen = reopen || p.now >= until
@@ -115,36 +115,36 @@
 	pressing = pressing || exclusions || slices.ContainsFunc(p.hostsToMask(available), p.isOnlyConfirmedHost) ||
 		p.isTightening() ||
 		p.levelsChanged() && p.writtenLevels.level == nil && slices.Min(p.levels.level) < 1
-	since(&p.urgentSince, pressing || masks || urgent, p.now)
-	since(&p.pendingSince, p.pending.len() > 0 || rebind || reopen || p.levelsChanged() ||
+	trackSince(&p.urgentSince, pressing || masks || urgent, p.now)
+	trackSince(&p.pendingSince, p.pending.len() > 0 || rebind || reopen || p.levelsChanged() ||
 		len(p.hostsToMask(available)) > 0 || len(p.hostsToMask(resting)) > 0, p.now)
-	p.sentAt = slices.DeleteFunc(p.sentAt, func(t Millis) bool { return p.now-t > p.rules.messageSpan+gather })
+	p.sentAt = slices.DeleteFunc(p.sentAt, func(t Millis) bool { return p.now-t > p.params.messageSpan+batchDelay })
 	// Each message has an overhead for each proxy: messages that carry little would fill the channel of a large fleet.
 	overheadTime := p.overheadInterval()
-	last, most, gap := p.lastSentAt(), math.Inf(1), max(gather, overheadTime)
-	if p.rules.messageLimit > 0 {
-		most = float64(p.rules.messageLimit)
-		gap = max(gap, p.rules.messageSpan/Millis(most*ordinaryPart))
+	last, most, gap := p.lastSentAt(), math.Inf(1), max(batchDelay, overheadTime)
+	if p.params.messageLimit > 0 {
+		most = float64(p.params.messageLimit)
+		gap = max(gap, p.params.messageSpan/Millis(most*ordinaryBudget))
 	}
-	written, interval := float64(len(p.sentAt)), p.rules.urgentInterval
+	written, interval := float64(len(p.sentAt)), p.params.urgentInterval
 	if !masks {
 		interval = max(interval, overheadTime/2)
 	}
 	if !masks && !pressing {
-		interval, most = max(interval, overheadTime), most*urgentPart // the last ones are for what the rules require
+		interval, most = max(interval, overheadTime), most*urgentBudget // the last ones are for what the rules require
 	}
 	if p.urgentSince > 0 && written < most && p.now-max(last, p.urgentSince-interval) >= interval &&
-		(masks || !p.rules.sliced || p.isWorthSending(urgentPart, p.pendingLines(true))) {
+		(masks || !p.params.sliced || p.isWorthSending(urgentBudget, p.pendingLines(true))) {
 		return true
 	}
-	return p.pendingSince > 0 && p.now-p.pendingSince >= gather && p.now-last >= gap && written < most*ordinaryPart &&
-		(!p.rules.sliced || p.isWorthSending(p.ordinaryShare(), p.pendingLines(false)))
+	return p.pendingSince > 0 && p.now-p.pendingSince >= batchDelay && p.now-last >= gap && written < most*ordinaryBudget &&
+		(!p.params.sliced || p.isWorthSending(p.ordinaryShare(), p.pendingLines(false)))
 }
 
 // writePending writes as much of the pending changes as the channel has room for, removals of hosts first. What one
 // reply orders is one message to a proxy, so the new lines of a table arrive together with the removal of old ones.
 func (p *publisher) writePending() {
-	start := len(p.out)
+	start := len(p.orders)
 	d := p.newDraft()
 	// A mask removes a host from all tables by one line to each proxy, with new lines where it would leave a table
 	// exhausted. In a large fleet, the lines that move the host's slices would fill the channel for longer than a
@@ -155,7 +155,7 @@
 	d.writeExhaustedTables()
 	d.writeMasks(available, p.exceedsWanted)
 	// Levels are written before tables that can wait: outdated levels rejected calls for seconds.
-	if p.levelsChanged() && d.message.reserve(urgentPart, float64(len(p.rules.retries)), everyProxy) {
+	if p.levelsChanged() && d.message.reserve(urgentBudget, float64(len(p.params.retries)), everyProxy) {
 		p.writeLevels()
 	}
 	d.writeMasks(available, none)
@@ -163,9 +163,9 @@
 	d.writeMasks(resting, none)
 	d.writeOverdueTables()
 	d.writeTables()
-	p.updateWriteStops(func(t TableID) bool { return d.message.reserve(barePart, 1, d.usersOf(t)) })
+	p.updateWriteStops(func(t TableID) bool { return d.message.reserve(unslicedBudget, 1, d.usersOf(t)) })
 	d.bindProxies()
-	if p.pendingSince = 0; len(p.out) > start && d.message.unacknowledged.len() > 0 {
+	if p.pendingSince = 0; len(p.orders) > start && d.message.unacknowledged.len() > 0 {
 		p.send(d.message)
 	}
 }
@@ -174,8 +174,8 @@
 func (p *publisher) send(f *channelMessage) {
 	p.serial = (p.serial + 1) % 65536
 	f.serial = p.serial
-	p.order(Stamp{p.serial, false})
-	p.clearAt = max(p.clearAt, p.now) + Millis(f.addOverhead()/p.rules.linesPerMilli)
+	p.emit(Stamp{p.serial, false})
+	p.clearAt = max(p.clearAt, p.now) + Millis(f.addOverhead()/p.params.linesPerMilli)
 	f.clearAt, f.writtenAt = p.clearAt, p.now
 	p.inFlight = append(p.inFlight, f)
 	p.sentAt = append(p.sentAt, p.now)
@@ -186,7 +186,7 @@
 	for i, level := range p.levels.level {
 		if p.writtenLevels.level == nil || level != p.writtenLevels.level[i] ||
 			p.levels.tries[i] != p.writtenLevels.tries[i] {
-			p.order(Throttle{EveryTable, 1 << i, level, p.levels.tries[i]})
+			p.emit(Throttle{AllTables, 1 << i, level, p.levels.tries[i]})
 		}
 	}
 	p.writtenLevels, p.levelsWrittenAt = p.levels, p.now
@@ -196,8 +196,8 @@
 // writes of a single owner are stopped by the same message that moves the slice.
 func (p *publisher) tableOrders(t TableID, table lines) (out []Order) {
 	current := p.current.get(t)
-	if p.rules.singleOwner {
-		out = append(out, Throttle{t, p.rules.writeRoutes, 0, 1})
+	if p.params.singleOwner {
+		out = append(out, Throttle{t, p.params.writeRoutes, 0, 1})
 	}
 	for _, l := range table {
 		if !slices.Contains(current, l) {
@@ -208,7 +208,7 @@
 		}
 	}
 	for _, l := range current {
-		if !p.rules.singleOwner && !table.holds(l.host) {
+		if !p.params.singleOwner && !table.contains(l.host) {
 			out = append(out, SetLine{t, l.host, 0})
 		}
 	}
@@ -221,11 +221,11 @@
 	p.queuedLines() // drops the messages that all proxies have acknowledged
 	for t, until := range p.writesStoppedUntil.all() {
 		if until == 0 && charge(t) {
-			p.order(Throttle{t, p.rules.writeRoutes, 0, 1})
-			p.writesStoppedUntil.put(t, p.now+p.rules.settleTime)
+			p.emit(Throttle{t, p.params.writeRoutes, 0, 1})
+			p.writesStoppedUntil.set(t, p.now+p.params.settleTime)
 		} else if until > 0 && p.now >= until && len(p.inFlight) == 0 && charge(t) {
-			p.order(Throttle{t, p.rules.writeRoutes, 1, 1})
-			p.writesStoppedUntil.drop(t)
+			p.emit(Throttle{t, p.params.writeRoutes, 1, 1})
+			p.writesStoppedUntil.delete(t)
 		}
 	}
 }
--- a/logic/rollout_test.go
+++ b/logic/rollout_test.go
@@ -31,11 +31,11 @@
 	staleAfter       = Millis(6000) // how long a table may name a host that is gone
 )
 
-func rolloutFacts() Facts {
-	return Facts{Directors: 1, Proxies: simulatedProxies, Slices: simulatedSlices, MayProbe: true, ColdFrom: 0.2, TipMultiple: 3,
-		WarmAfter: warmAfter, FallAfter: 1500, DrainGrace: 2000, BareLimit: 2300, ReportEvery: reportPeriod, IntakePerSecond: 150,
-		LinesPerSecond: 8000, QueueLimit: 8000, HeadLines: 16, Transit: 100, WorstTransit: 300, Levels: LevelShare, TriesUnlessTold: 1,
-		Routes: []Route{{SLO: callSLO, TimeLimit: callDeadline, Importance: 1, Repeat: Repeatable}}}
+func rolloutFacts() Config {
+	return Config{Directors: 1, Proxies: simulatedProxies, Slices: simulatedSlices, MayProbe: true, ColdCapacity: 0.2, ColdOverloadLimit: 3,
+		WarmAfter: warmAfter, ColdFailAfter: 1500, DrainGrace: 2000, EmptyTableLimit: 2300, ReportInterval: reportPeriod, ReportLinesPerSecond: 150,
+		LinesPerSecond: 8000, QueueLimit: 8000, MessageOverhead: 16, Transit: 100, WorstTransit: 300, Levels: LevelShare, DefaultRetries: 1,
+		Routes: []Route{{SLO: callSLO, TimeLimit: callDeadline, Importance: 1, Idempotency: Idempotent}}}
 }
 
 type simulatedCall struct {
@@ -114,19 +114,19 @@
 // startDirector starts a director that knows the initial hosts from disk, and sends it the present state.
 func (p *rolloutSimulation) startDirector(seed uint64) {
 	p.director, p.timers, p.started = New(seed, rolloutFacts()), nil, p.now
-	var disk []Entry
+	var disk []HostEntry
 	for h := range simulatedHosts {
-		disk = append(disk, Entry{Host: HostID(1 + h), Cell: CellID(h), Weight: 1})
+		disk = append(disk, HostEntry{Host: HostID(1 + h), Cell: CellID(h), Weight: 1})
 	}
-	p.events = append(p.events[:0], Roster{Kind: FromDisk, Entries: disk})
+	p.events = append(p.events[:0], HostList{Kind: HostListFromDisk, Entries: disk})
 	for n := range simulatedProxies {
-		p.events = append(p.events, Joined{Proxy: ProxyID(n), Fresh: true})
+		p.events = append(p.events, ProxyJoined{Proxy: ProxyID(n), Fresh: true})
 	}
 	for t := range simulatedSlices {
-		p.events = append(p.events, Custody{Slice: TableID(t), Given: true})
+		p.events = append(p.events, SliceOwnership{Slice: TableID(t), Owned: true})
 		for _, id := range p.hostOrder {
 			if weight := p.tables[TableID(t)][id]; weight > 0 {
-				p.events = append(p.events, OnRecord{Slice: TableID(t), Host: id, Weight: weight})
+				p.events = append(p.events, StoredLine{Slice: TableID(t), Host: id, Weight: weight})
 			}
 		}
 	}
@@ -136,10 +136,10 @@
 
 // sendHostList sends the director the present host list.
 func (p *rolloutSimulation) sendHostList() {
-	r := Roster{Kind: Whole}
+	r := HostList{Kind: HostListFull}
 	for _, id := range p.hostOrder {
 		if h := p.hosts[id]; h.state != Gone {
-			r.Entries = append(r.Entries, Entry{Host: id, State: h.state, Cell: CellID(id - 1), Weight: 1, Born: max(0, h.startedAt)})
+			r.Entries = append(r.Entries, HostEntry{Host: id, State: h.state, Cell: CellID(id - 1), Weight: 1, StartedAt: max(0, h.startedAt)})
 		}
 	}
 	p.events = append(p.events, r)
@@ -165,7 +165,7 @@
 				p.outcome.newLines++
 			}
 		case Mask:
-			p.masked[o.Host] = o.Out
+			p.masked[o.Host] = o.On
 			p.outcome.masks++
 		case Throttle:
 			p.level = o.Level
@@ -173,12 +173,12 @@
 		case Stamp:
 			p.outcome.messages++
 			for n := range simulatedProxies {
-				p.schedule(transitToProxies, Applied{Proxy: ProxyID(n), Serial: o.Serial, Spent: transitToProxies})
+				p.schedule(transitToProxies, Acknowledged{Proxy: ProxyID(n), Serial: o.Serial, Latency: transitToProxies})
 			}
-		case After:
-			p.timers = append(p.timers, p.now+o.In)
-		case Ping:
-			p.schedule(simulatedTick, Probed{Host: o.Host, Good: true, Spent: simulatedTick})
+		case SetTimer:
+			p.timers = append(p.timers, p.now+o.Delay)
+		case Probe:
+			p.schedule(simulatedTick, ProbeResult{Host: o.Host, Healthy: true, Latency: simulatedTick})
 		}
 	}
 }
@@ -199,7 +199,7 @@
 		p.outcome.rejected++
 		return
 	}
-	draw := p.chance.Float64() * open.sorted().whole()
+	draw := p.chance.Float64() * open.sortByHost().total()
 	to := open[len(open)-1].host
 	for _, l := range open {
 		if draw -= l.weight; draw < 0 {
@@ -256,16 +256,16 @@
 			continue
 		}
 		busy, good := h.busy, h.ended-h.lost
-		m := Met{Host: id, Over: reportPeriod, Ended: h.ended, Lost: h.lost, Load: Load{Busy: &busy}}
+		m := HostSample{Host: id, Period: reportPeriod, Finished: h.ended, Failed: h.lost, Load: Load{Utilization: &busy}}
 		if good > 0 {
-			m.Spent = h.answerTime / Millis(good)
+			m.MeanLatency = h.answerTime / Millis(good)
 		}
 		p.events = append(p.events, m)
 		h.ended, h.lost, h.answerTime = 0, 0, 0
 	}
 	for t := range simulatedSlices {
 		if calls := p.callsBySlice[TableID(t)]; calls > 0 {
-			p.events = append(p.events, Heat{Slice: TableID(t), Calls: calls, Over: reportPeriod})
+			p.events = append(p.events, SliceDemand{Slice: TableID(t), Calls: calls, Period: reportPeriod})
 		}
 	}
 	clear(p.callsBySlice)
@@ -301,11 +301,11 @@
 			p.report()
 		}
 		if tick%int(1000/simulatedTick) == 0 {
-			p.events = append(p.events, NewsAlive{})
+			p.events = append(p.events, AckStreamAlive{})
 		}
 		p.timers = slices.DeleteFunc(p.timers, func(at Millis) bool {
 			if at <= p.now {
-				p.events = append(p.events, Due{})
+				p.events = append(p.events, TimerFired{})
 			}
 			return at <= p.now
 		})
--- a/logic/traffic.go
+++ b/logic/traffic.go
@@ -9,7 +9,7 @@
 
 // firstListTimeout is how long after a start the first host list may take. Until then hosts may be missing that only
 // the current tables name, since the list from disk may be older than those tables.
-const firstListTimeout = longestWord
+const firstListTimeout = maxListDelay
 
 // awaitsFirstList says whether a host that current tables name may still appear in the first list after the start. Its
 // slices are not placed anew before that: they went to other hosts and stayed there.
@@ -40,7 +40,7 @@
 	for _, l := range slice.written {
 		if !p.isUsable(l.host) {
 			if usable := p.usableLines(slice); len(usable) > 0 {
-				return usable.scaled()
+				return usable.normalized()
 			}
 			return slice.planned
 		}
@@ -59,7 +59,7 @@
 		if len(slice.writtenTable) == 0 {
 			usable = p.effectiveLines(slice) // a site without slices binds proxies to tables
 		}
-		whole := usable.whole()
+		whole := usable.total()
 		for _, l := range usable {
 			if s := p.hosts.get(l.host); s != nil {
 				s.expectedRate += slice.rate * l.weight / whole
@@ -72,7 +72,7 @@
 // tables, too, and a mask applies to all of them. A director without slices does not write such masks: its messages are
 // not acknowledged.
 func (p *publisher) mayBeInForeignTables(id HostID) bool {
-	return p.rules.sharedProxies && p.current.len() > 0 && p.now-p.changedAt.get(id) < foreignTableTime
+	return p.params.sharedProxies && p.current.len() > 0 && p.now-p.changedAt.get(id) < foreignTableTime
 }
 
 // successor returns the host that the calls of a slice go to once its main host is out of use, if it can keep them by
@@ -96,15 +96,15 @@
 // reportsRoom says whether a host has room for more calls by its own reports, where hosts report a busy share. In an
 // overload it is true, since a move gains nothing.
 func (p *placer) reportsRoom(s *placementHost) bool {
-	return p.fleet.busy == 0 || p.fleet.isOverloaded() || s.busy > 0 && s.busy <= roomy
+	return p.fleet.utilization == 0 || p.fleet.isOverloaded() || s.utilization > 0 && s.utilization <= lowUtilization
 }
 
 // relief returns what a new table takes off hosts: calls a second, each times the load of their host over its share.
 func (p *placer) relief(slice *sliceState, table lines) (sum float64) {
-	now := table.scaled()
+	now := table.normalized()
 	for _, l := range p.effectiveLines(slice) {
 		if s := p.hosts.get(l.host); s != nil && s.share > 0 {
-			sum += max(0, l.weight-now.part(l.host)) * slice.rate * s.currentLoad / s.share
+			sum += max(0, l.weight-now.weightOf(l.host)) * slice.rate * s.currentLoad / s.share
 		}
 	}
 	return sum
--- a/logic/write_order.go
+++ b/logic/write_order.go
@@ -28,23 +28,25 @@
 }
 
 // priority returns the priority of a pending table.
-func (w wantedTable) priority(now Millis) float64 { return w.gain * float64(gather+now-w.pendingSince) }
+func (w wantedTable) priority(now Millis) float64 {
+	return w.gain * float64(batchDelay+now-w.pendingSince)
+}
 
 // ordinaryShare returns the part of the queue that ordinary tables may fill. The next removal of a host finds that much
 // ahead of it and adds the overhead of one more message: it still has to reach every proxy within the grace period, and
 // to find room even if nothing before it has been acknowledged. The overhead is paid for each message: in a large
 // fleet, a message that may carry little consists of hardly anything else.
 func (p *publisher) ordinaryShare() float64 {
-	queue, proxies := max(1, p.rules.queueLimit), float64(p.proxies.len())
+	queue, proxies := max(1, p.params.queueLimit), float64(p.proxies.len())
 	overhead := p.messageOverhead()
-	inTime := float64(p.rules.removalTime)*p.rules.linesPerMilli - overhead
-	withRoom := queue*surePart - overhead - proxies*reservedMasks
+	inTime := float64(p.params.removalTime)*p.params.linesPerMilli - overhead
+	withRoom := queue*unacknowledgedBudget - overhead - proxies*reservedMasks
 	return max(minOrdinaryShare, min(inTime, withRoom)/queue)
 }
 
 // messageOverhead returns the overhead, in lines, of a message to all proxies.
 func (p *publisher) messageOverhead() float64 {
-	return float64(p.proxies.len()) * (p.rules.headLines + 1)
+	return float64(p.proxies.len()) * (p.params.headLines + 1)
 }
 
 // isWorthSending says whether the channel has room for a message that justifies its overhead: one that can carry what
@@ -53,9 +55,9 @@
 func (p *publisher) isWorthSending(part, needed float64) bool {
 	filled, unacknowledged := p.queuedLines()
 	overhead := p.messageOverhead()
-	least := min(needed, max(0, p.rules.queueLimit*part-overhead)/2)
-	return filled+overhead+least <= p.rules.queueLimit*part &&
-		unacknowledged+overhead+least <= p.rules.queueLimit*surePart
+	least := min(needed, max(0, p.params.queueLimit*part-overhead)/2)
+	return filled+overhead+least <= p.params.queueLimit*part &&
+		unacknowledged+overhead+least <= p.params.queueLimit*unacknowledgedBudget
 }
 
 // pendingLines returns the lines, to all proxies, of the pending tables that are exhausted, or of the others.
@@ -76,7 +78,7 @@
 			break
 		}
 	}
-	return Millis(float64(times*p.proxies.len()) * (p.rules.headLines + 1) / p.rules.linesPerMilli)
+	return Millis(float64(times*p.proxies.len()) * (p.params.headLines + 1) / p.params.linesPerMilli)
 }
 
 // fitsAllPending says whether the message being filled has room for all pending tables as wanted.
@@ -88,7 +90,7 @@
 // nextStep returns what a table is to hold next where not all pending changes fit: first what its calls need, and the
 // rest once that is written.
 func (p *publisher) nextStep(w wantedTable, spare bool) lines {
-	if !p.rules.sliced || p.rules.singleOwner {
+	if !p.params.sliced || p.params.singleOwner {
 		return w.lines
 	}
 	needed := p.essentialLines(p.current.get(w.table), w.lines, spare)
@@ -106,26 +108,26 @@
 	var out lines
 	offered := 0
 	for _, l := range want {
-		if l.weight >= heavy || current.holds(l.host) {
+		if l.weight >= heavy || current.contains(l.host) {
 			out = append(out, l)
 			offered++
 		}
 	}
 	for _, l := range current {
 		state := p.availability.get(l.host)
-		if isExcluded := state == excluded || state == excludedByRule; !want.holds(l.host) &&
+		if isExcluded := state == excluded || state == excludedByRule; !want.contains(l.host) &&
 			(isExcluded || l.weight < heavy) {
 			out = append(out, l)
 			offered += int(bit(state == available && !p.masked.get(l.host), 0))
 		}
 	}
 	for _, l := range want {
-		if spare && offered < 2 && !out.holds(l.host) {
+		if spare && offered < 2 && !out.contains(l.host) {
 			out = append(out, l)
 			offered++
 		}
 	}
-	return out.sorted()
+	return out.sortByHost()
 }
 
 // excludedFor returns how long a host has been excluded that the current table names and the wanted one does not.
@@ -151,5 +153,5 @@
 // isObsolete says whether a current line is to go because its host is excluded and the wanted table does not name it.
 func (p *publisher) isObsolete(w wantedTable, l line) bool {
 	state := p.availability.get(l.host)
-	return (state == excluded || state == excludedByRule) && !w.lines.holds(l.host)
+	return (state == excluded || state == excludedByRule) && !w.lines.contains(l.host)
 }
