--- a/cmd/vetchwood/main.go
+++ b/cmd/vetchwood/main.go
@@ -83,7 +83,7 @@
 	ctx.Bind(slog.New(handler), &p)
 	err = ctx.Run()
 	var invalid *settings.Invalid
-	var config *platform.Invalid
+	var config *platform.ConfigError
 	switch {
 	case err == nil || errors.Is(err, context.Canceled):
 		return 0
--- a/internal/platform/burst_test.go
+++ b/internal/platform/burst_test.go
@@ -7,53 +7,56 @@
 )
 
 const (
-	calmFor  = 6 * time.Second
-	burstFor = 12 * time.Second
-	// burstSeen is when a burst is met: reports, levels and their way take two seconds, and what was let in by then is
-	// answered or given up by callers within the time of a call.
-	burstSeen = 2*time.Second + callDue
-	burstMore = 2 // times the usual demand beside it, in all 1.7 times what the hosts can do
+	calmDuration  = 6 * time.Second
+	burstDuration = 12 * time.Second
+	// burstReactionTime is the time from the start of a burst until calls are expected to be answered in time again:
+	// reports, new admission levels and their propagation take two seconds, and calls admitted by then end within the
+	// call timeout.
+	burstReactionTime = 2*time.Second + callTimeout
+	burstExtraDemand  = 2 // times the usual demand, in addition to it: 1.7 times the capacity of the hosts in total
 )
 
-// The calls come to three times the usual demand at once, and callers make those again that are turned away. What the
-// hosts can't do is turned away within seconds; what is let in is answered in time, during the burst and after it.
-// Issue 34, its two reports.
+// Guards against overload during a burst: demand rises to three times the usual rate at once, and callers retry
+// rejected calls. Calls beyond the capacity of the hosts must be rejected within seconds, and admitted calls answered
+// in time, during the burst and after it. Regression test for both reports in issue 34.
 func TestBurstIsAnsweredInTime(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.repeats = 2
+	f.maxRetries = 2
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	f.begin(ctx)
-	time.Sleep(calmFor)
+	f.start(ctx)
+	time.Sleep(calmDuration)
 	calm := f.outcomes()
-	burst, over := context.WithTimeout(ctx, burstFor)
-	defer over()
-	for range burstMore {
-		go f.demandCalls(burst)
+	burst, stop := context.WithTimeout(ctx, burstDuration)
+	defer stop()
+	for range burstExtraDemand {
+		go f.generateCalls(burst)
 	}
-	time.Sleep(burstSeen)
-	seen := f.outcomes()
-	time.Sleep(burstFor - burstSeen)
+	time.Sleep(burstReactionTime)
+	reacted := f.outcomes()
+	time.Sleep(burstDuration - burstReactionTime)
 	during := f.outcomes()
-	time.Sleep(callDue + calmFor)
-	met, steady, after := seen.since(calm), during.since(seen), f.outcomes().since(during)
+	time.Sleep(callTimeout + calmDuration)
+	onset, steady, after := reacted.since(calm), during.since(reacted), f.outcomes().since(during)
 	f.mu.Lock()
-	stalled := f.stalled
+	stallTime := f.stallTime
 	f.mu.Unlock()
-	t.Logf("calm %+v, burst met %+v, during %+v, after %+v; the test's own process stalled for %v", calm, met, steady, after, stalled)
+	t.Logf("calm %+v, burst start %+v, during %+v, after %+v; the test's own process stalled for %v",
+		calm, onset, steady, after, stallTime)
 	if late := steady.late + steady.unanswered; late*10 > steady.all() {
-		t.Errorf("%d of %d calls were answered late or not at all, %v after a burst began", late, steady.all(), burstSeen)
+		t.Errorf("%d of %d calls were answered late or not at all, %v after a burst began", late, steady.all(), burstReactionTime)
 	}
 	if steady.inTime*4 < steady.all() {
-		t.Errorf("%d of %d calls were answered in time in a burst of 1.7 times what the hosts can do", steady.inTime, steady.all())
+		t.Errorf("%d of %d calls were answered in time in a burst of 1.7 times the capacity of the hosts",
+			steady.inTime, steady.all())
 	}
-	whole := during.since(calm)
-	if late := whole.late + whole.unanswered; late*5 > whole.all() {
-		t.Errorf("%d of %d calls of a burst were answered late or not at all", late, whole.all())
+	total := during.since(calm)
+	if late := total.late + total.unanswered; late*5 > total.all() {
+		t.Errorf("%d of %d calls of a burst were answered late or not at all", late, total.all())
 	}
 	if late := after.late + after.unanswered; late*20 > after.all() {
 		t.Errorf("%d of %d calls were answered late or not at all after a burst", late, after.all())
 	}
-	f.explain("msg=load")
+	f.logOnFailure("msg=load")
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,5 +1,5 @@
-// Package platform is a director in service on the platform: what its configuration says, and the loop that owns one module,
-// hands it what happened and carries its orders out.
+// Package platform runs a director on the platform. It reads the configuration and runs the event loop that owns the
+// decision module: the loop passes events to the module and executes the orders that it returns.
 package platform
 
 import (
@@ -16,20 +16,21 @@
 	"vetchwood/logic"
 )
 
-// Start is what a director is told when it starts, or is told anew.
-type Start struct {
+// Config is the validated configuration of a director, as read at the start or at a reload.
+type Config struct {
 	Name, Listen, Discovery, Relay string
 	Seed                           uint64
 	Cores                          float64
 	Memory                         int64 // bytes
 	Sockets                        int
-	Known                          codec.List
+	Known                          codec.List // hosts in use until discovery answers
 	Facts                          logic.Facts
 	Names                          *codec.Names
-	Resolution                     logic.Millis
+	Resolution                     logic.Millis // time for which events are collected before a turn
 }
 
-type config struct {
+// configFile is the configuration as written in the JSON file.
+type configFile struct {
 	Name, Listen, Discovery, Seed string
 	Limits                        struct {
 		Cores    float64
@@ -41,93 +42,94 @@
 	Settings json.RawMessage
 }
 
-// Invalid is a configuration that can't be used; it names the place.
-type Invalid struct {
+// ConfigError reports an unusable configuration. Where names the setting at fault, after the path of the
+// file if that could be read.
+type ConfigError struct {
 	Where, Why string
-	Err        error // of the system, where the file could not be read
+	Err        error // the system error, if the file could not be read
 }
 
-func (e *Invalid) Error() string { return e.Where + ": " + e.Why }
+func (e *ConfigError) Error() string { return e.Where + ": " + e.Why }
 
-func (e *Invalid) Unwrap() error { return e.Err }
+func (e *ConfigError) Unwrap() error { return e.Err }
 
-// Load reads the configuration where GW_CONFIG says. The other variables stand in for what it leaves out; once the director runs, the
-// file alone is read.
-func Load(env func(string) string) (*Start, error) {
+// Load reads the configuration file that GW_CONFIG names. The environment variables GW_NAME, GW_LISTEN and GW_DISCOVERY
+// provide settings that the file omits. A reload can change only what the file contains.
+func Load(env func(string) string) (*Config, error) {
 	path := env("GW_CONFIG")
 	if path == "" {
-		return nil, &Invalid{Where: "GW_CONFIG", Why: "not set"}
+		return nil, &ConfigError{Where: "GW_CONFIG", Why: "not set"}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &Invalid{Where: "GW_CONFIG", Why: err.Error(), Err: err}
+		return nil, &ConfigError{Where: "GW_CONFIG", Why: err.Error(), Err: err}
 	}
 	s, err := parse(text, env)
-	var invalid *Invalid
+	var invalid *ConfigError
 	if errors.As(err, &invalid) {
 		invalid.Where = path + ": " + invalid.Where
 	}
 	return s, err
 }
 
-func parse(text []byte, env func(string) string) (*Start, error) {
-	var c config
-	if err := json.Unmarshal(text, &c); err != nil {
-		var kind *json.UnmarshalTypeError
-		var syntax *json.SyntaxError
+func parse(text []byte, env func(string) string) (*Config, error) {
+	var file configFile
+	if err := json.Unmarshal(text, &file); err != nil {
+		var typeError *json.UnmarshalTypeError
+		var syntaxError *json.SyntaxError
 		switch {
-		case errors.As(err, &kind) && kind.Field != "":
-			return nil, &Invalid{Where: strings.ToLower(kind.Field), Why: "not " + kind.Type.String()}
-		case errors.As(err, &syntax):
-			return nil, &Invalid{Where: fmt.Sprintf("byte %d", syntax.Offset), Why: err.Error()}
+		case errors.As(err, &typeError) && typeError.Field != "":
+			return nil, &ConfigError{Where: strings.ToLower(typeError.Field), Why: "expected type " + typeError.Type.String()}
+		case errors.As(err, &syntaxError):
+			return nil, &ConfigError{Where: fmt.Sprintf("byte %d", syntaxError.Offset), Why: err.Error()}
 		}
-		return nil, &Invalid{Where: "configuration", Why: err.Error()}
+		return nil, &ConfigError{Where: "configuration", Why: err.Error()}
 	}
-	either := func(v, name string) string {
+	withFallback := func(v, name string) string {
 		if v == "" {
 			return env(name)
 		}
 		return v
 	}
-	s := &Start{Name: either(c.Name, "GW_NAME"), Listen: either(c.Listen, "GW_LISTEN"),
-		Discovery: either(c.Discovery, "GW_DISCOVERY"), Relay: c.Store.Address, Cores: c.Limits.Cores,
-		Memory: int64(c.Limits.MemoryMB * (1 << 20)), Sockets: c.Limits.Sockets, Known: c.Known}
-	for _, a := range []struct{ where, address string }{{"listen", s.Listen}, {"discovery", s.Discovery},
-		{"store.address", s.Relay}} {
+	config := &Config{Name: withFallback(file.Name, "GW_NAME"), Listen: withFallback(file.Listen, "GW_LISTEN"),
+		Discovery: withFallback(file.Discovery, "GW_DISCOVERY"), Relay: file.Store.Address, Cores: file.Limits.Cores,
+		Memory: int64(file.Limits.MemoryMB * (1 << 20)), Sockets: file.Limits.Sockets, Known: file.Known}
+	for _, a := range []struct{ where, address string }{{"listen", config.Listen}, {"discovery", config.Discovery},
+		{"store.address", config.Relay}} {
 		host, port, err := net.SplitHostPort(a.address)
 		if err != nil {
-			return nil, &Invalid{Where: a.where, Why: fmt.Sprintf("%q is no address with a port", a.address)}
+			return nil, &ConfigError{Where: a.where, Why: fmt.Sprintf("%q is not an address of the form host:port", a.address)}
 		}
 		if net.ParseIP(host) == nil {
-			return nil, &Invalid{Where: a.where, Why: fmt.Sprintf("%q is no IP address", host)}
+			return nil, &ConfigError{Where: a.where, Why: fmt.Sprintf("%q is not an IP address", host)}
 		}
 		if n, err := strconv.Atoi(port); err != nil || n < 1 || n > 65535 {
-			return nil, &Invalid{Where: a.where, Why: fmt.Sprintf("%q is no port", port)}
+			return nil, &ConfigError{Where: a.where, Why: fmt.Sprintf("%q is not a port number from 1 to 65535", port)}
 		}
 	}
-	if s.Name == "" {
-		return nil, &Invalid{Where: "name", Why: "missing"}
+	if config.Name == "" {
+		return nil, &ConfigError{Where: "name", Why: "missing"}
 	}
-	if s.Cores < 0 || s.Memory < 0 || s.Sockets < 0 {
-		return nil, &Invalid{Where: "limits", Why: "below 0"}
+	if config.Cores < 0 || config.Memory < 0 || config.Sockets < 0 {
+		return nil, &ConfigError{Where: "limits", Why: "negative value"}
 	}
-	if c.Seed != "" {
-		seed, err := strconv.ParseUint(c.Seed, 16, 64)
+	if file.Seed != "" {
+		seed, err := strconv.ParseUint(file.Seed, 16, 64)
 		if err != nil {
-			return nil, &Invalid{Where: "seed", Why: fmt.Sprintf("%q is no hexadecimal number of 64 bits", c.Seed)}
+			return nil, &ConfigError{Where: "seed", Why: fmt.Sprintf("%q is not a 64-bit hexadecimal number", file.Seed)}
 		}
-		s.Seed = seed
+		config.Seed = seed
 	}
-	if len(c.Settings) == 0 {
-		return nil, &Invalid{Where: "settings", Why: "missing"}
+	if len(file.Settings) == 0 {
+		return nil, &ConfigError{Where: "settings", Why: "missing"}
 	}
-	f, n, err := wire.Facts(c.Settings)
+	facts, n, err := wire.Facts(file.Settings)
 	if err != nil {
-		return nil, &Invalid{Where: "settings", Why: err.Error()}
+		return nil, &ConfigError{Where: "settings", Why: err.Error()}
 	}
-	s.Facts, s.Names, s.Resolution = f, codec.NewNames(f, n), max(1, n.Resolution)
-	if len(n.Zones) == 0 || len(f.Routes) == 0 {
-		return nil, &Invalid{Where: "settings", Why: "no zones or no routes"}
+	config.Facts, config.Names, config.Resolution = facts, codec.NewNames(facts, n), max(1, n.Resolution)
+	if len(n.Zones) == 0 || len(facts.Routes) == 0 {
+		return nil, &ConfigError{Where: "settings", Why: "at least one zone and one route are required"}
 	}
-	return s, nil
+	return config, nil
 }
--- a/internal/platform/decisions.go
+++ b/internal/platform/decisions.go
@@ -12,93 +12,94 @@
 	"vetchwood/logic"
 )
 
-// worstHosts is how many hosts the regular report names: those with the most failed tries.
+// worstHosts is the maximum number of hosts logged at info level with each report: those with the most failed tries.
 const worstHosts = 3
 
-// lag sums how long orders took to their proxies since the last figures.
-type lag struct {
+// ackLatency accumulates the time from orders to their acknowledgements by proxies since the last figures.
+type ackLatency struct {
 	acknowledged int
 	sum, longest logic.Millis
 }
 
-func (l *lag) add(spent logic.Millis) {
+func (l *ackLatency) add(spent logic.Millis) {
 	l.acknowledged++
 	l.sum += spent
 	l.longest = max(l.longest, spent)
 }
 
-// logHostChanges writes each change of a host's condition with its reason and what was known of the host.
+// logHostChanges logs each change of a host's condition, with the reason and the state of the host.
 func (d *director) logHostChanges() {
 	for _, c := range d.module.Changes() {
 		d.log.Info("host.changed", "host", d.hosts.NameOf(c.Host), "from", c.From.String(), "to", c.To.String(),
 			"why", c.Reason.String(), "tries_per_s", round(c.Ended), "failed_per_s", round(c.Failed),
-			"busy", round(c.Busy), "quiet_ms", quiet(c), "expected_per_s", round(c.Expected))
+			"busy", round(c.Busy), "quiet_ms", sinceLastReport(c), "expected_per_s", round(c.Expected))
 	}
 }
 
-// quiet is the time since the last report of a host, for the log: a host that was not reported on has none.
-func quiet(c logic.HostChange) string {
+// sinceLastReport formats the time in milliseconds since the last report on a host: "never" if there was none.
+func sinceLastReport(c logic.HostChange) string {
 	if !c.Heard {
 		return "never"
 	}
 	return strconv.Itoa(int(c.Quiet))
 }
 
-// reportLoad writes what admission reckons with, each second in which calls are turned away, hosts are full or answers
-// are late, and once when that is over.
-func (d *director) reportLoad() {
+// logLoad logs the inputs and results of admission control while calls are rejected, hosts are full or answers are
+// late, and once when that is over.
+func (d *director) logLoad() {
 	r := d.module.Load()
-	strained := r.Full > 0 || r.AnswerTime > d.start.tightestGoal()
+	strained := r.Full > 0 || r.AnswerTime > d.config.shortestSLO()
 	for _, level := range slices.Concat(r.Levels, r.Written) {
 		strained = strained || level < 1
 	}
-	if !strained && !d.strained {
+	if !strained && !d.overloaded {
 		return
 	}
-	d.strained = strained
+	d.overloaded = strained
 	d.log.Info("load", "calls_per_s", round(r.Calls), "let_in_per_s", round(r.LetIn),
 		"unanswered_per_s", round(r.Unanswered), "tries_per_s", round(r.Tries), "demand_per_s", round(r.Demand),
 		"capacity_per_s", round(r.Capacity), "busy", round(r.Busy), "loss", round(r.Loss),
 		"answer_ms", int(r.AnswerTime), "in_hand", round(r.InHand), "waiting", round(r.Waiting),
 		"full_hosts", r.Full, "hosts", r.InUse,
-		"levels", joined(r.Levels), "levels_written", joined(r.Written), "written_for_ms", int(r.WrittenFor))
+		"levels", joinNumbers(r.Levels), "levels_written", joinNumbers(r.Written), "written_for_ms", int(r.WrittenFor))
 }
 
-// tightestGoal is the shortest time within which a route wants its answers.
-func (s *Start) tightestGoal() logic.Millis {
+// shortestSLO returns the shortest answer time objective of all routes.
+func (c *Config) shortestSLO() logic.Millis {
 	goal := logic.Millis(math.Inf(1))
-	for _, route := range s.Facts.Routes {
+	for _, route := range c.Facts.Routes {
 		goal = min(goal, route.SLO)
 	}
 	return goal
 }
 
-// reportDecisions writes what the module believes and wants: demand against capacity, levels, hosts by condition,
-// and what waits.
-func (d *director) reportDecisions() {
+// logDecisions logs the state of the decision module: demand and capacity, admission levels, hosts by condition, and
+// pending tables and lines.
+func (d *director) logDecisions() {
 	r := d.module.Report()
-	by, cold := map[logic.Condition]int{}, 0
+	byCondition, cold := map[logic.Condition]int{}, 0
 	for _, h := range r.Hosts {
-		by[h.Condition]++
+		byCondition[h.Condition]++
 		if h.Cold {
 			cold++
 		}
 	}
 	d.log.Info("decisions", "demand", round(r.Demand), "capacity", round(r.Capacity), "pressure", round(r.Pressure),
-		"wanted", round(r.Wanted), "busy", round(r.Busy), "loss", round(r.Loss), "levels", joined(r.Levels),
-		"tries", joined(r.Tries), "levels_stand", r.LevelsStand, "serving", by[logic.Serving], "cold", cold,
-		"resting", by[logic.Resting], "removed", by[logic.Removed], "on_trial", by[logic.OnTrial],
-		"unproven", by[logic.Unproven], "drained", by[logic.Drained], "masked", r.Masked,
+		"wanted", round(r.Wanted), "busy", round(r.Busy), "loss", round(r.Loss), "levels", joinNumbers(r.Levels),
+		"tries", joinNumbers(r.Tries), "levels_stand", r.LevelsStand, "serving", byCondition[logic.Serving], "cold", cold,
+		"resting", byCondition[logic.Resting], "removed", byCondition[logic.Removed], "on_trial", byCondition[logic.OnTrial],
+		"unproven", byCondition[logic.Unproven], "drained", byCondition[logic.Drained], "masked", r.Masked,
 		"tables_waiting", r.TablesWaiting, "oldest_wait_ms", int(r.OldestWait), "queued_lines", int(r.QueuedLines),
 		"unacknowledged_lines", int(r.UnacknowledgedLines), "messages", r.Messages, "silences", r.Silences,
-		"acknowledged", d.lag.acknowledged, "lag_ms", mean(d.lag.sum, d.lag.acknowledged),
-		"longest_lag_ms", int(d.lag.longest))
-	d.lag = lag{}
-	d.reportHosts(r.Hosts)
+		"acknowledged", d.ackLatency.acknowledged, "lag_ms", mean(d.ackLatency.sum, d.ackLatency.acknowledged),
+		"longest_lag_ms", int(d.ackLatency.longest))
+	d.ackLatency = ackLatency{}
+	d.logHosts(r.Hosts)
 }
 
-// reportHosts writes a line a host, those with the most failed tries first; all but the first few at debug level.
-func (d *director) reportHosts(hosts []logic.HostReport) {
+// logHosts logs one line per host, sorted by failed tries in descending order. The first worstHosts are logged at info
+// level if they have failed tries, the others at debug level.
+func (d *director) logHosts(hosts []logic.HostReport) {
 	slices.SortStableFunc(hosts, func(a, b logic.HostReport) int { return cmp.Compare(b.Loss*b.Tries, a.Loss*a.Tries) })
 	for i, h := range hosts {
 		level := slog.LevelDebug
@@ -112,13 +113,14 @@
 	}
 }
 
-// round keeps two decimals, enough for a log.
+// round rounds to two decimals for the log.
 func round(x float64) float64 {
 	v, _ := strconv.ParseFloat(strconv.FormatFloat(x, 'f', 2, 64), 64)
 	return v
 }
 
-func joined[T int | float64](values []T) string {
+// joinNumbers formats numbers as a space-separated list.
+func joinNumbers[T int | float64](values []T) string {
 	var parts []string
 	for _, v := range values {
 		parts = append(parts, strconv.FormatFloat(float64(v), 'f', -1, 64))
--- a/internal/platform/figures.go
+++ b/internal/platform/figures.go
@@ -8,33 +8,37 @@
 	"vetchwood/logic"
 )
 
-// figures tell how it goes.
-func (d *director) figures() {
+// logFigures logs operating figures of the process, the relay connection and the load reports.
+func (d *director) logFigures() {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	open, _ := os.ReadDir("/proc/self/fd")
-	proxies, slices := d.book.Figures()
-	f, c := d.front.Figures(), d.counts
-	d.log.Info("figures", "proxies", proxies, "slices", slices, "hosts", d.hosts.Listed(), "lists", c.lists,
-		"calls", c.calls, "orders", c.taken, "waiting", d.box.Waiting(), "merged", d.box.Merged, "unsure", c.unsure, "unsent", c.unsent,
-		"later", c.later, "refused", c.refused, "subscribed", c.begun, "broke", c.broke,
-		"open", f.Open, "strangers", f.Strangers, "sent_away", f.Turned, "reports_dropped", f.Dropped, "of_unknown_hosts", c.unknown,
-		"heap_kb", m.HeapAlloc>>10, "sys_kb", m.Sys>>10, "goroutines", runtime.NumGoroutine(), "descriptors", len(open),
-		"slowest_turn", d.slow.String())
-	h := d.heard
-	k := c.kinds
-	d.log.Info("orders.taken", "lines", k.lines, "removals", k.removals, "masks", k.masks, "levels", k.levels, "marks", k.marks)
-	d.counts.kinds = kinds{}
-	d.log.Info("heard", "hosts", h.hosts, "tries", h.tries, "lost", h.lost, "over_ms", mean(h.hostOver, h.hosts),
-		"slices", h.slices, "calls", h.calls, "calls_over_ms", mean(h.sliceOver, h.slices))
-	d.slow, d.heard = 0, heard{}
-	d.reportDecisions()
+	descriptors, _ := os.ReadDir("/proc/self/fd")
+	proxies, slices := d.relayState.Figures()
+	server, counts := d.server.Figures(), d.counters
+	d.log.Info("figures", "proxies", proxies, "slices", slices, "hosts", d.hosts.Listed(), "lists", counts.hostLists,
+		"calls", counts.calls, "orders", counts.appliedOrders, "waiting", d.outbox.Waiting(),
+		"merged", d.outbox.Merged, "unsure", counts.unconfirmed, "unsent", counts.notSent, "later", counts.deferred,
+		"refused", counts.rejected, "subscribed", counts.subscriptions, "broke", counts.subscriptionsLost,
+		"open", server.Open, "strangers", server.Strangers, "sent_away", server.Turned,
+		"reports_dropped", server.Dropped, "of_unknown_hosts", counts.unknownHosts,
+		"heap_kb", m.HeapAlloc>>10, "sys_kb", m.Sys>>10, "goroutines", runtime.NumGoroutine(), "descriptors", len(descriptors),
+		"slowest_turn", d.slowestTurn.String())
+	reports := d.reports
+	byKind := counts.ordersByKind
+	d.log.Info("orders.taken", "lines", byKind.lines, "removals", byKind.removals,
+		"masks", byKind.masks, "levels", byKind.levels, "marks", byKind.marks)
+	d.counters.ordersByKind = orderCounts{}
+	d.log.Info("heard", "hosts", reports.hosts, "tries", reports.tries, "lost", reports.failed,
+		"over_ms", mean(reports.hostIntervals, reports.hosts),
+		"slices", reports.slices, "calls", reports.calls, "calls_over_ms", mean(reports.sliceIntervals, reports.slices))
+	d.slowestTurn, d.reports = 0, reportTotals{}
+	d.logDecisions()
 }
 
-// kinds counts the orders that the relay took since the last figures, by what they are.
-type kinds struct{ lines, removals, masks, levels, marks int }
+// orderCounts counts the orders that the relay has applied since the last figures, by kind.
+type orderCounts struct{ lines, removals, masks, levels, marks int }
 
-func (k *kinds) add(orders []outbox.Op) {
+func (k *orderCounts) add(orders []outbox.Op) {
 	for _, o := range orders {
 		switch {
 		case o.Kind == outbox.Line && o.Weight > 0:
@@ -51,20 +55,22 @@
 	}
 }
 
-// heard sums the reports since the last figures, to be set beside what passed: a report covers longer the more there are to send.
-type heard struct {
-	hosts, tries, lost  int
-	slices, calls       int
-	hostOver, sliceOver logic.Millis
+// reportTotals sums the load reports received since the last figures, with the intervals that they cover. The intervals
+// are logged because a report covers a longer time the more reports a collector has to send.
+type reportTotals struct {
+	hosts, tries, failed          int
+	slices, calls                 int
+	hostIntervals, sliceIntervals logic.Millis
 }
 
-func (h *heard) add(note any) {
-	switch n := note.(type) {
+func (h *reportTotals) add(event any) {
+	switch n := event.(type) {
 	case logic.Met:
-		h.hosts, h.tries, h.lost, h.hostOver = h.hosts+1, h.tries+n.Ended, h.lost+n.Lost, h.hostOver+n.Over
+		h.hosts, h.tries, h.failed, h.hostIntervals = h.hosts+1, h.tries+n.Ended, h.failed+n.Lost, h.hostIntervals+n.Over
 	case logic.Heat:
-		h.slices, h.calls, h.sliceOver = h.slices+1, h.calls+n.Calls, h.sliceOver+n.Over
+		h.slices, h.calls, h.sliceIntervals = h.slices+1, h.calls+n.Calls, h.sliceIntervals+n.Over
 	}
 }
 
+// mean returns the mean of n values with the given sum, 0 if there are none.
 func mean(sum logic.Millis, n int) int { return int(sum) / max(1, n) }
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -8,21 +8,23 @@
 	"vetchwood/internal/budget"
 )
 
-// beside is what a process holds that Go's memory limit doesn't count: its text and what the kernel keeps for it.
-const beside = 10 << 20
+// uncountedMemory is the memory in bytes that a process uses but Go's memory limit does not count: its code and the
+// kernel's memory for it.
+const uncountedMemory = 10 << 20
 
-// limit keeps the process within what the configuration grants, and says what that is.
-func limit(s *Start) budget.Means {
-	means := budget.Unlimited
-	if s.Cores > 0 {
-		runtime.GOMAXPROCS(max(1, int(math.Ceil(s.Cores))))
+// applyLimits sets the runtime's CPU and memory limits to those of the configuration, and returns the resources that
+// are available.
+func applyLimits(config *Config) budget.Means {
+	available := budget.Unlimited
+	if config.Cores > 0 {
+		runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Cores))))
 	}
-	if s.Memory > 0 {
-		means.Memory = s.Memory
-		debug.SetMemoryLimit(max(s.Memory/2, s.Memory-max(beside, s.Memory/4)))
+	if config.Memory > 0 {
+		available.Memory = config.Memory
+		debug.SetMemoryLimit(max(config.Memory/2, config.Memory-max(uncountedMemory, config.Memory/4)))
 	}
-	if s.Sockets > 0 {
-		means.Descriptors = s.Sockets
+	if config.Sockets > 0 {
+		available.Descriptors = config.Sockets
 	}
-	return means
+	return available
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -23,133 +23,140 @@
 )
 
 const (
-	callBytes   = 59_000 // of orders; the relay takes 60,000
-	mostWaiting = 20_000 // orders that wait for the relay
-	leaveFor    = 300 * time.Millisecond
-	figuresFor  = 5 * time.Second
-	loadFor     = time.Second
-	signOfLife  = logic.Millis(1200) // the relay gives one each second
+	maxCallBytes     = 59_000 // size of the orders in one call; the relay accepts up to 60,000 bytes
+	maxWaitingOrders = 20_000 // orders queued for the relay
+	shutdownTimeout  = 300 * time.Millisecond
+	figuresInterval  = 5 * time.Second
+	loadInterval     = time.Second
+	pingTimeout      = logic.Millis(1200) // the relay sends a ping every second
 )
 
-// director is a running one. All but the inbox belongs to the goroutine of run.
+// director is a running director. All fields except inbox and lastID, which are safe for concurrent use, are owned by
+// the goroutine that executes run.
 type director struct {
 	turns.Clock
-	inbox  *turns.Inbox
-	log    *slog.Logger
-	start  *Start
-	module *logic.Director
-	hosts  *codec.Hosts
-	box    *outbox.Box
-	book   *news.Book
-	calls  *uplink.Calls
-	probes *prober
-	front  *collect.Server
-	ledger *budget.Ledger
-	timers timers
+	inbox      *turns.Inbox
+	log        *slog.Logger
+	config     *Config
+	module     *logic.Director
+	hosts      *codec.Hosts
+	outbox     *outbox.Box
+	relayState *news.Book
+	calls      *uplink.Calls // to the relay
+	prober     *prober
+	server     *collect.Server
+	budget     *budget.Ledger
+	timers     timers
 
-	calling  bool
-	doubted  bool         // the call in hand is unsure; the module says when it is made again
-	proven   bool         // a proxy owned up to the call in hand
-	resync   bool         // the present state is told anew: a call that ends unanswered now is void
-	relay    string       // where calls go from now on
-	follower int          // whose subscriptions are taken
-	newest   int          // of watches
-	source   int          // of the news that are taken; 0: none
-	alive    bool         // that source has not broken
-	told     logic.Millis // when it told something last
-	serial   atomic.Int64 // of the last subscription
-	follow   context.CancelFunc
-	leaving  []context.CancelFunc // followers of former relays, until the new one serves
-	watches  map[int]watcher      // the newest, and those of former addresses until it has spoken
-	stopping bool
-	notes    []any
-	counts   counts
-	heard    heard
-	lag      lag
-	strained bool          // as last reported
-	slow     time.Duration // the longest turn
+	callInFlight        bool
+	callUnconfirmed     bool         // the current call may have been applied; the module decides when to send it again
+	callConfirmed       bool         // a proxy has acknowledged the current call
+	discardUnanswered   bool         // the relay is resending its state: the call in flight is discarded if it fails
+	relayAddress        string       // receives all further calls
+	followerID          int          // the follower whose subscriptions are accepted
+	newestWatch         int          // key in watches
+	subscriptionID      int          // the subscription whose notifications are accepted; 0 if there is none
+	subscriptionOpen    bool         // the connection of that subscription has not been lost
+	lastNotification    logic.Millis // time of its last notification
+	lastID              atomic.Int64 // last ID issued to a follower, subscription or watch
+	stopFollower        context.CancelFunc
+	stopFormerFollowers []context.CancelFunc // followers of former relays, which run until the new relay is subscribed to
+	watches             map[int]watchHandle  // the newest watch, and those of former addresses until it has answered
+	stopping            bool
+	events              []any
+	counters            counters
+	reports             reportTotals
+	ackLatency          ackLatency
+	overloaded          bool          // as of the last load report in the log
+	slowestTurn         time.Duration // since the last figures
 }
 
-type watcher struct {
+// watchHandle is a running watch of a discovery address.
+type watchHandle struct {
 	address string
-	end     context.CancelFunc
+	cancel  context.CancelFunc
 }
 
-type counts struct {
-	calls, unsure, unsent, later, refused, taken, unknown uint64
-	begun, broke, lists                                   int
-	kinds                                                 kinds
+// counters count calls to the relay, orders and notifications since the start; ordersByKind restarts with each log line
+// of figures.
+type counters struct {
+	calls, unconfirmed, notSent, deferred, rejected, appliedOrders, unknownHosts uint64
+	subscriptions, subscriptionsLost, hostLists                                  int
+	ordersByKind                                                                 orderCounts
 }
 
-// Run is a director's life: until SIGTERM, or something that it can't do without fails. SIGHUP has the configuration read anew.
+// Run runs a director until it receives SIGTERM, the context ends, or its listener fails. SIGHUP reloads the
+// configuration.
 func Run(ctx context.Context, env func(string) string, signals <-chan os.Signal, log *slog.Logger) error {
-	s, err := loadAtStart(ctx, env, log)
+	config, err := loadWithRetry(ctx, env, log)
 	if err != nil {
 		return err
 	}
-	log = log.With("director", s.Name)
+	log = log.With("director", config.Name)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d := newDirector(s, log)
-	d.ledger = budget.New(limit(s))
-	if d.front, err = listen(ctx, s, d, log); err != nil {
-		return fmt.Errorf("listen %s: %w", s.Listen, err)
+	d := newDirector(config, log)
+	d.budget = budget.New(applyLimits(config))
+	if d.server, err = listenWithRetry(ctx, config, d, log); err != nil {
+		return fmt.Errorf("listen %s: %w", config.Listen, err)
 	}
-	defer d.front.Close()
+	defer d.server.Close()
 	failed := make(chan error, 1)
-	go func() { failed <- d.front.Serve() }()
-	go live.Watch(ctx, d.ledger)
-	d.calls = uplink.NewCalls(s.Names, d.inbox.Post, log)
+	go func() { failed <- d.server.Serve() }()
+	go live.Watch(ctx, d.budget)
+	d.calls = uplink.NewCalls(config.Names, d.inbox.Post, log)
 	go d.calls.Run(ctx)
-	d.probes = newProber(ctx, s.Names, d.inbox.Post)
-	d.connect(ctx, s)
-	log.Info("director.started", "listen", s.Listen, "discovery", s.Discovery, "relay", s.Relay, "hosts", len(s.Known.Endpoints),
-		"slices", s.Facts.Slices, "proxies", s.Facts.Proxies, "cores", s.Cores, "memory", s.Memory, "sockets", s.Sockets,
-		"after", d.Elapsed().String())
+	d.prober = newProber(ctx, config.Names, d.inbox.Post)
+	d.connect(ctx, config)
+	log.Info("director.started", "listen", config.Listen, "discovery", config.Discovery, "relay", config.Relay,
+		"hosts", len(config.Known.Endpoints), "slices", config.Facts.Slices, "proxies", config.Facts.Proxies, "cores", config.Cores,
+		"memory", config.Memory, "sockets", config.Sockets, "after", d.Elapsed().String())
 	return d.run(ctx, env, signals, failed)
 }
 
-func newDirector(s *Start, log *slog.Logger) *director {
-	d := &director{Clock: turns.NewClock(), inbox: turns.NewInbox(), log: log, start: s, hosts: codec.NewHosts(),
-		watches: map[int]watcher{}, box: outbox.New(outbox.Limits{CallBytes: callBytes, Waiting: mostWaiting}), book: news.New(),
-		module: logic.New(s.Seed, s.Facts)}
-	d.book.Forgotten = d.box.Forget
-	r, wrong := d.hosts.Roster(s.Known, logic.FromDisk, s.Names)
-	d.wrong("known", wrong)
-	d.notes = append(d.notes, r)
+// newDirector creates a director whose first event is the host list of the configuration.
+func newDirector(config *Config, log *slog.Logger) *director {
+	d := &director{Clock: turns.NewClock(), inbox: turns.NewInbox(), log: log, config: config, hosts: codec.NewHosts(),
+		watches: map[int]watchHandle{}, outbox: outbox.New(outbox.Limits{CallBytes: maxCallBytes, Waiting: maxWaitingOrders}),
+		relayState: news.New(), module: logic.New(config.Seed, config.Facts)}
+	d.relayState.Forgotten = d.outbox.Forget
+	hostList, invalid := d.hosts.Roster(config.Known, logic.FromDisk, config.Names)
+	d.logInvalidHosts("known", invalid)
+	d.events = append(d.events, hostList)
 	return d
 }
 
-// connect follows the addresses of a configuration. What former ones tell goes on until the new ones have spoken.
-func (d *director) connect(ctx context.Context, s *Start) {
-	if d.follow == nil || d.relay != s.Relay {
-		if d.follow != nil {
-			d.leaving = append(d.leaving, d.follow)
+// connect starts following the relay and discovery addresses of a configuration. Followers of former addresses keep
+// running until the new ones deliver.
+func (d *director) connect(ctx context.Context, config *Config) {
+	if d.stopFollower == nil || d.relayAddress != config.Relay {
+		if d.stopFollower != nil {
+			d.stopFormerFollowers = append(d.stopFormerFollowers, d.stopFollower)
 		}
-		news, end := context.WithCancel(ctx)
-		number := func() int { return int(d.serial.Add(1)) }
-		d.relay, d.follow, d.follower = s.Relay, end, number()
-		go uplink.Follow(news, s.Relay, s.Names, d.follower, number, d.inbox.Post, d.log)
-	}
-	if d.watches[d.newest].address != s.Discovery {
-		list, end := context.WithCancel(ctx)
-		d.newest = int(d.serial.Add(1))
-		d.watches[d.newest] = watcher{s.Discovery, end}
-		go watch.Follow(list, s.Discovery, d.newest, d.inbox.Post, d.log)
-	}
-	d.start = s
+		followCtx, stop := context.WithCancel(ctx)
+		nextID := func() int { return int(d.lastID.Add(1)) }
+		d.relayAddress, d.stopFollower, d.followerID = config.Relay, stop, nextID()
+		go uplink.Follow(followCtx, config.Relay, config.Names, d.followerID, nextID, d.inbox.Post, d.log)
+	}
+	if d.watches[d.newestWatch].address != config.Discovery {
+		watchCtx, stop := context.WithCancel(ctx)
+		d.newestWatch = int(d.lastID.Add(1))
+		d.watches[d.newestWatch] = watchHandle{config.Discovery, stop}
+		go watch.Follow(watchCtx, config.Discovery, d.newestWatch, d.inbox.Post, d.log)
+	}
+	d.config = config
 }
 
-// listed says whether a list is taken. Each list is a truth of its own: what a former address still had on its way when the new
-// one spoke is older, and would bring back hosts that have gone.
-func (d *director) listed(source int) bool {
-	if _, some := d.watches[source]; !some {
+// acceptList reports whether a host list of the given watch is accepted. The first list of the newest watch stops the
+// watches of former addresses: lists of theirs that are still queued are older and would bring back removed hosts.
+func (d *director) acceptList(watchID int) bool {
+	if _, known := d.watches[watchID]; !known {
 		return false
 	}
-	if source == d.newest {
+	if watchID == d.newestWatch {
 		for n, w := range d.watches {
-			if n != source {
-				w.end()
+			if n != watchID {
+				w.cancel()
 				delete(d.watches, n)
 			}
 		}
@@ -157,142 +164,148 @@
 	return true
 }
 
-// run is the loop.
+// run is the event loop.
 func (d *director) run(ctx context.Context, env func(string) string, signals <-chan os.Signal, failed <-chan error) error {
-	timer, figures, load := time.NewTimer(0), time.NewTicker(figuresFor), time.NewTicker(loadFor)
+	timer, figures, load := time.NewTimer(0), time.NewTicker(figuresInterval), time.NewTicker(loadInterval)
 	defer timer.Stop()
 	defer figures.Stop()
 	defer load.Stop()
-	gather := time.Duration(float64(d.start.Resolution) * float64(time.Millisecond))
-	var ends, again <-chan time.Time
-	var asked time.Time // when a reload was
+	gatherTime := time.Duration(float64(d.config.Resolution) * float64(time.Millisecond))
+	var shutdown, reloadAgain <-chan time.Time
+	var reloadStarted time.Time // time of the SIGHUP of the current reload
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case err := <-failed:
-			return fmt.Errorf("listen %s: %w", d.start.Listen, err)
-		case <-ends:
+			return fmt.Errorf("listen %s: %w", d.config.Listen, err)
+		case <-shutdown:
 			return nil
 		case sig := <-signals:
 			if d.stopping {
-				break // it leaves already: nothing prolongs that, and new addresses are for the next start
+				break // already stopping: later signals do not prolong the shutdown, and a new configuration is not loaded
 			}
 			if sig == syscall.SIGHUP {
-				asked = time.Now()
-				again = d.reload(ctx, env, asked)
+				reloadStarted = time.Now()
+				reloadAgain = d.reload(ctx, env, reloadStarted)
 				break
 			}
-			d.stopping, ends, again = true, time.After(leaveFor), nil
-			d.log.Info("director.stopping", "signal", sig.String(), "waiting", d.box.Waiting(), "calling", d.calling, "doubted", d.doubted)
-		case <-again:
-			again = d.reload(ctx, env, asked)
+			d.stopping, shutdown, reloadAgain = true, time.After(shutdownTimeout), nil
+			d.log.Info("director.stopping", "signal", sig.String(), "waiting", d.outbox.Waiting(),
+				"calling", d.callInFlight, "doubted", d.callUnconfirmed)
+		case <-reloadAgain:
+			reloadAgain = d.reload(ctx, env, reloadStarted)
 		case <-figures.C:
-			d.figures()
+			d.logFigures()
 		case <-load.C:
-			d.reportLoad()
+			d.logLoad()
 		case <-d.inbox.Wake():
-			time.Sleep(gather) // for company
+			time.Sleep(gatherTime) // lets further events arrive, to be handled in the same turn
 		case <-timer.C:
 		}
 		began := time.Now()
 		d.turn()
-		d.slow = max(d.slow, time.Since(began))
-		if d.stopping && d.box.InHand() == nil && d.box.Waiting() == 0 {
+		d.slowestTurn = max(d.slowestTurn, time.Since(began))
+		if d.stopping && d.outbox.InHand() == nil && d.outbox.Waiting() == 0 {
 			return nil
 		}
-		timer.Reset(d.wakeAfter())
+		timer.Reset(d.untilNextTurn())
 	}
 }
 
-func (d *director) wakeAfter() time.Duration {
-	if until := d.book.Telling(d.Now()); until > 0 {
+// untilNextTurn returns the time until the next turn if no event arrives before.
+func (d *director) untilNextTurn() time.Duration {
+	if until := d.relayState.Telling(d.Now()); until > 0 {
 		return d.Until(until)
 	}
-	next, some := d.timers.next()
-	if until := d.book.Gathering(); until > 0 && (!some || until < next) {
-		next, some = until, true
+	next, ok := d.timers.next()
+	if until := d.relayState.Gathering(); until > 0 && (!ok || until < next) {
+		next, ok = until, true
 	}
-	if !some {
+	if !ok {
 		return time.Second
 	}
 	return d.Until(next)
 }
 
-// turn hands the module all that has happened and carries out what it orders.
+// turn is one pass of the event loop: it passes all events since the last pass to the module and executes its orders.
 func (d *director) turn() {
 	in, _, _ := d.inbox.Take(0)
 	now := d.Now()
 	for _, x := range in {
-		d.take(now, x)
+		d.handleEvent(now, x)
 	}
-	d.notes = append(d.notes, d.book.Gathered(now, false)...)
-	if d.book.Telling(now) > 0 { // the module would take a part of the fleet for all of it
-		d.call()
+	d.events = append(d.events, d.relayState.Gathered(now, false)...)
+	if d.relayState.Telling(now) > 0 {
+		// The relay has sent only a part of its state; the module would take that part for the whole fleet.
+		d.startNextCall()
 		return
 	}
 	for _, t := range d.timers.due(now) {
-		d.notes = append(d.notes, logic.Due{Timer: t})
+		d.events = append(d.events, logic.Due{Timer: t})
 	}
-	if notes := d.notes; len(notes) > 0 {
-		d.notes = nil
-		d.traceNotes(notes)
-		orders := d.module.Handle(now, notes)
+	if events := d.events; len(events) > 0 {
+		d.events = nil
+		d.traceEvents(events)
+		orders := d.module.Handle(now, events)
 		d.logHostChanges()
-		d.carryOut(now, orders)
+		d.executeOrders(now, orders)
 	}
-	d.call()
+	d.startNextCall()
 }
 
-func (d *director) take(now logic.Millis, x any) {
+// handleEvent turns an entry of the inbox into events for the module, or updates the director's own state.
+func (d *director) handleEvent(now logic.Millis, x any) {
 	switch x := x.(type) {
 	case codec.Message:
 		if x.Host != "" && !d.hosts.Known(codec.ID(x.Host)) {
-			d.counts.unknown++
-			return // a report on a host that was never listed
+			d.counters.unknownHosts++
+			return // a report on a host that discovery never listed
 		}
-		d.heard.add(x.Note)
-		d.notes = append(d.notes, x.Note)
+		d.reports.add(x.Note)
+		d.events = append(d.events, x.Note)
 	case watch.Told:
-		if !d.listed(x.Source) {
+		if !d.acceptList(x.Source) {
 			d.log.Info("list.late", "source", x.Source, "index", x.List.Index)
 			return
 		}
-		d.counts.lists++
-		r, wrong := d.hosts.Roster(x.List, logic.Whole, d.start.Names)
-		d.wrong("discovery", wrong)
-		d.notes = append(d.notes, r)
-	case answer:
-		delete(d.probes.asked, x.Host)
-		if x.address == d.hosts.Address(x.Host) { // what answered at a former address is no word of the host
-			d.notes = append(d.notes, x.Probed)
+		d.counters.hostLists++
+		hostList, invalid := d.hosts.Roster(x.List, logic.Whole, d.config.Names)
+		d.logInvalidHosts("discovery", invalid)
+		d.events = append(d.events, hostList)
+	case probeResult:
+		delete(d.prober.inFlight, x.Host)
+		if x.address == d.hosts.Address(x.Host) { // a result from a former address says nothing about the host
+			d.events = append(d.events, x.Probed)
 		}
 	case uplink.Ended:
-		d.ended(x)
+		d.handleCallEnd(x)
 	case uplink.Began:
-		d.subscribed(now, x)
+		d.acceptSubscription(now, x)
 	case uplink.News:
-		if x.Source == d.source {
-			d.told = now
-			d.news(now, x.News)
+		if x.Source == d.subscriptionID {
+			d.lastNotification = now
+			d.handleNotification(now, x.News)
 		}
 	case uplink.Broke:
 		d.log.Warn("news.broke", "source", x.Source, "why", x.Why)
-		if d.counts.broke++; x.Source == d.source {
-			d.alive = false
+		if d.counters.subscriptionsLost++; x.Source == d.subscriptionID {
+			d.subscriptionOpen = false
 		}
 	default:
-		panic(fmt.Sprintf("%T in the inbox", x))
+		panic(fmt.Sprintf("unexpected type %T in the inbox", x))
 	}
 }
 
-func (d *director) wrong(where string, errs []error) {
+// logInvalidHosts logs the entries of a host list that were rejected.
+func (d *director) logInvalidHosts(where string, errs []error) {
 	for _, err := range errs {
 		d.log.Warn("host.dropped", "where", where, "error", err)
 	}
 }
 
-func (d *director) news(now logic.Millis, n codec.News) {
+// handleNotification processes a notification of the relay.
+func (d *director) handleNotification(now logic.Millis, n codec.News) {
 	if n.Host != "" {
 		if _, err := d.hosts.Name(n.Host); err != nil {
 			d.log.Warn("news.dropped", "error", err)
@@ -300,33 +313,34 @@
 		}
 	}
 	if a, is := n.Note.(logic.Applied); is {
-		d.lag.add(a.Spent)
-		d.applied(a)
+		d.ackLatency.add(a.Spent)
+		d.confirmCall(a)
 	}
 	if n.Kind == codec.SignOfLife {
-		d.notes = append(d.notes, logic.NewsAlive{})
+		d.events = append(d.events, logic.NewsAlive{})
 	}
-	d.notes = append(d.notes, d.book.Take(now, n)...)
+	d.events = append(d.events, d.relayState.Take(now, n)...)
 }
 
-// carryOut takes the module's orders: timers and probes here, the rest to the relay, as one call.
-func (d *director) carryOut(now logic.Millis, orders []logic.Order) {
+// executeOrders executes the module's orders: it sets timers and starts probes, and queues the remaining orders for the
+// relay as one call.
+func (d *director) executeOrders(now logic.Millis, orders []logic.Order) {
 	var ops []outbox.Op
 	for _, o := range orders {
 		switch o := o.(type) {
 		case logic.After:
 			d.timers.add(now+o.In, o.Timer)
 		case logic.Ping:
-			d.probes.ask(o.Host, d.hosts.Address(o.Host))
+			d.prober.enqueue(o.Host, d.hosts.Address(o.Host))
 		case logic.Say:
 			d.log.Info("module", "says", o.Text)
 		case logic.Again:
-			d.resolve(o.Serial)
+			d.clearUnconfirmed(o.Serial)
 		case logic.Follow, logic.Pull, logic.Tell:
-			// The list is always followed, and directors here have no way to each other.
+			// The host list is always followed here, and directors on the platform cannot reach each other.
 		default:
-			op, relays, err := d.start.Names.Op(o, d.hosts)
-			if err != nil || !relays {
+			op, forRelay, err := d.config.Names.Op(o, d.hosts)
+			if err != nil || !forRelay {
 				d.log.Error("order.dropped", "order", fmt.Sprintf("%T%+v", o, o), "error", err)
 				continue
 			}
@@ -337,141 +351,153 @@
 		return
 	}
 	d.traceOrders(ops)
-	if dropped, err := d.box.Add(ops); err != nil {
+	if dropped, err := d.outbox.Add(ops); err != nil {
 		d.log.Error("orders.dropped", "error", err, "orders", len(dropped))
-		d.untold(dropped)
+		d.restoreAfterDrop(dropped)
 	}
 }
 
-// untold tells the module of what was dropped: it hears once more what the store holds, and takes those tables for it.
-func (d *director) untold(ops []outbox.Op) {
-	d.retell(ops)
+// restoreAfterDrop corrects the module's view after orders were dropped: it resends what the store holds of the tables
+// concerned.
+func (d *director) restoreAfterDrop(ops []outbox.Op) {
+	d.resendSlices(ops)
 	if slices.ContainsFunc(ops, func(o outbox.Op) bool { return o.Table == outbox.NoTable && o.Kind != outbox.Mark }) {
-		d.notes = append(d.notes, d.book.Rejoin()...) // masks and levels: proxies count as come anew
+		// Masks or levels were dropped: the module writes them again for proxies that it takes for newly joined.
+		d.events = append(d.events, d.relayState.Rejoin()...)
 	}
 }
 
-// retell has the module hear anew of the slices that orders were for, and drops what else waits for them.
-func (d *director) retell(ops []outbox.Op) {
-	told := map[logic.TableID]bool{outbox.NoTable: true}
+// resendSlices passes the stored state of the slices that the orders concern to the module again, and drops the other
+// queued orders for these slices.
+func (d *director) resendSlices(ops []outbox.Op) {
+	handled := map[logic.TableID]bool{outbox.NoTable: true}
 	for _, o := range ops {
-		if !told[o.Table] {
-			told[o.Table] = true
-			d.box.Forget(o.Table)
-			d.notes = append(d.notes, d.book.Doubt(o.Table)...)
+		if !handled[o.Table] {
+			handled[o.Table] = true
+			d.outbox.Forget(o.Table)
+			d.events = append(d.events, d.relayState.Doubt(o.Table)...)
 		}
 	}
 }
 
-// call makes the next call, if none is on its way.
-func (d *director) call() {
-	if d.calling || d.doubted {
+// startNextCall sends the next call to the relay, unless one is in flight or unconfirmed.
+func (d *director) startNextCall() {
+	if d.callInFlight || d.callUnconfirmed {
 		return
 	}
-	if c := d.box.Next(); c != nil {
+	if c := d.outbox.Next(); c != nil {
 		if c.Again() {
 			d.log.Debug("call.again", "id", c.ID, "ops", len(c.Ops))
 		} else {
-			d.proven = false
+			d.callConfirmed = false
 		}
-		d.calling = true
-		d.counts.calls++
-		d.calls.Make(d.relay, c)
+		d.callInFlight = true
+		d.counters.calls++
+		d.calls.Make(d.relayAddress, c)
 	}
 }
 
-func (d *director) ended(e uplink.Ended) {
-	d.calling = false
+// handleCallEnd processes the outcome of the call in flight.
+func (d *director) handleCallEnd(e uplink.Ended) {
+	d.callInFlight = false
 	switch e.How {
 	case outbox.Unsure:
-		d.counts.unsure++
+		d.counters.unconfirmed++
 	case outbox.Unsent:
-		d.counts.unsent++
+		d.counters.notSent++
 	case outbox.Later:
-		d.counts.later++
+		d.counters.deferred++
 	}
 	if e.How != outbox.Answered {
-		d.log.Info("call.failed", "id", e.ID, "how", int(e.How), "why", e.Why, "spent", e.Spent.String(), "waiting", d.box.Waiting())
-	}
-	if d.resync && e.How != outbox.Answered {
-		// What the relay holds is told anew, and all proxies count as come anew: what it took of this is in there, and what it did not
-		// is ordered again if it is still wanted. Orders of before the gap could undo what another director did in it.
-		d.resync = false
-		d.void()
+		d.log.Info("call.failed", "id", e.ID, "how", int(e.How), "why", e.Why,
+			"spent", e.Spent.String(), "waiting", d.outbox.Waiting())
+	}
+	if d.discardUnanswered && e.How != outbox.Answered {
+		// The relay resends its state, and all proxies are reported as joined again. That state includes whatever the
+		// relay applied of this call, and the module orders the rest again if it is still wanted. Sending orders from
+		// before the gap could undo what another director did during it.
+		d.discardUnanswered = false
+		d.discardOrders()
 		return
 	}
-	d.resync = false
-	if c := d.box.InHand(); d.proven && c != nil && e.How != outbox.Answered {
+	d.discardUnanswered = false
+	if c := d.outbox.InHand(); d.callConfirmed && c != nil && e.How != outbox.Answered {
 		d.log.Info("call.proven", "id", c.ID)
-		e.How, e.Taken = outbox.Answered, len(c.Ops) // whatever became of this answer: what it would tell is known
+		e.How, e.Taken = outbox.Answered, len(c.Ops) // a proxy has acknowledged the call, so the answer is not needed
 	} else if e.How == outbox.Unsure && c != nil {
 		marked := c.Marked()
 		for _, m := range marked {
-			d.notes = append(d.notes, logic.Unsure{Serial: m})
+			d.events = append(d.events, logic.Unsure{Serial: m})
 		}
-		d.doubted = len(marked) > 0
+		d.callUnconfirmed = len(marked) > 0
 	}
-	d.finish(e.How, e.Taken, e.Why)
+	d.finishCall(e.How, e.Taken, e.Why)
 }
 
-// void drops all that was ordered before a gap in the news.
-func (d *director) void() {
-	ops := d.box.Reset()
-	d.log.Info("orders.void", "orders", len(ops), "why", "the relay was away; what it holds is told anew")
-	d.retell(ops)
+// discardOrders drops all orders from before a gap in the notifications, during which another director may have written
+// the same slices.
+func (d *director) discardOrders() {
+	ops := d.outbox.Reset()
+	d.log.Info("orders.void", "orders", len(ops), "why", "relay connection was lost; the relay resends its state")
+	d.resendSlices(ops)
 }
 
-// resolve is told that the call with a stamp may be made again, or that a proxy owned up to it.
-func (d *director) resolve(serial logic.SerialID) (mine bool) {
-	if c := d.box.InHand(); d.doubted && c != nil && slices.Contains(c.Marked(), serial) {
-		d.doubted = false
+// clearUnconfirmed ends the wait for the acknowledgement of an unconfirmed call: either a proxy has acknowledged it, or
+// the module allows it to be sent again. It reports whether the serial belongs to that call.
+func (d *director) clearUnconfirmed(serial logic.SerialID) (isCurrent bool) {
+	if c := d.outbox.InHand(); d.callUnconfirmed && c != nil && slices.Contains(c.Marked(), serial) {
+		d.callUnconfirmed = false
 		return true
 	}
 	return false
 }
 
-// applied ends an unsure call: it was carried out, and whole.
-func (d *director) applied(n logic.Applied) {
-	c := d.box.InHand()
-	if c == nil || d.proven || !slices.Contains(c.Marked(), n.Serial) {
+// confirmCall marks the current call as applied as a whole once a proxy has acknowledged one of its serials. An
+// unconfirmed call is finished by that.
+func (d *director) confirmCall(n logic.Applied) {
+	c := d.outbox.InHand()
+	if c == nil || d.callConfirmed || !slices.Contains(c.Marked(), n.Serial) {
 		return
 	}
-	d.proven = true // also where it is on its way: its answer may still get lost
-	if d.resolve(n.Serial) {
+	d.callConfirmed = true // also while the call is in flight, since its answer may still be lost
+	if d.clearUnconfirmed(n.Serial) {
 		d.log.Info("call.proven", "id", c.ID, "by", int(n.Proxy))
-		d.finish(outbox.Answered, len(c.Ops), "")
+		d.finishCall(outbox.Answered, len(c.Ops), "")
 	}
 }
 
-func (d *director) finish(how outbox.Fate, taken int, why string) {
-	out := d.box.Ended(how, taken)
-	d.counts.taken += uint64(len(out.Taken))
-	d.counts.kinds.add(out.Taken)
-	d.book.Taken(out.Taken)
-	for _, o := range out.Dropped {
-		d.counts.refused++
+// finishCall records the outcome of the current call and corrects the module's view of rejected orders.
+func (d *director) finishCall(how outbox.Fate, taken int, why string) {
+	outcome := d.outbox.Ended(how, taken)
+	d.counters.appliedOrders += uint64(len(outcome.Taken))
+	d.counters.ordersByKind.add(outcome.Taken)
+	d.relayState.Taken(outcome.Taken)
+	for _, o := range outcome.Dropped {
+		d.counters.rejected++
 		d.log.Error("order.refused", "order", o.Text, "why", why)
 	}
-	d.untold(out.Dropped)
+	d.restoreAfterDrop(outcome.Dropped)
 }
 
-// subscribed begins on a new subscription's news. Those of former ones are taken no more, and former addresses are let go.
-func (d *director) subscribed(now logic.Millis, b uplink.Began) {
-	if b.Follower != d.follower {
-		return // a former address that came back while it is left
-	}
-	// A connection that has gone silent looks alive until its time is over; proxies may have left and come back meanwhile.
-	continuous := d.source > 0 && d.alive && now-d.told < signOfLife
+// acceptSubscription switches to the notifications of a new subscription. Those of former ones are ignored from then
+// on, and the followers of former addresses are stopped.
+func (d *director) acceptSubscription(now logic.Millis, b uplink.Began) {
+	if b.Follower != d.followerID {
+		return // the follower of a former address has reconnected before it was stopped
+	}
+	// A silent connection counts as open until its read deadline; proxies may have left and joined again in that time
+	// without a notification.
+	continuous := d.subscriptionID > 0 && d.subscriptionOpen && now-d.lastNotification < pingTimeout
 	d.log.Info("news.began", "source", b.Source, "address", b.Address, "continuous", continuous)
-	d.source, d.alive, d.told = b.Source, true, now
-	d.counts.begun++
-	for _, end := range d.leaving {
-		end()
-	}
-	d.leaving = nil
-	d.book.Begin(continuous)
-	if d.resync = !continuous && d.calling; !continuous && d.doubted {
-		d.doubted = false
-		d.void()
+	d.subscriptionID, d.subscriptionOpen, d.lastNotification = b.Source, true, now
+	d.counters.subscriptions++
+	for _, stop := range d.stopFormerFollowers {
+		stop()
+	}
+	d.stopFormerFollowers = nil
+	d.relayState.Begin(continuous)
+	if d.discardUnanswered = !continuous && d.callInFlight; !continuous && d.callUnconfirmed {
+		d.callUnconfirmed = false
+		d.discardOrders()
 	}
 }
--- a/internal/platform/probe.go
+++ b/internal/platform/probe.go
@@ -13,44 +13,48 @@
 )
 
 const (
-	probeFor   = time.Second
-	mostProbes = 32 // at once: of the hosts of a release one of eight may hang, and each holds its place for the whole time
-	mostAsked  = 64
-	mostReport = 4 << 10
-	// shortagePause is the wait before a probe that failed for a want of our own is tried again.
-	shortagePause = 50 * time.Millisecond
+	probeTimeout = time.Second
+	// maxConcurrentProbes leaves room for probes that hang: during a release one host in eight may hang, and its probe
+	// occupies a worker until the timeout.
+	maxConcurrentProbes = 32
+	maxQueuedProbes     = 64
+	maxReportBytes      = 4 << 10
+	// shortageRetryInterval is the wait before a probe that failed for lack of local resources is repeated.
+	shortageRetryInterval = 50 * time.Millisecond
 )
 
-// prober asks hosts for their health, few at once and each host once at a time.
+// prober runs health checks with bounded concurrency and at most one check per host at a time.
 type prober struct {
-	names  *codec.Names
-	client *http.Client
-	asked  map[logic.HostID]bool
-	todo   chan probe
-	post   func(...any)
+	names    *codec.Names
+	client   *http.Client
+	inFlight map[logic.HostID]bool
+	queue    chan probe
+	post     func(...any)
 }
 
+// probe is a health check to be made.
 type probe struct {
 	host    logic.HostID
 	address string
 }
 
-// answer is a probe's outcome, and where it was asked.
-type answer struct {
+// probeResult is the outcome of a probe and the address that was probed.
+type probeResult struct {
 	logic.Probed
 	address string
 }
 
 func newProber(ctx context.Context, names *codec.Names, post func(...any)) *prober {
-	p := &prober{names: names, client: watch.Client(0), asked: map[logic.HostID]bool{}, todo: make(chan probe, mostAsked), post: post}
-	for range mostProbes {
+	p := &prober{names: names, client: watch.Client(0), inFlight: map[logic.HostID]bool{},
+		queue: make(chan probe, maxQueuedProbes), post: post}
+	for range maxConcurrentProbes {
 		go func() {
 			for {
 				select {
 				case <-ctx.Done():
 					return
-				case t := <-p.todo:
-					post(answer{p.probe(ctx, t), t.address})
+				case t := <-p.queue:
+					post(probeResult{p.probe(ctx, t), t.address})
 				}
 			}
 		}()
@@ -58,34 +62,34 @@
 	return p
 }
 
-// ask is called by the loop alone. A host that is being asked, or has no address, or one too many, is not asked; the module asks
-// again by itself.
-func (p *prober) ask(host logic.HostID, address string) {
-	if address == "" || p.asked[host] {
+// enqueue queues a probe of a host. It does nothing if the host has no address or is being probed, or if the queue is
+// full; the module orders another probe later. Only the event loop calls it.
+func (p *prober) enqueue(host logic.HostID, address string) {
+	if address == "" || p.inFlight[host] {
 		return
 	}
 	select {
-	case p.todo <- probe{host, address}:
-		p.asked[host] = true
+	case p.queue <- probe{host, address}:
+		p.inFlight[host] = true
 	default:
 	}
 }
 
 func (p *prober) probe(ctx context.Context, t probe) logic.Probed {
-	began, page := time.Now(), "/health"
+	began, path := time.Now(), "/health"
 	if p.names.Loads() {
-		page = "/status/load"
+		path = "/status/load"
 	}
-	out := logic.Probed{Host: t.host}
-	status, body, err := watch.Get(ctx, p.client, "http://"+t.address+page, probeFor, mostReport)
-	for err != nil && nets.OwnShortage(err) && time.Since(began) < probeFor && ctx.Err() == nil {
-		turns.Pause(ctx, shortagePause) // no word of the host: it was not asked
-		status, body, err = watch.Get(ctx, p.client, "http://"+t.address+page, probeFor, mostReport)
+	result := logic.Probed{Host: t.host}
+	status, body, err := watch.Get(ctx, p.client, "http://"+t.address+path, probeTimeout, maxReportBytes)
+	for err != nil && nets.OwnShortage(err) && time.Since(began) < probeTimeout && ctx.Err() == nil {
+		turns.Pause(ctx, shortageRetryInterval) // the host was not reached, so this says nothing about it
+		status, body, err = watch.Get(ctx, p.client, "http://"+t.address+path, probeTimeout, maxReportBytes)
 	}
-	out.Good = err == nil && status == http.StatusOK
-	if out.Good && p.names.Loads() {
-		out.Load, _ = p.names.Load(string(body)) // what can't be read is no report; the host answers all the same
+	result.Good = err == nil && status == http.StatusOK
+	if result.Good && p.names.Loads() {
+		result.Load, _ = p.names.Load(string(body)) // an unreadable report is ignored; the host did answer
 	}
-	out.Spent = logic.Millis(float64(time.Since(began).Nanoseconds()) / 1e6)
-	return out
+	result.Spent = logic.Millis(float64(time.Since(began).Nanoseconds()) / 1e6)
+	return result
 }
--- a/internal/platform/rollout_test.go
+++ b/internal/platform/rollout_test.go
@@ -26,11 +26,11 @@
 	"vetchwood/internal/standin"
 )
 
-// directorProcess has the test binary be a director in service, a process of its own.
-const directorProcess = "VETCHWOOD_TEST_DIRECTOR"
+// directorProcessVariable is the environment variable that makes the test binary run a director instead of the tests.
+const directorProcessVariable = "VETCHWOOD_TEST_DIRECTOR"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(directorProcess) == "" {
+	if os.Getenv(directorProcessVariable) == "" {
 		os.Exit(m.Run())
 	}
 	signals := make(chan os.Signal, 8)
@@ -42,58 +42,62 @@
 }
 
 const (
-	fleetProxies = 150
-	fleetSlices  = 48
-	fleetHosts   = 20
-	fleetCalls   = 115                    // a second, of all slices
-	callWork     = 100 * time.Millisecond // on the one core of a host
-	callDue      = 3 * time.Second        // the time limit of the route in settings
-	callGoal     = 1200 * time.Millisecond
-	reportEvery  = 500 * time.Millisecond
-	repeatAfter  = 200 * time.Millisecond // on average, before a call that was turned away is made again
-	transit      = 300 * time.Millisecond // of an order to its proxies
-	warmFor      = 4 * time.Second
-	replaceEvery = 1000 * time.Millisecond
-	goneAfter    = 2 * time.Second // a host that drains
-	staleAfter   = 6 * time.Second // a line of a host that is gone
+	fleetProxies    = 150
+	fleetSlices     = 48
+	fleetHosts      = 20
+	fleetCallRate   = 115                    // per second, over all slices
+	callCPUTime     = 100 * time.Millisecond // on a host's single core
+	callTimeout     = 3 * time.Second        // the deadline of the route in testSettings
+	callSLO         = 1200 * time.Millisecond
+	reportInterval  = 500 * time.Millisecond
+	retryDelay      = 200 * time.Millisecond // mean delay before a rejected call is retried
+	orderTransit    = 300 * time.Millisecond // from an order to its acknowledgement by the proxies
+	warmUpTime      = 4 * time.Second
+	replaceInterval = 1000 * time.Millisecond
+	drainTime       = 2 * time.Second // from the start of a host's drain to its removal
+	staleLineAge    = 6 * time.Second // age after the removal of its host at which a line counts as stale
 )
 
-// fleet is a director process with a relay, a list, hosts and callers around it, all on loopback sockets.
+// fleet is a director process with stubs of the relay and of discovery, stand-in hosts and callers, all on loopback
+// sockets.
 type fleet struct {
-	t       *testing.T
-	relay   *relay
-	agent   *agent
-	process *exec.Cmd
-	config  string
-	log     *logged
-	client  *http.Client
-	demand  *pick.Alias // of slices
+	t         *testing.T
+	relay     *relayStub
+	discovery *discoveryStub
+	process   *exec.Cmd
+	config    string
+	log       *logBuffer
+	client    *http.Client
+	demand    *pick.Alias // distribution of calls over slices
 
-	mu    sync.Mutex
-	hosts map[string]*standin.Host
-	gone  map[string]time.Time
-	tries map[string]*tried // since the last report, by host
-	calls map[int]int       // the same, by slice
-	ended outcomes
-	// repeats is how often a caller makes a call again that was turned away.
-	repeats int
-	// stalled is for how long this process, with its callers and hosts, did not run when it should have.
-	stalled time.Duration
-	// noServer are calls turned away because their table offered no host; the others were by levels or by full hosts.
+	mu        sync.Mutex
+	hosts     map[string]*standin.Host
+	removedAt map[string]time.Time
+	tries     map[string]*hostSample // by host, since the last report
+	calls     map[int]int            // by slice, since the last report
+	ended     outcomes
+	// maxRetries is how often a caller retries a rejected call.
+	maxRetries int
+	// stallTime is the total time for which this process, which runs the callers and hosts, was not scheduled.
+	stallTime time.Duration
+	// noServer counts the calls rejected because their table had no usable host. Other rejections are due to admission
+	// levels or full hosts.
 	noServer int
 }
 
-type tried struct {
+// hostSample is the load report of one host: tries and their total time, and the utilization last reported.
+type hostSample struct {
 	ended, failed int
 	spent         time.Duration
 	busy          float64
 }
 
+// outcomes counts calls by how they ended.
 type outcomes struct{ inTime, late, refused, unanswered int }
 
 func (o outcomes) all() int { return o.inTime + o.late + o.refused + o.unanswered }
 
-// since is what came after an earlier count.
+// since returns the difference to an earlier count.
 func (o outcomes) since(before outcomes) outcomes {
 	return outcomes{o.inTime - before.inTime, o.late - before.late, o.refused - before.refused,
 		o.unanswered - before.unanswered}
@@ -104,30 +108,33 @@
 	for i := range demand {
 		demand[i] = 1 / math.Sqrt(1+float64(i*7%fleetSlices)) // a few slices have several times the calls of others
 	}
-	f := &fleet{t: t, relay: newRelay(t), agent: newAgent(t), log: &logged{}, hosts: map[string]*standin.Host{}, gone: map[string]time.Time{},
-		tries: map[string]*tried{}, calls: map[int]int{}, demand: pick.NewAlias(demand),
+	f := &fleet{t: t, relay: newRelayStub(t), discovery: newDiscoveryStub(t), log: &logBuffer{},
+		hosts: map[string]*standin.Host{}, removedAt: map[string]time.Time{},
+		tries: map[string]*hostSample{}, calls: map[int]int{}, demand: pick.NewAlias(demand),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
-	f.relay.transit, f.relay.proxies = transit, fleetProxies
+	f.relay.ackDelay, f.relay.proxies = orderTransit, fleetProxies
 	for n := range fleetHosts {
 		f.addHost(fmt.Sprintf("h%d", n), n, true)
 	}
 	for p := range fleetProxies {
-		f.relay.tell("joined", fmt.Sprintf(`"node":%d,"locality":"a","w":1,"cold":true`, p))
+		f.relay.notify("joined", fmt.Sprintf(`"node":%d,"locality":"a","w":1,"cold":true`, p))
 	}
 	for slice := range fleetSlices {
-		f.relay.tell("given", fmt.Sprintf(`"shard":%d,"set":true`, slice))
+		f.relay.notify("given", fmt.Sprintf(`"shard":%d,"set":true`, slice))
 		for i, weight := range []float64{1, 0.06} {
 			host := fmt.Sprintf("h%d", (slice+i)%fleetHosts)
-			f.relay.tell("held", fmt.Sprintf(`"shard":%d,"endpoint":%q,"w":%g`, slice, host, weight))
+			f.relay.notify("held", fmt.Sprintf(`"shard":%d,"endpoint":%q,"w":%g`, slice, host, weight))
 			f.relay.lines[fmt.Sprintf("%d/%s", slice, host)] = weight
 		}
 	}
 	return f
 }
 
+// addHost starts a host and lists it at discovery.
 func (f *fleet) addHost(name string, cell int, warm bool) {
-	shape := standin.HostShape{Cores: 1, Queue: 60, ColdFrom: 0.35, Warm: warmFor, Tip: 1e6, Fall: time.Hour, Book: &judge.Book{},
-		Now: func() float64 { return float64(time.Now().UnixMilli()) }}
+	shape := standin.HostShape{Cores: 1, Queue: 60, ColdFrom: 0.35, Warm: warmUpTime, Tip: 1e6, Fall: time.Hour,
+		Book: &judge.Book{},
+		Now:  func() float64 { return float64(time.Now().UnixMilli()) }}
 	h := standin.NewHost(shape, "")
 	if err := h.Start(warm); err != nil {
 		f.t.Fatal(err)
@@ -136,16 +143,16 @@
 	f.mu.Lock()
 	f.hosts[name] = h
 	f.mu.Unlock()
-	f.agent.list(name, string(h.Address), cell, "active", h.Born())
+	f.discovery.setEntry(name, string(h.Address), cell, "active", h.Born())
 }
 
-// startDirector starts the process and gives the address that it answers at.
+// startDirector starts the director process and returns its listening address.
 func (f *fleet) startDirector() string {
-	listen, file := free(f.t), filepath.Join(f.t.TempDir(), "config.json")
+	listen, file := freeAddress(f.t), filepath.Join(f.t.TempDir(), "config.json")
 	big := strings.NewReplacer(`"DataPlaneSize":4,"Slices":4`, fmt.Sprintf(`"DataPlaneSize":%d,"Slices":%d`, fleetProxies, fleetSlices),
-		`"MayProbe":false`, `"MayProbe":true`, `"WarmAfterMs":9000`, fmt.Sprintf(`"WarmAfterMs":%d`, warmFor.Milliseconds()))
+		`"MayProbe":false`, `"MayProbe":true`, `"WarmAfterMs":9000`, fmt.Sprintf(`"WarmAfterMs":%d`, warmUpTime.Milliseconds()))
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":0.25,"memory_mb":48,"sockets":256},
-"store":{"address":%q},"known":%s,"settings":%s}`, listen, f.agent.address(), f.relay.address(), f.agent.whole(), big.Replace(settings))
+"store":{"address":%q},"known":%s,"settings":%s}`, listen, f.discovery.address(), f.relay.address(), f.discovery.snapshot(), big.Replace(testSettings))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
@@ -158,32 +165,34 @@
 	return listen
 }
 
-// begin starts the director, its collector and the callers of the usual demand.
-func (f *fleet) begin(ctx context.Context) {
+// start starts the director, a collector that reports to it, and callers at the usual rate.
+func (f *fleet) start(ctx context.Context) {
 	listen := f.startDirector()
-	go f.watchItself(ctx)
+	go f.measureStalls(ctx)
 	go f.report(ctx, listen)
-	go f.demandCalls(ctx)
+	go f.generateCalls(ctx)
 }
 
 func (f *fleet) startProcess() {
 	f.process = exec.Command(os.Args[0])
-	f.process.Env = append(os.Environ(), directorProcess+"=1", "GW_CONFIG="+f.config)
+	f.process.Env = append(os.Environ(), directorProcessVariable+"=1", "GW_CONFIG="+f.config)
 	f.process.Stderr = f.log
 	if err := f.process.Start(); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// killDirector ends the process with SIGKILL and starts it again with the list of its first start.
+// killDirector kills the director process and starts it again with its first configuration, which lists the initial
+// hosts.
 func (f *fleet) killDirector() {
 	f.process.Process.Kill()
 	f.process.Wait()
 	f.startProcess()
 }
 
-// open are the lines of a slice's table that a proxy may use for a call; none: it turns the call away.
-func (f *fleet) open(slice int) (hosts []string, weights []float64, throttled bool) {
+// usableLines returns the lines of a slice's table that a proxy may use for a call. If there are none, the proxy
+// rejects the call; throttled reports whether the admission level is the reason.
+func (f *fleet) usableLines(slice int) (hosts []string, weights []float64, throttled bool) {
 	f.relay.mu.Lock()
 	defer f.relay.mu.Unlock()
 	if rand.Float64() >= f.relay.level {
@@ -191,20 +200,20 @@
 	}
 	for line, weight := range f.relay.lines {
 		table, host, _ := strings.Cut(line, "/")
-		if table == fmt.Sprint(slice) && weight > 0 && !f.relay.out[host] {
+		if table == fmt.Sprint(slice) && weight > 0 && !f.relay.masked[host] {
 			hosts, weights = append(hosts, host), append(weights, weight)
 		}
 	}
 	return hosts, weights, false
 }
 
-// call makes one call for a slice, and makes it again for as often as callers do when it is turned away.
+// call makes one call for a slice and retries it up to maxRetries times if it is rejected.
 func (f *fleet) call(slice int) {
-	for range f.repeats {
+	for range f.maxRetries {
 		if f.try(slice) {
 			return
 		}
-		time.Sleep(repeatAfter/2 + rand.N(repeatAfter))
+		time.Sleep(retryDelay/2 + rand.N(retryDelay))
 	}
 	if !f.try(slice) {
 		f.mu.Lock()
@@ -213,9 +222,10 @@
 	}
 }
 
-// try sends a call as a plain proxy does: by the weights of its table, and once. False: it was turned away.
+// try sends a call once, as a proxy does, to a host chosen by the weights of the table. It returns false if the call
+// was rejected.
 func (f *fleet) try(slice int) (taken bool) {
-	hosts, weights, throttled := f.open(slice)
+	hosts, weights, throttled := f.usableLines(slice)
 	f.mu.Lock()
 	f.calls[slice]++
 	if len(hosts) == 0 {
@@ -228,10 +238,10 @@
 	name := hosts[pick.NewAlias(weights).Draw(rand.Float64())]
 	address := f.hosts[name].Address
 	f.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), callDue)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	request, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+string(address)+"/", nil)
-	request.Header.Set(standin.HeaderWork, fmt.Sprint(callWork.Milliseconds()))
+	request.Header.Set(standin.HeaderWork, fmt.Sprint(callCPUTime.Milliseconds()))
 	began := time.Now()
 	response, err := f.client.Do(request)
 	spent := time.Since(began)
@@ -239,7 +249,7 @@
 	defer f.mu.Unlock()
 	t := f.tries[name]
 	if t == nil {
-		t = &tried{}
+		t = &hostSample{}
 		f.tries[name] = t
 	}
 	t.ended++
@@ -252,7 +262,7 @@
 	}
 	switch {
 	case err == nil && response.StatusCode == http.StatusOK:
-		if t.spent += spent; spent < callGoal {
+		if t.spent += spent; spent < callSLO {
 			f.ended.inTime++
 		} else {
 			f.ended.late++
@@ -266,16 +276,16 @@
 	return taken
 }
 
-// outcomes are those of the calls that have ended.
+// outcomes returns the counts of the calls that have ended.
 func (f *fleet) outcomes() outcomes {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ended
 }
 
-// demandCalls makes calls at an even pace until the context ends.
-func (f *fleet) demandCalls(ctx context.Context) {
-	tick := time.NewTicker(time.Second / fleetCalls)
+// generateCalls makes calls at a constant rate until the context ends.
+func (f *fleet) generateCalls(ctx context.Context) {
+	tick := time.NewTicker(time.Second / fleetCallRate)
 	defer tick.Stop()
 	for {
 		select {
@@ -288,23 +298,24 @@
 }
 
 const (
-	beatEvery = 20 * time.Millisecond
-	beatLate  = 100 * time.Millisecond // from there on callers and hosts of this process are late by themselves
+	stallCheckInterval = 20 * time.Millisecond
+	stallThreshold     = 100 * time.Millisecond // delays above this affect the callers and hosts of this process
 )
 
-// watchItself sums up for how long this process was kept from running: what that made late is no fault of the director.
-func (f *fleet) watchItself(ctx context.Context) {
+// measureStalls sums the time for which this process was not scheduled: calls delayed by that are not the director's
+// fault.
+func (f *fleet) measureStalls(ctx context.Context) {
 	for last := time.Now(); ctx.Err() == nil; last = time.Now() {
-		time.Sleep(beatEvery)
-		if late := time.Since(last) - beatEvery; late > beatLate {
+		time.Sleep(stallCheckInterval)
+		if late := time.Since(last) - stallCheckInterval; late > stallThreshold {
 			f.mu.Lock()
-			f.stalled += late
+			f.stallTime += late
 			f.mu.Unlock()
 		}
 	}
 }
 
-// report forwards what callers met, as a collector does: it connects anew when the director has gone.
+// report sends load reports to the director, as a collector does, and reconnects when the director has exited.
 func (f *fleet) report(ctx context.Context, listen string) {
 	for ctx.Err() == nil {
 		c, err := net.Dial("tcp", listen)
@@ -313,19 +324,19 @@
 			continue
 		}
 		_, err = io.WriteString(c, `{"t":"collector","locality":"a"}`+"\n")
-		for tick := time.NewTicker(reportEvery); err == nil && ctx.Err() == nil; {
+		for tick := time.NewTicker(reportInterval); err == nil && ctx.Err() == nil; {
 			select {
 			case <-ctx.Done():
 			case <-tick.C:
-				_, err = io.WriteString(c, f.lines())
+				_, err = io.WriteString(c, f.reportLines())
 			}
 		}
 		c.Close()
 	}
 }
 
-// lines are the reports since the last ones.
-func (f *fleet) lines() string {
+// reportLines returns the load reports on the tries and calls since the last ones.
+func (f *fleet) reportLines() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var text strings.Builder
@@ -335,98 +346,101 @@
 			mean = fmt.Sprintf(`"rtt":%d,`, t.spent.Milliseconds()/int64(good))
 		}
 		fmt.Fprintf(&text, `{"t":"heard","locality":"a","endpoint":%q,"total":%d,"errors":%d,%s"interval":%d,"metrics":{"utilization":%g}}`+"\n",
-			host, t.ended, t.failed, mean, reportEvery.Milliseconds(), t.busy)
+			host, t.ended, t.failed, mean, reportInterval.Milliseconds(), t.busy)
 	}
 	for slice, n := range f.calls {
-		fmt.Fprintf(&text, `{"t":"heat","shard":%d,"route":"read","total":%d,"errors":0,"interval":%d}`+"\n", slice, n, reportEvery.Milliseconds())
+		fmt.Fprintf(&text, `{"t":"heat","shard":%d,"route":"read","total":%d,"errors":0,"interval":%d}`+"\n", slice, n, reportInterval.Milliseconds())
 	}
 	clear(f.tries)
 	clear(f.calls)
 	return text.String()
 }
 
-// replace lists a new host, drains an old one and has it gone a while later.
-func (f *fleet) replace(old string, cell int, by string) {
+// replaceHost adds a new host and drains an old one, which is removed after drainTime.
+func (f *fleet) replaceHost(old string, cell int, by string) {
 	f.addHost(by, fleetHosts+cell, false)
 	f.mu.Lock()
 	address := string(f.hosts[old].Address)
 	f.mu.Unlock()
-	f.agent.list(old, address, cell, "leaving", 0)
-	time.AfterFunc(goneAfter, func() {
-		f.agent.remove(old)
+	f.discovery.setEntry(old, address, cell, "leaving", 0)
+	time.AfterFunc(drainTime, func() {
+		f.discovery.remove(old)
 		f.mu.Lock()
-		f.gone[old] = time.Now()
+		f.removedAt[old] = time.Now()
 		f.mu.Unlock()
 	})
 }
 
-// stale are lines that name a host which went more than staleAfter ago.
-func (f *fleet) stale() (lines []string) {
+// staleLines returns the lines of hosts that were removed more than staleLineAge ago.
+func (f *fleet) staleLines() (lines []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.relay.mu.Lock()
 	defer f.relay.mu.Unlock()
 	for line, weight := range f.relay.lines {
 		_, host, _ := strings.Cut(line, "/")
-		if since, gone := f.gone[host]; gone && weight > 0 && time.Since(since) > staleAfter {
+		if since, gone := f.removedAt[host]; gone && weight > 0 && time.Since(since) > staleLineAge {
 			lines = append(lines, line)
 		}
 	}
 	return lines
 }
 
-// All hosts of a fleet are replaced one by one, at a demand that the fleet can bear and with nothing else at fault.
-// Each call is answered in time, and no table keeps the lines of hosts that are gone. Issue 29, its two reports.
+// Guards against late or failed calls during a rollout: all hosts of a fleet are replaced one by one, at a demand below
+// its capacity and without other faults. Calls must be answered in time, and no table may keep lines of removed hosts.
+// Regression test for both reports in issue 29.
 func TestRolloutAnswersInTime(t *testing.T) {
 	for name, killed := range map[string]int{"undisturbed": -1, "director killed": fleetHosts / 2} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			rollout(t, killed)
+			runRollout(t, killed)
 		})
 	}
 }
 
-// rollout replaces hosts and judges what callers met. The director is killed as that replacement begins.
-func rollout(t *testing.T, killedAt int) {
+// runRollout replaces hosts and checks the outcomes of calls. The director is killed just before replacement killedAt;
+// if that is negative, it is not killed.
+func runRollout(t *testing.T, killedAt int) {
 	f := newFleet(t)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	f.begin(ctx)
+	f.start(ctx)
 	time.Sleep(3 * time.Second)
 	mostStale := 0
 	for n := range 3 * fleetHosts / 2 {
 		if n == killedAt {
 			f.killDirector()
 		}
-		f.replace(fmt.Sprintf("h%d", n), n, fmt.Sprintf("h%d", n+fleetHosts))
-		time.Sleep(replaceEvery)
-		mostStale = max(mostStale, len(f.stale()))
+		f.replaceHost(fmt.Sprintf("h%d", n), n, fmt.Sprintf("h%d", n+fleetHosts))
+		time.Sleep(replaceInterval)
+		mostStale = max(mostStale, len(f.staleLines()))
 	}
-	time.Sleep(callDue + staleAfter)
+	time.Sleep(callTimeout + staleLineAge)
 	ended := f.outcomes()
 	all := ended.all()
 	f.mu.Lock()
-	stalled := f.stalled
+	stallTime := f.stallTime
 	f.mu.Unlock()
-	t.Logf("%d calls, %d late, %d not answered at all, %d refused (%d had no server); at most %d lines of hosts long gone, %d at the end; "+
-		"the test's own process stalled for %v", all, ended.late, ended.unanswered, ended.refused, f.noServer, mostStale, len(f.stale()), stalled)
+	t.Logf("%d calls, %d late, %d not answered at all, %d refused (%d had no server); at most %d stale lines, %d at the end; "+
+		"the test's own process stalled for %v",
+		all, ended.late, ended.unanswered, ended.refused, f.noServer, mostStale, len(f.staleLines()), stallTime)
 	if ended.unanswered*200 > all {
-		t.Errorf("%d of %d calls had no answer", ended.unanswered, all)
+		t.Errorf("%d of %d calls were not answered", ended.unanswered, all)
 	}
 	if ended.refused*8 > all {
-		t.Errorf("%d of %d calls were turned away, at a demand of 0.6 of what the hosts can do", ended.refused, all)
+		t.Errorf("%d of %d calls were rejected, at a demand of 0.6 of the capacity of the hosts", ended.refused, all)
 	}
 	if ended.late*20 > all {
 		t.Errorf("%d of %d calls were answered late", ended.late, all)
 	}
-	if stale := f.stale(); len(stale) > 0 {
-		t.Errorf("tables name hosts that went more than %v ago: %v", staleAfter, stale)
+	if stale := f.staleLines(); len(stale) > 0 {
+		t.Errorf("tables have lines of hosts that were removed more than %v ago: %v", staleLineAge, stale)
 	}
-	f.explain("msg=decisions")
+	f.logOnFailure("msg=decisions")
 }
 
-// explain logs the director's lines of a kind once a test has failed.
-func (f *fleet) explain(kind string) {
+// logOnFailure adds the director's log lines that contain kind to the test's log if the test has failed.
+func (f *fleet) logOnFailure(kind string) {
 	if !f.t.Failed() {
 		return
 	}
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -17,60 +17,60 @@
 	"time"
 )
 
-// The soak ends and restarts a director process over and over while clients go on using their open connections. By
-// hand: VETCHWOOD_SOAK_SEEDS=50 go test ./internal/platform -run TestSoak -v
+// The soak test repeatedly stops and restarts a director process while clients keep using their open connections. To
+// run it with more seeds: VETCHWOOD_SOAK_SEEDS=50 go test ./internal/platform -run TestSoak -v
 const (
-	soakSeedsVariable = "VETCHWOOD_SOAK_SEEDS"
-	soakSeeds         = 6
-	soakLives         = 4 // of the director, a seed
-	soakAtOnce        = 3
-	soakClients       = 8
-	soakCrowd         = 120
-	killAfter         = 700 * time.Millisecond // the earliest that SIGKILL may follow SIGTERM
-	readyWithin       = 10 * time.Second
-	answerWithin      = 2 * time.Second
-	exitWithin        = 2 * time.Second
-	resetLooks        = 20
-	resetPause        = 5 * time.Millisecond
+	soakSeedsVariable  = "VETCHWOOD_SOAK_SEEDS"
+	soakSeeds          = 6
+	soakRuns           = 4 // starts of the director per seed
+	soakParallelism    = 3
+	soakClients        = 8
+	soakStrangers      = 120
+	killDelay          = 700 * time.Millisecond // the earliest that SIGKILL may follow SIGTERM
+	readyTimeout       = 10 * time.Second
+	answerTimeout      = 2 * time.Second
+	exitTimeout        = 2 * time.Second
+	resetChecks        = 20
+	resetCheckInterval = 5 * time.Millisecond
 )
 
-// ends counts how requests of clients ended.
-type ends struct {
+// requestCounts counts client requests by outcome.
+type requestCounts struct {
 	answered, refused atomic.Int64
-	unread            atomic.Int64 // reset: the director never read them
-	lost              atomic.Int64 // read, and the connection closed with no answer
+	unread            atomic.Int64 // connection reset: the director never read the request
+	unanswered        atomic.Int64 // the request was read, and the connection closed without an answer
 	late              atomic.Int64 // no answer in time on a connection that stays open
 }
 
-func (e *ends) String() string {
-	return fmt.Sprintf("%d answered, %d refused, %d unread, %d lost, %d late", e.answered.Load(), e.refused.Load(),
-		e.unread.Load(), e.lost.Load(), e.late.Load())
+func (e *requestCounts) String() string {
+	return fmt.Sprintf("%d answered, %d refused, %d unread, %d unanswered, %d late", e.answered.Load(), e.refused.Load(),
+		e.unread.Load(), e.unanswered.Load(), e.late.Load())
 }
 
-// soak is a director process with its stand-ins and clients.
+// soak is a director process with stubs and clients.
 type soak struct {
-	*stage
+	*testEnv
 	random  *rand.Rand
 	process *exec.Cmd
-	ends    ends
+	counts  requestCounts
 	done    chan struct{}
 }
 
 func newSoak(t *testing.T, seed uint64) *soak {
 	random := rand.New(rand.NewPCG(seed, seed))
-	return &soak{random: random, done: make(chan struct{}), stage: newStage(t)}
+	return &soak{random: random, done: make(chan struct{}), testEnv: newTestEnv(t)}
 }
 
-// begin starts the process and waits until it answers.
-func (s *soak) begin() {
+// startProcess starts the director process and waits until it answers.
+func (s *soak) startProcess() {
 	s.process = exec.Command(os.Args[0])
-	// The race detector would sleep for a second at the end of the process.
-	s.process.Env = append(os.Environ(), directorProcess+"=1", "GW_CONFIG="+s.file, "GORACE=atexit_sleep_ms=0")
+	// By default the race detector sleeps for a second when the process exits.
+	s.process.Env = append(os.Environ(), directorProcessVariable+"=1", "GW_CONFIG="+s.configPath, "GORACE=atexit_sleep_ms=0")
 	s.process.Stderr = s.log
 	if err := s.process.Start(); err != nil {
 		s.t.Fatal(err)
 	}
-	s.within("a sign of life", readyWithin, func() bool {
+	s.within("an answer to a ping", readyTimeout, func() bool {
 		c, err := net.Dial("tcp", s.listen)
 		if err != nil {
 			return false
@@ -81,16 +81,16 @@
 }
 
 var (
-	errRefused = errors.New("refused")
-	errOther   = errors.New("neither an answer nor a refusal")
+	errRefused    = errors.New("refused")
+	errUnexpected = errors.New("neither an answer nor a refusal")
 )
 
-// ping asks for a sign of life and waits for it.
+// ping sends a ping and waits for the answer.
 func ping(c net.Conn, r *bufio.Reader) error {
 	if _, err := io.WriteString(c, `{"t":"ping"}`+"\n"); err != nil {
-		return syscall.ECONNRESET // what could not be written was not read
+		return syscall.ECONNRESET // a request that could not be written was not read
 	}
-	c.SetReadDeadline(time.Now().Add(answerWithin))
+	c.SetReadDeadline(time.Now().Add(answerTimeout))
 	line, err := r.ReadString('\n')
 	switch {
 	case err != nil:
@@ -100,17 +100,17 @@
 	case line == `{"t":"refused"}`+"\n":
 		return errRefused
 	}
-	return fmt.Errorf("%w: %q", errOther, line)
+	return fmt.Errorf("%w: %q", errUnexpected, line)
 }
 
-// resetBehind says whether a reset comes behind the end of a connection, at once or when the other side, which ended
-// its half first, closes: then what was written last was not read. Without one it was read.
-func resetBehind(c net.Conn) (reset bool) {
+// wasReset reports whether a reset follows the end of a connection, either at once or when the peer, which shut down
+// its sending side first, closes. After a reset the last request was not read; without one it was.
+func wasReset(c net.Conn) (reset bool) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	for range resetLooks {
+	for range resetChecks {
 		raw.Control(func(fd uintptr) {
 			number, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
 			reset = err == nil && number != 0
@@ -118,13 +118,13 @@
 		if reset {
 			return true
 		}
-		time.Sleep(resetPause)
+		time.Sleep(resetCheckInterval)
 	}
 	return false
 }
 
-// use asks on one connection until it ends. A collector's connection is used for as long as it is open.
-func (s *soak) use(hello string, pause time.Duration) {
+// runClient sends requests on one connection until that ends. A hello line makes it the connection of a collector.
+func (s *soak) runClient(hello string, pause time.Duration) {
 	c, err := net.Dial("tcp", s.listen)
 	if err != nil {
 		time.Sleep(5 * time.Millisecond)
@@ -142,26 +142,27 @@
 		}
 		switch err := ping(c, r); {
 		case err == nil:
-			s.ends.answered.Add(1)
+			s.counts.answered.Add(1)
 			continue
 		case errors.Is(err, errRefused):
-			s.ends.refused.Add(1)
+			s.counts.refused.Add(1)
 		case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-			s.ends.unread.Add(1)
-		case errors.Is(err, io.EOF) && resetBehind(c):
-			s.ends.unread.Add(1)
+			s.counts.unread.Add(1)
+		case errors.Is(err, io.EOF) && wasReset(c):
+			s.counts.unread.Add(1)
 		case errors.Is(err, io.EOF):
-			s.ends.lost.Add(1)
+			s.counts.unanswered.Add(1)
 		default:
-			s.ends.late.Add(1)
-			s.t.Errorf("a sign of life: %v", err)
+			s.counts.late.Add(1)
+			s.t.Errorf("ping: %v", err)
 		}
 		return
 	}
 }
 
-// clients use the director until the soak is done: collectors on lasting connections, others on new ones.
-func (s *soak) clients() (wait func()) {
+// startClients starts clients that use the director until the soak is done, and returns a function that waits for them.
+// Three of them connect as collectors.
+func (s *soak) startClients() (wait func()) {
 	var all sync.WaitGroup
 	for n := range soakClients {
 		hello := ""
@@ -174,7 +175,7 @@
 				case <-s.done:
 					return
 				default:
-					s.use(hello, time.Duration(n)*time.Millisecond/4)
+					s.runClient(hello, time.Duration(n)*time.Millisecond/4)
 				}
 			}
 		})
@@ -182,25 +183,26 @@
 	return all.Wait
 }
 
-// crowd connects strangers that say nothing, half a line, or what can't be read, and never close.
-func (s *soak) crowd() {
-	words := []string{"", `{"t":"he`, "GET / HTTP/1.1\r\n\r\n", "\x00\xff\n", `{"t":"heard"}` + "\n"}
-	for range soakCrowd {
+// connectStrangers opens connections that send nothing, half a line, or malformed data, and never close.
+func (s *soak) connectStrangers() {
+	openings := []string{"", `{"t":"he`, "GET / HTTP/1.1\r\n\r\n", "\x00\xff\n", `{"t":"heard"}` + "\n"}
+	for range soakStrangers {
 		if c, err := net.Dial("tcp", s.listen); err == nil {
-			io.WriteString(c, words[s.random.IntN(len(words))])
+			io.WriteString(c, openings[s.random.IntN(len(openings))])
 			s.t.Cleanup(func() { c.Close() })
 		}
 	}
 }
 
-// finish signals the process in series, kills it at the earliest, and says what was wrong with its end.
-func (s *soak) finish() {
+// terminate sends the process a random series of signals with a SIGTERM, and SIGKILL killDelay after that. It fails the
+// test if the process exits with an error or too late.
+func (s *soak) terminate() {
 	for range s.random.IntN(4) {
 		s.process.Process.Signal(syscall.SIGHUP)
 		time.Sleep(time.Duration(s.random.IntN(60)) * time.Millisecond)
 	}
 	s.process.Process.Signal(syscall.SIGTERM)
-	kill := time.AfterFunc(killAfter, func() { s.process.Process.Kill() })
+	kill := time.AfterFunc(killDelay, func() { s.process.Process.Kill() })
 	defer kill.Stop()
 	for range s.random.IntN(3) {
 		time.Sleep(time.Duration(s.random.IntN(20)) * time.Millisecond)
@@ -211,15 +213,15 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			s.t.Errorf("after SIGTERM the director ended with %v", err)
+			s.t.Errorf("the director exited with %v after SIGTERM", err)
 		}
-	case <-time.After(exitWithin):
-		s.t.Errorf("the director was there %v after SIGTERM", exitWithin)
+	case <-time.After(exitTimeout):
+		s.t.Errorf("the director was still running %v after SIGTERM", exitTimeout)
 	}
 }
 
-// Whoever is read is answered, on connections that last and on new ones, whatever signals come and in a crowd; and
-// each start serves within its time.
+// Each request that the director reads must be answered, on lasting and on new connections, under any sequence of
+// signals and with many idle or malformed connections. Each start must answer within the ready timeout.
 func TestSoak(t *testing.T) {
 	seeds := soakSeeds
 	if text := os.Getenv(soakSeedsVariable); text != "" {
@@ -228,39 +230,39 @@
 			t.Fatal(err)
 		}
 	}
-	room := make(chan struct{}, soakAtOnce)
+	room := make(chan struct{}, soakParallelism)
 	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			room <- struct{}{}
 			defer func() { <-room }()
-			soakOnce(t, uint64(seed))
+			runSoak(t, uint64(seed))
 		})
 	}
 }
 
-func soakOnce(t *testing.T, seed uint64) {
+func runSoak(t *testing.T, seed uint64) {
 	s := newSoak(t, seed)
-	crowded := s.random.IntN(3) == 0
-	s.begin()
-	wait := s.clients()
-	for life := range soakLives {
-		if life > 0 {
-			s.begin()
+	withStrangers := s.random.IntN(3) == 0
+	s.startProcess()
+	wait := s.startClients()
+	for run := range soakRuns {
+		if run > 0 {
+			s.startProcess()
 		}
-		if crowded {
-			s.crowd()
+		if withStrangers {
+			s.connectStrangers()
 		}
 		time.Sleep(time.Duration(200+s.random.IntN(1000)) * time.Millisecond)
-		s.finish()
+		s.terminate()
 	}
 	close(s.done)
 	wait()
-	t.Logf("seed %d, crowd %v: %v", seed, crowded, &s.ends)
-	if lost := s.ends.lost.Load(); lost > 0 {
+	t.Logf("seed %d, extra connections %v: %v", seed, withStrangers, &s.counts)
+	if lost := s.counts.unanswered.Load(); lost > 0 {
 		t.Errorf("seed %d: %d requests were read and their connection closed with no answer", seed, lost)
 	}
-	if s.ends.answered.Load() < 100 {
-		t.Errorf("seed %d: only %d requests were answered", seed, s.ends.answered.Load())
+	if s.counts.answered.Load() < 100 {
+		t.Errorf("seed %d: only %d requests were answered", seed, s.counts.answered.Load())
 	}
 }
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -12,71 +12,75 @@
 	"vetchwood/internal/turns"
 )
 
-// What a director needs from the system to start, and to read its configuration anew. What can't be had for a moment
-// is tried again.
+// Timeouts and retry intervals for the start and for reloads. Transient failures of the system are retried.
 const (
-	listenFor   = 5 * time.Second // an address that can't be had at the start is tried for so long
-	listenPause = 100 * time.Millisecond
-	// A configuration that can't be read is tried again: it may be half written, or the system may lack something
-	// for a moment. The former addresses close 1.5 s after the signal.
-	reloadFor   = 1400 * time.Millisecond
-	reloadPause = 50 * time.Millisecond
+	startTimeout       = 5 * time.Second // for the configuration file and the listening address
+	startRetryInterval = 100 * time.Millisecond
+	// A configuration that cannot be loaded is retried: the file may be half written, or the system may be short of a
+	// resource for a moment. The former addresses close 1.5 s after the signal, so retries end before that.
+	reloadTimeout       = 1400 * time.Millisecond
+	reloadRetryInterval = 50 * time.Millisecond
 )
 
-// loadAtStart reads the configuration. Where the system can't read the file for a moment it is tried again.
-func loadAtStart(ctx context.Context, env func(string) string, log *slog.Logger) (s *Start, err error) {
-	err = persist(ctx, log.With("what", "configuration"), syscall.EIO, func() error {
-		s, err = Load(env)
+// loadWithRetry reads the configuration and retries while the system temporarily cannot read the file.
+func loadWithRetry(ctx context.Context, env func(string) string, log *slog.Logger) (config *Config, err error) {
+	err = retryTransient(ctx, log.With("what", "configuration"), syscall.EIO, func() error {
+		config, err = Load(env)
 		return err
 	})
-	return s, err
+	return config, err
 }
 
-// listen opens the director's address. What the system lacks for a moment, or a former process still holds, is
-// waited for.
-func listen(ctx context.Context, s *Start, d *director, log *slog.Logger) (front *collect.Server, err error) {
-	err = persist(ctx, log.With("what", s.Listen), syscall.EADDRINUSE, func() error {
-		front, err = collect.Listen(s.Listen, s.Names, d.ledger, d.inbox.Post, log)
+// listenWithRetry opens the director's listening address. It retries while the system is short of a resource or a
+// former process still holds the address.
+func listenWithRetry(ctx context.Context, config *Config, d *director,
+	log *slog.Logger) (server *collect.Server, err error) {
+	err = retryTransient(ctx, log.With("what", config.Listen), syscall.EADDRINUSE, func() error {
+		server, err = collect.Listen(config.Listen, config.Names, d.budget, d.inbox.Post, log)
 		return err
 	})
-	return front, err
+	return server, err
 }
 
-// persist tries again for listenFor, as long as what failed is a shortage of this machine or the error that passes.
-func persist(ctx context.Context, log *slog.Logger, passes error, try func() error) error {
-	for began := time.Now(); ; turns.Pause(ctx, listenPause) {
+// retryTransient repeats try for up to startTimeout while it fails with the given transient error or for lack of local
+// resources.
+func retryTransient(ctx context.Context, log *slog.Logger, transient error, try func() error) error {
+	for began := time.Now(); ; turns.Pause(ctx, startRetryInterval) {
 		err := try()
-		passing := nets.OwnShortage(err) || errors.Is(err, passes)
-		if err == nil || !passing || ctx.Err() != nil || time.Since(began) > listenFor {
+		isTransient := nets.OwnShortage(err) || errors.Is(err, transient)
+		if err == nil || !isTransient || ctx.Err() != nil || time.Since(began) > startTimeout {
 			return err
 		}
 		log.Warn("start.waits", "error", err)
 	}
 }
 
-// reload reads the configuration anew. Calls that wait go to the new relay once the one in hand has ended. One that
-// can't be read is tried again after what is given; nil: not any more.
-func (d *director) reload(ctx context.Context, env func(string) string, asked time.Time) (again <-chan time.Time) {
-	s, err := Load(env)
+// reload reads the configuration again and applies it. Queued calls go to the new relay once the call in flight has
+// ended. If the configuration cannot be loaded, reload returns a channel that fires when it is to be retried, or nil if
+// reloadTimeout has passed.
+func (d *director) reload(ctx context.Context, env func(string) string, started time.Time) (again <-chan time.Time) {
+	config, err := Load(env)
 	if err != nil {
-		spent := time.Since(asked)
-		level := slog.LevelDebug // but for the first try and the last
-		if spent < reloadPause || spent >= reloadFor {
+		spent := time.Since(started)
+		level := slog.LevelDebug // the first and the last attempt are logged as errors
+		if spent < reloadRetryInterval || spent >= reloadTimeout {
 			level = slog.LevelError
 		}
-		d.log.Log(ctx, level, "reload.refused", "error", err, "asked_before", spent.String(), "again", spent < reloadFor)
-		if spent < reloadFor {
-			return time.After(reloadPause)
+		d.log.Log(ctx, level, "reload.refused", "error", err, "asked_before", spent.String(),
+			"again", spent < reloadTimeout)
+		if spent < reloadTimeout {
+			return time.After(reloadRetryInterval)
 		}
 		return nil
 	}
-	if s.Listen != d.start.Listen || s.Name != d.start.Name {
-		d.log.Warn("reload.kept", "listen", d.start.Listen, "name", d.start.Name, "why", "they take a restart")
-		s.Listen, s.Name = d.start.Listen, d.start.Name
+	if config.Listen != d.config.Listen || config.Name != d.config.Name {
+		d.log.Warn("reload.kept", "listen", d.config.Listen, "name", d.config.Name,
+			"why", "changes of the listen address or name require a restart")
+		config.Listen, config.Name = d.config.Listen, d.config.Name
 	}
-	s.Facts, s.Names, s.Resolution = d.start.Facts, d.start.Names, d.start.Resolution
-	d.log.Info("reload.taken", "discovery", s.Discovery, "relay", s.Relay)
-	d.ledger.Have(limit(s))
-	d.connect(ctx, s)
+	config.Facts, config.Names, config.Resolution = d.config.Facts, d.config.Names, d.config.Resolution
+	d.log.Info("reload.taken", "discovery", config.Discovery, "relay", config.Relay)
+	d.budget.Have(applyLimits(config))
+	d.connect(ctx, config)
 	return nil
 }
--- a/internal/platform/timers.go
+++ b/internal/platform/timers.go
@@ -6,7 +6,7 @@
 	"vetchwood/logic"
 )
 
-// timers are the module's, the next one first.
+// timers is a queue of the module's timers, ordered by due time.
 type timers struct{ all timerHeap }
 
 type timer struct {
@@ -14,6 +14,7 @@
 	id logic.TimerID
 }
 
+// timerHeap implements heap.Interface, with the earliest timer first.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -29,6 +30,7 @@
 
 func (t *timers) add(at logic.Millis, id logic.TimerID) { heap.Push(&t.all, timer{at, id}) }
 
+// next returns the due time of the earliest timer, if there is one.
 func (t *timers) next() (logic.Millis, bool) {
 	if len(t.all) == 0 {
 		return 0, false
@@ -36,6 +38,7 @@
 	return t.all[0].at, true
 }
 
+// due removes and returns the timers that are due.
 func (t *timers) due(now logic.Millis) (out []logic.TimerID) {
 	for len(t.all) > 0 && t.all[0].at <= now {
 		out = append(out, heap.Pop(&t.all).(timer).id)
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -10,7 +10,7 @@
 	"vetchwood/logic"
 )
 
-// traceOrders writes what is ordered, for whoever asks for it by the log's level.
+// traceOrders logs the orders for the relay at debug level.
 func (d *director) traceOrders(ops []outbox.Op) {
 	if !d.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
@@ -19,11 +19,12 @@
 	for _, o := range ops {
 		all.WriteString(o.Text)
 	}
-	d.log.Debug("orders", "n", len(ops), "waiting", d.box.Waiting(), "text", all.String())
+	d.log.Debug("orders", "n", len(ops), "waiting", d.outbox.Waiting(), "text", all.String())
 }
 
-// traceNotes writes what the module hears of, but for reports and its own timers.
-func (d *director) traceNotes(notes []any) {
+// traceEvents logs the events passed to the module at debug level, except for load reports and timers. Acknowledgements
+// are summarized by serial.
+func (d *director) traceEvents(events []any) {
 	if !d.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
@@ -33,7 +34,7 @@
 			d.log.Debug("applied", "serial", int(s), "proxies", n, "slowest_ms", float64(slowest[s]))
 		}
 	}()
-	for _, n := range notes {
+	for _, n := range events {
 		switch n := n.(type) {
 		case logic.Met, logic.Heat, logic.Due:
 		case logic.Applied:
@@ -41,7 +42,8 @@
 			slowest[n.Serial] = max(slowest[n.Serial], n.Spent)
 		case logic.Roster:
 			for _, e := range n.Entries {
-				d.log.Debug("note", "kind", "entry", "list", int(n.Kind), "host", d.hosts.NameOf(e.Host), "state", int(e.State), "born", float64(e.Born))
+				d.log.Debug("note", "kind", "entry", "list", int(n.Kind), "host", d.hosts.NameOf(e.Host),
+					"state", int(e.State), "born", float64(e.Born))
 			}
 		case logic.OnRecord:
 			d.log.Debug("note", "kind", "line", "slice", int(n.Slice), "host", d.hosts.NameOf(n.Host), "weight", n.Weight)
