--- a/internal/platform/burst_test.go
+++ b/internal/platform/burst_test.go
@@ -23,8 +23,8 @@
 	t.Parallel()
 	f := newFleet(t)
 	f.maxRetries = 2
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	f.start(ctx)
 	time.Sleep(calmDuration)
 	calm := f.outcomes()
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -83,17 +83,17 @@
 	s.discovery.setStatus("h2", 1, "leaving")
 	close(s.discovery.gate)
 	s.within("the mask for the change listed by the new discovery", maskDeadline, s.isMasked("h2"))
-	asked := func() int { former.mu.Lock(); defer former.mu.Unlock(); return former.requests }
-	n, m := asked(), 0
+	formerRequests := func() int { former.mu.Lock(); defer former.mu.Unlock(); return former.requests }
+	before, newBefore := formerRequests(), 0
 	s.discovery.mu.Lock()
-	m = s.discovery.requests
+	newBefore = s.discovery.requests
 	s.discovery.mu.Unlock()
 	s.within("a further request to the new discovery", 4*time.Second, func() bool {
 		s.discovery.mu.Lock()
 		defer s.discovery.mu.Unlock()
-		return s.discovery.requests > m+1
+		return s.discovery.requests > newBefore+1
 	})
-	if asked() > n {
+	if formerRequests() > before {
 		t.Error("the former discovery still receives requests")
 	}
 }
@@ -271,21 +271,21 @@
 // Probes of hanging hosts occupy their workers until the timeout; a probe of a healthy host queued behind them must not
 // wait for that.
 func TestHungHostsDoNotDelayProbeOfHealthyHost(t *testing.T) {
-	hung, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
+	hangingServer, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer hung.Close()
-	well := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	defer well.Close()
+	defer hangingServer.Close()
+	healthyServer := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	defer healthyServer.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	answers := make(chan probeResult, 64)
 	p := newProber(ctx, newOfflineDirector(t).config.Names, func(in ...any) { answers <- in[0].(probeResult) })
 	for h := range 20 {
-		p.enqueue(logic.HostID(1+h), hung.Addr().String())
+		p.enqueue(logic.HostID(1+h), hangingServer.Addr().String())
 	}
-	p.enqueue(99, well.Listener.Addr().String())
+	p.enqueue(99, healthyServer.Listener.Addr().String())
 	if first := <-answers; first.Host != 99 || !first.Good {
 		t.Errorf("host %d answered first, good: %v", first.Host, first.Good)
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -312,7 +312,7 @@
 			return
 		}
 	}
-	if a, is := n.Note.(logic.Applied); is {
+	if a, ok := n.Note.(logic.Applied); ok {
 		d.ackLatency.add(a.Spent)
 		d.confirmCall(a)
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -99,12 +99,12 @@
 	})
 }
 
-// within polls a condition and fails the test if it does not hold within d.
-func (s *testEnv) within(what string, d time.Duration, is func() bool) {
+// within polls a condition and fails the test if it does not hold within the timeout.
+func (s *testEnv) within(what string, timeout time.Duration, condition func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(d); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(timeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			s.t.Fatalf("did not occur within %v: %s", d, what)
+			s.t.Fatalf("did not occur within %v: %s", timeout, what)
 		}
 	}
 }
@@ -284,8 +284,8 @@
 		`127.0.0.1:1|127.0.0.1:0`: "listen", `"listen":"127.0.0.1:1"|"listen":5`: "listen", `"settings":{|"settings":5,"x":{`: "settings",
 		`"Repeat":"safe"|"Repeat":"odd"`: "settings", `"Dcs":["a"]|"Dcs":[]`: "settings", `{"name"|{{`: "byte", `"Slices":4|"Slices":"4"`: "settings",
 	} {
-		was, is, _ := strings.Cut(change, "|")
-		if _, err := parse([]byte(strings.Replace(good, was, is, 1)), func(string) string { return "" }); err == nil || !strings.HasPrefix(err.Error(), place) {
+		before, after, _ := strings.Cut(change, "|")
+		if _, err := parse([]byte(strings.Replace(good, before, after, 1)), func(string) string { return "" }); err == nil || !strings.HasPrefix(err.Error(), place) {
 			t.Errorf("%s: %v, wanted %s", change, err, place)
 		}
 	}
--- a/internal/platform/rollout_test.go
+++ b/internal/platform/rollout_test.go
@@ -149,10 +149,10 @@
 // startDirector starts the director process and returns its listening address.
 func (f *fleet) startDirector() string {
 	listen, file := freeAddress(f.t), filepath.Join(f.t.TempDir(), "config.json")
-	big := strings.NewReplacer(`"DataPlaneSize":4,"Slices":4`, fmt.Sprintf(`"DataPlaneSize":%d,"Slices":%d`, fleetProxies, fleetSlices),
+	replacer := strings.NewReplacer(`"DataPlaneSize":4,"Slices":4`, fmt.Sprintf(`"DataPlaneSize":%d,"Slices":%d`, fleetProxies, fleetSlices),
 		`"MayProbe":false`, `"MayProbe":true`, `"WarmAfterMs":9000`, fmt.Sprintf(`"WarmAfterMs":%d`, warmUpTime.Milliseconds()))
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":0.25,"memory_mb":48,"sockets":256},
-"store":{"address":%q},"known":%s,"settings":%s}`, listen, f.discovery.address(), f.relay.address(), f.discovery.snapshot(), big.Replace(testSettings))
+"store":{"address":%q},"known":%s,"settings":%s}`, listen, f.discovery.address(), f.relay.address(), f.discovery.snapshot(), replacer.Replace(testSettings))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
@@ -402,8 +402,8 @@
 // if that is negative, it is not killed.
 func runRollout(t *testing.T, killedAt int) {
 	f := newFleet(t)
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	f.start(ctx)
 	time.Sleep(3 * time.Second)
 	mostStale := 0
--- a/internal/platform/start_test.go
+++ b/internal/platform/start_test.go
@@ -55,11 +55,11 @@
 }
 
 func TestOwnShortageIsToldFromPeerFailure(t *testing.T) {
-	for err, ours := range map[error]bool{syscall.EADDRNOTAVAIL: true, syscall.ENFILE: true, syscall.ENOBUFS: true, syscall.ENETUNREACH: true,
+	for err, isLocal := range map[error]bool{syscall.EADDRNOTAVAIL: true, syscall.ENFILE: true, syscall.ENOBUFS: true, syscall.ENETUNREACH: true,
 		syscall.ECONNREFUSED: false, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false, syscall.ECONNRESET: false} {
 		wrapped := fmt.Errorf("get: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)})
-		if nets.OwnShortage(wrapped) != ours {
-			t.Errorf("%v: reported as a local shortage: %v", err, !ours)
+		if nets.OwnShortage(wrapped) != isLocal {
+			t.Errorf("%v: reported as a local shortage: %v", err, !isLocal)
 		}
 	}
 	if nets.OwnShortage(nil) || nets.OwnShortage(errors.New("other")) {
--- a/internal/platform/stubs_test.go
+++ b/internal/platform/stubs_test.go
@@ -23,7 +23,8 @@
 	state       []string // notifications that describe the present state
 	subscribers map[net.Conn]bool
 	// faults holds the outcomes of the next calls, in order: ok, before (connection closed before the call is applied),
-	// after (closed after it), silent (no answer), garbled (malformed answer), throttled, part (no op is applied).
+	// after (closed after it), silent (no answer), garbled (malformed answer), throttled, part (no op is applied: the
+	// first one is at fault).
 	faults []string
 	lines  map[string]float64 // weight by cluster/endpoint
 	masked map[string]bool
@@ -115,10 +116,10 @@
 }
 
 // check evaluates a condition with the lock held.
-func (r *relayStub) check(is func() bool) bool {
+func (r *relayStub) check(condition func() bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return is()
+	return condition()
 }
 
 // serve reads calls from a connection until that ends.
