--- a/cmd/vetchwood/tables.go
+++ b/cmd/vetchwood/tables.go
@@ -142,12 +142,12 @@
 		}
 	}
 	wish := operate.Wish{To: c.Version, Tables: c.Table, Since: c.Since, Who: whoami(), Why: c.Why, Force: c.Force, Dry: true}
-	var would, done control.Operated
+	var would, done control.OperationResult
 	if err := client.Post(ctx, "rollback", wish, &would); err != nil {
 		return err
 	}
 	if !c.Yes {
-		fmt.Fprintf(out, "%d tables go back to version %d; %.1f%% of the slices go to other hosts.\n", len(would.Tables), c.Version, 100*would.Moved)
+		fmt.Fprintf(out, "%d tables go back to version %d; %.1f%% of the slices go to other hosts.\n", len(would.Tables), c.Version, 100*would.MovedFraction)
 		faults(out, would)
 		fmt.Fprint(out, "Go on? [y/N] ")
 		line, _ := bufio.NewReader(os.Stdin).ReadString('\n')
@@ -161,8 +161,8 @@
 	}
 	return p.Tables.show(out, done, func(w io.Writer) {
 		fmt.Fprintf(w, "version %d: %d tables as in version %d, pinned until `tables release`\n", done.Version, len(done.Tables), c.Version)
-		if done.Rest > 0 {
-			fmt.Fprintf(w, "%d of them follow as the channel has room\n", done.Rest)
+		if done.Deferred > 0 {
+			fmt.Fprintf(w, "%d of them follow as the channel has room\n", done.Deferred)
 		}
 		faults(w, done)
 	})
@@ -185,7 +185,7 @@
 	return back.Run(ctx, out, p)
 }
 
-func faults(w io.Writer, o control.Operated) {
+func faults(w io.Writer, o control.OperationResult) {
 	for _, t := range o.Tables {
 		for _, f := range t.Faults {
 			fmt.Fprintf(w, "not honoured: table %d, host %s: %s\n", t.Table, f.Host, f.Why)
@@ -203,12 +203,12 @@
 type tablesPins struct{}
 
 func (c *tablesPins) Run(ctx context.Context, out io.Writer, p *program) error {
-	var o control.Operated
+	var o control.OperationResult
 	if err := p.Tables.client().Get(ctx, "pins", &o); err != nil {
 		return err
 	}
 	return p.Tables.show(out, o, func(w io.Writer) {
-		fmt.Fprintf(w, "%d tables are pinned; %d of them wait for room in the channel\n", len(o.Tables), o.Rest)
+		fmt.Fprintf(w, "%d tables are pinned; %d of them wait for room in the channel\n", len(o.Tables), o.Deferred)
 		for _, t := range o.Tables {
 			fmt.Fprintf(w, "table %d\tas in version %d\tby %s\n", t.Table, t.Step, t.Who)
 		}
@@ -222,7 +222,7 @@
 }
 
 func (c *tablesRelease) Run(ctx context.Context, out io.Writer, p *program) error {
-	var o control.Operated
+	var o control.OperationResult
 	if err := p.Tables.client().Post(ctx, "release", operate.Wish{Tables: c.Table, Who: whoami(), Why: c.Why}, &o); err != nil {
 		return err
 	}
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -209,21 +209,21 @@
 			c.rollback(now, i)
 		case Release:
 			c.release(now, i)
-		case Givens:
-			c.givens(now, i.Slices)
-		case Withdrawn:
+		case SliceGrants:
+			c.givens(now, i.Grants)
+		case SliceRevoked:
 			c.withdrawn(now, i.Slice)
-		case Facts:
+		case FactsQuery:
 			c.facts(now, i)
-		case Learnt:
+		case PeerFacts:
 			c.learnt(now, i)
-		case ListLost:
+		case DiscoveryLost:
 			if c.lost == 0 {
 				c.lost = now
 			}
-		case Guard:
+		case LeaseDeadline:
 			c.guard(now, i)
-		case Pins:
+		case PinsQuery:
 			c.tellPins(now, i.Ticket)
 		case Probed:
 			if k, known := c.names.hosts[i.Address]; known {
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -457,7 +457,7 @@
 // roll asks for a rollback to what a version held.
 func (r *rig) roll(to Saved, who string, since tables.Step, force bool) Answer {
 	r.ticket++
-	r.do(Rollback{Ticket: r.ticket, To: to.Step, Content: to.Tables, Since: since, Who: who, Why: "test", Force: force})
+	r.do(Rollback{Ticket: r.ticket, To: to.Step, Content: to.Tables, LastSeen: since, Who: who, Why: "test", Force: force})
 	return r.answers[r.ticket]
 }
 
@@ -485,7 +485,7 @@
 	r.want(r.poll("p1", 0), Whole)
 	before := r.c.world.step
 	a := r.roll(old, "ann", before, true)
-	if a.Kind != Done || a.Body.(*Operated).Version <= before || len(a.Body.(*Operated).Tables) != 8 {
+	if a.Kind != Done || a.Body.(*OperationResult).Version <= before || len(a.Body.(*OperationResult).Tables) != 8 {
 		t.Fatalf("%+v", a)
 	}
 	r.pass(300)
@@ -536,7 +536,7 @@
 		lines := map[tables.Address]float64{"10.0.0.0:80": 1}
 		moved.Tables[id] = &tables.Table{From: table.From, To: table.To, Lines: lines}
 	}
-	if a := r.roll(moved, "ann", old.Step, false); a.Kind != Refused || a.Body.(*Operated).Moved <= mostMoved || len(r.c.pinned) > 0 {
+	if a := r.roll(moved, "ann", old.Step, false); a.Kind != Refused || a.Body.(*OperationResult).MovedFraction <= mostMoved || len(r.c.pinned) > 0 {
 		t.Errorf("moves too much: %+v", a)
 	}
 	if a := r.roll(old, "", old.Step, false); a.Kind != Wrong {
@@ -576,7 +576,7 @@
 	half := r.c.world.step
 	list[0].State = logic.Up
 	r.do(List{list})
-	if a := r.roll(old, "ann", half, true); a.Kind != Done || a.Body.(*Operated).Version <= half {
+	if a := r.roll(old, "ann", half, true); a.Kind != Done || a.Body.(*OperationResult).Version <= half {
 		t.Fatalf("%+v", a)
 	}
 	final := r.c.world.step
--- a/internal/control/held.go
+++ b/internal/control/held.go
@@ -16,21 +16,21 @@
 // Inputs about leases.
 type (
 	// Given is a slice that this director holds from now on, with what its last holder left on record.
-	Given struct {
+	SliceGrant struct {
 		Slice  logic.TableID
 		Fence  uint64
-		Record *Record
+		Record *SliceRecord
 	}
 	// Givens are several at once: one version, and one word to each proxy.
-	Givens struct{ Slices []Given }
+	SliceGrants struct{ Grants []SliceGrant }
 	// Withdrawn is one that it holds no more.
-	Withdrawn struct{ Slice logic.TableID }
+	SliceRevoked struct{ Slice logic.TableID }
 	// Guard says until when it may act for what it holds, unless it hears again.
-	Guard struct{ Until logic.Millis }
+	LeaseDeadline struct{ Until logic.Millis }
 )
 
 // Record is what a slice's next holder starts from.
-type Record struct {
+type SliceRecord struct {
 	Slice    logic.TableID                  `json:"slice"`
 	Fence    uint64                         `json:"fence"`
 	Director string                         `json:"director,omitempty"`
@@ -60,7 +60,7 @@
 // holds says whether a table is ours to write.
 func (c *Core) holds(t logic.TableID) bool { return c.custody == nil || c.custody.fences[t] > 0 }
 
-func (c *Core) guard(now logic.Millis, g Guard) {
+func (c *Core) guard(now logic.Millis, g LeaseDeadline) {
 	if c.custody != nil {
 		c.shown.until, c.shown.dirty = g.Until, true
 	}
@@ -68,7 +68,7 @@
 
 // givens takes slices over. Proxies read them from the document, as on joining; that costs the channel nothing, and
 // is its own version.
-func (c *Core) givens(now logic.Millis, all []Given) {
+func (c *Core) givens(now logic.Millis, all []SliceGrant) {
 	if c.custody == nil {
 		return
 	}
@@ -187,7 +187,7 @@
 		if t == nil || t.Fence == 0 || c.custody.fences[id] != t.Fence {
 			continue
 		}
-		r := Record{Slice: id, Fence: t.Fence, Director: c.svc.Name, At: w.at, Demand: c.rates(logic.Millis(w.at), id), Lines: t.Lines, Hosts: map[tables.Address]tables.Host{}}
+		r := SliceRecord{Slice: id, Fence: t.Fence, Director: c.svc.Name, At: w.at, Demand: c.rates(logic.Millis(w.at), id), Lines: t.Lines, Hosts: map[tables.Address]tables.Host{}}
 		for a := range t.Lines {
 			r.Hosts[a] = c.names.hosts[a].Host
 		}
--- a/internal/control/held_test.go
+++ b/internal/control/held_test.go
@@ -13,12 +13,12 @@
 	svc := service(8)
 	svc.Leased, svc.Learns, svc.Name = true, true, "d1"
 	r := start(t, svc, Saved{})
-	r.do(List{up(3)}, Guard{Until: r.now + 60000})
-	var all []Given
+	r.do(List{up(3)}, LeaseDeadline{Until: r.now + 60000})
+	var all []SliceGrant
 	for s := range logic.TableID(4) {
-		all = append(all, Given{Slice: s, Fence: 100 + uint64(s), Record: &Record{Slice: s, Lines: map[tables.Address]float64{"10.0.0.1:80": 1}}})
+		all = append(all, SliceGrant{Slice: s, Fence: 100 + uint64(s), Record: &SliceRecord{Slice: s, Lines: map[tables.Address]float64{"10.0.0.1:80": 1}}})
 	}
-	r.do(Givens{all})
+	r.do(SliceGrants{all})
 	return r
 }
 
@@ -31,7 +31,7 @@
 		t.Fatalf("%+v", d.Tables)
 	}
 	r.hold = true
-	r.do(Givens{[]Given{{Slice: 6, Fence: 7}}})
+	r.do(SliceGrants{[]SliceGrant{{Slice: 6, Fence: 7}}})
 	for _, c := range r.held {
 		for id, table := range c.Tables {
 			if id == 6 && len(table.Lines) == 0 && table.Fence > 0 {
@@ -47,7 +47,7 @@
 		t.Fatalf("slice 6 has lines by now: %+v", six)
 	}
 	waits := r.poll("p1", 20000, d.Tag())
-	r.do(Withdrawn{2})
+	r.do(SliceRevoked{2})
 	if a := r.answers[waits]; a.Doc == nil || a.Doc.Tables["2"] != nil || a.Doc.Tables["1"] == nil {
 		t.Fatalf("withdrawn, and told: %+v", a)
 	}
@@ -70,7 +70,7 @@
 	r.pass(1000)
 	d = r.want(r.poll("p1", 0), Whole)
 	waits := r.poll("p1", 20000, d.Tag())
-	r.do(Guard{Until: r.now - 1})
+	r.do(LeaseDeadline{Until: r.now - 1})
 	hosts := up(3)
 	hosts[1].State = logic.Draining
 	r.do(List{hosts})
@@ -82,13 +82,13 @@
 			t.Fatalf("answered past its lease: %+v", a)
 		}
 	}
-	r.do(Guard{Until: r.now + 5000})
+	r.do(LeaseDeadline{Until: r.now + 5000})
 	a := r.answers[waits]
 	if a.Doc == nil || offers(a.Doc, "10.0.0.1:80") || a.Lease <= 0 || a.Lease > 5000 {
 		t.Fatalf("%+v", a)
 	}
 	r.want(late, Whole)
-	r.do(Guard{Until: r.now - 1})
+	r.do(LeaseDeadline{Until: r.now - 1})
 	last := r.poll("p1", 100, a.Doc.Tag())
 	r.pass(4000)
 	r.want(last, Busy)
@@ -100,13 +100,13 @@
 	d := r.want(r.poll("p1", 0), Whole)
 	ask := func() *learn.Facts {
 		r.ticket++
-		r.do(Facts{r.ticket})
+		r.do(FactsQuery{r.ticket})
 		return r.answers[r.ticket].Body.(*learn.Facts)
 	}
 	heard := *ask()
-	heard.Director, heard.Up = "d2", 60000
+	heard.Director, heard.Uptime = "d2", 60000
 	heard.Hosts[1].State = learn.Draining
-	r.do(Learnt{[]learn.Heard{{Facts: heard, Age: 3}}})
+	r.do(PeerFacts{[]learn.PeerFacts{{Facts: heard, Age: 3}}})
 	r.pass(300)
 	d = r.want(r.poll("p1", 0), Whole)
 	if offers(d, "10.0.0.1:80") {
--- a/internal/control/known.go
+++ b/internal/control/known.go
@@ -116,7 +116,7 @@
 		// What has been gathered since a short while ago stands for less than the whole span.
 		span := overMs * (1 - math.Exp(-max(500, float64(now-c.known.since))/overMs))
 		out = append(out, learn.Demand{Slice: int(slice), Route: info.Name, Rate: 1000 * x.came.read(now) / span,
-			Lost: 1000 * x.lost.read(now) / span, Age: float64(now - x.last)})
+			Unanswered: 1000 * x.lost.read(now) / span, Age: float64(now - x.last)})
 	}
 	return out
 }
@@ -139,7 +139,7 @@
 func (c *Core) listHosts(now logic.Millis) (out []learn.Host) {
 	for _, l := range c.list0 {
 		h := learn.Host{Address: l.Address, ID: l.ID, Zone: l.Zone, Cell: l.Cell, State: stateNames[l.State], Weight: l.Weight,
-			Born: l.Born, Masked: c.world.masked[l.Address]}
+			StartedAt: l.Born, Masked: c.world.masked[l.Address]}
 		if s, has := c.known.states[l.Address]; has {
 			h.StateAge = float64(now - s.since)
 		}
@@ -149,11 +149,11 @@
 }
 
 // Facts asks what this director knows at first hand.
-type Facts struct{ Ticket Ticket }
+type FactsQuery struct{ Ticket Ticket }
 
-func (c *Core) facts(now logic.Millis, q Facts) {
+func (c *Core) facts(now logic.Millis, q FactsQuery) {
 	k := c.known
-	f := learn.Facts{Director: c.svc.Name, Line: c.line, Up: float64(now - k.since), Joined: len(c.ids), ListAge: c.listAge(now)}
+	f := learn.Facts{Director: c.svc.Name, Line: c.line, Uptime: float64(now - k.since), ProxyCount: len(c.ids), ListAge: c.listAge(now)}
 	if k.listed > 0 { // its store's list is from before its start: no news to anybody
 		f.Hosts = c.listHosts(now)
 	}
@@ -163,9 +163,9 @@
 		if m == nil || now-m.last > 10*knownFor {
 			continue
 		}
-		x := &learn.Health{Over: min(overMs, float64(now-k.since)), Age: float64(now - m.last), Ended: m.ended.read(now), Lost: m.lost.read(now)}
-		if good := x.Ended - x.Lost; good > 0.01 {
-			x.Spent = m.spent.read(now) / good
+		x := &learn.Health{Period: min(overMs, float64(now-k.since)), Age: float64(now - m.last), Finished: m.ended.read(now), Failed: m.lost.read(now)}
+		if good := x.Finished - x.Failed; good > 0.01 {
+			x.MeanLatency = m.spent.read(now) / good
 		}
 		orca.Each(m.load, func(name string, v float64) {
 			if x.Load == nil {
@@ -186,10 +186,10 @@
 }
 
 // ListLost says that the list does not answer any more; it is found again with the next List.
-type ListLost struct{}
+type DiscoveryLost struct{}
 
 // Learnt is what other directors told, each with its age by now.
-type Learnt struct{ Heard []learn.Heard }
+type PeerFacts struct{ Peers []learn.PeerFacts }
 
 // believed is a host's state by another director's word, for a while: the list may be late, and has the last word.
 type believed struct {
@@ -201,23 +201,23 @@
 const believeFor logic.Millis = 12000
 
 // learnt weighs what was told and passes on what follows from it.
-func (c *Core) learnt(now logic.Millis, in Learnt) {
-	own := learn.Own{ListAge: c.listAge(now), Hosts: c.listHosts(now), Reports: len(c.known.met) > 0 && now-c.known.since > 2*knownFor}
+func (c *Core) learnt(now logic.Millis, in PeerFacts) {
+	own := learn.Local{ListAge: c.listAge(now), Hosts: c.listHosts(now), HasReports: len(c.known.met) > 0 && now-c.known.since > 2*knownFor}
 	if own.ListAge > float64(believeFor) {
 		own.ListAge = -1
 	}
-	con := learn.Weigh(own, in.Heard)
-	for _, d := range con.Doubts {
-		c.say(Event{Name: "peer.doubted", Detail: d.Director + ": " + d.Why})
+	con := learn.Reconcile(own, in.Peers)
+	for _, d := range con.WeightReductions {
+		c.say(Event{Name: "peer.doubted", Detail: d.Director + ": " + d.Reason})
 	}
 	var entries []logic.HostEntry
 	for _, h := range con.Hosts {
 		was, again := c.believed[h.Address]
 		c.believed[h.Address] = believed{h, now + believeFor}
-		if again && was.State == h.State && was.Born == h.Born {
+		if again && was.State == h.State && was.StartedAt == h.StartedAt {
 			continue
 		}
-		l := Listed{ID: h.ID, Address: h.Address, Zone: h.Zone, Cell: h.Cell, State: statesNamed[h.State], Weight: cmp.Or(h.Weight, 1), Born: h.Born}
+		l := Listed{ID: h.ID, Address: h.Address, Zone: h.Zone, Cell: h.Cell, State: statesNamed[h.State], Weight: cmp.Or(h.Weight, 1), Born: h.StartedAt}
 		entries = append(entries, c.entry(l, now))
 		c.say(Event{Name: "host.learnt", Host: string(h.Address), Detail: string(h.State)})
 	}
@@ -231,8 +231,8 @@
 			continue
 		}
 		c.healthFrom[h.Address] = true
-		m := logic.HostSample{Host: k.Number, Zone: c.names.zone(h.Zone), Period: logic.Millis(h.Health.Over), Finished: int(math.Round(h.Health.Ended)),
-			Failed: int(math.Round(h.Health.Lost)), MeanLatency: logic.Millis(h.Health.Spent), Load: orca.Of(h.Health.Load)}
+		m := logic.HostSample{Host: k.Number, Zone: c.names.zone(h.Zone), Period: logic.Millis(h.Health.Period), Finished: int(math.Round(h.Health.Finished)),
+			Failed: int(math.Round(h.Health.Failed)), MeanLatency: logic.Millis(h.Health.MeanLatency), Load: orca.Of(h.Health.Load)}
 		if m.Finished > 0 {
 			c.notes = append(c.notes, m)
 		}
@@ -260,7 +260,7 @@
 		}
 		n := int(math.Round(e.Rate * overMs / 1000))
 		if n > 0 {
-			c.notes = append(c.notes, logic.SliceDemand{Slice: slice, Route: route, Period: logic.Millis(overMs), Calls: n, Unanswered: int(e.Lost * overMs / 1000)})
+			c.notes = append(c.notes, logic.SliceDemand{Slice: slice, Route: route, Period: logic.Millis(overMs), Calls: n, Unanswered: int(e.Unanswered * overMs / 1000)})
 		}
 	}
 	delete(c.expected, slice)
@@ -273,7 +273,7 @@
 	}
 	hosts = slices.Clone(hosts)
 	for i, l := range hosts {
-		if b, has := c.believed[l.Address]; has && now < b.until && b.Born == l.Born && l.State == logic.Up && b.State != learn.Up {
+		if b, has := c.believed[l.Address]; has && now < b.until && b.StartedAt == l.Born && l.State == logic.Up && b.State != learn.Up {
 			hosts[i].State = statesNamed[b.State]
 		}
 	}
@@ -302,7 +302,7 @@
 		}
 		return float64(now - at)
 	}
-	if c.svc.Learns && learn.Due(float64(now-c.known.since), since(c.lost), since(c.given), since(c.asked)) {
+	if c.svc.Learns && learn.QueryDue(float64(now-c.known.since), since(c.lost), since(c.given), since(c.asked)) {
 		c.asked = now
 		c.out = append(c.out, AskPeers{})
 	}
--- a/internal/control/operate.go
+++ b/internal/control/operate.go
@@ -19,10 +19,10 @@
 		Ticket   Ticket
 		To       tables.Step
 		Content  map[logic.TableID]*tables.Table
-		Since    tables.Step // the newest version that the operator has seen; another operator's later change is a conflict
+		LastSeen tables.Step // the newest version that the operator has seen; another operator's later change is a conflict
 		Who, Why string
 		Force    bool // whatever part of the traffic it moves
-		Dry      bool // tell what would be, and do nothing
+		DryRun   bool // tell what would be, and do nothing
 	}
 	// Release gives pinned tables back to the module, which goes on from what they hold.
 	Release struct {
@@ -31,11 +31,11 @@
 		Who, Why string
 	}
 	// Pins asks which tables are held.
-	Pins struct{ Ticket Ticket }
+	PinsQuery struct{ Ticket Ticket }
 )
 
 // Held tells of a pinned table.
-type HeldTable struct {
+type PinnedTable struct {
 	Table  logic.TableID `json:"table"`
 	Step   tables.Step   `json:"version"`
 	Who    string        `json:"who"`
@@ -43,11 +43,11 @@
 }
 
 // Operated is what an operator is told.
-type Operated struct {
-	Version tables.Step `json:"version"`        // ordered by now; a rollback may go in several
-	Moved   float64     `json:"moved"`          // part of the slices that go to other hosts
-	Tables  []HeldTable `json:"tables"`         // pinned, or given back
-	Rest    int         `json:"rest,omitempty"` // tables that wait for room in the channel
+type OperationResult struct {
+	Version       tables.Step   `json:"version"`        // ordered by now; a rollback may go in several
+	MovedFraction float64       `json:"moved"`          // part of the slices that go to other hosts
+	Tables        []PinnedTable `json:"tables"`         // pinned, or given back
+	Deferred      int           `json:"rest,omitempty"` // tables that wait for room in the channel
 }
 
 // mostMoved is the part of the slices that an operator's change may move unless it is forced: as much as a release moves
@@ -57,7 +57,7 @@
 // queuePart is what operators' changes may fill of the channel's queue; the rest is the module's.
 const queuePart = 0.4
 
-func (c *Core) operator(t Ticket, kind AnswerKind, why string, o *Operated) {
+func (c *Core) operator(t Ticket, kind AnswerKind, why string, o *OperationResult) {
 	c.out = append(c.out, Answer{Ticket: t, Kind: kind, Why: why, Body: o})
 }
 
@@ -80,15 +80,15 @@
 	case c.svc.Facts.SingleOwner:
 		c.operator(r.Ticket, Wrong, "slices have single owners here: a table goes to another only by the module's hand-over", nil)
 		return
-	case c.operated > r.Since:
-		c.operator(r.Ticket, Conflict, fmt.Sprintf("version %d, an operator's, came after version %d", c.operated, r.Since), nil)
+	case c.operated > r.LastSeen:
+		c.operator(r.Ticket, Conflict, fmt.Sprintf("version %d, an operator's, came after version %d", c.operated, r.LastSeen), nil)
 		return
 	case r.Who == "" || r.Why == "":
 		c.operator(r.Ticket, Wrong, "who and why are needed", nil)
 		return
 	}
 	listed := c.hosts(now)
-	o := &Operated{Version: c.world.step}
+	o := &OperationResult{Version: c.world.step}
 	var bare []string
 	for _, id := range slices.Sorted(maps.Keys(r.Content)) {
 		if r.Content[id] == nil || int(id) >= c.svc.Facts.Slices || !c.holds(id) {
@@ -98,9 +98,9 @@
 		if len(m.Lines) == 0 {
 			bare = append(bare, strconv.Itoa(int(id)))
 		}
-		o.Tables = append(o.Tables, HeldTable{id, r.To, r.Who, m.Faults})
+		o.Tables = append(o.Tables, PinnedTable{id, r.To, r.Who, m.Faults})
 		if was := c.world.tables[id]; was != nil {
-			o.Moved += pins.Moved(was.Lines, m.Lines) / float64(c.svc.Facts.Slices)
+			o.MovedFraction += pins.Moved(was.Lines, m.Lines) / float64(c.svc.Facts.Slices)
 		}
 	}
 	switch {
@@ -108,9 +108,9 @@
 		c.operator(r.Ticket, Wrong, "the version has none of these tables", nil)
 	case len(bare) > 0:
 		c.operator(r.Ticket, Refused, "tables "+strings.Join(bare, ", ")+" would be left without a host", o)
-	case o.Moved > mostMoved && !r.Force:
-		c.operator(r.Ticket, Refused, fmt.Sprintf("it would move %.0f%% of the slices, of %.0f%% at most unless forced", 100*o.Moved, 100*mostMoved), o)
-	case r.Dry:
+	case o.MovedFraction > mostMoved && !r.Force:
+		c.operator(r.Ticket, Refused, fmt.Sprintf("it would move %.0f%% of the slices, of %.0f%% at most unless forced", 100*o.MovedFraction, 100*mostMoved), o)
+	case r.DryRun:
 		c.operator(r.Ticket, Done, "", o)
 	default:
 		c.pinned = maps.Clone(c.pinned)
@@ -122,7 +122,7 @@
 		}
 		c.cause = cause{who: r.Who, why: r.Why, from: r.To, new: true}
 		c.tend(now)
-		o.Version, o.Rest = c.world.step, len(c.untended(now))
+		o.Version, o.Deferred = c.world.step, len(c.untended(now))
 		c.operated = c.world.step
 		c.say(Event{Name: "operator.rollback", Version: strconv.Itoa(int(c.world.step)),
 			Detail: fmt.Sprintf("%s: %d tables to version %d: %s", r.Who, len(o.Tables), r.To, r.Why)})
@@ -139,7 +139,7 @@
 	if len(which) == 0 {
 		which = slices.Sorted(maps.Keys(c.pinned))
 	}
-	o := &Operated{}
+	o := &OperationResult{}
 	c.pinned = maps.Clone(c.pinned)
 	for _, id := range which {
 		p, held := c.pinned[id]
@@ -147,7 +147,7 @@
 			continue
 		}
 		delete(c.pinned, id)
-		o.Tables = append(o.Tables, HeldTable{Table: id, Step: p.Step, Who: p.Who})
+		o.Tables = append(o.Tables, PinnedTable{Table: id, Step: p.Step, Who: p.Who})
 		if c.holds(id) {
 			c.give(id, c.world)
 		}
@@ -176,11 +176,11 @@
 }
 
 func (c *Core) tellPins(now logic.Millis, t Ticket) {
-	o := &Operated{Version: c.world.step, Rest: len(c.untended(now))}
+	o := &OperationResult{Version: c.world.step, Deferred: len(c.untended(now))}
 	listed := c.hosts(now)
 	for _, id := range slices.Sorted(maps.Keys(c.pinned)) {
 		p := c.pinned[id]
-		o.Tables = append(o.Tables, HeldTable{id, p.Step, p.Who, pins.Mend(int(id), p.Lines, listed).Faults})
+		o.Tables = append(o.Tables, PinnedTable{id, p.Step, p.Who, pins.Mend(int(id), p.Lines, listed).Faults})
 	}
 	c.operator(t, Done, "", o)
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -30,7 +30,7 @@
 		DialContext: (&net.Dialer{Timeout: peerPatience / 2}).DialContext}}
 	return func(ctx context.Context) {
 		var mu sync.Mutex
-		var all []learn.Heard
+		var all []learn.PeerFacts
 		var asked sync.WaitGroup
 		for _, p := range holder.Peers() {
 			asked.Go(func() {
@@ -42,12 +42,12 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				all = append(all, learn.Heard{Facts: f, Age: float64(time.Since(began).Microseconds()) / 1000})
+				all = append(all, learn.PeerFacts{Facts: f, Age: float64(time.Since(began).Microseconds()) / 1000})
 			})
 		}
 		asked.Wait()
 		if len(all) > 0 {
-			d.Post(control.Learnt{Heard: all})
+			d.Post(control.PeerFacts{Peers: all})
 		}
 	}
 }
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -56,7 +56,7 @@
 	late   atomic.Int64 // latest that the core's own time came, in microseconds
 
 	line   tables.Line
-	record func(control.Record)
+	record func(control.SliceRecord)
 	peers  func(context.Context)
 	writes chan control.Change
 	first  []any
@@ -90,7 +90,7 @@
 func (d *Director) Line() tables.Line { return d.line }
 
 // Record says who puts on record what a slice's next holder starts from. It is called before Run.
-func (d *Director) Record(to func(control.Record)) { d.record = to }
+func (d *Director) Record(to func(control.SliceRecord)) { d.record = to }
 
 // Peers says how other directors are asked for what they know. It is called before Run.
 func (d *Director) Peers(ask func(context.Context)) { d.peers = ask }
@@ -281,7 +281,7 @@
 			tells = append(tells, o)
 		case control.Persist:
 			d.writes <- o.Change
-		case control.Record:
+		case control.SliceRecord:
 			if d.record != nil {
 				d.record(o)
 			}
--- a/internal/learn/learn.go
+++ b/internal/learn/learn.go
@@ -14,11 +14,11 @@
 
 // Facts are what one director knows at first hand. All spans are milliseconds.
 type Facts struct {
-	Director string      `json:"director"`
-	Line     tables.Line `json:"line"`
-	Up       float64     `json:"up_ms"`
-	Joined   int         `json:"proxies_joined"`
-	Leaving  bool        `json:"leaving,omitempty"`
+	Director   string      `json:"director"`
+	Line       tables.Line `json:"line"`
+	Uptime     float64     `json:"up_ms"`
+	ProxyCount int         `json:"proxies_joined"`
+	Leaving    bool        `json:"leaving,omitempty"`
 	// ListAge is how long ago the list was last heard from; below 0 it never was.
 	ListAge float64  `json:"list_age_ms"`
 	Hosts   []Host   `json:"hosts"`
@@ -30,33 +30,33 @@
 type (
 	// Host is what is known of one: the list's word, and what proxies met there lately.
 	Host struct {
-		Address  tables.Address `json:"address"`
-		ID       string         `json:"id,omitempty"`
-		Zone     string         `json:"zone,omitempty"`
-		Cell     string         `json:"cell,omitempty"`
-		State    State          `json:"state"`
-		StateAge float64        `json:"state_age_ms"` // since the list first said so
-		Weight   float64        `json:"weight"`
-		Born     float64        `json:"born,omitempty"` // Unix milliseconds by the host's own word; 0 long ago
-		Masked   bool           `json:"masked,omitempty"`
-		Health   *Health        `json:"health,omitempty"`
+		Address   tables.Address `json:"address"`
+		ID        string         `json:"id,omitempty"`
+		Zone      string         `json:"zone,omitempty"`
+		Cell      string         `json:"cell,omitempty"`
+		State     State          `json:"state"`
+		StateAge  float64        `json:"state_age_ms"` // since the list first said so
+		Weight    float64        `json:"weight"`
+		StartedAt float64        `json:"born,omitempty"` // Unix milliseconds by the host's own word; 0 long ago
+		Masked    bool           `json:"masked,omitempty"`
+		Health    *Health        `json:"health,omitempty"`
 	}
 	// Health sums tries over a span that ends Age ago.
 	Health struct {
-		Over  float64            `json:"over_ms"`
-		Age   float64            `json:"age_ms"`
-		Ended float64            `json:"ended"`
-		Lost  float64            `json:"lost"`
-		Spent float64            `json:"spent_ms"` // of those that were answered, on average
-		Load  map[string]float64 `json:"load,omitempty"`
+		Period      float64            `json:"over_ms"`
+		Age         float64            `json:"age_ms"`
+		Finished    float64            `json:"ended"`
+		Failed      float64            `json:"lost"`
+		MeanLatency float64            `json:"spent_ms"` // of those that were answered, on average
+		Load        map[string]float64 `json:"load,omitempty"`
 	}
 	// Demand is what came for a slice, as a rate.
 	Demand struct {
-		Slice int     `json:"slice"`
-		Route string  `json:"route"`
-		Rate  float64 `json:"calls_per_second"`
-		Lost  float64 `json:"unanswered_per_second"`
-		Age   float64 `json:"age_ms"`
+		Slice      int     `json:"slice"`
+		Route      string  `json:"route"`
+		Rate       float64 `json:"calls_per_second"`
+		Unanswered float64 `json:"unanswered_per_second"`
+		Age        float64 `json:"age_ms"`
 	}
 	Level struct {
 		Route string  `json:"route"`
@@ -83,31 +83,31 @@
 var worse = map[State]int{Up: 0, Draining: 1, Gone: 2}
 
 // Heard is one donor's facts, with how long ago it told them.
-type Heard struct {
+type PeerFacts struct {
 	Facts
 	Age float64
 }
 
 // Own is what the asking director knows by itself.
-type Own struct {
-	ListAge float64 // below 0: it has not heard from the list since its start
-	Hosts   []Host  // by the list, or by its own store where the list was not heard from
-	Reports bool    // its own reports come in
+type Local struct {
+	ListAge    float64 // below 0: it has not heard from the list since its start
+	Hosts      []Host  // by the list, or by its own store where the list was not heard from
+	HasReports bool    // its own reports come in
 }
 
 // Why a donor's word counted for less.
-type Doubt struct {
+type WeightReduction struct {
 	Director string
 	Weight   float64
-	Why      string
+	Reason   string
 }
 
 // Conclusion is what may be told to the module.
 type Conclusion struct {
-	Hosts  []Host // whose state or birth is other than what the asking director believes, or that it does not know
-	Health []Host // what was met there
-	Demand []Demand
-	Doubts []Doubt
+	Hosts            []Host // whose state or birth is other than what the asking director believes, or that it does not know
+	Health           []Host // what was met there
+	Demand           []Demand
+	WeightReductions []WeightReduction
 }
 
 // Spans and bounds of belief. A fact counts half after halfLife; a donor below least is not followed against our own list.
@@ -126,7 +126,7 @@
 }
 
 // weight says how far a donor is believed, and why not wholly.
-func weight(me Own, d Heard) (w float64, why string) {
+func weight(me Local, d PeerFacts) (w float64, why string) {
 	w = 1
 	less := func(by float64, reason string) {
 		if w *= by; by < 0.9 && why == "" {
@@ -137,8 +137,8 @@
 	if d.Leaving {
 		less(0.8, "it is leaving")
 	}
-	if d.Up < youngDays {
-		less(max(0.2, d.Up/youngDays), "it has just started")
+	if d.Uptime < youngDays {
+		less(max(0.2, d.Uptime/youngDays), "it has just started")
 	}
 	switch {
 	case d.ListAge < 0:
@@ -156,7 +156,7 @@
 		}
 		for _, h := range d.Hosts {
 			if o, known := ours[h.Address]; known {
-				if both++; o.State != h.State || o.Born != h.Born {
+				if both++; o.State != h.State || o.StartedAt != h.StartedAt {
 					against++
 				}
 			} else {
@@ -172,9 +172,9 @@
 }
 
 // Weigh concludes from what was heard. The order of the donors does not matter.
-func Weigh(me Own, heard []Heard) (c Conclusion) {
+func Reconcile(me Local, heard []PeerFacts) (c Conclusion) {
 	heard = slices.Clone(heard)
-	slices.SortFunc(heard, func(a, b Heard) int { return cmp.Compare(a.Director, b.Director) })
+	slices.SortFunc(heard, func(a, b PeerFacts) int { return cmp.Compare(a.Director, b.Director) })
 	ours := map[tables.Address]Host{}
 	for _, h := range me.Hosts {
 		ours[h.Address] = h
@@ -185,7 +185,7 @@
 	for _, d := range heard {
 		w, why := weight(me, d)
 		if why != "" {
-			c.Doubts = append(c.Doubts, Doubt{d.Director, w, why})
+			c.WeightReductions = append(c.WeightReductions, WeightReduction{d.Director, w, why})
 		}
 		if w <= 0 {
 			continue
@@ -203,7 +203,7 @@
 			s := demand[key]
 			// One slice has one holder; where two speak of it, the one that counts for more is nearer to the truth.
 			if part > s.weight {
-				demand[key] = sum{part, x.Rate, x.Lost, x.Age + d.Age}
+				demand[key] = sum{part, x.Rate, x.Unanswered, x.Age + d.Age}
 			}
 		}
 	}
@@ -222,7 +222,7 @@
 		}
 	}
 	for _, a := range slices.Sorted(maps.Keys(health)) {
-		if h, ok := mix(health[a]); ok && !me.Reports {
+		if h, ok := mix(health[a]); ok && !me.HasReports {
 			c.Health = append(c.Health, h)
 		}
 	}
@@ -247,8 +247,8 @@
 // stands says whether one claim on a host counts before another: a later birth, then the credible one that keeps away.
 func stands(a, b claim) bool {
 	switch {
-	case a.Born != b.Born && min(a.weight, b.weight) >= least:
-		return a.Born > b.Born
+	case a.StartedAt != b.StartedAt && min(a.weight, b.weight) >= least:
+		return a.StartedAt > b.StartedAt
 	case a.State != b.State && min(a.weight, b.weight) >= least:
 		return worse[a.State] > worse[b.State]
 	}
@@ -256,11 +256,11 @@
 }
 
 // differs says whether a donor's claim on a host is followed against what we hold of it.
-func differs(me Own, own Host, b claim) bool {
+func differs(me Local, own Host, b claim) bool {
 	switch {
-	case b.Born > own.Born && b.weight >= least:
+	case b.StartedAt > own.StartedAt && b.weight >= least:
 		return true // it has started anew since
-	case b.Born < own.Born:
+	case b.StartedAt < own.StartedAt:
 		return false // the claim is on an earlier life
 	case worse[b.State] > worse[own.State]:
 		return b.weight >= least // to keep away for a while costs little, to send where it drains breaks a rule
@@ -277,25 +277,25 @@
 	whole, spent := 0.0, 0.0
 	for _, c := range all {
 		x := c.Health
-		if c.weight <= 0.05 || x.Ended <= 0 {
+		if c.weight <= 0.05 || x.Finished <= 0 {
 			continue
 		}
-		s.Ended += x.Ended * c.weight
-		s.Lost += min(x.Lost, x.Ended) * c.weight
-		good := max(0, x.Ended-x.Lost) * c.weight
-		spent, whole = spent+x.Spent*good, whole+good
-		s.Over = max(s.Over, x.Over)
+		s.Finished += x.Finished * c.weight
+		s.Failed += min(x.Failed, x.Finished) * c.weight
+		good := max(0, x.Finished-x.Failed) * c.weight
+		spent, whole = spent+x.MeanLatency*good, whole+good
+		s.Period = max(s.Period, x.Period)
 		for name, v := range x.Load {
 			if _, has := s.Load[name]; !has || c.weight > all[0].weight {
 				s.Load[name] = v
 			}
 		}
 	}
-	if s.Ended < 1 {
+	if s.Finished < 1 {
 		return h, false
 	}
 	if whole > 0 {
-		s.Spent = spent / whole
+		s.MeanLatency = spent / whole
 	}
 	h.Health = &s
 	return h, true
@@ -303,7 +303,7 @@
 
 // Due says whether to ask the others now. All spans are milliseconds: since the start, since the list was lost (below 0: it
 // was not), since slices came from others, and since they were asked last (below 0: never).
-func Due(up, lost, given, asked float64) bool {
+func QueryDue(up, lost, given, asked float64) bool {
 	switch {
 	case asked >= 0 && asked < 400:
 		return false
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -69,7 +69,7 @@
 
 	mu      sync.Mutex
 	session string
-	records map[logic.TableID]control.Record // to be written
+	records map[logic.TableID]control.SliceRecord // to be written
 	more    chan struct{}
 }
 
@@ -88,7 +88,7 @@
 	ttl := float64(terms.TTL.Microseconds()) / 1000
 	h := &Holder{terms: terms, me: Peer{Name: name, URL: terms.URL, Line: line}, client: client, now: now, tell: tell, log: log,
 		keeper: custody.NewKeeper(custody.Name(name), terms.Slices, ttl, ttl*marginPart), box: make(chan any, 1024),
-		leaving: make(chan struct{}), left: make(chan struct{}), records: map[logic.TableID]control.Record{},
+		leaving: make(chan struct{}), left: make(chan struct{}), records: map[logic.TableID]control.SliceRecord{},
 		more: make(chan struct{}, 1)}
 	h.peers.Store(&[]Peer{})
 	return h, nil
@@ -111,7 +111,7 @@
 }
 
 // Record puts a slice's newest lines where its next holder finds them.
-func (h *Holder) Record(r control.Record) {
+func (h *Holder) Record(r control.SliceRecord) {
 	h.mu.Lock()
 	h.records[r.Slice] = r
 	h.mu.Unlock()
@@ -126,7 +126,7 @@
 // read is what came of a look for the lines of slices that were just taken.
 type read struct {
 	fences  map[logic.TableID]uint64
-	records map[logic.TableID]*control.Record
+	records map[logic.TableID]*control.SliceRecord
 }
 
 // Run keeps the leases until the context ends. Then the session runs out by itself, unless Leave was called before.
@@ -195,9 +195,9 @@
 	case custody.Discharge:
 		h.moves.Add(1)
 		delete(given, logic.TableID(o.Slice))
-		h.tell(control.Withdrawn{Slice: logic.TableID(o.Slice)})
+		h.tell(control.SliceRevoked{Slice: logic.TableID(o.Slice)})
 	case custody.Guard:
-		h.tell(control.Guard{Until: logic.Millis(o.Until)})
+		h.tell(control.LeaseDeadline{Until: logic.Millis(o.Until)})
 	case custody.Gone:
 		h.gone.Do(func() {
 			go func() {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -258,12 +258,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch in := in.(type) {
-	case control.Givens:
-		for _, g := range in.Slices {
+	case control.SliceGrants:
+		for _, g := range in.Grants {
 			f.given[i][g.Slice] = g.Fence
 			f.top[g.Slice] = max(f.top[g.Slice], g.Fence)
 		}
-	case control.Withdrawn:
+	case control.SliceRevoked:
 		delete(f.given[i], in.Slice)
 	}
 }
@@ -389,7 +389,7 @@
 	other, err := lease.New("d1", 8, lease.Terms{Consul: f.doors[0].URL(), Prefix: "p", TTL: ttl, Slices: nSlices, URL: "http://x",
 		Epoch: func() float64 { return 1 }}, func() logic.Millis { return logic.Millis(time.Now().UnixMicro()) / 1000 },
 		func(in any) {
-			if _, is := in.(control.Givens); is {
+			if _, is := in.(control.SliceGrants); is {
 				t.Error("a second director of one name was given slices")
 			}
 		}, slog.New(slog.DiscardHandler))
--- a/internal/lease/watch.go
+++ b/internal/lease/watch.go
@@ -73,7 +73,7 @@
 
 // read looks up the lines that earlier holders left. Where the store does not answer, the slice is given without.
 func (h *Holder) read(ctx context.Context, fences map[logic.TableID]uint64) {
-	r := read{fences: fences, records: map[logic.TableID]*control.Record{}}
+	r := read{fences: fences, records: map[logic.TableID]*control.SliceRecord{}}
 	var ops api.TxnOps
 	ask := func() {
 		for tries := 0; tries < 2 && len(ops) > 0; tries++ {
@@ -85,7 +85,7 @@
 				continue
 			}
 			for _, x := range res.Results {
-				var rec control.Record
+				var rec control.SliceRecord
 				if x.KV == nil || len(x.KV.Value) == 0 {
 					continue
 				}
@@ -111,13 +111,13 @@
 // give tells the director of slices, with what was found of them, if they are still held.
 func (h *Holder) give(r read) {
 	holds := h.keeper.Holds()
-	var all control.Givens
+	var all control.SliceGrants
 	for t, fence := range r.fences {
 		if holds[custody.Slice(t)] == custody.Fence(fence) {
-			all.Slices = append(all.Slices, control.Given{Slice: t, Fence: fence, Record: r.records[t]})
+			all.Grants = append(all.Grants, control.SliceGrant{Slice: t, Fence: fence, Record: r.records[t]})
 		}
 	}
-	if len(all.Slices) > 0 {
+	if len(all.Grants) > 0 {
 		h.tell(all)
 	}
 }
@@ -150,7 +150,7 @@
 func (h *Holder) writeSome(ctx context.Context) bool {
 	h.mu.Lock()
 	id := h.session
-	batch := map[logic.TableID]control.Record{}
+	batch := map[logic.TableID]control.SliceRecord{}
 	for t, r := range h.records {
 		if batch[t] = r; len(batch) == most/2 {
 			break
@@ -166,7 +166,7 @@
 	return len(batch) > 0
 }
 
-func (h *Holder) put(ctx context.Context, id string, batch map[logic.TableID]control.Record) {
+func (h *Holder) put(ctx context.Context, id string, batch map[logic.TableID]control.SliceRecord) {
 	for range 3 {
 		var ops api.TxnOps
 		var of []logic.TableID
@@ -206,7 +206,7 @@
 }
 
 // again puts back what was not written, but for what has changed since.
-func (h *Holder) again(batch map[logic.TableID]control.Record) {
+func (h *Holder) again(batch map[logic.TableID]control.SliceRecord) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for t, r := range batch {
--- a/internal/longpoll/ask.go
+++ b/internal/longpoll/ask.go
@@ -41,7 +41,7 @@
 			if wait := s.core.Admit(inflow.Peers, ""); wait > 0 {
 				return later(wait)
 			}
-			s.post(p, s.core.Ticket(), func(t control.Ticket) any { return control.Facts{Ticket: t} })
+			s.post(p, s.core.Ticket(), func(t control.Ticket) any { return control.FactsQuery{Ticket: t} })
 			return nil
 		})
 	}
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -130,7 +130,7 @@
 		answer(w)(v, nil)
 	})
 	mux.HandleFunc("GET "+Path+"pins", func(w http.ResponseWriter, r *http.Request) {
-		carry(w, r, d, func(t control.Ticket) any { return control.Pins{Ticket: t} })
+		carry(w, r, d, func(t control.Ticket) any { return control.PinsQuery{Ticket: t} })
 	})
 	mux.HandleFunc("POST "+Path+"rollback", func(w http.ResponseWriter, r *http.Request) {
 		q, ok := wish(w, r)
@@ -153,7 +153,7 @@
 			}
 		}
 		carry(w, r, d, func(t control.Ticket) any {
-			return control.Rollback{Ticket: t, To: q.To, Content: content, Since: q.Since, Who: q.Who, Why: q.Why, Force: q.Force, Dry: q.Dry}
+			return control.Rollback{Ticket: t, To: q.To, Content: content, LastSeen: q.Since, Who: q.Who, Why: q.Why, Force: q.Force, DryRun: q.Dry}
 		})
 	})
 	mux.HandleFunc("POST "+Path+"release", func(w http.ResponseWriter, r *http.Request) {
@@ -192,7 +192,7 @@
 	case a.Kind == control.Done:
 		answer(w)(a.Body, nil)
 	default:
-		operated, _ := a.Body.(*control.Operated)
+		operated, _ := a.Body.(*control.OperationResult)
 		status := map[control.AnswerKind]int{control.Wrong: http.StatusBadRequest, control.Conflict: http.StatusConflict,
 			control.Refused: http.StatusUnprocessableEntity}[a.Kind]
 		w.Header().Set("Content-Type", "application/problem+json")
@@ -200,7 +200,7 @@
 		json.NewEncoder(w).Encode(struct {
 			Type, Title, Detail string
 			Status              int
-			Operated            *control.Operated `json:"operated,omitempty"`
+			Operated            *control.OperationResult `json:"operated,omitempty"`
 		}{"about:blank", http.StatusText(status), a.Why, status, operated})
 	}
 }
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -301,7 +301,7 @@
 		t.Fatalf("%v: %+v", err, d)
 	}
 	wish := operate.Wish{To: good, Since: all[0].Step + 1000, Who: "ann", Why: "wrong weights", Force: true}
-	var o control.Operated
+	var o control.OperationResult
 	if err := ask.Post(ctx, "rollback", wish, &o); err != nil || o.Version <= all[0].Step || len(o.Tables) != 64 {
 		t.Fatalf("%v: %+v", err, o)
 	}
@@ -313,7 +313,7 @@
 			}
 		}
 	}
-	var pins, done control.Operated
+	var pins, done control.OperationResult
 	if err := ask.Get(ctx, "pins", &pins); err != nil || len(pins.Tables) != 64 || pins.Tables[0].Who != "ann" {
 		t.Fatalf("%v: %+v", err, pins)
 	}
--- a/internal/rehearse/stage.go
+++ b/internal/rehearse/stage.go
@@ -513,7 +513,7 @@
 	case "rollback":
 		return s.rollback(ctx, say)
 	case "release":
-		var o control.Operated
+		var o control.OperationResult
 		err := s.operators().Post(ctx, "release", operate.Wish{Who: "rehearsal", Why: "the day's script"}, &o)
 		say(fmt.Sprintf("an operator releases %d tables", len(o.Tables)))
 		return err
--- a/internal/rehearse/undo.go
+++ b/internal/rehearse/undo.go
@@ -26,12 +26,12 @@
 
 // rollback goes back to the tables of the day's start, and waits until every proxy holds them.
 func (s *stage) rollback(ctx context.Context, say func(string)) error {
-	var o control.Operated
+	var o control.OperationResult
 	began := s.now()
 	if err := s.operators().Post(ctx, "rollback", operate.Wish{To: s.start, Since: 1 << 60, Who: "rehearsal", Why: "the day's script", Force: true}, &o); err != nil {
 		return err
 	}
-	u := Undone{To: s.start, Version: o.Version, Tables: len(o.Tables), Moved: o.Moved, Proxies: len(s.proxies)}
+	u := Undone{To: s.start, Version: o.Version, Tables: len(o.Tables), Moved: o.MovedFraction, Proxies: len(s.proxies)}
 	for _, t := range o.Tables {
 		u.Mended += len(t.Faults)
 	}
