--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -21,8 +21,8 @@
 	module    *logic.Director
 	names     *names
 	line      tables.Line
-	world     *world      // as ordered
-	stored    *world      // the newest that would outlive a crash
+	world     *snapshot   // as ordered
+	stored    *snapshot   // the newest that would outlive a crash
 	opening   tables.Step // the first of this start
 	unsaved   []*step
 	channel   *channel.Channel
@@ -43,15 +43,15 @@
 	list0     []Listed         // the list as it was told last
 	pinned    map[logic.TableID]Pin
 	operated  tables.Step // the newest version by an operator
-	cause     cause
+	cause     pinCause
 	onlookers map[Ticket]onlooker
-	custody   *custody // nil: all slices are ours
-	known     *known
+	custody   *sliceOwnership // nil: all slices are ours
+	known     *localFacts
 	lost      logic.Millis // since when the list does not answer; 0: it does
 	given     logic.Millis // when slices came last
 	asked     logic.Millis // when the others were asked last
-	believed  map[tables.Address]believed
-	expected  map[logic.TableID][]expectation
+	believed  map[tables.Address]peerHostState
+	expected  map[logic.TableID][]expectedDemand
 	// healthFrom are hosts of which another's health was taken over; once is enough, or it would count again and again.
 	healthFrom map[tables.Address]bool
 	notes      []any
@@ -66,7 +66,7 @@
 
 // step is a world on its way to the store, with the messages that wait for it.
 type step struct {
-	world    *world
+	world    *snapshot
 	messages []channel.Message
 	changed  []logic.TableID
 	removes  bool // a host from all tables
@@ -79,12 +79,12 @@
 		channel: channel.New(f.LinesPerSecond, f.MessageWindow),
 		intake:  sums.New(f.Slices > 0, f.ReportInterval, f.ReportLinesPerSecond), streams: map[logic.ProxyID]*stream{},
 		readers: map[logic.ProxyID]bool{}, shown: shown{dirty: true, until: logic.Millis(math.Inf(1))}, kept: map[tables.Tag]*tables.Document{}, routes: map[string]logic.RouteID{},
-		listed: map[tables.Address]bool{}, known: newKnown(now), onlookers: map[Ticket]onlooker{}, believed: map[tables.Address]believed{},
-		expected: map[logic.TableID][]expectation{}, healthFrom: map[tables.Address]bool{}}
+		listed: map[tables.Address]bool{}, known: newLocalFacts(now), onlookers: map[Ticket]onlooker{}, believed: map[tables.Address]peerHostState{},
+		expected: map[logic.TableID][]expectedDemand{}, healthFrom: map[tables.Address]bool{}}
 	for i, r := range svc.Routes {
 		c.routes[r.Name] = logic.RouteID(i)
 	}
-	w := &world{step: saved.Step, at: saved.At, tables: saved.Tables, masked: saved.Masked, levels: saved.Levels,
+	w := &snapshot{step: saved.Step, at: saved.At, tables: saved.Tables, masked: saved.Masked, levels: saved.Levels,
 		bound: map[logic.ProxyID][]logic.TableID{}, carried: saved.Carried, docs: map[string]*tables.Document{}}
 	if w.masked == nil {
 		w.masked = map[tables.Address]bool{}
@@ -95,22 +95,22 @@
 	w.levels = w.levels[:len(svc.Routes)]
 	c.world, c.stored = w, w
 	// Opening state is a step of its own, so that nothing is told that is not stored.
-	d := c.draft(float64(now))
-	d.change.Levels = d.is.levels
+	d := c.newDraft(float64(now))
+	d.change.Levels = d.next.levels
 	if svc.Leased {
-		d.bare()
+		d.dropAllSlices()
 	} else if f.Slices > 0 {
 		for t := range logic.TableID(f.Slices) {
-			if d.is.tables[t] == nil {
-				d.table(t)
+			if d.next.tables[t] == nil {
+				d.writableTable(t)
 			}
 		}
-		for t := range d.is.tables {
+		for t := range d.next.tables {
 			if int(t) >= f.Slices {
 				if d.change.Tables == nil {
 					d.change.Tables = map[logic.TableID]*tables.Table{}
 				}
-				delete(d.is.tables, t)
+				delete(d.next.tables, t)
 				d.change.Tables[t] = nil
 			}
 		}
@@ -122,10 +122,10 @@
 	maps.Copy(c.pinned, saved.Pinned)
 	for t := range logic.TableID(f.Slices) {
 		if _, held := c.pinned[t]; !held && !svc.Leased {
-			c.give(t, d.is)
+			c.assignToModule(t, d.next)
 		}
 	}
-	for _, a := range slices.Sorted(maps.Keys(d.is.masked)) {
+	for _, a := range slices.Sorted(maps.Keys(d.next.masked)) {
 		if k, known := c.names.hosts[a]; known {
 			c.notes = append(c.notes, logic.InheritedMask{Host: k.Number})
 		}
@@ -135,8 +135,8 @@
 	if f.Slices > 0 && saved.Step > 0 && !svc.Leased {
 		c.keep(c.document(w, 0)) // most proxies hold it, and need no more than the difference
 	}
-	c.world, c.opening = d.is, d.is.step
-	c.unsaved = append(c.unsaved, &step{world: d.is})
+	c.world, c.opening = d.next, d.next.step
+	c.unsaved = append(c.unsaved, &step{world: d.next})
 	c.out = append(c.out, Persist{d.change})
 	return c, c.take()
 }
@@ -144,21 +144,21 @@
 // carry keeps what proxies with tables of their own held before the start: the module lays new ones from the
 // same numbers, and a proxy goes by the old until it is bound anew.
 func (d *draft) carry(saved *Saved) {
-	d.is.carried = map[logic.ProxyID]map[string]*tables.Table{}
+	d.next.carried = map[logic.ProxyID]map[string]*tables.Table{}
 	for id, old := range saved.Carried {
-		d.is.carried[id] = maps.Clone(old)
+		d.next.carried[id] = maps.Clone(old)
 	}
 	for id, by := range saved.Bound {
 		for r, t := range by {
 			if table := saved.Tables[t]; table != nil && r < len(d.c.svc.Routes) {
-				if d.is.carried[id] == nil {
-					d.is.carried[id] = map[string]*tables.Table{}
+				if d.next.carried[id] == nil {
+					d.next.carried[id] = map[string]*tables.Table{}
 				}
-				d.is.carried[id][d.c.svc.Routes[r].Name] = table
+				d.next.carried[id][d.c.svc.Routes[r].Name] = table
 			}
 		}
 	}
-	d.change.Carried, d.change.Bound = d.is.carried, map[logic.ProxyID][]logic.TableID{}
+	d.change.Carried, d.change.Bound = d.next.carried, map[logic.ProxyID][]logic.TableID{}
 	for id := range saved.Bound {
 		d.change.Bound[id] = nil
 	}
@@ -166,7 +166,7 @@
 	for t := range saved.Tables {
 		d.change.Tables[t] = nil
 	}
-	d.is.tables = map[logic.TableID]*tables.Table{}
+	d.next.tables = map[logic.TableID]*tables.Table{}
 }
 
 func (c *Core) say(e Event) { c.out = append(c.out, e) }
@@ -210,21 +210,21 @@
 		case Release:
 			c.release(now, i)
 		case SliceGrants:
-			c.givens(now, i.Grants)
+			c.acquireSlices(now, i.Grants)
 		case SliceRevoked:
-			c.withdrawn(now, i.Slice)
+			c.revokeSlice(now, i.Slice)
 		case FactsQuery:
-			c.facts(now, i)
+			c.answerFacts(now, i)
 		case PeerFacts:
-			c.learnt(now, i)
+			c.applyPeerFacts(now, i)
 		case DiscoveryLost:
 			if c.lost == 0 {
 				c.lost = now
 			}
 		case LeaseDeadline:
-			c.guard(now, i)
+			c.setLeaseDeadline(now, i)
 		case PinsQuery:
-			c.tellPins(now, i.Ticket)
+			c.answerPins(now, i.Ticket)
 		case Probed:
 			if k, known := c.names.hosts[i.Address]; known {
 				c.notes = append(c.notes, logic.ProbeResult{Host: k.Number, Latency: i.Spent, Healthy: i.Good, Load: i.Load})
@@ -250,7 +250,7 @@
 		c.notes = nil
 		c.carryOut(now, c.module.Handle(now, notes))
 	}
-	c.tend(now)
+	c.updatePinned(now)
 	c.look(now)
 	return c.take()
 }
@@ -268,7 +268,7 @@
 }
 
 func (c *Core) carryOut(now logic.Millis, orders []logic.Order) {
-	d := c.draft(float64(now))
+	d := c.newDraft(float64(now))
 	for _, o := range orders {
 		switch o := o.(type) {
 		case logic.SetTimer:
@@ -282,34 +282,34 @@
 		case logic.WatchHosts, logic.RequestHosts, logic.SendToPeer:
 			// The list comes by itself, and there is no peer yet.
 		default:
-			d.order(o)
+			d.apply(o)
 		}
 	}
-	if d.wrote {
+	if d.changed {
 		c.commit(now, d)
 	}
 }
 
 // commit makes a draft the newest version: on its way to the store, and with its messages from there to the channel.
 func (c *Core) commit(now logic.Millis, d *draft) {
-	d.check(now)
-	d.change.Least = d.is.step
+	d.verify(now)
+	d.change.Least = d.next.step
 	if d.change.Levels != nil {
-		c.known.levels = now
+		c.known.levelsAt = now
 	}
 	if oldest, any := c.stands.Oldest(); any {
 		d.change.Least = min(d.change.Least, oldest)
 	}
-	c.world = d.is
-	s := &step{world: d.is, changed: slices.Collect(maps.Keys(d.change.Tables)), removes: d.removes()}
+	c.world = d.next
+	s := &step{world: d.next, changed: slices.Collect(maps.Keys(d.change.Tables)), removes: d.removesHost()}
 	var same *letter // where all are told the same
 	for _, id := range c.ids {
-		lines, concerned := d.of, d.of > 0
-		if len(d.lines) > 0 {
-			own, its := d.lines[id]
+		lines, concerned := d.linesOfAll, d.linesOfAll > 0
+		if len(d.linesOf) > 0 {
+			own, its := d.linesOf[id]
 			lines, concerned = lines+own, concerned || its
 		}
-		if !concerned && !(d.stamped && d.all) {
+		if !concerned && !(d.stamped && d.stampAll) {
 			continue
 		}
 		if lines += c.svc.Facts.MessageOverhead; d.stamped {
@@ -317,7 +317,7 @@
 		}
 		l := same
 		if l == nil {
-			l = &letter{c.document(d.is, id), d.serial, d.stamped, now}
+			l = &letter{c.document(d.next, id), d.serial, d.stamped, now}
 		}
 		if c.svc.Facts.Slices > 0 {
 			same = l
@@ -326,7 +326,7 @@
 	}
 	c.unsaved = append(c.unsaved, s)
 	c.out = append(c.out, Persist{d.change})
-	c.say(Event{Name: "step.ordered", Version: strconv.Itoa(int(d.is.step)),
+	c.say(Event{Name: "step.ordered", Version: strconv.Itoa(int(d.next.step)),
 		Detail: strconv.Itoa(len(s.messages)) + " messages"})
 }
 
@@ -341,7 +341,7 @@
 		return
 	}
 	c.swept = now
-	c.disbelieve(now)
+	c.expirePeerStates(now)
 	c.askPeers(now)
 }
 
@@ -382,13 +382,13 @@
 		if k, known := c.names.hosts[t.Address]; known && t.Ended > 0 {
 			met := sums.Tries{Host: k.Number, Zone: zone, Ended: t.Ended, Unanswered: t.Lost, AnsweredMs: t.Spent, Load: t.Load}
 			c.intake.AddTries(now, met)
-			c.known.tried(now, met)
+			c.known.addTries(now, met)
 		}
 	}
 	for _, l := range calls {
 		if l.Calls > 0 {
 			c.intake.AddDemand(now, l)
-			c.known.came(now, l)
+			c.known.addDemand(now, l)
 		}
 	}
 	c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Taken})
@@ -397,8 +397,8 @@
 // list follows the list of hosts.
 func (c *Core) list(now logic.Millis, hosts []Listed) {
 	c.list0, c.lost = slices.Clone(hosts), 0
-	c.known.list(now, hosts)
-	c.notes = append(c.notes, logic.HostList{Kind: logic.HostListFull, Entries: c.entries(c.doubt(now, hosts), now)})
+	c.known.setHosts(now, hosts)
+	c.notes = append(c.notes, logic.HostList{Kind: logic.HostListFull, Entries: c.entries(c.overlayPeerStates(now, hosts), now)})
 	c.out = append(c.out, Persist{Change{Line: c.line, List: slices.Clone(hosts), Known: maps.Clone(c.names.hosts)}})
 	c.say(Event{Name: "list.told", Detail: strconv.Itoa(len(hosts)) + " hosts"})
 }
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -536,7 +536,7 @@
 		lines := map[tables.Address]float64{"10.0.0.0:80": 1}
 		moved.Tables[id] = &tables.Table{From: table.From, To: table.To, Lines: lines}
 	}
-	if a := r.roll(moved, "ann", old.Step, false); a.Kind != Refused || a.Body.(*OperationResult).MovedFraction <= mostMoved || len(r.c.pinned) > 0 {
+	if a := r.roll(moved, "ann", old.Step, false); a.Kind != Refused || a.Body.(*OperationResult).MovedFraction <= maxMovedFraction || len(r.c.pinned) > 0 {
 		t.Errorf("moves too much: %+v", a)
 	}
 	if a := r.roll(old, "", old.Step, false); a.Kind != Wrong {
--- a/internal/control/held.go
+++ b/internal/control/held.go
@@ -11,159 +11,161 @@
 	"vetchwood/logic"
 )
 
-// Where several directors hold slices by lease, this one lays and tells the tables of those it holds alone.
+// With several directors, each slice is owned by one of them under a lease. A director writes and publishes only the
+// tables of the slices that it owns.
 
-// Inputs about leases.
+// Events about leases.
 type (
-	// Given is a slice that this director holds from now on, with what its last holder left on record.
+	// SliceGrant is a slice that this director owns from now on, with the record that its last owner stored, if any.
 	SliceGrant struct {
 		Slice  logic.TableID
 		Fence  uint64
 		Record *SliceRecord
 	}
-	// Givens are several at once: one version, and one word to each proxy.
+	// SliceGrants is a batch of grants. They form a single version, so that each proxy is notified once.
 	SliceGrants struct{ Grants []SliceGrant }
-	// Withdrawn is one that it holds no more.
+	// SliceRevoked tells that this director no longer owns a slice.
 	SliceRevoked struct{ Slice logic.TableID }
-	// Guard says until when it may act for what it holds, unless it hears again.
+	// LeaseDeadline is the time until which this director may act for its slices. The next one replaces it.
 	LeaseDeadline struct{ Until logic.Millis }
 )
 
-// Record is what a slice's next holder starts from.
+// SliceRecord is the stored state of a slice from which its next owner starts.
 type SliceRecord struct {
 	Slice    logic.TableID                  `json:"slice"`
 	Fence    uint64                         `json:"fence"`
 	Director string                         `json:"director,omitempty"`
-	At       float64                        `json:"at"` // Unix milliseconds
+	At       float64                        `json:"at"` // Unix milliseconds, by the clock of the director that wrote it
 	Lines    map[tables.Address]float64     `json:"lines"`
 	Hosts    map[tables.Address]tables.Host `json:"hosts"`
 	Demand   []learn.Demand                 `json:"demand,omitempty"`
 }
 
-// custody is what the core holds. It is there only where slices are held by lease.
-type custody struct {
-	fences map[logic.TableID]uint64
-	own    map[logic.TableID]*tables.Table // of our store, where the store of leases has no record
+// sliceOwnership is the set of slices that this director owns. It exists only at sites where slices are leased.
+type sliceOwnership struct {
+	fences   map[logic.TableID]uint64
+	previous map[logic.TableID]*tables.Table // of the local store or of revoked slices, used where the lease store has no record
 }
 
-// bare takes all slices out of an opening world: none is held yet.
-func (d *draft) bare() {
-	d.c.custody = &custody{fences: map[logic.TableID]uint64{}, own: d.is.tables}
+// dropAllSlices removes all slices from the opening snapshot, because none is owned yet.
+func (d *draft) dropAllSlices() {
+	d.c.custody = &sliceOwnership{fences: map[logic.TableID]uint64{}, previous: d.next.tables}
 	d.c.shown.until = logic.Millis(math.Inf(-1))
 	d.change.Tables = map[logic.TableID]*tables.Table{}
-	for t := range d.is.tables {
+	for t := range d.next.tables {
 		d.change.Tables[t] = nil
 	}
-	d.is.tables = map[logic.TableID]*tables.Table{}
+	d.next.tables = map[logic.TableID]*tables.Table{}
 }
 
-// holds says whether a table is ours to write.
-func (c *Core) holds(t logic.TableID) bool { return c.custody == nil || c.custody.fences[t] > 0 }
+// ownsSlice reports whether this director may write a slice's table.
+func (c *Core) ownsSlice(t logic.TableID) bool { return c.custody == nil || c.custody.fences[t] > 0 }
 
-func (c *Core) guard(now logic.Millis, g LeaseDeadline) {
+func (c *Core) setLeaseDeadline(now logic.Millis, g LeaseDeadline) {
 	if c.custody != nil {
 		c.shown.until, c.shown.dirty = g.Until, true
 	}
 }
 
-// givens takes slices over. Proxies read them from the document, as on joining; that costs the channel nothing, and
-// is its own version.
-func (c *Core) givens(now logic.Millis, all []SliceGrant) {
+// acquireSlices takes slices over in a version of its own. Proxies get them with the stored document, as when they
+// join, so that the change takes no room in the channel.
+func (c *Core) acquireSlices(now logic.Millis, grants []SliceGrant) {
 	if c.custody == nil {
 		return
 	}
-	d := c.draft(float64(now))
-	known := false
-	for _, g := range all {
+	d := c.newDraft(float64(now))
+	hostsChanged := false
+	for _, g := range grants {
 		if g.Fence == 0 || int(g.Slice) >= c.svc.Facts.Slices || c.custody.fences[g.Slice] >= g.Fence {
 			continue
 		}
-		again := c.custody.fences[g.Slice] > 0
+		alreadyOwned := c.custody.fences[g.Slice] > 0
 		c.custody.fences[g.Slice] = g.Fence
-		t := d.table(g.Slice)
-		if !again {
+		t := d.writableTable(g.Slice)
+		if !alreadyOwned {
 			lines := map[tables.Address]float64{}
-			switch own := c.custody.own[g.Slice]; {
+			switch stored := c.custody.previous[g.Slice]; {
 			case g.Record != nil:
 				for a, w := range g.Record.Lines {
 					if w > 0 && w <= 1e9 {
-						_, changed := c.names.host(c.named(a, g.Record.Hosts[a]))
-						lines[a], known = w, known || changed
+						_, changed := c.names.host(c.hostOfRecord(a, g.Record.Hosts[a]))
+						lines[a], hostsChanged = w, hostsChanged || changed
 					}
 				}
-			case own != nil:
-				maps.Copy(lines, own.Lines)
+			case stored != nil:
+				maps.Copy(lines, stored.Lines)
 			}
 			t.Lines, t.Levels = lines, nil
 		}
-		// A slice without a line is not told before it has one: proxies keep to its last holder's word until then.
+		// A slice is not published before it has a line. Until then proxies keep the table of its last owner.
 		if t.Fence = 0; len(t.Lines) > 0 {
 			t.Fence = g.Fence
 		}
-		if _, pinned := c.pinned[g.Slice]; !pinned && !again {
-			c.give(g.Slice, d.is)
+		if _, pinned := c.pinned[g.Slice]; !pinned && !alreadyOwned {
+			c.assignToModule(g.Slice, d.next)
 			if g.Record != nil && len(c.expected[g.Slice]) == 0 {
-				for _, x := range g.Record.Demand { // by another's clock, but better than nothing
+				for _, x := range g.Record.Demand { // its age relies on another director's clock; an inexact age is better than no demand at all
 					x.Age += max(0, float64(now)-g.Record.At)
-					c.expected[g.Slice] = append(c.expected[g.Slice], expectation{x, now})
+					c.expected[g.Slice] = append(c.expected[g.Slice], expectedDemand{x, now})
 				}
 			}
-			c.expect(now, g.Slice)
+			c.noteExpectedDemand(now, g.Slice)
 			c.given = now
 		}
-		c.say(Event{Name: "slice.given", Version: strconv.Itoa(int(d.is.step)), Detail: strconv.Itoa(int(g.Slice)) + " fence " +
+		c.say(Event{Name: "slice.given", Version: strconv.Itoa(int(d.next.step)), Detail: strconv.Itoa(int(g.Slice)) + " fence " +
 			strconv.FormatUint(g.Fence, 10) + map[bool]string{true: "", false: ", no record"}[g.Record != nil]})
 	}
-	if len(d.fresh) == 0 {
+	if len(d.copied) == 0 {
 		return
 	}
-	if known {
+	if hostsChanged {
 		d.change.Known = maps.Clone(c.names.hosts)
 	}
-	c.reread(now, d)
+	c.commitUnsent(now, d)
 }
 
-// named is a host by its entry in a record, or as it is known here.
-func (c *Core) named(a tables.Address, h tables.Host) Listed {
+// hostOfRecord returns the list entry of a host in a record. What this director knows of the host has precedence.
+func (c *Core) hostOfRecord(a tables.Address, h tables.Host) Listed {
 	if k, known := c.names.hosts[a]; known {
 		h = k.Host
 	}
 	return Listed{Address: a, ID: h.ID, Zone: h.Zone, Cell: h.Cell}
 }
 
-func (c *Core) withdrawn(now logic.Millis, t logic.TableID) {
+func (c *Core) revokeSlice(now logic.Millis, t logic.TableID) {
 	if c.custody == nil || c.custody.fences[t] == 0 {
 		return
 	}
-	d := c.draft(float64(now))
-	d.table(t)
-	c.custody.own[t] = c.world.tables[t]
-	delete(d.is.tables, t)
+	d := c.newDraft(float64(now))
+	d.writableTable(t)
+	c.custody.previous[t] = c.world.tables[t]
+	delete(d.next.tables, t)
 	d.change.Tables[t] = nil
 	delete(c.custody.fences, t)
 	c.notes = append(c.notes, logic.SliceOwnership{Slice: t, Owned: false})
-	c.say(Event{Name: "slice.withdrawn", Version: strconv.Itoa(int(d.is.step)), Detail: strconv.Itoa(int(t))})
-	c.reread(now, d)
+	c.say(Event{Name: "slice.withdrawn", Version: strconv.Itoa(int(d.next.step)), Detail: strconv.Itoa(int(t))})
+	c.commitUnsent(now, d)
 }
 
-// reread commits a version that proxies read by themselves: no message goes through the channel.
-func (c *Core) reread(now logic.Millis, d *draft) {
+// commitUnsent commits a version without messages through the channel. Proxies get it once it is stored, like the
+// versions that were ordered before they joined.
+func (c *Core) commitUnsent(now logic.Millis, d *draft) {
 	c.commit(now, d)
 	for id, st := range c.streams {
-		st.reads = max(st.reads, d.is.step)
+		st.reads = max(st.reads, d.next.step)
 		c.readers[id] = true
 	}
 }
 
-// lay gives a table its fence once it has a line.
-func (d *draft) lay(id logic.TableID, t *tables.Table) {
+// setFence gives a table the fence of its lease once it has a line.
+func (d *draft) setFence(id logic.TableID, t *tables.Table) {
 	if c := d.c.custody; c != nil && len(t.Lines) > 0 {
 		t.Fence = c.fences[id]
 	}
 }
 
-// told are the tables of a world that proxies are told of.
-func (c *Core) told(w *world) map[logic.TableID]*tables.Table {
+// publishedTables returns the tables of a snapshot that proxies are sent: where slices are leased, those with a fence.
+func (c *Core) publishedTables(w *snapshot) map[logic.TableID]*tables.Table {
 	if c.custody == nil {
 		return w.tables
 	}
@@ -176,8 +178,9 @@
 	return out
 }
 
-// record puts what a stored version changed where the slices' next holders find it.
-func (c *Core) record(w *world, changed []logic.TableID) {
+// emitRecords outputs a SliceRecord for each owned slice that a stored version changed. The lease store keeps it for
+// the slice's next owner.
+func (c *Core) emitRecords(w *snapshot, changed []logic.TableID) {
 	if c.custody == nil {
 		return
 	}
@@ -187,7 +190,7 @@
 		if t == nil || t.Fence == 0 || c.custody.fences[id] != t.Fence {
 			continue
 		}
-		r := SliceRecord{Slice: id, Fence: t.Fence, Director: c.svc.Name, At: w.at, Demand: c.rates(logic.Millis(w.at), id), Lines: t.Lines, Hosts: map[tables.Address]tables.Host{}}
+		r := SliceRecord{Slice: id, Fence: t.Fence, Director: c.svc.Name, At: w.at, Demand: c.demandRates(logic.Millis(w.at), id), Lines: t.Lines, Hosts: map[tables.Address]tables.Host{}}
 		for a := range t.Lines {
 			r.Hosts[a] = c.names.hosts[a].Host
 		}
--- a/internal/control/held_test.go
+++ b/internal/control/held_test.go
@@ -8,8 +8,8 @@
 	"vetchwood/logic"
 )
 
-// leased gives a rig that holds slices 0 to 3 by a lease, and knows its list.
-func leased(t *testing.T) *rig {
+// startLeased returns a rig that owns slices 0 to 3 under a lease and has received a host list.
+func startLeased(t *testing.T) *rig {
 	svc := service(8)
 	svc.Leased, svc.Learns, svc.Name = true, true, "d1"
 	r := start(t, svc, Saved{})
@@ -22,10 +22,10 @@
 	return r
 }
 
-// A director tells what it holds alone, each slice with its fence; one that comes without a record and has no line yet is not
-// told, and one that is withdrawn is told no more.
-func TestOnlyWhatIsHeldIsTold(t *testing.T) {
-	r := leased(t)
+// A director publishes only the slices that it owns, each with its fence. A slice granted without a record is not
+// published before it has a line, and a revoked slice is no longer published.
+func TestOnlyOwnedSlicesArePublished(t *testing.T) {
+	r := startLeased(t)
 	d := r.want(r.poll("p1", 0), Whole)
 	if len(d.Tables) != 4 || d.Tables["2"].Fence != 102 || len(d.Tables["2"].Lines) == 0 {
 		t.Fatalf("%+v", d.Tables)
@@ -35,7 +35,7 @@
 	for _, c := range r.held {
 		for id, table := range c.Tables {
 			if id == 6 && len(table.Lines) == 0 && table.Fence > 0 {
-				t.Fatalf("slice 6 would be told without a line: %+v", table)
+				t.Fatalf("slice 6 would be published without a line: %+v", table)
 			}
 		}
 	}
@@ -43,13 +43,13 @@
 	r.do()
 	r.pass(1500)
 	d = r.want(r.poll("p1", 0), Whole)
-	if six := d.Tables["6"]; six == nil || six.Fence != 7 || len(six.Lines) == 0 {
-		t.Fatalf("slice 6 has lines by now: %+v", six)
+	if table := d.Tables["6"]; table == nil || table.Fence != 7 || len(table.Lines) == 0 {
+		t.Fatalf("slice 6 is not published with its fence and lines: %+v", table)
 	}
-	waits := r.poll("p1", 20000, d.Tag())
+	pending := r.poll("p1", 20000, d.Tag())
 	r.do(SliceRevoked{2})
-	if a := r.answers[waits]; a.Doc == nil || a.Doc.Tables["2"] != nil || a.Doc.Tables["1"] == nil {
-		t.Fatalf("withdrawn, and told: %+v", a)
+	if a := r.answers[pending]; a.Doc == nil || a.Doc.Tables["2"] != nil || a.Doc.Tables["1"] == nil {
+		t.Fatalf("slice 2 is revoked, but the answer is: %+v", a)
 	}
 	r.pass(3000)
 	for _, table := range r.disk.Tables {
@@ -58,18 +58,18 @@
 		}
 	}
 	if r.disk.Tables[2] != nil {
-		t.Fatal("the module still writes a slice that was withdrawn")
+		t.Fatal("the decision module still writes a revoked slice")
 	}
 }
 
-// Past its guard a director answers nothing, and a poll that waited too long is told so; hearing from the store again, it
-// goes on with what changed meanwhile.
-func TestALeaseThatIsOver(t *testing.T) {
-	r := leased(t)
+// After its lease deadline a director sends no tables, and a poll that waited too long is answered as busy. Once the
+// lease is renewed, it answers with the changes made meanwhile.
+func TestNoAnswersAfterTheLeaseExpires(t *testing.T) {
+	r := startLeased(t)
 	d := r.want(r.poll("p1", 0), Whole)
 	r.pass(1000)
 	d = r.want(r.poll("p1", 0), Whole)
-	waits := r.poll("p1", 20000, d.Tag())
+	pending := r.poll("p1", 20000, d.Tag())
 	r.do(LeaseDeadline{Until: r.now - 1})
 	hosts := up(3)
 	hosts[1].State = logic.Draining
@@ -77,14 +77,14 @@
 	r.pass(1000)
 	late := r.poll("p2", 0)
 	r.pass(500)
-	for _, ticket := range []Ticket{waits, late} {
-		if a, there := r.answers[ticket]; there {
-			t.Fatalf("answered past its lease: %+v", a)
+	for _, ticket := range []Ticket{pending, late} {
+		if a, answered := r.answers[ticket]; answered {
+			t.Fatalf("answered after the lease expired: %+v", a)
 		}
 	}
 	r.do(LeaseDeadline{Until: r.now + 5000})
-	a := r.answers[waits]
-	if a.Doc == nil || offers(a.Doc, "10.0.0.1:80") || a.Lease <= 0 || a.Lease > 5000 {
+	a := r.answers[pending]
+	if a.Doc == nil || isOffered(a.Doc, "10.0.0.1:80") || a.Lease <= 0 || a.Lease > 5000 {
 		t.Fatalf("%+v", a)
 	}
 	r.want(late, Whole)
@@ -94,46 +94,47 @@
 	r.want(last, Busy)
 }
 
-// What another director knows reaches the module, is over some time later, and is not told on as our own.
-func TestWhatIsLearnt(t *testing.T) {
-	r := leased(t)
+// A peer's facts reach the decision module, override the host list for peerStateTTL and are not passed on as this
+// director's own facts.
+func TestPeerFactsAreApplied(t *testing.T) {
+	r := startLeased(t)
 	d := r.want(r.poll("p1", 0), Whole)
-	ask := func() *learn.Facts {
+	query := func() *learn.Facts {
 		r.ticket++
 		r.do(FactsQuery{r.ticket})
 		return r.answers[r.ticket].Body.(*learn.Facts)
 	}
-	heard := *ask()
-	heard.Director, heard.Uptime = "d2", 60000
-	heard.Hosts[1].State = learn.Draining
-	r.do(PeerFacts{[]learn.PeerFacts{{Facts: heard, Age: 3}}})
+	facts := *query()
+	facts.Director, facts.Uptime = "d2", 60000
+	facts.Hosts[1].State = learn.Draining
+	r.do(PeerFacts{[]learn.PeerFacts{{Facts: facts, Age: 3}}})
 	r.pass(300)
 	d = r.want(r.poll("p1", 0), Whole)
-	if offers(d, "10.0.0.1:80") {
-		t.Fatalf("a drain that another knows of: %+v", d.Masked)
+	if isOffered(d, "10.0.0.1:80") {
+		t.Fatalf("a host that drains by a peer's facts is still offered; masked: %+v", d.Masked)
 	}
-	if own := ask(); own.Levels[0].Age > 60000 {
-		t.Fatalf("a level of %v ms ago, in a minute's life", own.Levels[0].Age)
+	if own := query(); own.Levels[0].Age > 60000 {
+		t.Fatalf("level age is %v ms, though the director started less than a minute ago", own.Levels[0].Age)
 	} else if own.Hosts[1].State != learn.Up {
-		t.Fatal("what was learnt is told on at first hand")
+		t.Fatal("a state learnt from a peer is passed on as the director's own")
 	}
-	r.do(List{up(3)}) // a list that is late
+	r.do(List{up(3)}) // a list that does not have the drain yet
 	r.pass(300)
-	if d = r.want(r.poll("p1", 0), Whole); offers(d, "10.0.0.1:80") {
-		t.Fatal("a late list undid it")
+	if d = r.want(r.poll("p1", 0), Whole); isOffered(d, "10.0.0.1:80") {
+		t.Fatal("a late host list overrode the peer's state")
 	}
-	r.pass(believeFor)
+	r.pass(peerStateTTL)
 	if len(r.c.believed) > 0 {
-		t.Fatal("it is believed for ever")
+		t.Fatal("the peer's state did not expire")
 	}
 	r.do(List{up(3)[1:2]}) // the only host now
 	r.pass(3000)
-	if d = r.want(r.poll("p1", 0), Whole); !offers(d, "10.0.0.1:80") {
-		t.Fatal("the list's word does not hold again")
+	if d = r.want(r.poll("p1", 0), Whole); !isOffered(d, "10.0.0.1:80") {
+		t.Fatal("the host list is not in force again")
 	}
 }
 
-func offers(d *tables.Document, a tables.Address) bool {
+func isOffered(d *tables.Document, a tables.Address) bool {
 	for _, t := range d.Tables {
 		if t.Lines[a] > 0 && !d.Masked[a] {
 			return true
--- a/internal/control/known.go
+++ b/internal/control/known.go
@@ -13,122 +13,126 @@
 	"vetchwood/logic"
 )
 
-// known is what this director knows at first hand, for others that ask. What it learnt from them is not in it.
-type known struct {
-	since  logic.Millis // of this start
-	listed logic.Millis // when the list was heard last; 0 never
-	states map[tables.Address]stated
-	met    map[logic.HostID]*meeting
-	calls  map[callsOf]*calls
-	levels logic.Millis // when they were stated last
+// localFacts is what this director observed itself, for peers that ask. It leaves out what peers reported.
+type localFacts struct {
+	startedAt logic.Millis // when this director started
+	listedAt  logic.Millis // when the last host list came; 0 if none has
+	states    map[tables.Address]hostState
+	tries     map[logic.HostID]*hostTries
+	demand    map[demandKey]*routeDemand
+	levelsAt  logic.Millis // when admission levels were last set
 }
 
 type (
-	stated struct {
-		state logic.HostState
-		born  float64
-		since logic.Millis
+	// hostState is a host's state in the host list and the time since which the list has it so.
+	hostState struct {
+		state     logic.HostState
+		startedAt float64 // Unix milliseconds; 0: long ago
+		since     logic.Millis
 	}
-	meeting struct {
-		ended, lost, spent decaying
-		load               logic.Load
-		last               logic.Millis
+	// hostTries sums up the recent tries at a host, as proxies reported them.
+	hostTries struct {
+		finished, failed, answeredMs decayingSum
+		load                         logic.Load
+		last                         logic.Millis
 	}
-	callsOf struct {
+	demandKey struct {
 		slice logic.TableID
 		route logic.RouteID
 	}
-	calls struct {
-		came, lost decaying
-		last       logic.Millis
+	// routeDemand sums up the recent calls of a route for a slice.
+	routeDemand struct {
+		calls, unanswered decayingSum
+		last              logic.Millis
 	}
 )
 
-// decaying is a sum whose parts lose half their weight in each half-life.
-type decaying struct {
+// decayingSum is an exponentially decaying sum with a half-life of factHalfLife.
+type decayingSum struct {
 	sum float64
 	at  logic.Millis
 }
 
-// knownFor is that half-life: long enough for a slice with few calls, short enough to follow a failing host.
-const knownFor logic.Millis = 3000
+// factHalfLife is the half-life of observed counts, in milliseconds: long enough for a slice with few calls, short
+// enough to follow a failing host.
+const factHalfLife logic.Millis = 3000
 
-func (d *decaying) read(now logic.Millis) float64 {
-	d.sum *= math.Exp2(-float64((now - d.at) / knownFor))
+func (d *decayingSum) read(now logic.Millis) float64 {
+	d.sum *= math.Exp2(-float64((now - d.at) / factHalfLife))
 	d.at = now
 	return d.sum
 }
 
-func (d *decaying) add(now logic.Millis, x float64) { d.sum = d.read(now) + x }
+func (d *decayingSum) add(now logic.Millis, x float64) { d.sum = d.read(now) + x }
 
-// overMs is the span that a decaying sum stands for.
-const overMs = float64(knownFor) / math.Ln2
+// decaySpanMs is the span of time, in milliseconds, whose total a decayingSum equals at a constant rate.
+const decaySpanMs = float64(factHalfLife) / math.Ln2
 
-func newKnown(now logic.Millis) *known {
-	return &known{since: now, levels: now, states: map[tables.Address]stated{}, met: map[logic.HostID]*meeting{}, calls: map[callsOf]*calls{}}
+func newLocalFacts(now logic.Millis) *localFacts {
+	return &localFacts{startedAt: now, levelsAt: now, states: map[tables.Address]hostState{}, tries: map[logic.HostID]*hostTries{}, demand: map[demandKey]*routeDemand{}}
 }
 
-func (k *known) list(now logic.Millis, hosts []Listed) {
-	next := make(map[tables.Address]stated, len(hosts))
+func (k *localFacts) setHosts(now logic.Millis, hosts []Listed) {
+	next := make(map[tables.Address]hostState, len(hosts))
 	for _, l := range hosts {
-		is := stated{l.State, l.Born, now}
-		if was, has := k.states[l.Address]; has && was.state == l.State && was.born == l.Born {
-			is.since = was.since
+		current := hostState{l.State, l.Born, now}
+		if previous, found := k.states[l.Address]; found && previous.state == l.State && previous.startedAt == l.Born {
+			current.since = previous.since
 		}
-		next[l.Address] = is
+		next[l.Address] = current
 	}
-	k.states, k.listed = next, now
+	k.states, k.listedAt = next, now
 }
 
-func (k *known) tried(now logic.Millis, t sums.Tries) {
-	m := k.met[t.Host]
-	if m == nil {
-		m = &meeting{}
-		k.met[t.Host] = m
+func (k *localFacts) addTries(now logic.Millis, t sums.Tries) {
+	h := k.tries[t.Host]
+	if h == nil {
+		h = &hostTries{}
+		k.tries[t.Host] = h
 	}
-	m.ended.add(now, float64(t.Ended))
-	m.lost.add(now, float64(t.Unanswered))
-	m.spent.add(now, t.AnsweredMs)
-	if m.last = now; t.Load != (logic.Load{}) {
-		m.load = t.Load
+	h.finished.add(now, float64(t.Ended))
+	h.failed.add(now, float64(t.Unanswered))
+	h.answeredMs.add(now, t.AnsweredMs)
+	if h.last = now; t.Load != (logic.Load{}) {
+		h.load = t.Load
 	}
 }
 
-func (k *known) came(now logic.Millis, c sums.Demand) {
-	at := callsOf{c.Slice, c.Route}
-	x := k.calls[at]
+func (k *localFacts) addDemand(now logic.Millis, c sums.Demand) {
+	key := demandKey{c.Slice, c.Route}
+	x := k.demand[key]
 	if x == nil {
-		x = &calls{}
-		k.calls[at] = x
+		x = &routeDemand{}
+		k.demand[key] = x
 	}
-	x.came.add(now, float64(c.Calls))
-	x.lost.add(now, float64(c.Unanswered))
+	x.calls.add(now, float64(c.Calls))
+	x.unanswered.add(now, float64(c.Unanswered))
 	x.last = now
 }
 
-// rates are those of a slice's routes by their names.
-func (c *Core) rates(now logic.Millis, slice logic.TableID) (out []learn.Demand) {
+// demandRates returns the recent demand of a slice, one entry per route.
+func (c *Core) demandRates(now logic.Millis, slice logic.TableID) (out []learn.Demand) {
 	for r, info := range c.svc.Routes {
-		x := c.known.calls[callsOf{slice, logic.RouteID(r)}]
-		if x == nil || now-x.last > 10*knownFor {
+		x := c.known.demand[demandKey{slice, logic.RouteID(r)}]
+		if x == nil || now-x.last > 10*factHalfLife {
 			continue
 		}
-		// What has been gathered since a short while ago stands for less than the whole span.
-		span := overMs * (1 - math.Exp(-max(500, float64(now-c.known.since))/overMs))
-		out = append(out, learn.Demand{Slice: int(slice), Route: info.Name, Rate: 1000 * x.came.read(now) / span,
-			Unanswered: 1000 * x.lost.read(now) / span, Age: float64(now - x.last)})
+		// Shortly after the start the sums cover less than the full span.
+		span := decaySpanMs * (1 - math.Exp(-max(500, float64(now-c.known.startedAt))/decaySpanMs))
+		out = append(out, learn.Demand{Slice: int(slice), Route: info.Name, Rate: 1000 * x.calls.read(now) / span,
+			Unanswered: 1000 * x.unanswered.read(now) / span, Age: float64(now - x.last)})
 	}
 	return out
 }
 
 var stateNames = map[logic.HostState]learn.State{logic.Up: learn.Up, logic.Draining: learn.Draining, logic.Gone: learn.Gone}
-var statesNamed = map[learn.State]logic.HostState{learn.Up: logic.Up, learn.Draining: logic.Draining, learn.Gone: logic.Gone}
+var statesByName = map[learn.State]logic.HostState{learn.Up: logic.Up, learn.Draining: logic.Draining, learn.Gone: logic.Gone}
 
-// listAge is how long ago the list was last known to be so; below 0 it was never told. Blocking queries tell of each change:
-// what was told last is so until they fail.
-func (c *Core) listAge(now logic.Millis) float64 {
+// hostListAge returns the milliseconds since the host list was last known to be current, or a negative number if there
+// has been none. Blocking queries report each change, so that the last list is current until they fail.
+func (c *Core) hostListAge(now logic.Millis) float64 {
 	switch {
-	case c.known.listed == 0:
+	case c.known.listedAt == 0:
 		return -1
 	case c.lost > 0:
 		return float64(now - c.lost)
@@ -136,11 +140,11 @@
 	return 0
 }
 
-func (c *Core) listHosts(now logic.Millis) (out []learn.Host) {
+func (c *Core) listedHosts(now logic.Millis) (out []learn.Host) {
 	for _, l := range c.list0 {
 		h := learn.Host{Address: l.Address, ID: l.ID, Zone: l.Zone, Cell: l.Cell, State: stateNames[l.State], Weight: l.Weight,
 			StartedAt: l.Born, Masked: c.world.masked[l.Address]}
-		if s, has := c.known.states[l.Address]; has {
+		if s, found := c.known.states[l.Address]; found {
 			h.StateAge = float64(now - s.since)
 		}
 		out = append(out, h)
@@ -148,26 +152,26 @@
 	return out
 }
 
-// Facts asks what this director knows at first hand.
+// FactsQuery asks for what this director observed itself.
 type FactsQuery struct{ Ticket Ticket }
 
-func (c *Core) facts(now logic.Millis, q FactsQuery) {
+func (c *Core) answerFacts(now logic.Millis, q FactsQuery) {
 	k := c.known
-	f := learn.Facts{Director: c.svc.Name, Line: c.line, Uptime: float64(now - k.since), ProxyCount: len(c.ids), ListAge: c.listAge(now)}
-	if k.listed > 0 { // its store's list is from before its start: no news to anybody
-		f.Hosts = c.listHosts(now)
+	f := learn.Facts{Director: c.svc.Name, Line: c.line, Uptime: float64(now - k.startedAt), ProxyCount: len(c.ids), ListAge: c.hostListAge(now)}
+	if k.listedAt > 0 { // a list from the local store predates the start and is of no use to peers
+		f.Hosts = c.listedHosts(now)
 	}
 	for i, h := range f.Hosts {
 		id := c.names.hosts[h.Address].Number
-		m := k.met[id]
-		if m == nil || now-m.last > 10*knownFor {
+		t := k.tries[id]
+		if t == nil || now-t.last > 10*factHalfLife {
 			continue
 		}
-		x := &learn.Health{Period: min(overMs, float64(now-k.since)), Age: float64(now - m.last), Finished: m.ended.read(now), Failed: m.lost.read(now)}
+		x := &learn.Health{Period: min(decaySpanMs, float64(now-k.startedAt)), Age: float64(now - t.last), Finished: t.finished.read(now), Failed: t.failed.read(now)}
 		if good := x.Finished - x.Failed; good > 0.01 {
-			x.MeanLatency = m.spent.read(now) / good
+			x.MeanLatency = t.answeredMs.read(now) / good
 		}
-		orca.Each(m.load, func(name string, v float64) {
+		orca.Each(t.load, func(name string, v float64) {
 			if x.Load == nil {
 				x.Load = map[string]float64{}
 			}
@@ -176,48 +180,50 @@
 		f.Hosts[i].Health = x
 	}
 	for _, t := range slices.Sorted(maps.Keys(c.world.tables)) {
-		f.Demand = append(f.Demand, c.rates(now, t)...)
+		f.Demand = append(f.Demand, c.demandRates(now, t)...)
 		f.Slices = append(f.Slices, learn.Slice{Slice: int(t), Fence: c.world.tables[t].Fence, Version: c.world.step})
 	}
 	for r, l := range c.world.levels {
-		f.Levels = append(f.Levels, learn.Level{Route: c.svc.Routes[r].Name, Level: l.Level, Tries: l.Tries, Age: float64(now - k.levels)})
+		f.Levels = append(f.Levels, learn.Level{Route: c.svc.Routes[r].Name, Level: l.Level, Tries: l.Tries, Age: float64(now - k.levelsAt)})
 	}
 	c.out = append(c.out, Answer{Ticket: q.Ticket, Kind: Told, Body: &f})
 }
 
-// ListLost says that the list does not answer any more; it is found again with the next List.
+// DiscoveryLost tells that host discovery no longer answers. The next List ends that state.
 type DiscoveryLost struct{}
 
-// Learnt is what other directors told, each with its age by now.
+// PeerFacts brings the facts that other directors reported, each with its age.
 type PeerFacts struct{ Peers []learn.PeerFacts }
 
-// believed is a host's state by another director's word, for a while: the list may be late, and has the last word.
-type believed struct {
+// peerHostState is a host's state as reported by a peer. It overrides the host list, which may lag behind, until it
+// expires.
+type peerHostState struct {
 	learn.Host
-	until logic.Millis
+	expiresAt logic.Millis
 }
 
-// believeFor is how long: the list is seconds late, and a donor that was wrong must not keep a host out for long.
-const believeFor logic.Millis = 12000
+// peerStateTTL is how long a peer's report of a host is in force, in milliseconds. The host list lags by seconds, and a
+// wrong report must not keep a host out for long.
+const peerStateTTL logic.Millis = 12000
 
-// learnt weighs what was told and passes on what follows from it.
-func (c *Core) learnt(now logic.Millis, in PeerFacts) {
-	own := learn.Local{ListAge: c.listAge(now), Hosts: c.listHosts(now), HasReports: len(c.known.met) > 0 && now-c.known.since > 2*knownFor}
-	if own.ListAge > float64(believeFor) {
-		own.ListAge = -1
+// applyPeerFacts reconciles the facts of peers with the local ones and passes the conclusions to the decision module.
+func (c *Core) applyPeerFacts(now logic.Millis, in PeerFacts) {
+	local := learn.Local{ListAge: c.hostListAge(now), Hosts: c.listedHosts(now), HasReports: len(c.known.tries) > 0 && now-c.known.startedAt > 2*factHalfLife}
+	if local.ListAge > float64(peerStateTTL) {
+		local.ListAge = -1
 	}
-	con := learn.Reconcile(own, in.Peers)
-	for _, d := range con.WeightReductions {
+	result := learn.Reconcile(local, in.Peers)
+	for _, d := range result.WeightReductions {
 		c.say(Event{Name: "peer.doubted", Detail: d.Director + ": " + d.Reason})
 	}
 	var entries []logic.HostEntry
-	for _, h := range con.Hosts {
-		was, again := c.believed[h.Address]
-		c.believed[h.Address] = believed{h, now + believeFor}
-		if again && was.State == h.State && was.StartedAt == h.StartedAt {
+	for _, h := range result.Hosts {
+		previous, repeated := c.believed[h.Address]
+		c.believed[h.Address] = peerHostState{h, now + peerStateTTL}
+		if repeated && previous.State == h.State && previous.StartedAt == h.StartedAt {
 			continue
 		}
-		l := Listed{ID: h.ID, Address: h.Address, Zone: h.Zone, Cell: h.Cell, State: statesNamed[h.State], Weight: cmp.Or(h.Weight, 1), Born: h.StartedAt}
+		l := Listed{ID: h.ID, Address: h.Address, Zone: h.Zone, Cell: h.Cell, State: statesByName[h.State], Weight: cmp.Or(h.Weight, 1), Born: h.StartedAt}
 		entries = append(entries, c.entry(l, now))
 		c.say(Event{Name: "host.learnt", Host: string(h.Address), Detail: string(h.State)})
 	}
@@ -225,76 +231,78 @@
 		c.notes = append(c.notes, logic.HostList{Kind: logic.HostListDelta, Entries: entries})
 	}
 	c.figures.Learnt += uint64(len(entries))
-	for _, h := range con.Health {
-		k, has := c.names.hosts[h.Address]
-		if !has || c.healthFrom[h.Address] {
+	for _, h := range result.Health {
+		k, known := c.names.hosts[h.Address]
+		if !known || c.healthFrom[h.Address] {
 			continue
 		}
 		c.healthFrom[h.Address] = true
-		m := logic.HostSample{Host: k.Number, Zone: c.names.zone(h.Zone), Period: logic.Millis(h.Health.Period), Finished: int(math.Round(h.Health.Finished)),
+		sample := logic.HostSample{Host: k.Number, Zone: c.names.zone(h.Zone), Period: logic.Millis(h.Health.Period), Finished: int(math.Round(h.Health.Finished)),
 			Failed: int(math.Round(h.Health.Failed)), MeanLatency: logic.Millis(h.Health.MeanLatency), Load: orca.Of(h.Health.Load)}
-		if m.Finished > 0 {
-			c.notes = append(c.notes, m)
+		if sample.Finished > 0 {
+			c.notes = append(c.notes, sample)
 		}
 	}
-	for _, d := range con.Demand {
-		c.expected[logic.TableID(d.Slice)] = append(slices.DeleteFunc(c.expected[logic.TableID(d.Slice)], func(o expectation) bool {
+	for _, d := range result.Demand {
+		c.expected[logic.TableID(d.Slice)] = append(slices.DeleteFunc(c.expected[logic.TableID(d.Slice)], func(o expectedDemand) bool {
 			return o.Route == d.Route
-		}), expectation{d, now})
+		}), expectedDemand{d, now})
 	}
 }
 
-// expectation is what a slice's last holder saw come for it.
-type expectation struct {
+// expectedDemand is the demand for a slice as its last owner or a peer observed it.
+type expectedDemand struct {
 	learn.Demand
-	at logic.Millis
+	receivedAt logic.Millis
 }
 
-// expect tells the module what a slice that was just given is asked for, as far as that is known and not too old.
-func (c *Core) expect(now logic.Millis, slice logic.TableID) {
+// noteExpectedDemand reports the expected demand for a newly granted slice to the decision module, as far as it is
+// known and not older than peerStateTTL.
+func (c *Core) noteExpectedDemand(now logic.Millis, slice logic.TableID) {
 	for _, e := range c.expected[slice] {
-		route, has := c.routes[e.Route]
-		age := float64(now-e.at) + e.Age
-		if !has || age > float64(believeFor) || e.Rate <= 0 {
+		route, known := c.routes[e.Route]
+		age := float64(now-e.receivedAt) + e.Age
+		if !known || age > float64(peerStateTTL) || e.Rate <= 0 {
 			continue
 		}
-		n := int(math.Round(e.Rate * overMs / 1000))
+		n := int(math.Round(e.Rate * decaySpanMs / 1000))
 		if n > 0 {
-			c.notes = append(c.notes, logic.SliceDemand{Slice: slice, Route: route, Period: logic.Millis(overMs), Calls: n, Unanswered: int(e.Unanswered * overMs / 1000)})
+			c.notes = append(c.notes, logic.SliceDemand{Slice: slice, Route: route, Period: logic.Millis(decaySpanMs), Calls: n, Unanswered: int(e.Unanswered * decaySpanMs / 1000)})
 		}
 	}
 	delete(c.expected, slice)
 }
 
-// doubt puts what is believed over the list's word where that is later news, for hosts of the same life.
-func (c *Core) doubt(now logic.Millis, hosts []Listed) []Listed {
+// overlayPeerStates returns the host list with the unexpired states that peers reported for hosts which are up by the
+// list. A host that has restarted since keeps its listed state.
+func (c *Core) overlayPeerStates(now logic.Millis, hosts []Listed) []Listed {
 	if len(c.believed) == 0 {
 		return hosts
 	}
 	hosts = slices.Clone(hosts)
 	for i, l := range hosts {
-		if b, has := c.believed[l.Address]; has && now < b.until && b.StartedAt == l.Born && l.State == logic.Up && b.State != learn.Up {
-			hosts[i].State = statesNamed[b.State]
+		if p, found := c.believed[l.Address]; found && now < p.expiresAt && p.StartedAt == l.Born && l.State == logic.Up && p.State != learn.Up {
+			hosts[i].State = statesByName[p.State]
 		}
 	}
 	return hosts
 }
 
-// disbelieve lets go of what was learnt long ago: the list's word holds again.
-func (c *Core) disbelieve(now logic.Millis) {
-	over := false
-	for a, b := range c.believed {
-		if now >= b.until {
+// expirePeerStates drops expired states of peers, after which the host list is in force again.
+func (c *Core) expirePeerStates(now logic.Millis) {
+	expired := false
+	for a, p := range c.believed {
+		if now >= p.expiresAt {
 			delete(c.believed, a)
-			over = true
+			expired = true
 		}
 	}
-	if over && c.known.listed > 0 {
-		c.notes = append(c.notes, logic.HostList{Kind: logic.HostListFull, Entries: c.entries(c.doubt(now, c.list0), now)})
+	if expired && c.known.listedAt > 0 {
+		c.notes = append(c.notes, logic.HostList{Kind: logic.HostListFull, Entries: c.entries(c.overlayPeerStates(now, c.list0), now)})
 	}
 }
 
-// askPeers asks the others when there is something to learn.
+// askPeers queries the other directors when learn.QueryDue tells so.
 func (c *Core) askPeers(now logic.Millis) {
 	since := func(at logic.Millis) float64 {
 		if at == 0 {
@@ -302,7 +310,7 @@
 		}
 		return float64(now - at)
 	}
-	if c.svc.Learns && learn.QueryDue(float64(now-c.known.since), since(c.lost), since(c.given), since(c.asked)) {
+	if c.svc.Learns && learn.QueryDue(float64(now-c.known.startedAt), since(c.lost), since(c.given), since(c.asked)) {
 		c.asked = now
 		c.out = append(c.out, AskPeers{})
 	}
--- a/internal/control/operate.go
+++ b/internal/control/operate.go
@@ -12,29 +12,30 @@
 	"vetchwood/logic"
 )
 
-// Inputs of operators.
+// Operator requests.
 type (
-	// Rollback pins tables to what they were in a version. Content is theirs; nil tables of it are passed over.
+	// Rollback pins tables to the content that they had in an earlier version. Content holds these tables; nil entries
+	// are skipped.
 	Rollback struct {
 		Ticket   Ticket
 		To       tables.Step
 		Content  map[logic.TableID]*tables.Table
-		LastSeen tables.Step // the newest version that the operator has seen; another operator's later change is a conflict
+		LastSeen tables.Step // newest version that the operator has seen; a later change by an operator is a conflict
 		Who, Why string
-		Force    bool // whatever part of the traffic it moves
-		DryRun   bool // tell what would be, and do nothing
+		Force    bool // skip the limit on the fraction of slices moved
+		DryRun   bool // report the result without changing anything
 	}
-	// Release gives pinned tables back to the module, which goes on from what they hold.
+	// Release unpins tables. The decision module takes them over with their present lines.
 	Release struct {
 		Ticket   Ticket
 		Tables   []logic.TableID // empty: all
 		Who, Why string
 	}
-	// Pins asks which tables are held.
+	// PinsQuery asks which tables are pinned.
 	PinsQuery struct{ Ticket Ticket }
 )
 
-// Held tells of a pinned table.
+// PinnedTable describes a pinned table.
 type PinnedTable struct {
 	Table  logic.TableID `json:"table"`
 	Step   tables.Step   `json:"version"`
@@ -42,27 +43,28 @@
 	Faults []pins.Fault  `json:"not_honoured,omitempty"`
 }
 
-// Operated is what an operator is told.
+// OperationResult is the result of an operator request.
 type OperationResult struct {
-	Version       tables.Step   `json:"version"`        // ordered by now; a rollback may go in several
-	MovedFraction float64       `json:"moved"`          // part of the slices that go to other hosts
-	Tables        []PinnedTable `json:"tables"`         // pinned, or given back
-	Deferred      int           `json:"rest,omitempty"` // tables that wait for room in the channel
+	Version       tables.Step   `json:"version"`        // newest version ordered; a rollback may take several
+	MovedFraction float64       `json:"moved"`          // fraction of the slices that move to other hosts
+	Tables        []PinnedTable `json:"tables"`         // pinned or released
+	Deferred      int           `json:"rest,omitempty"` // number of tables still waiting for room in the channel
 }
 
-// mostMoved is the part of the slices that an operator's change may move unless it is forced: as much as a release moves
-// in one go, and cold keys after it can be borne.
-const mostMoved = 0.3
+// maxMovedFraction is the fraction of the slices that an operator's change may move unless it is forced. A rolling
+// release of the hosts moves as many at once, and the hosts can bear the cold keys that follow.
+const maxMovedFraction = 0.3
 
-// queuePart is what operators' changes may fill of the channel's queue; the rest is the module's.
-const queuePart = 0.4
+// operatorQueueFraction is the fraction of the channel's queue that operators' changes may fill. The rest is kept for
+// the decision module.
+const operatorQueueFraction = 0.4
 
-func (c *Core) operator(t Ticket, kind AnswerKind, why string, o *OperationResult) {
+func (c *Core) answerOperator(t Ticket, kind AnswerKind, why string, o *OperationResult) {
 	c.out = append(c.out, Answer{Ticket: t, Kind: kind, Why: why, Body: o})
 }
 
-// hosts is what the rules need to know of those that are listed.
-func (c *Core) hosts(now logic.Millis) map[tables.Address]pins.Host {
+// hostConditions returns what the rules for pinned tables need to know of each listed host.
+func (c *Core) hostConditions(now logic.Millis) map[tables.Address]pins.Host {
 	out := map[tables.Address]pins.Host{}
 	for _, l := range c.list0 {
 		born := min(logic.Millis(l.Born), now)
@@ -75,97 +77,97 @@
 func (c *Core) rollback(now logic.Millis, r Rollback) {
 	switch {
 	case c.svc.Facts.Slices == 0:
-		c.operator(r.Ticket, Wrong, "proxies have tables of their own here; only tables of slices can be rolled back", nil)
+		c.answerOperator(r.Ticket, Wrong, "rollback is not available: this site has no slices, and only tables of slices can be rolled back", nil)
 		return
 	case c.svc.Facts.SingleOwner:
-		c.operator(r.Ticket, Wrong, "slices have single owners here: a table goes to another only by the module's hand-over", nil)
+		c.answerOperator(r.Ticket, Wrong, "rollback is not available: slices have a single owner each, which changes only by a hand-over of the decision module", nil)
 		return
 	case c.operated > r.LastSeen:
-		c.operator(r.Ticket, Conflict, fmt.Sprintf("version %d, an operator's, came after version %d", c.operated, r.LastSeen), nil)
+		c.answerOperator(r.Ticket, Conflict, fmt.Sprintf("version %d, an operator's change, is newer than version %d, the last one seen", c.operated, r.LastSeen), nil)
 		return
 	case r.Who == "" || r.Why == "":
-		c.operator(r.Ticket, Wrong, "who and why are needed", nil)
+		c.answerOperator(r.Ticket, Wrong, "who and why are required", nil)
 		return
 	}
-	listed := c.hosts(now)
-	o := &OperationResult{Version: c.world.step}
-	var bare []string
+	hosts := c.hostConditions(now)
+	result := &OperationResult{Version: c.world.step}
+	var empty []string
 	for _, id := range slices.Sorted(maps.Keys(r.Content)) {
-		if r.Content[id] == nil || int(id) >= c.svc.Facts.Slices || !c.holds(id) {
+		if r.Content[id] == nil || int(id) >= c.svc.Facts.Slices || !c.ownsSlice(id) {
 			continue
 		}
-		m := pins.Mend(int(id), r.Content[id].Lines, listed)
+		m := pins.Mend(int(id), r.Content[id].Lines, hosts)
 		if len(m.Lines) == 0 {
-			bare = append(bare, strconv.Itoa(int(id)))
+			empty = append(empty, strconv.Itoa(int(id)))
 		}
-		o.Tables = append(o.Tables, PinnedTable{id, r.To, r.Who, m.Faults})
-		if was := c.world.tables[id]; was != nil {
-			o.MovedFraction += pins.Moved(was.Lines, m.Lines) / float64(c.svc.Facts.Slices)
+		result.Tables = append(result.Tables, PinnedTable{id, r.To, r.Who, m.Faults})
+		if current := c.world.tables[id]; current != nil {
+			result.MovedFraction += pins.Moved(current.Lines, m.Lines) / float64(c.svc.Facts.Slices)
 		}
 	}
 	switch {
-	case len(o.Tables) == 0:
-		c.operator(r.Ticket, Wrong, "the version has none of these tables", nil)
-	case len(bare) > 0:
-		c.operator(r.Ticket, Refused, "tables "+strings.Join(bare, ", ")+" would be left without a host", o)
-	case o.MovedFraction > mostMoved && !r.Force:
-		c.operator(r.Ticket, Refused, fmt.Sprintf("it would move %.0f%% of the slices, of %.0f%% at most unless forced", 100*o.MovedFraction, 100*mostMoved), o)
+	case len(result.Tables) == 0:
+		c.answerOperator(r.Ticket, Wrong, "the version has none of the requested tables that this director owns", nil)
+	case len(empty) > 0:
+		c.answerOperator(r.Ticket, Refused, "tables "+strings.Join(empty, ", ")+" would be left without a host", result)
+	case result.MovedFraction > maxMovedFraction && !r.Force:
+		c.answerOperator(r.Ticket, Refused, fmt.Sprintf("rollback would move %.0f%% of the slices; the limit is %.0f%% unless forced", 100*result.MovedFraction, 100*maxMovedFraction), result)
 	case r.DryRun:
-		c.operator(r.Ticket, Done, "", o)
+		c.answerOperator(r.Ticket, Done, "", result)
 	default:
 		c.pinned = maps.Clone(c.pinned)
-		for _, h := range o.Tables {
-			if _, had := c.pinned[h.Table]; !had {
-				c.notes = append(c.notes, logic.SliceOwnership{Slice: h.Table, Owned: false})
+		for _, t := range result.Tables {
+			if _, pinned := c.pinned[t.Table]; !pinned {
+				c.notes = append(c.notes, logic.SliceOwnership{Slice: t.Table, Owned: false})
 			}
-			c.pinned[h.Table] = Pin{Lines: maps.Clone(r.Content[h.Table].Lines), Step: r.To, Who: r.Who}
+			c.pinned[t.Table] = Pin{Lines: maps.Clone(r.Content[t.Table].Lines), Step: r.To, Who: r.Who}
 		}
-		c.cause = cause{who: r.Who, why: r.Why, from: r.To, new: true}
-		c.tend(now)
-		o.Version, o.Deferred = c.world.step, len(c.untended(now))
+		c.cause = pinCause{who: r.Who, why: r.Why, from: r.To, pinsChanged: true}
+		c.updatePinned(now)
+		result.Version, result.Deferred = c.world.step, len(c.outdatedPins(now))
 		c.operated = c.world.step
 		c.say(Event{Name: "operator.rollback", Version: strconv.Itoa(int(c.world.step)),
-			Detail: fmt.Sprintf("%s: %d tables to version %d: %s", r.Who, len(o.Tables), r.To, r.Why)})
-		c.operator(r.Ticket, Done, "", o)
+			Detail: fmt.Sprintf("%s: %d tables to version %d: %s", r.Who, len(result.Tables), r.To, r.Why)})
+		c.answerOperator(r.Ticket, Done, "", result)
 	}
 }
 
 func (c *Core) release(now logic.Millis, r Release) {
 	if r.Who == "" {
-		c.operator(r.Ticket, Wrong, "who is needed", nil)
+		c.answerOperator(r.Ticket, Wrong, "who is required", nil)
 		return
 	}
-	which := r.Tables
-	if len(which) == 0 {
-		which = slices.Sorted(maps.Keys(c.pinned))
+	ids := r.Tables
+	if len(ids) == 0 {
+		ids = slices.Sorted(maps.Keys(c.pinned))
 	}
-	o := &OperationResult{}
+	result := &OperationResult{}
 	c.pinned = maps.Clone(c.pinned)
-	for _, id := range which {
-		p, held := c.pinned[id]
-		if !held {
+	for _, id := range ids {
+		p, pinned := c.pinned[id]
+		if !pinned {
 			continue
 		}
 		delete(c.pinned, id)
-		o.Tables = append(o.Tables, PinnedTable{Table: id, Step: p.Step, Who: p.Who})
-		if c.holds(id) {
-			c.give(id, c.world)
+		result.Tables = append(result.Tables, PinnedTable{Table: id, Step: p.Step, Who: p.Who})
+		if c.ownsSlice(id) {
+			c.assignToModule(id, c.world)
 		}
 	}
-	if len(o.Tables) > 0 {
-		// A step without other content, so that the history says who let go.
-		d := c.draft(float64(now))
+	if len(result.Tables) > 0 {
+		// A version without other content records in the history who released the tables.
+		d := c.newDraft(float64(now))
 		d.change.Who, d.change.Why, d.change.Pinned = r.Who, r.Why, c.pinned
 		c.commit(now, d)
 		c.operated = c.world.step
-		c.say(Event{Name: "operator.release", Version: strconv.Itoa(int(c.world.step)), Detail: fmt.Sprintf("%s: %d tables: %s", r.Who, len(o.Tables), r.Why)})
+		c.say(Event{Name: "operator.release", Version: strconv.Itoa(int(c.world.step)), Detail: fmt.Sprintf("%s: %d tables: %s", r.Who, len(result.Tables), r.Why)})
 	}
-	o.Version = c.world.step
-	c.operator(r.Ticket, Done, "", o)
+	result.Version = c.world.step
+	c.answerOperator(r.Ticket, Done, "", result)
 }
 
-// give puts a slice in the module's charge, with the lines that stand.
-func (c *Core) give(id logic.TableID, w *world) {
+// assignToModule hands a slice to the decision module together with the lines of its table.
+func (c *Core) assignToModule(id logic.TableID, w *snapshot) {
 	c.notes = append(c.notes, logic.SliceOwnership{Slice: id, Owned: true})
 	table := w.tables[id]
 	for _, a := range slices.Sorted(maps.Keys(table.Lines)) {
@@ -175,64 +177,66 @@
 	}
 }
 
-func (c *Core) tellPins(now logic.Millis, t Ticket) {
-	o := &OperationResult{Version: c.world.step, Deferred: len(c.untended(now))}
-	listed := c.hosts(now)
+func (c *Core) answerPins(now logic.Millis, t Ticket) {
+	result := &OperationResult{Version: c.world.step, Deferred: len(c.outdatedPins(now))}
+	hosts := c.hostConditions(now)
 	for _, id := range slices.Sorted(maps.Keys(c.pinned)) {
 		p := c.pinned[id]
-		o.Tables = append(o.Tables, PinnedTable{id, p.Step, p.Who, pins.Mend(int(id), p.Lines, listed).Faults})
+		result.Tables = append(result.Tables, PinnedTable{id, p.Step, p.Who, pins.Mend(int(id), p.Lines, hosts).Faults})
 	}
-	c.operator(t, Done, "", o)
+	c.answerOperator(t, Done, "", result)
 }
 
-// cause is why the tables that are tended change.
-type cause struct {
-	who, why string
-	from     tables.Step
-	new      bool // the pins themselves changed
+// pinCause is the recorded reason for changes of pinned tables: the operator's request that is being carried out.
+type pinCause struct {
+	who, why    string
+	from        tables.Step
+	pinsChanged bool // the set of pins changed and is to be stored
 }
 
-// untended are the pinned tables that do not say what they should.
-func (c *Core) untended(now logic.Millis) (out []logic.TableID) {
+// outdatedPins returns the pinned tables whose lines differ from the pinned ones as far as the rules allow them.
+func (c *Core) outdatedPins(now logic.Millis) (out []logic.TableID) {
 	if len(c.pinned) == 0 {
 		return nil
 	}
-	listed := c.hosts(now)
+	hosts := c.hostConditions(now)
 	for _, id := range slices.Sorted(maps.Keys(c.pinned)) {
 		if c.world.tables[id] == nil {
-			continue // another director's
+			continue // owned by another director
 		}
-		if m := pins.Mend(int(id), c.pinned[id].Lines, listed); !maps.Equal(m.Lines, c.world.tables[id].Lines) {
+		if m := pins.Mend(int(id), c.pinned[id].Lines, hosts); !maps.Equal(m.Lines, c.world.tables[id].Lines) {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// tend writes pinned tables as the rules allow them now, as many as the channel has room for; what is left follows.
-func (c *Core) tend(now logic.Millis) {
-	todo := c.untended(now)
-	if len(todo) == 0 && !c.cause.new {
+// updatePinned writes pinned tables as the rules allow them now, as many as the channel has room for. The others follow
+// in later calls.
+func (c *Core) updatePinned(now logic.Millis) {
+	outdated := c.outdatedPins(now)
+	if len(outdated) == 0 && !c.cause.pinsChanged {
 		return
 	}
-	d, listed := c.draft(float64(now)), c.hosts(now)
+	d, hosts := c.newDraft(float64(now)), c.hostConditions(now)
 	joined := float64(len(c.ids))
-	room := queuePart*c.svc.Facts.QueueLimit - c.channel.QueuedLines() - joined*c.svc.Facts.MessageOverhead
+	room := operatorQueueFraction*c.svc.Facts.QueueLimit - c.channel.QueuedLines() - joined*c.svc.Facts.MessageOverhead
 	for _, s := range slices.Concat(c.behind, c.unsaved) {
 		for _, m := range s.messages {
 			room -= m.Lines
 		}
 	}
-	// What drains must not wait for room: these tables come first, and are written whatever room there is.
+	// A removal of a draining host must not wait for room: tables with such hosts come first and are written even when
+	// the channel has none.
 	urgent := func(id logic.TableID) bool {
 		for a := range c.world.tables[id].Lines {
-			if h, known := listed[a]; known && !h.Up {
+			if h, known := hosts[a]; known && !h.Up {
 				return true
 			}
 		}
 		return false
 	}
-	slices.SortStableFunc(todo, func(a, b logic.TableID) int {
+	slices.SortStableFunc(outdated, func(a, b logic.TableID) int {
 		x, y := urgent(a), urgent(b)
 		if x == y {
 			return 0
@@ -241,16 +245,16 @@
 		}
 		return 1
 	})
-	for _, id := range todo {
-		want := pins.Mend(int(id), c.pinned[id].Lines, listed).Lines
+	for _, id := range outdated {
+		want := pins.Mend(int(id), c.pinned[id].Lines, hosts).Lines
 		lines := 0.0
-		was := c.world.tables[id].Lines
+		current := c.world.tables[id].Lines
 		for a, w := range want {
-			if was[a] != w {
+			if current[a] != w {
 				lines++
 			}
 		}
-		for a := range was {
+		for a := range current {
 			if _, stays := want[a]; !stays {
 				lines++
 			}
@@ -258,21 +262,21 @@
 		if room -= lines * joined; room < 0 && !urgent(id) {
 			break
 		}
-		t := d.table(id)
+		t := d.writableTable(id)
 		clear(t.Lines)
 		maps.Copy(t.Lines, want)
-		d.charge(lines, everyone)
+		d.countLines(lines, allProxies)
 	}
 	if d.change.Who, d.change.Why, d.change.From = c.cause.who, c.cause.why, c.cause.from; d.change.Who == "" {
 		d.change.Who, d.change.Why = "vetchwood", "a pinned table is mended: the rules stand above it"
 	}
-	if c.cause.new {
-		d.change.Pinned, d.wrote = c.pinned, true
+	if c.cause.pinsChanged {
+		d.change.Pinned, d.changed = c.pinned, true
 	}
-	if d.wrote {
+	if d.changed {
 		c.commit(now, d)
 	}
-	if c.cause.new = false; len(c.untended(now)) == 0 {
-		c.cause = cause{}
+	if c.cause.pinsChanged = false; len(c.outdatedPins(now)) == 0 {
+		c.cause = pinCause{}
 	}
 }
--- a/internal/control/streams.go
+++ b/internal/control/streams.go
@@ -146,13 +146,13 @@
 
 // settle lets go what is safe now. A removal is shown to all lots before it, and what was ordered after it, goes on.
 func (c *Core) settle(now logic.Millis, upTo tables.Step) {
-	var settled []*world
+	var settled []*snapshot
 	for len(c.unsaved) > 0 && c.unsaved[0].world.step <= upTo {
 		s := c.unsaved[0]
 		c.unsaved = c.unsaved[1:]
 		c.stored = s.world
 		settled = append(settled, s.world)
-		c.record(s.world, s.changed)
+		c.emitRecords(s.world, s.changed)
 		if s.removes {
 			c.removal(s.world)
 		}
@@ -199,7 +199,7 @@
 }
 
 // removal closes the lots until what they answered before is written.
-func (c *Core) removal(w *world) {
+func (c *Core) removal(w *snapshot) {
 	c.figures.Removals++
 	c.shown.floor, c.shown.dirty = w.step, true
 	if c.svc.Facts.Slices > 0 {
--- a/internal/control/world.go
+++ b/internal/control/world.go
@@ -13,82 +13,84 @@
 	"vetchwood/logic"
 )
 
-// world is what has been ordered, as of one step. A step copies what it changes; the rest is shared.
-type world struct {
+// snapshot is the ordered state as of one step. A step copies what it changes and shares the rest with its predecessor.
+type snapshot struct {
 	step    tables.Step
-	at      float64
+	at      float64 // Unix milliseconds
 	tables  map[logic.TableID]*tables.Table
 	masked  map[tables.Address]bool
 	levels  []tables.Level
-	bound   map[logic.ProxyID][]logic.TableID // by route; -1 where none
-	carried map[logic.ProxyID]map[string]*tables.Table
-	docs    map[string]*tables.Document // made so far, by what they are made of
+	bound   map[logic.ProxyID][]logic.TableID          // by route; -1 for no table
+	carried map[logic.ProxyID]map[string]*tables.Table // tables from before the start, by route; in use until a Bind
+	docs    map[string]*tables.Document                // cache; the key names the tables of a document
 }
 
-// draft is a step in the making.
+// draft is the next step under construction.
 type draft struct {
-	c       *Core
-	was     *world
-	is      *world
-	change  Change
-	fresh   map[logic.TableID]bool    // tables that this step has copied already
-	lines   map[logic.ProxyID]float64 // of single proxies
-	of      float64                   // of each that has joined
-	serial  logic.SerialID
-	stamped bool
-	all     bool
-	wrote   bool
+	c          *Core
+	previous   *snapshot
+	next       *snapshot
+	change     Change
+	copied     map[logic.TableID]bool    // tables that this step has already copied
+	linesOf    map[logic.ProxyID]float64 // lines to be sent, for single proxies
+	linesOfAll float64                   // lines to be sent to every joined proxy
+	serial     logic.SerialID
+	stamped    bool
+	stampAll   bool // the serial number goes to all joined proxies
+	changed    bool
 }
 
-func (c *Core) draft(at float64) *draft {
+func (c *Core) newDraft(at float64) *draft {
 	w := *c.world
 	w.step, w.at, w.docs = c.world.step+1, at, map[string]*tables.Document{}
-	return &draft{c: c, was: c.world, is: &w, fresh: map[logic.TableID]bool{}, lines: map[logic.ProxyID]float64{},
+	return &draft{c: c, previous: c.world, next: &w, copied: map[logic.TableID]bool{}, linesOf: map[logic.ProxyID]float64{},
 		change: Change{Line: c.line, Step: w.step, At: at}}
 }
 
-// table gives a table that this step may write.
-func (d *draft) table(id logic.TableID) *tables.Table {
-	if !d.fresh[id] {
-		if len(d.fresh) == 0 {
-			d.is.tables = maps.Clone(d.is.tables)
+// writableTable returns a copy of a table that belongs to this step. A missing table is created.
+func (d *draft) writableTable(id logic.TableID) *tables.Table {
+	if !d.copied[id] {
+		if len(d.copied) == 0 {
+			d.next.tables = maps.Clone(d.next.tables)
 			d.change.Tables = map[logic.TableID]*tables.Table{}
 		}
 		t := &tables.Table{Lines: map[tables.Address]float64{}}
-		if was := d.is.tables[id]; was != nil {
-			t.From, t.To, t.Levels, t.Fence = was.From, was.To, maps.Clone(was.Levels), was.Fence
-			maps.Copy(t.Lines, was.Lines)
+		if old := d.next.tables[id]; old != nil {
+			t.From, t.To, t.Levels, t.Fence = old.From, old.To, maps.Clone(old.Levels), old.Fence
+			maps.Copy(t.Lines, old.Lines)
 		} else if n := d.c.svc.Facts.Slices; n > 0 {
 			from, to := tables.SliceRange(int(id), n)
 			t.From, t.To = &from, &to
 		}
-		d.is.tables[id], d.change.Tables[id], d.fresh[id] = t, t, true
+		d.next.tables[id], d.change.Tables[id], d.copied[id] = t, t, true
 	}
-	return d.is.tables[id]
+	return d.next.tables[id]
 }
 
-// charge counts lines at each joined proxy concerned; nil: at all, which is not counted one by one.
-func (d *draft) charge(lines float64, concerned func(logic.ProxyID) bool) {
-	if d.wrote = true; concerned == nil {
-		d.of += lines
+// countLines adds to the lines that the step sends to each joined proxy concerned. A nil function stands for all joined
+// proxies and is counted once rather than per proxy.
+func (d *draft) countLines(lines float64, concerned func(logic.ProxyID) bool) {
+	if d.changed = true; concerned == nil {
+		d.linesOfAll += lines
 		return
 	}
 	for _, id := range d.c.ids {
 		if concerned(id) {
-			d.lines[id] += lines
+			d.linesOf[id] += lines
 		}
 	}
 }
 
-// everyone is all that have joined.
-var everyone func(logic.ProxyID) bool
+// allProxies, a nil function, makes countLines count all joined proxies.
+var allProxies func(logic.ProxyID) bool
 
-func (d *draft) users(t logic.TableID) func(logic.ProxyID) bool {
+// proxiesUsing selects the proxies that are sent a table.
+func (d *draft) proxiesUsing(t logic.TableID) func(logic.ProxyID) bool {
 	if d.c.svc.Facts.Slices > 0 || t == logic.AllTables {
-		return everyone
+		return allProxies
 	}
 	return func(id logic.ProxyID) bool {
-		for _, b := range d.is.bound[id] {
+		for _, b := range d.next.bound[id] {
 			if b == t {
 				return true
 			}
@@ -97,19 +99,20 @@
 	}
 }
 
-func (d *draft) holders(a tables.Address) func(logic.ProxyID) bool {
+// proxiesWithLineFor selects the proxies that are sent a table with a line for a host.
+func (d *draft) proxiesWithLineFor(a tables.Address) func(logic.ProxyID) bool {
 	if d.c.svc.Facts.Slices > 0 {
-		for _, t := range d.is.tables {
-			if _, holds := t.Lines[a]; holds {
-				return everyone
+		for _, t := range d.next.tables {
+			if _, found := t.Lines[a]; found {
+				return allProxies
 			}
 		}
 		return func(logic.ProxyID) bool { return false }
 	}
 	return func(id logic.ProxyID) bool {
-		for _, b := range d.is.bound[id] {
-			if t := d.is.tables[b]; t != nil {
-				if _, holds := t.Lines[a]; holds {
+		for _, b := range d.next.bound[id] {
+			if t := d.next.tables[b]; t != nil {
+				if _, found := t.Lines[a]; found {
 					return true
 				}
 			}
@@ -118,21 +121,23 @@
 	}
 }
 
-func (d *draft) order(o logic.Order) {
+// apply carries out an order of the decision module.
+func (d *draft) apply(o logic.Order) {
 	f := d.c.svc.Facts
 	switch o := o.(type) {
 	case logic.SetLine:
-		if f.Slices > 0 && !d.c.holds(o.Table) {
-			return // it was withdrawn while the module did not know yet
+		if f.Slices > 0 && !d.c.ownsSlice(o.Table) {
+			return // revoked before the decision module learnt of it
 		}
 		a := d.c.names.address[o.Host]
 		if a == "" || math.IsNaN(o.Weight) || o.Weight > 1e9 {
-			// No version may bear it. The module has no such host or weight; a line of a store that was changed might.
+			// No version may contain such a line. The decision module orders none by itself, but a modified store might
+			// hold one.
 			d.c.figures.Faults++
 			d.c.say(Event{Name: "check.line_dropped", Detail: fmt.Sprintf("table %d, host %d, weight %v", o.Table, o.Host, o.Weight)})
 			return
 		}
-		t := d.table(o.Table)
+		t := d.writableTable(o.Table)
 		if o.Weight <= 0 {
 			delete(t.Lines, a)
 		} else {
@@ -141,46 +146,46 @@
 			}
 			t.Lines[a] = o.Weight
 		}
-		d.lay(o.Table, t)
-		d.charge(1, d.users(o.Table))
+		d.setFence(o.Table, t)
+		d.countLines(1, d.proxiesUsing(o.Table))
 	case logic.DropLines:
-		if f.Slices > 0 && !d.c.holds(o.Table) {
+		if f.Slices > 0 && !d.c.ownsSlice(o.Table) {
 			return
 		}
-		t := d.table(o.Table)
+		t := d.writableTable(o.Table)
 		clear(t.Lines)
 		t.Levels = nil
-		d.charge(1, d.users(o.Table))
+		d.countLines(1, d.proxiesUsing(o.Table))
 	case logic.Mask:
 		a := d.c.names.address[o.Host]
 		if d.change.Masked == nil {
-			d.is.masked = maps.Clone(d.is.masked)
-			d.change.Masked = d.is.masked
+			d.next.masked = maps.Clone(d.next.masked)
+			d.change.Masked = d.next.masked
 		}
 		if o.On {
-			d.is.masked[a] = true
+			d.next.masked[a] = true
 		} else {
-			delete(d.is.masked, a)
+			delete(d.next.masked, a)
 		}
-		d.charge(1, d.holders(a))
+		d.countLines(1, d.proxiesWithLineFor(a))
 		d.c.say(Event{Name: "host.masked", Host: string(a), Detail: strconv.FormatBool(o.On)})
 	case logic.Throttle:
 		to := tables.Level{Level: o.Level, Tries: o.Retries}
 		if o.Table == logic.AllTables {
 			if d.change.Levels == nil {
-				d.is.levels = append([]tables.Level(nil), d.is.levels...)
-				d.change.Levels = d.is.levels
+				d.next.levels = append([]tables.Level(nil), d.next.levels...)
+				d.change.Levels = d.next.levels
 			}
-			for r := range d.is.levels {
+			for r := range d.next.levels {
 				if o.Routes == 0 || o.Routes&(1<<r) != 0 {
-					d.is.levels[r] = to
+					d.next.levels[r] = to
 				}
 			}
 		} else {
-			if f.Slices > 0 && !d.c.holds(o.Table) {
+			if f.Slices > 0 && !d.c.ownsSlice(o.Table) {
 				return
 			}
-			t := d.table(o.Table)
+			t := d.writableTable(o.Table)
 			if t.Levels == nil {
 				t.Levels = map[string]tables.Level{}
 			}
@@ -190,46 +195,46 @@
 				}
 			}
 		}
-		d.charge(float64(max(1, bits.OnesCount64(uint64(o.Routes)))), d.users(o.Table))
+		d.countLines(float64(max(1, bits.OnesCount64(uint64(o.Routes)))), d.proxiesUsing(o.Table))
 		d.c.say(Event{Name: "level.set", Detail: strconv.FormatFloat(o.Level, 'g', 4, 64)})
 	case logic.Bind:
 		if d.change.Bound == nil {
-			d.is.bound, d.change.Bound = maps.Clone(d.is.bound), map[logic.ProxyID][]logic.TableID{}
+			d.next.bound, d.change.Bound = maps.Clone(d.next.bound), map[logic.ProxyID][]logic.TableID{}
 		}
-		by := make([]logic.TableID, len(d.c.svc.Routes))
-		was := d.is.bound[o.Proxy]
-		for r := range by {
-			if by[r] = -1; r < len(was) {
-				by[r] = was[r]
+		byRoute := make([]logic.TableID, len(d.c.svc.Routes))
+		old := d.next.bound[o.Proxy]
+		for r := range byRoute {
+			if byRoute[r] = -1; r < len(old) {
+				byRoute[r] = old[r]
 			}
 			if o.Routes == 0 || o.Routes&(1<<r) != 0 {
-				by[r] = o.Table
+				byRoute[r] = o.Table
 			}
 		}
-		d.is.bound[o.Proxy], d.change.Bound[o.Proxy] = by, by
+		d.next.bound[o.Proxy], d.change.Bound[o.Proxy] = byRoute, byRoute
 		lines := 1.0
-		if t := d.is.tables[o.Table]; t != nil {
-			lines += float64(len(t.Lines) + len(t.Levels) + len(d.is.levels))
+		if t := d.next.tables[o.Table]; t != nil {
+			lines += float64(len(t.Lines) + len(t.Levels) + len(d.next.levels))
 			for a := range t.Lines {
-				if d.is.masked[a] {
+				if d.next.masked[a] {
 					lines++
 				}
 			}
 		}
-		d.charge(lines, func(id logic.ProxyID) bool { return id == o.Proxy })
+		d.countLines(lines, func(id logic.ProxyID) bool { return id == o.Proxy })
 	case logic.Stamp:
-		d.serial, d.stamped, d.all = o.Serial, true, o.All
+		d.serial, d.stamped, d.stampAll = o.Serial, true, o.All
 	}
 }
 
-// document is what a proxy is told at a world's step.
-func (c *Core) document(w *world, id logic.ProxyID) *tables.Document {
+// document returns the document that a proxy is sent at a snapshot's step. Proxies with the same tables share one.
+func (c *Core) document(w *snapshot, id logic.ProxyID) *tables.Document {
 	key := ""
 	if c.svc.Facts.Slices == 0 {
 		var b strings.Builder
 		for r := range c.svc.Routes {
-			if by := w.bound[id]; r < len(by) && by[r] >= 0 {
-				b.WriteString(strconv.Itoa(int(by[r])))
+			if bound := w.bound[id]; r < len(bound) && bound[r] >= 0 {
+				b.WriteString(strconv.Itoa(int(bound[r])))
 			} else if w.carried[id][c.svc.Routes[r].Name] != nil {
 				b.WriteString("was" + strconv.Itoa(int(id)))
 			}
@@ -245,7 +250,7 @@
 		LevelsBy: map[logic.LevelUnit]string{logic.LevelShare: "share", logic.LevelRate: "rate", logic.NoLevels: "none"}[f.Levels],
 		Routes:   map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{},
 		Masked: map[tables.Address]bool{}, Tables: map[string]*tables.Table{}}
-	use := func(name string, t *tables.Table) {
+	addTable := func(name string, t *tables.Table) {
 		d.Tables[name] = t
 		for a := range t.Lines {
 			d.Hosts[a] = c.names.hosts[a].Host
@@ -256,20 +261,20 @@
 	}
 	if f.Slices > 0 {
 		d.Hash = tables.KeyHash
-		for t, table := range c.told(w) {
-			use(strconv.Itoa(int(t)), table)
+		for t, table := range c.publishedTables(w) {
+			addTable(strconv.Itoa(int(t)), table)
 		}
 	}
 	for r, info := range c.svc.Routes {
 		route := info.Route
 		route.Level = w.levels[r]
 		if f.Slices == 0 {
-			if by := w.bound[id]; r < len(by) && by[r] >= 0 && w.tables[by[r]] != nil {
-				route.Table = "t" + strconv.Itoa(int(by[r]))
-				use(route.Table, w.tables[by[r]])
+			if bound := w.bound[id]; r < len(bound) && bound[r] >= 0 && w.tables[bound[r]] != nil {
+				route.Table = "t" + strconv.Itoa(int(bound[r]))
+				addTable(route.Table, w.tables[bound[r]])
 			} else if t := w.carried[id][info.Name]; t != nil {
 				route.Table = "was-" + info.Name
-				use(route.Table, t)
+				addTable(route.Table, t)
 			}
 		}
 		d.Routes[info.Name] = route
@@ -278,34 +283,34 @@
 	return d
 }
 
-// removes says whether the step takes a host out of all tables: by a mask, or with its last line.
-func (d *draft) removes() bool {
+// removesHost reports whether the step removes a host from all tables, either by a mask or with its last line.
+func (d *draft) removesHost() bool {
 	if d.change.Masked != nil {
-		for a := range d.is.masked {
-			if !d.was.masked[a] {
+		for a := range d.next.masked {
+			if !d.previous.masked[a] {
 				return true
 			}
 		}
 	}
-	offered := func(a tables.Address) bool {
-		for _, t := range d.is.tables {
-			if _, has := t.Lines[a]; has {
+	hasLine := func(a tables.Address) bool {
+		for _, t := range d.next.tables {
+			if _, found := t.Lines[a]; found {
 				return true
 			}
 		}
 		return false
 	}
 	for id := range d.change.Tables {
-		was, is := d.was.tables[id], d.is.tables[id]
-		if was == nil {
+		old, current := d.previous.tables[id], d.next.tables[id]
+		if old == nil {
 			continue
 		}
-		for a := range was.Lines {
+		for a := range old.Lines {
 			stays := false
-			if is != nil {
-				_, stays = is.Lines[a]
+			if current != nil {
+				_, stays = current.Lines[a]
 			}
-			if !stays && !d.is.masked[a] && !offered(a) {
+			if !stays && !d.next.masked[a] && !hasLine(a) {
 				return true
 			}
 		}
@@ -313,29 +318,29 @@
 	return false
 }
 
-// check looks at a step before it is published. What the module orders goes out all the same, and the fault is told: to hold
-// a removal back because it leaves a table bare for a moment would break another rule.
-func (d *draft) check(now logic.Millis) {
-	s := checks.Step{Was: map[string]*tables.Table{}, Is: map[string]*tables.Table{}, MaskedWas: d.was.masked, Masked: d.is.masked,
+// verify checks a step before it is published. Faults are counted and logged, but the step is published all the same:
+// to hold back a removal because it leaves a table without hosts for a moment would break another rule.
+func (d *draft) verify(now logic.Millis) {
+	in := checks.Step{Was: map[string]*tables.Table{}, Is: map[string]*tables.Table{}, MaskedWas: d.previous.masked, Masked: d.next.masked,
 		Known: func(a tables.Address) bool { _, known := d.c.names.hosts[a]; return known }, Listed: map[tables.Address]checks.Host{}}
-	look := d.change.Tables
+	affected := d.change.Tables
 	if d.change.Masked != nil {
-		look = d.is.tables
+		affected = d.next.tables
 	}
-	if len(look) == 0 {
+	if len(affected) == 0 {
 		return
 	}
-	for id := range look {
+	for id := range affected {
 		name := strconv.Itoa(int(id))
-		if d.is.tables[id] != nil {
-			s.Was[name], s.Is[name] = d.was.tables[id], d.is.tables[id]
+		if d.next.tables[id] != nil {
+			in.Was[name], in.Is[name] = d.previous.tables[id], d.next.tables[id]
 		}
 	}
-	for a, h := range d.c.hosts(now) {
-		s.Listed[a] = checks.Host{Up: h.Up, Cold: h.Cold}
+	for a, h := range d.c.hostConditions(now) {
+		in.Listed[a] = checks.Host{Up: h.Up, Cold: h.Cold}
 	}
-	for _, f := range checks.Look(s) {
+	for _, f := range checks.Look(in) {
 		d.c.figures.Faults++
-		d.c.say(Event{Name: "check.failed", Host: string(f.Host), Version: strconv.Itoa(int(d.is.step)), Detail: f.String()})
+		d.c.say(Event{Name: "check.failed", Host: string(f.Host), Version: strconv.Itoa(int(d.next.step)), Detail: f.String()})
 	}
 }
--- a/internal/learn/learn.go
+++ b/internal/learn/learn.go
@@ -1,6 +1,7 @@
-// Package learn weighs what other directors know, for one that has just started or comes out of a cut. Facts bear ages in
-// place of times, so that no clock is compared with another's, and each is its donor's own: what a donor was told by others
-// it does not pass on. What is concluded reaches the module as ordinary notes. No I/O, no clock.
+// Package learn reconciles the facts of other directors (peers) with those of a director that has just started or
+// recovers from a network partition. Facts carry ages rather than times, so that no two clocks are compared. A peer
+// reports only what it observed itself and does not pass on what others reported. The conclusions reach the decision
+// module as ordinary events. The package does no I/O and reads no clock.
 package learn
 
 import (
@@ -12,14 +13,14 @@
 	"vetchwood/internal/tables"
 )
 
-// Facts are what one director knows at first hand. All spans are milliseconds.
+// Facts are what one director observed itself. All ages and spans are in milliseconds.
 type Facts struct {
 	Director   string      `json:"director"`
 	Line       tables.Line `json:"line"`
 	Uptime     float64     `json:"up_ms"`
 	ProxyCount int         `json:"proxies_joined"`
-	Leaving    bool        `json:"leaving,omitempty"`
-	// ListAge is how long ago the list was last heard from; below 0 it never was.
+	Leaving    bool        `json:"leaving,omitempty"` // set by the receiver, from the peer's membership record
+	// ListAge is the time since the host list was last known to be current, below 0 if there has been none.
 	ListAge float64  `json:"list_age_ms"`
 	Hosts   []Host   `json:"hosts"`
 	Demand  []Demand `json:"demand,omitempty"`
@@ -28,29 +29,29 @@
 }
 
 type (
-	// Host is what is known of one: the list's word, and what proxies met there lately.
+	// Host is a host's entry in the host list and the recent results of tries there.
 	Host struct {
 		Address   tables.Address `json:"address"`
 		ID        string         `json:"id,omitempty"`
 		Zone      string         `json:"zone,omitempty"`
 		Cell      string         `json:"cell,omitempty"`
 		State     State          `json:"state"`
-		StateAge  float64        `json:"state_age_ms"` // since the list first said so
+		StateAge  float64        `json:"state_age_ms"` // since the host list first had this state
 		Weight    float64        `json:"weight"`
-		StartedAt float64        `json:"born,omitempty"` // Unix milliseconds by the host's own word; 0 long ago
+		StartedAt float64        `json:"born,omitempty"` // Unix milliseconds by the host's own report; 0: long ago
 		Masked    bool           `json:"masked,omitempty"`
 		Health    *Health        `json:"health,omitempty"`
 	}
-	// Health sums tries over a span that ends Age ago.
+	// Health sums up the tries of a period that ended Age ago.
 	Health struct {
 		Period      float64            `json:"over_ms"`
 		Age         float64            `json:"age_ms"`
 		Finished    float64            `json:"ended"`
 		Failed      float64            `json:"lost"`
-		MeanLatency float64            `json:"spent_ms"` // of those that were answered, on average
+		MeanLatency float64            `json:"spent_ms"` // of the answered tries
 		Load        map[string]float64 `json:"load,omitempty"`
 	}
-	// Demand is what came for a slice, as a rate.
+	// Demand is the rate of a route's calls for a slice.
 	Demand struct {
 		Slice      int     `json:"slice"`
 		Route      string  `json:"route"`
@@ -58,171 +59,178 @@
 		Unanswered float64 `json:"unanswered_per_second"`
 		Age        float64 `json:"age_ms"`
 	}
+	// Level is the admission level of a route.
 	Level struct {
 		Route string  `json:"route"`
 		Level float64 `json:"level"`
 		Tries int     `json:"tries"`
 		Age   float64 `json:"age_ms"`
 	}
+	// Slice is a slice that the director owns, with the fence of its lease.
 	Slice struct {
 		Slice   int         `json:"slice"`
 		Fence   uint64      `json:"fence"`
 		Version tables.Step `json:"version"`
 	}
-	// State is the list's word on a host.
+	// State is a host's state by the host list.
 	State string
 )
 
+// The states of a host.
 const (
 	Up       State = "up"
 	Draining State = "draining"
 	Gone     State = "gone"
 )
 
-// worse orders states by how much they keep away.
-var worse = map[State]int{Up: 0, Draining: 1, Gone: 2}
+// severity orders states by how much traffic they keep away from a host.
+var severity = map[State]int{Up: 0, Draining: 1, Gone: 2}
 
-// Heard is one donor's facts, with how long ago it told them.
+// PeerFacts are the facts of one peer, received Age milliseconds ago.
 type PeerFacts struct {
 	Facts
 	Age float64
 }
 
-// Own is what the asking director knows by itself.
+// Local is what the asking director knows by itself.
 type Local struct {
-	ListAge    float64 // below 0: it has not heard from the list since its start
-	Hosts      []Host  // by the list, or by its own store where the list was not heard from
-	HasReports bool    // its own reports come in
+	ListAge    float64 // below 0: no host list has come since its start
+	Hosts      []Host  // by the host list or, before the first one, by the local store
+	HasReports bool    // its own proxies have sent load reports
 }
 
-// Why a donor's word counted for less.
+// WeightReduction tells why a peer's facts have less than full weight.
 type WeightReduction struct {
 	Director string
 	Weight   float64
 	Reason   string
 }
 
-// Conclusion is what may be told to the module.
+// Conclusion is what follows from the facts of all peers, for the decision module.
 type Conclusion struct {
-	Hosts            []Host // whose state or birth is other than what the asking director believes, or that it does not know
-	Health           []Host // what was met there
+	Hosts            []Host // whose state or start differs from the local one, or that are unknown locally
+	Health           []Host // with the merged results of tries
 	Demand           []Demand
 	WeightReductions []WeightReduction
 }
 
-// Spans and bounds of belief. A fact counts half after halfLife; a donor below least is not followed against our own list.
+// Ages are in milliseconds. The weight of a fact halves with each halfLife. A peer below minWeight does not override the
+// local host list.
 const (
 	halfLife  = 5000.0
-	longAge   = 20000.0 // older facts are none
-	least     = 0.5
-	youngDays = 3000.0 // a donor up for less has little of its own
+	maxAge    = 20000.0 // older facts have no weight
+	minWeight = 0.5
+	minUptime = 3000.0 // a peer with less has observed little itself
 )
 
-func aged(age float64) float64 {
-	if age < 0 || age > longAge {
+// ageWeight returns the weight of a fact by its age in milliseconds.
+func ageWeight(age float64) float64 {
+	if age < 0 || age > maxAge {
 		return 0
 	}
 	return math.Exp2(-age / halfLife)
 }
 
-// weight says how far a donor is believed, and why not wholly.
-func weight(me Local, d PeerFacts) (w float64, why string) {
+// peerWeight returns how much a peer's facts count, from 0 to 1, and the first reason that reduces it by more than
+// a tenth.
+func peerWeight(local Local, p PeerFacts) (w float64, why string) {
 	w = 1
-	less := func(by float64, reason string) {
-		if w *= by; by < 0.9 && why == "" {
+	reduce := func(factor float64, reason string) {
+		if w *= factor; factor < 0.9 && why == "" {
 			why = reason
 		}
 	}
-	less(aged(d.Age), "its word is old")
-	if d.Leaving {
-		less(0.8, "it is leaving")
+	reduce(ageWeight(p.Age), "its facts are old")
+	if p.Leaving {
+		reduce(0.8, "it is shutting down")
 	}
-	if d.Uptime < youngDays {
-		less(max(0.2, d.Uptime/youngDays), "it has just started")
+	if p.Uptime < minUptime {
+		reduce(max(0.2, p.Uptime/minUptime), "it has just started")
 	}
 	switch {
-	case d.ListAge < 0:
-		less(0.1, "it has not heard from the list itself")
-	case me.ListAge >= 0 && d.ListAge > me.ListAge:
-		less(max(0.1, aged(d.ListAge-me.ListAge)), "its list is older than ours")
-	case me.ListAge < 0:
-		less(max(0.1, aged(d.ListAge)), "its list is old")
+	case p.ListAge < 0:
+		reduce(0.1, "it has not received a host list itself")
+	case local.ListAge >= 0 && p.ListAge > local.ListAge:
+		reduce(max(0.1, ageWeight(p.ListAge-local.ListAge)), "its host list is older than the local one")
+	case local.ListAge < 0:
+		reduce(max(0.1, ageWeight(p.ListAge)), "its host list is old")
 	}
-	// A donor that contradicts the list on many hosts follows another one. On a few it may just know more.
-	if me.ListAge >= 0 {
-		ours, both, against := map[tables.Address]Host{}, 0.0, 0.0
-		for _, h := range me.Hosts {
-			ours[h.Address] = h
+	// A peer that contradicts the local host list on many hosts follows a different list. On a few hosts it may just
+	// know more.
+	if local.ListAge >= 0 {
+		known, compared, conflicts := map[tables.Address]Host{}, 0.0, 0.0
+		for _, h := range local.Hosts {
+			known[h.Address] = h
 		}
-		for _, h := range d.Hosts {
-			if o, known := ours[h.Address]; known {
-				if both++; o.State != h.State || o.StartedAt != h.StartedAt {
-					against++
+		for _, h := range p.Hosts {
+			if own, found := known[h.Address]; found {
+				if compared++; own.State != h.State || own.StartedAt != h.StartedAt {
+					conflicts++
 				}
 			} else {
-				both, against = both+0.5, against+0.5
+				compared, conflicts = compared+0.5, conflicts+0.5
 			}
 		}
-		if both > 0 && against > 1 {
-			part := against / both
-			less(1-min(0.95, 1.5*part), "it contradicts the list on many hosts")
+		if compared > 0 && conflicts > 1 {
+			fraction := conflicts / compared
+			reduce(1-min(0.95, 1.5*fraction), "it contradicts the local host list on many hosts")
 		}
 	}
 	return w, why
 }
 
-// Weigh concludes from what was heard. The order of the donors does not matter.
-func Reconcile(me Local, heard []PeerFacts) (c Conclusion) {
-	heard = slices.Clone(heard)
-	slices.SortFunc(heard, func(a, b PeerFacts) int { return cmp.Compare(a.Director, b.Director) })
-	ours := map[tables.Address]Host{}
-	for _, h := range me.Hosts {
-		ours[h.Address] = h
+// Reconcile draws conclusions from the facts of all peers. Their order does not matter.
+func Reconcile(local Local, peers []PeerFacts) (c Conclusion) {
+	peers = slices.Clone(peers)
+	slices.SortFunc(peers, func(a, b PeerFacts) int { return cmp.Compare(a.Director, b.Director) })
+	localHosts := map[tables.Address]Host{}
+	for _, h := range local.Hosts {
+		localHosts[h.Address] = h
 	}
 	best := map[tables.Address]claim{}
 	health := map[tables.Address][]claim{}
-	demand := map[Demand]sum{}
-	for _, d := range heard {
-		w, why := weight(me, d)
+	demand := map[Demand]weightedDemand{}
+	for _, p := range peers {
+		w, why := peerWeight(local, p)
 		if why != "" {
-			c.WeightReductions = append(c.WeightReductions, WeightReduction{d.Director, w, why})
+			c.WeightReductions = append(c.WeightReductions, WeightReduction{p.Director, w, why})
 		}
 		if w <= 0 {
 			continue
 		}
-		for _, h := range d.Hosts {
+		for _, h := range p.Hosts {
 			if h.Health != nil {
-				health[h.Address] = append(health[h.Address], claim{h, w * aged(h.Health.Age+d.Age)})
+				health[h.Address] = append(health[h.Address], claim{h, w * ageWeight(h.Health.Age+p.Age)})
 			}
-			if was, known := best[h.Address]; !known || stands(claim{h, w}, was) {
+			if other, found := best[h.Address]; !found || outranks(claim{h, w}, other) {
 				best[h.Address] = claim{h, w}
 			}
 		}
-		for _, x := range d.Demand {
-			key, part := Demand{Slice: x.Slice, Route: x.Route}, w*aged(x.Age+d.Age)
+		for _, x := range p.Demand {
+			key, weight := Demand{Slice: x.Slice, Route: x.Route}, w*ageWeight(x.Age+p.Age)
 			s := demand[key]
-			// One slice has one holder; where two speak of it, the one that counts for more is nearer to the truth.
-			if part > s.weight {
-				demand[key] = sum{part, x.Rate, x.Unanswered, x.Age + d.Age}
+			// A slice has one owner. Where two peers report its demand, the one with the greater weight is used.
+			if weight > s.weight {
+				demand[key] = weightedDemand{weight, x.Rate, x.Unanswered, x.Age + p.Age}
 			}
 		}
 	}
 	for _, a := range slices.Sorted(maps.Keys(best)) {
 		b := best[a]
-		own, known := ours[a]
+		own, known := localHosts[a]
 		switch {
-		case !known && me.ListAge >= 0:
-			// The list does not have it: it is gone, or it came just now and the list will tell.
-		case !known && b.weight >= least/2:
+		case !known && local.ListAge >= 0:
+			// The local host list lacks it: it is gone, or it is new and the list will have it soon.
+		case !known && b.weight >= minWeight/2:
 			c.Hosts = append(c.Hosts, b.Host)
-		case known && differs(me, own, b):
+		case known && overrides(local, own, b):
 			h := b.Host
 			h.Weight = own.Weight
 			c.Hosts = append(c.Hosts, h)
 		}
 	}
 	for _, a := range slices.Sorted(maps.Keys(health)) {
-		if h, ok := mix(health[a]); ok && !me.HasReports {
+		if h, ok := mergeHealth(health[a]); ok && !local.HasReports {
 			c.Health = append(c.Health, h)
 		}
 	}
@@ -230,51 +238,55 @@
 		return cmp.Or(cmp.Compare(x.Slice, y.Slice), cmp.Compare(x.Route, y.Route))
 	})
 	for _, k := range keys {
-		if s := demand[k]; s.weight >= least/4 {
-			c.Demand = append(c.Demand, Demand{k.Slice, k.Route, s.rate, s.lost, s.age})
+		if s := demand[k]; s.weight >= minWeight/4 {
+			c.Demand = append(c.Demand, Demand{k.Slice, k.Route, s.rate, s.unanswered, s.age})
 		}
 	}
 	return c
 }
 
+// claim is a peer's report of a host, with its weight.
 type claim struct {
 	Host
 	weight float64
 }
 
-type sum struct{ weight, rate, lost, age float64 }
+// weightedDemand is a peer's report of the demand for a slice, with its weight.
+type weightedDemand struct{ weight, rate, unanswered, age float64 }
 
-// stands says whether one claim on a host counts before another: a later birth, then the credible one that keeps away.
-func stands(a, b claim) bool {
+// outranks reports whether one claim on a host takes precedence over another. Between credible claims the later start
+// comes first, then the more severe state; otherwise the greater weight decides.
+func outranks(a, b claim) bool {
 	switch {
-	case a.StartedAt != b.StartedAt && min(a.weight, b.weight) >= least:
+	case a.StartedAt != b.StartedAt && min(a.weight, b.weight) >= minWeight:
 		return a.StartedAt > b.StartedAt
-	case a.State != b.State && min(a.weight, b.weight) >= least:
-		return worse[a.State] > worse[b.State]
+	case a.State != b.State && min(a.weight, b.weight) >= minWeight:
+		return severity[a.State] > severity[b.State]
 	}
 	return a.weight > b.weight
 }
 
-// differs says whether a donor's claim on a host is followed against what we hold of it.
-func differs(me Local, own Host, b claim) bool {
+// overrides reports whether a peer's claim on a host replaces the local state of the host.
+func overrides(local Local, own Host, b claim) bool {
 	switch {
-	case b.StartedAt > own.StartedAt && b.weight >= least:
-		return true // it has started anew since
+	case b.StartedAt > own.StartedAt && b.weight >= minWeight:
+		return true // it has restarted since
 	case b.StartedAt < own.StartedAt:
-		return false // the claim is on an earlier life
-	case worse[b.State] > worse[own.State]:
-		return b.weight >= least // to keep away for a while costs little, to send where it drains breaks a rule
-	case worse[b.State] < worse[own.State]:
-		return me.ListAge < 0 && b.weight >= least // ours is from before our start
+		return false // the claim predates the host's latest start
+	case severity[b.State] > severity[own.State]:
+		return b.weight >= minWeight // to avoid a host for a while costs little; to send to a draining one breaks a rule
+	case severity[b.State] < severity[own.State]:
+		return local.ListAge < 0 && b.weight >= minWeight // the local state predates this director's start
 	}
 	return false
 }
 
-// mix adds up what donors met at a host: each saw the calls of its own slices.
-func mix(all []claim) (Host, bool) {
+// mergeHealth adds up the tries that peers report for a host, each from the calls of its own slices. It reports whether
+// there is at least one.
+func mergeHealth(all []claim) (Host, bool) {
 	h := all[0].Host
 	s := Health{Load: map[string]float64{}}
-	whole, spent := 0.0, 0.0
+	answered, latencySum := 0.0, 0.0
 	for _, c := range all {
 		x := c.Health
 		if c.weight <= 0.05 || x.Finished <= 0 {
@@ -283,10 +295,10 @@
 		s.Finished += x.Finished * c.weight
 		s.Failed += min(x.Failed, x.Finished) * c.weight
 		good := max(0, x.Finished-x.Failed) * c.weight
-		spent, whole = spent+x.MeanLatency*good, whole+good
+		latencySum, answered = latencySum+x.MeanLatency*good, answered+good
 		s.Period = max(s.Period, x.Period)
 		for name, v := range x.Load {
-			if _, has := s.Load[name]; !has || c.weight > all[0].weight {
+			if _, found := s.Load[name]; !found || c.weight > all[0].weight {
 				s.Load[name] = v
 			}
 		}
@@ -294,21 +306,23 @@
 	if s.Finished < 1 {
 		return h, false
 	}
-	if whole > 0 {
-		s.MeanLatency = spent / whole
+	if answered > 0 {
+		s.MeanLatency = latencySum / answered
 	}
 	h.Health = &s
 	return h, true
 }
 
-// Due says whether to ask the others now. All spans are milliseconds: since the start, since the list was lost (below 0: it
-// was not), since slices came from others, and since they were asked last (below 0: never).
-func QueryDue(up, lost, given, asked float64) bool {
+// QueryDue reports whether to query the peers now. Its arguments are spans in milliseconds: uptime since the start,
+// discoveryLost since host discovery was lost (below 0: it was not), granted since slices were last taken over (below
+// 0: never), and queried since the last query (below 0: never). Queries are due every 400 ms up to an uptime of twice
+// minUptime and for 1.5 s after slices were taken over, and every 800 ms while discovery is lost.
+func QueryDue(uptime, discoveryLost, granted, queried float64) bool {
 	switch {
-	case asked >= 0 && asked < 400:
+	case queried >= 0 && queried < 400:
 		return false
-	case up < 2*youngDays || lost >= 0 && asked >= 800 || lost >= 0 && asked < 0:
+	case uptime < 2*minUptime || discoveryLost >= 0 && queried >= 800 || discoveryLost >= 0 && queried < 0:
 		return true
 	}
-	return given >= 0 && given < 1500
+	return granted >= 0 && granted < 1500
 }
