--- a/internal/control/held.go
+++ b/internal/control/held.go
@@ -104,7 +104,8 @@
 		if _, pinned := c.pinned[g.Slice]; !pinned && !alreadyOwned {
 			c.assignToModule(g.Slice, d.next)
 			if g.Record != nil && len(c.expected[g.Slice]) == 0 {
-				for _, x := range g.Record.Demand { // its age relies on another director's clock; an inexact age is better than no demand at all
+				// The age relies on the other director's clock. An inexact age is better than no demand at all.
+				for _, x := range g.Record.Demand {
 					x.Age += max(0, float64(now)-g.Record.At)
 					c.expected[g.Slice] = append(c.expected[g.Slice], expectedDemand{x, now})
 				}
