--- a/cmd/vetchwood/commands.go
+++ b/cmd/vetchwood/commands.go
@@ -58,9 +58,9 @@
 			return err
 		}
 		fmt.Fprintf(out, "%s: valid\n  relay %s listens on %s and follows %s\n", c.File, s.Name, s.Listen, strings.Join(s.Directors, ", "))
-		fmt.Fprintf(out, "  holds %d calls, %d more wait; %d at one host\n", s.Bounds.InHand, s.Bounds.Queue, s.Bounds.PerHost)
+		fmt.Fprintf(out, "  holds %d calls, %d more wait; %d at one host\n", s.Bounds.MaxInFlight, s.Bounds.MaxQueued, s.Bounds.MaxPerHost)
 		for _, r := range s.Routes {
-			fmt.Fprintf(out, "  route %-24s %s%s, mark %s\n", r.Route, r.Prefix, map[bool]string{true: ", any method"}[len(r.Methods) == 0], r.Mark)
+			fmt.Fprintf(out, "  route %-24s %s%s, mark %s\n", r.Route, r.Prefix, map[bool]string{true: ", any method"}[len(r.Methods) == 0], r.IdempotencyHeader)
 		}
 		return nil
 	}
--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -15,8 +15,8 @@
 }
 
 // ByShare and ByRate make levels; a share of 1 or more lets all in.
-func ByShare(share float64) Level { return Level{amount: share} }
-func ByRate(perSecond float64) Level {
+func NewShareLevel(share float64) Level { return Level{amount: share} }
+func NewRateLevel(perSecond float64) Level {
 	return Level{rate: true, amount: perSecond, tokens: max(1, perSecond*burst)}
 }
 
@@ -32,11 +32,11 @@
 }
 
 // Amount and ByRate are how much is let in, and how it is counted.
-func (l *Level) Amount() float64 { return l.amount }
-func (l *Level) ByRate() bool    { return l.rate }
+func (l *Level) Value() float64 { return l.amount }
+func (l *Level) IsRate() bool   { return l.rate }
 
 // In says whether a call is let in; chance is in [0,1).
-func (l *Level) In(now, chance float64) bool {
+func (l *Level) Admit(now, chance float64) bool {
 	if !l.rate {
 		return chance < l.amount
 	}
@@ -57,7 +57,7 @@
 }
 
 // Wait is how long a client that was throttled might stay away, in milliseconds.
-func (l *Level) Wait() float64 {
+func (l *Level) RetryAfter() float64 {
 	if l.rate && l.amount > 0 {
 		return max(1000, 1000/l.amount)
 	}
@@ -71,13 +71,13 @@
 type Verdict int
 
 const (
-	Run Verdict = iota
-	Wait
-	Refuse
+	Admitted Verdict = iota
+	Queued
+	Rejected
 )
 
 // Gate holds the calls in hand to a most, lets a bounded number wait by importance, and refuses the rest.
-type Gate struct {
+type Limiter struct {
 	most, queue int
 	running     int
 	waiting     line
@@ -111,34 +111,34 @@
 	return x
 }
 
-func NewGate(most, queue int) *Gate { return &Gate{most: most, queue: queue} }
+func NewLimiter(most, queue int) *Limiter { return &Limiter{most: most, queue: queue} }
 
 // Bind changes how much it holds.
-func (g *Gate) Bind(most, queue int) { g.most, g.queue = most, queue }
+func (g *Limiter) SetLimits(most, queue int) { g.most, g.queue = most, queue }
 
 // Come is a call that must begin by until. Where it takes the place of one that waits, that one is out.
-func (g *Gate) Come(t Ticket, importance, now, until float64) (v Verdict, out Ticket) {
+func (g *Limiter) Acquire(t Ticket, importance, now, until float64) (v Verdict, out Ticket) {
 	if g.running < g.most {
 		g.running++
-		return Run, 0
+		return Admitted, 0
 	}
 	if until <= now || g.queue == 0 {
-		return Refuse, 0
+		return Rejected, 0
 	}
 	if len(g.waiting) >= g.queue {
 		if g.waiting[0].importance >= importance {
-			return Refuse, 0
+			return Rejected, 0
 		}
 		out = heap.Pop(&g.waiting).(*waiter).ticket
 	}
 	g.serial++
 	heap.Push(&g.waiting, &waiter{ticket: t, importance: importance, until: until, serial: g.serial})
-	return Wait, out
+	return Queued, out
 }
 
 // End is the end of a call that ran. The most important that waits, and of those the first that came, runs next; those
 // whose client gives up before are out.
-func (g *Gate) End(now float64) (next Ticket, out []Ticket) {
+func (g *Limiter) Release(now float64) (next Ticket, out []Ticket) {
 	g.running--
 	for len(g.waiting) > 0 && g.running < g.most {
 		best := g.waiting[0]
@@ -158,7 +158,7 @@
 }
 
 // Leave takes one out that waits; false if it does not.
-func (g *Gate) Leave(t Ticket) bool {
+func (g *Limiter) Cancel(t Ticket) bool {
 	for _, w := range g.waiting {
 		if w.ticket == t {
 			heap.Remove(&g.waiting, w.at)
@@ -169,5 +169,5 @@
 }
 
 // Running and Waiting are how many there are.
-func (g *Gate) Running() int { return g.running }
-func (g *Gate) Waiting() int { return len(g.waiting) }
+func (g *Limiter) Running() int { return g.running }
+func (g *Limiter) Queued() int  { return len(g.waiting) }
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -10,23 +10,23 @@
 
 func TestSharesAndRates(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	share := ByShare(0.35)
+	share := NewShareLevel(0.35)
 	in := 0
 	for range 20000 {
-		if share.In(0, r.Float64()) {
+		if share.Admit(0, r.Float64()) {
 			in++
 		}
 	}
 	if d := math.Abs(float64(in)/20000 - 0.35); d > 0.017 { // five standard deviations
 		t.Errorf("a share of 0.35 let in %d of 20000", in)
 	}
-	if all, nothing := ByShare(1), ByShare(0); !all.In(0, 0.999999) || nothing.In(0, 0) {
+	if all, nothing := NewShareLevel(1), NewShareLevel(0); !all.Admit(0, 0.999999) || nothing.Admit(0, 0) {
 		t.Error("all or nothing is neither")
 	}
-	rate := ByRate(20)
+	rate := NewRateLevel(20)
 	in = 0
 	for ms := range 10000 {
-		if rate.In(float64(1000+ms), 0) {
+		if rate.Admit(float64(1000+ms), 0) {
 			in++
 		}
 	}
@@ -34,38 +34,38 @@
 		t.Errorf("20 a second let in %d in ten seconds", in)
 	}
 	rate.Set(0)
-	if rate.In(99999, 0) {
+	if rate.Admit(99999, 0) {
 		t.Error("a rate of 0 lets in")
 	}
 }
 
 func TestTheLeastImportantGoesFirst(t *testing.T) {
-	g := NewGate(1, 2)
+	g := NewLimiter(1, 2)
 	come := func(ticket Ticket, importance float64, want Verdict, out Ticket) {
 		t.Helper()
-		if v, o := g.Come(ticket, importance, 0, 100); v != want || o != out {
+		if v, o := g.Acquire(ticket, importance, 0, 100); v != want || o != out {
 			t.Fatalf("ticket %d: %d, out %d", ticket, v, o)
 		}
 	}
-	come(1, 1, Run, 0)
-	come(2, 1, Wait, 0)
-	come(3, 1, Wait, 0)
-	come(4, 1, Refuse, 0)
-	come(5, 3, Wait, 3) // the last of the least important
-	come(6, 3, Wait, 2)
-	come(7, 3, Refuse, 0)
-	if next, _ := g.End(10); next != 5 {
+	come(1, 1, Admitted, 0)
+	come(2, 1, Queued, 0)
+	come(3, 1, Queued, 0)
+	come(4, 1, Rejected, 0)
+	come(5, 3, Queued, 3) // the last of the least important
+	come(6, 3, Queued, 2)
+	come(7, 3, Rejected, 0)
+	if next, _ := g.Release(10); next != 5 {
 		t.Fatalf("%d runs next", next)
 	}
-	if next, out := g.End(200); next != 0 || len(out) != 1 || out[0] != 6 {
+	if next, out := g.Release(200); next != 0 || len(out) != 1 || out[0] != 6 {
 		t.Fatalf("%d runs though its client gave up, %v are out", next, out)
 	}
-	come(8, 1, Run, 0)
-	come(9, 1, Wait, 0)
-	if !g.Leave(9) || g.Leave(9) || g.Waiting() != 0 {
+	come(8, 1, Admitted, 0)
+	come(9, 1, Queued, 0)
+	if !g.Cancel(9) || g.Cancel(9) || g.Queued() != 0 {
 		t.Fatal("can't leave")
 	}
-	if v, _ := g.Come(10, 1, 50, 50); v != Refuse {
+	if v, _ := g.Acquire(10, 1, 50, 50); v != Rejected {
 		t.Fatal("waits for a client that has given up")
 	}
 }
@@ -75,7 +75,7 @@
 func TestTheGateHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most, queue := rapid.IntRange(1, 4).Draw(t, "most"), rapid.IntRange(0, 5).Draw(t, "queue")
-		g, now, serial := NewGate(most, queue), 0.0, Ticket(0)
+		g, now, serial := NewLimiter(most, queue), 0.0, Ticket(0)
 		waiting := map[Ticket][2]float64{}
 		running := 0
 		for range rapid.IntRange(1, 100).Draw(t, "events") {
@@ -83,7 +83,7 @@
 			if rapid.IntRange(0, 2).Draw(t, "what") > 0 || running == 0 {
 				serial++
 				importance, until := float64(rapid.IntRange(1, 3).Draw(t, "importance")), now+rapid.Float64Range(-5, 60).Draw(t, "until")
-				v, out := g.Come(serial, importance, now, until)
+				v, out := g.Acquire(serial, importance, now, until)
 				if out != 0 {
 					if waiting[out][0] >= importance {
 						t.Fatalf("%v gave way to %v", waiting[out], importance)
@@ -91,14 +91,14 @@
 					delete(waiting, out)
 				}
 				switch v {
-				case Run:
+				case Admitted:
 					running++
-				case Wait:
+				case Queued:
 					waiting[serial] = [2]float64{importance, until}
 				}
 			} else {
 				running--
-				next, out := g.End(now)
+				next, out := g.Release(now)
 				for _, o := range out {
 					if waiting[o][1] > now {
 						t.Fatalf("%v is out at %v", waiting[o], now)
@@ -117,8 +117,8 @@
 					t.Fatalf("%d wait and none runs", len(waiting))
 				}
 			}
-			if g.Running() != running || running > most || g.Waiting() != len(waiting) || len(waiting) > queue {
-				t.Fatalf("%d run of %d, %d wait of %d; %d and %d", running, most, len(waiting), queue, g.Running(), g.Waiting())
+			if g.Running() != running || running > most || g.Queued() != len(waiting) || len(waiting) > queue {
+				t.Fatalf("%d run of %d, %d wait of %d; %d and %d", running, most, len(waiting), queue, g.Running(), g.Queued())
 			}
 		}
 	})
--- a/internal/again/again.go
+++ b/internal/again/again.go
@@ -5,48 +5,48 @@
 import "math"
 
 // Fate is what is known of a try that failed.
-type Fate int
+type Execution int
 
 const (
-	NeverRan Fate = iota // no byte of it reached the host
+	NeverRan Execution = iota // no byte of it reached the host
 	MayHaveRun
 )
 
 // Repeat and Reach are the route's, as documents spell them.
 const (
-	Repeatable = "repeatable"
-	Keyed      = "keyed"
-	Mutating   = "mutating"
+	Idempotent      = "repeatable"
+	IdempotentByKey = "keyed"
+	NonIdempotent   = "mutating"
 
-	All  = "all"
-	Zone = "zone"
-	Cell = "cell"
+	DedupAll  = "all"
+	DedupZone = "zone"
+	DedupCell = "cell"
 )
 
 // Route is what the tables say of one.
 type Route struct {
-	Repeat, Reach string
-	Span          float64 // milliseconds that hosts know a keyed call again
-	SLO           float64
-	TryWait       float64 // of the SLO time
+	Idempotency, DedupScope string
+	DedupWindow             float64 // milliseconds that hosts know a keyed call again
+	SLO                     float64
+	TryTimeoutShare         float64 // of the SLO time
 }
 
 // Place is where a host stands.
-type Place struct{ Zone, Cell string }
+type Location struct{ Zone, Cell string }
 
 // Call is one in hand. Times are milliseconds of one clock.
-type Call struct {
+type State struct {
 	route Route
 	tries int // as ordered
 	until float64
 	made  int
-	ran   []Place // hosts at which it may have run
-	since float64 // when the first of those was sent
+	ran   []Location // hosts at which it may have run
+	since float64    // when the first of those was sent
 }
 
 // Begin is a call that must end by until; tries is how further tries were ordered.
-func Begin(route Route, tries int, until float64) Call {
-	return Call{route: route, tries: tries, until: until}
+func NewState(route Route, tries int, until float64) State {
+	return State{route: route, tries: tries, until: until}
 }
 
 // most is how many tries in all each order means.
@@ -61,18 +61,20 @@
 }
 
 // Wait is when the try that begins now must end: a try that another may follow waits no longer than ordered.
-func (c *Call) Wait(now float64) float64 {
+func (c *State) TryDeadline(now float64) float64 {
 	if c.tries >= 2 && c.made < most(c.tries)-1 && c.repeats() {
-		return min(c.until, now+c.route.TryWait*c.route.SLO)
+		return min(c.until, now+c.route.TryTimeoutShare*c.route.SLO)
 	}
 	return c.until
 }
 
 // repeats says whether a try that may have run can be followed by another at all.
-func (c *Call) repeats() bool { return c.route.Repeat == Repeatable || c.route.Repeat == Keyed }
+func (c *State) repeats() bool {
+	return c.route.Idempotency == Idempotent || c.route.Idempotency == IdempotentByKey
+}
 
 // Failed tells how a try ended that began at sent.
-func (c *Call) Failed(fate Fate, at Place, sent float64) {
+func (c *State) RecordFailure(fate Execution, at Location, sent float64) {
 	c.made++
 	if fate == MayHaveRun {
 		if len(c.ran) == 0 {
@@ -86,45 +88,45 @@
 type Verdict string
 
 const (
-	Goes       Verdict = "goes"
-	NotOrdered Verdict = "not ordered"
+	Retry      Verdict = "goes"
+	NotAllowed Verdict = "not ordered"
 	Unsafe     Verdict = "might take effect twice"
 	TooLate    Verdict = "could not end in time"
 	NoBudget   Verdict = "no budget"
-	Nowhere    Verdict = "no other line" // said by whoever picks
+	NoLine     Verdict = "no other line" // said by whoever picks
 )
 
 // Next says whether another try may be made now. Usual is how long answers of the route take, 0 if not known.
-func (c *Call) Next(now, usual float64, b *Budget) Verdict {
+func (c *State) Decide(now, usual float64, b *Budget) Verdict {
 	switch {
 	case c.made >= most(c.tries):
-		return NotOrdered
+		return NotAllowed
 	case c.tries < 2 && len(c.ran) > 0:
-		return NotOrdered
-	case len(c.ran) > 0 && !c.repeats(), len(c.ran) > 0 && c.route.Repeat == Keyed && now-c.since >= c.route.Span:
+		return NotAllowed
+	case len(c.ran) > 0 && !c.repeats(), len(c.ran) > 0 && c.route.Idempotency == IdempotentByKey && now-c.since >= c.route.DedupWindow:
 		return Unsafe
 	case now+usual >= c.until:
 		return TooLate
 	case !b.take(now):
 		return NoBudget
 	}
-	return Goes
+	return Retry
 }
 
 // Among says whether the next try may go to a host: a keyed call that may have run goes only to those who would
 // know it again, whichever of the earlier tries it was that ran.
-func (c *Call) Among(at Place) bool {
-	if c.route.Repeat != Keyed {
+func (c *State) Allows(at Location) bool {
+	if c.route.Idempotency != IdempotentByKey {
 		return true
 	}
 	for _, p := range c.ran {
-		switch c.route.Reach {
-		case All:
-		case Zone:
+		switch c.route.DedupScope {
+		case DedupAll:
+		case DedupZone:
 			if p.Zone != at.Zone {
 				return false
 			}
-		case Cell:
+		case DedupCell:
 			if p.Cell != at.Cell || at.Cell == "" {
 				return false
 			}
@@ -136,9 +138,9 @@
 }
 
 // Arrives bounds when the next try must reach its host, so that the host still knows the first.
-func (c *Call) Arrives() float64 {
-	if c.route.Repeat == Keyed && len(c.ran) > 0 {
-		return c.since + c.route.Span
+func (c *State) ArriveBy() float64 {
+	if c.route.Idempotency == IdempotentByKey && len(c.ran) > 0 {
+		return c.since + c.route.DedupWindow
 	}
 	return math.Inf(1)
 }
@@ -162,7 +164,7 @@
 }
 
 // NoLimit is a budget that never ends: the plain way, to measure against.
-func NoLimit() *Budget { return &Budget{off: true} }
+func NewUnlimitedBudget() *Budget { return &Budget{off: true} }
 
 func (b *Budget) flow(now float64) {
 	if now > b.at {
@@ -174,7 +176,7 @@
 }
 
 // First tells of a first try.
-func (b *Budget) First(now float64) {
+func (b *Budget) RecordFirstTry(now float64) {
 	b.flow(now)
 	b.tokens = min(b.most, b.tokens+b.share)
 }
--- a/internal/avoid/avoid.go
+++ b/internal/avoid/avoid.go
@@ -20,15 +20,15 @@
 }
 
 // View is one proxy's.
-type View[K comparable] struct {
+type Detector[K comparable] struct {
 	after int // failures in a row; 0: never avoids
 	hosts map[K]*host
 }
 
-func New[K comparable](after int) *View[K] { return &View[K]{after, map[K]*host{}} }
+func New[K comparable](after int) *Detector[K] { return &Detector[K]{after, map[K]*host{}} }
 
 // After sets how many failures in a row count; 0: none do.
-func (v *View[K]) After(n int) {
+func (v *Detector[K]) SetThreshold(n int) {
 	if v.after = n; n == 0 {
 		clear(v.hosts)
 	}
@@ -36,20 +36,20 @@
 
 // Open says whether a try may go to a host. One whose span is over gets one try, and more once that was answered.
 // A try that never ends must not keep a host shut: after the longest span it counts as lost.
-func (v *View[K]) Open(k K, now float64) bool {
+func (v *Detector[K]) Available(k K, now float64) bool {
 	h := v.hosts[k]
 	return h == nil || h.until == 0 || now >= h.until && (!h.probing || now-h.since > longest)
 }
 
 // Begin tells of a try.
-func (v *View[K]) Begin(k K, now float64) {
+func (v *Detector[K]) TryStarted(k K, now float64) {
 	if h := v.hosts[k]; h != nil && h.until > 0 && now >= h.until {
 		h.probing, h.since = true, now
 	}
 }
 
 // End tells how a try ended; chance is in [0,1).
-func (v *View[K]) End(k K, good bool, now, chance float64) (shut bool) {
+func (v *Detector[K]) TryEnded(k K, good bool, now, chance float64) (shut bool) {
 	h := v.hosts[k]
 	if good {
 		if h != nil {
@@ -81,14 +81,14 @@
 }
 
 // Unended tells that a try ended without a word on the host, given up by its client.
-func (v *View[K]) Unended(k K) {
+func (v *Detector[K]) TryCanceled(k K) {
 	if h := v.hosts[k]; h != nil {
 		h.probing = false
 	}
 }
 
 // Until is when a host comes back; of hosts that are all avoided the first to come back is the least bad.
-func (v *View[K]) Until(k K) float64 {
+func (v *Detector[K]) EjectedUntil(k K) float64 {
 	if h := v.hosts[k]; h != nil {
 		return h.until
 	}
@@ -96,7 +96,7 @@
 }
 
 // Keep forgets the hosts that no table names any more.
-func (v *View[K]) Keep(named func(K) bool) {
+func (v *Detector[K]) Retain(named func(K) bool) {
 	for k := range v.hosts {
 		if !named(k) {
 			delete(v.hosts, k)
@@ -105,9 +105,9 @@
 }
 
 // Shut is how many hosts are avoided now.
-func (v *View[K]) Shut(now float64) (n int) {
+func (v *Detector[K]) EjectedCount(now float64) (n int) {
 	for k := range v.hosts {
-		if !v.Open(k, now) {
+		if !v.Available(k, now) {
 			n++
 		}
 	}
--- a/internal/avoid/avoid_test.go
+++ b/internal/avoid/avoid_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-func fail(v *View[string], n int, now float64) (shut bool) {
+func fail(v *Detector[string], n int, now float64) (shut bool) {
 	for range n {
-		v.Begin("h", now)
-		shut = v.End("h", false, now, 0.5)
+		v.TryStarted("h", now)
+		shut = v.TryEnded("h", false, now, 0.5)
 	}
 	return shut
 }
@@ -13,16 +13,16 @@
 func TestARunOfFailuresShutsAHost(t *testing.T) {
 	v := New[string](3)
 	fail(v, 2, 0)
-	v.End("h", true, 0, 0) // a good answer ends the run
-	if fail(v, 2, 0) || !v.Open("h", 0) {
+	v.TryEnded("h", true, 0, 0) // a good answer ends the run
+	if fail(v, 2, 0) || !v.Available("h", 0) {
 		t.Fatal("shut after two in a row of three")
 	}
-	if !fail(v, 1, 0) || v.Open("h", 2999) || v.Shut(1) != 1 {
+	if !fail(v, 1, 0) || v.Available("h", 2999) || v.EjectedCount(1) != 1 {
 		t.Fatal("not shut after three in a row")
 	}
-	v.End("h", false, 100, 0.5) // a try begun before
-	if v.Open("h", 2999) || !v.Open("h", 3000) {
-		t.Fatalf("until %v", v.Until("h"))
+	v.TryEnded("h", false, 100, 0.5) // a try begun before
+	if v.Available("h", 2999) || !v.Available("h", 3000) {
+		t.Fatalf("until %v", v.EjectedUntil("h"))
 	}
 }
 
@@ -30,17 +30,17 @@
 func TestOneTryProbes(t *testing.T) {
 	v := New[string](3)
 	fail(v, 3, 0)
-	v.Begin("h", 3000)
-	if v.Open("h", 3000) {
+	v.TryStarted("h", 3000)
+	if v.Available("h", 3000) {
 		t.Fatal("a second try while the first probes")
 	}
-	v.End("h", false, 3500, 0.5)
-	if v.Open("h", 9000) || !v.Open("h", 9500) {
-		t.Fatalf("the second span is not twice the first: until %v", v.Until("h"))
+	v.TryEnded("h", false, 3500, 0.5)
+	if v.Available("h", 9000) || !v.Available("h", 9500) {
+		t.Fatalf("the second span is not twice the first: until %v", v.EjectedUntil("h"))
 	}
-	v.Begin("h", 9500)
-	v.End("h", true, 9600, 0)
-	if !v.Open("h", 9600) || fail(v, 2, 9600) {
+	v.TryStarted("h", 9500)
+	v.TryEnded("h", true, 9600, 0)
+	if !v.Available("h", 9600) || fail(v, 2, 9600) {
 		t.Fatal("a good answer does not open it whole")
 	}
 }
@@ -49,13 +49,13 @@
 func TestALostProbe(t *testing.T) {
 	v := New[string](1)
 	fail(v, 1, 0)
-	v.Begin("h", 3000)
-	v.Unended("h")
-	if !v.Open("h", 3001) {
+	v.TryStarted("h", 3000)
+	v.TryCanceled("h")
+	if !v.Available("h", 3001) {
 		t.Fatal("shut by a probe whose client gave up")
 	}
-	v.Begin("h", 3001)
-	if v.Open("h", 20000) || !v.Open("h", 30000) {
+	v.TryStarted("h", 3001)
+	if v.Available("h", 20000) || !v.Available("h", 30000) {
 		t.Fatal("shut for ever by a probe that never ends")
 	}
 }
@@ -65,17 +65,17 @@
 	now := 0.0
 	for range 20 {
 		fail(v, 1, now)
-		if next := v.Until("h"); next-now > longest*1.3 {
+		if next := v.EjectedUntil("h"); next-now > longest*1.3 {
 			t.Fatalf("a span of %v", next-now)
 		}
-		now = v.Until("h")
+		now = v.EjectedUntil("h")
 	}
-	v.Keep(func(string) bool { return false })
-	if !v.Open("h", 0) {
+	v.Retain(func(string) bool { return false })
+	if !v.Available("h", 0) {
 		t.Fatal("remembers what no table names")
 	}
 	never := New[string](0)
-	if fail(never, 100, 0) || !never.Open("h", 0) {
+	if fail(never, 100, 0) || !never.Available("h", 0) {
 		t.Fatal("avoids though the tables say never")
 	}
 }
--- a/internal/carry/mind.go
+++ b/internal/carry/mind.go
@@ -21,36 +21,36 @@
 )
 
 // Bounds are what the proxy itself can hold.
-type Bounds struct {
-	Zone        string
-	InHand      int     // calls at a time, in all
-	Queue       int     // calls that may wait for that
-	PerHost     int     // calls at a time at one host
-	WaitsTables float64 // milliseconds that a call waits for a line
-	NoBudget    bool    // further tries without a limit: to measure against
+type Limits struct {
+	Zone             string
+	MaxInFlight      int     // calls at a time, in all
+	MaxQueued        int     // calls that may wait for that
+	MaxPerHost       int     // calls at a time at one host
+	TableWaitMs      float64 // milliseconds that a call waits for a line
+	UnlimitedRetries bool    // further tries without a limit: to measure against
 }
 
 // Mind is one proxy's. It is owned by one goroutine at a time.
-type Mind struct {
-	bounds  Bounds
-	chance  pick.Chance
+type Dispatcher struct {
+	bounds  Limits
+	chance  pick.RandFunc
 	doc     *tables.Document
 	ranges  []part
 	tables  map[string]*table
 	routes  map[string]*route
 	hosts   map[tables.Address]*host
-	avoid   *avoid.View[tables.Address]
-	gate    *admit.Gate
+	avoid   *avoid.Detector[tables.Address]
+	gate    *admit.Limiter
 	budget  *again.Budget
 	tallies []*tally.Tally // by director, in the order of the proxy's list
 	birth   string
 	levels  map[levelOf]*admit.Level
-	counts  Counts
+	counts  Counters
 }
 
 // Counts are for metrics.
-type Counts struct {
-	Calls, Throttled, Refused, Bare, Tries, Further, Shut uint64
+type Counters struct {
+	Calls, Throttled, Rejected, NoLine, Tries, Retries, Ejections uint64
 }
 
 // part is a range of hashes and its table.
@@ -78,7 +78,7 @@
 
 type lines struct {
 	hosts []tables.Address
-	pick  *pick.Lines
+	pick  *pick.Picker
 }
 
 type route struct {
@@ -87,19 +87,19 @@
 }
 
 type host struct {
-	place  again.Place
+	place  again.Location
 	inHand int
 }
 
 // usualShare is the weight of a new answer in the mean of a route.
 const usualShare = 0.05
 
-func New(bounds Bounds, birth string, chance pick.Chance) *Mind {
-	m := &Mind{bounds: bounds, chance: chance, tables: map[string]*table{}, routes: map[string]*route{},
-		hosts: map[tables.Address]*host{}, avoid: avoid.New[tables.Address](0), gate: admit.NewGate(bounds.InHand, bounds.Queue),
+func New(bounds Limits, birth string, chance pick.RandFunc) *Dispatcher {
+	m := &Dispatcher{bounds: bounds, chance: chance, tables: map[string]*table{}, routes: map[string]*route{},
+		hosts: map[tables.Address]*host{}, avoid: avoid.New[tables.Address](0), gate: admit.NewLimiter(bounds.MaxInFlight, bounds.MaxQueued),
 		budget: again.NewBudget(), birth: birth, levels: map[levelOf]*admit.Level{}}
-	if bounds.NoBudget {
-		m.budget = again.NoLimit()
+	if bounds.UnlimitedRetries {
+		m.budget = again.NewUnlimitedBudget()
 	}
 	return m
 }
@@ -109,21 +109,21 @@
 	if by == "none" {
 		to = 1
 	}
-	if was != nil && was.ByRate() == (by == "rate") {
+	if was != nil && was.IsRate() == (by == "rate") {
 		was.Set(to)
 		return was
 	}
-	l := admit.ByShare(to)
+	l := admit.NewShareLevel(to)
 	if by == "rate" {
-		l = admit.ByRate(to)
+		l = admit.NewRateLevel(to)
 	}
 	return &l
 }
 
 // Follow takes a new document. What is known of hosts that it still names is kept.
-func (m *Mind) Follow(d *tables.Document) {
+func (m *Dispatcher) SetDocument(d *tables.Document) {
 	m.doc = d
-	m.avoid.After(d.Ejects)
+	m.avoid.SetThreshold(d.Ejects)
 	for name := range m.routes {
 		if _, stays := d.Routes[name]; !stays {
 			delete(m.routes, name)
@@ -166,19 +166,19 @@
 			named[a] = true
 		}
 	}
-	m.avoid.Keep(func(a tables.Address) bool { return named[a] })
+	m.avoid.Retain(func(a tables.Address) bool { return named[a] })
 	for a, h := range m.hosts {
 		if !named[a] && h.inHand == 0 {
 			delete(m.hosts, a)
 		}
 	}
 	for a, h := range d.Hosts {
-		m.host(a).place = again.Place{Zone: h.Zone, Cell: h.Cell}
+		m.host(a).place = again.Location{Zone: h.Zone, Cell: h.Cell}
 	}
 }
 
 // relevel takes the levels of routes from one director's document.
-func (m *Mind) relevel(d *tables.Document, from int) {
+func (m *Dispatcher) relevel(d *tables.Document, from int) {
 	for name, r := range d.Routes {
 		k := levelOf{from, name}
 		m.levels[k] = levelled(m.levels[k], d.LevelsBy, r.Level.Level)
@@ -186,7 +186,7 @@
 }
 
 // level is that of a call's route where its table is from, and what is ordered beside it.
-func (m *Mind) level(c *Call, r *route) (*admit.Level, tables.Level) {
+func (m *Dispatcher) level(c *Call, r *route) (*admit.Level, tables.Level) {
 	if c.table != nil {
 		if own, known := c.table.doc.Routes[c.Route]; known {
 			return m.levels[levelOf{c.table.from, c.Route}], own.Level
@@ -195,7 +195,7 @@
 	return m.levels[levelOf{0, c.Route}], r.Level
 }
 
-func (m *Mind) host(a tables.Address) *host {
+func (m *Dispatcher) host(a tables.Address) *host {
 	h := m.hosts[a]
 	if h == nil {
 		h = &host{}
@@ -205,60 +205,60 @@
 }
 
 // Bind changes what the proxy can hold. More than that may be in hand for a while.
-func (m *Mind) Bind(b Bounds) {
+func (m *Dispatcher) SetLimits(b Limits) {
 	m.bounds = b
-	m.gate.Bind(b.InHand, b.Queue)
+	m.gate.SetLimits(b.MaxInFlight, b.MaxQueued)
 }
 
 // Held is the document in force.
-func (m *Mind) Held() *tables.Document { return m.doc }
+func (m *Dispatcher) Document() *tables.Document { return m.doc }
 
 // Call is one in hand. It belongs to the mind; the shell keeps it between the steps.
 type Call struct {
-	Route, Key string
-	Marked     bool // it bears a mark against repeats, without which a keyed call is not known again
-	Ticket     admit.Ticket
-	Until      float64 // its time limit
-	Importance float64
-	route      *route
-	table      *table
-	retry      again.Call
-	level      tables.Level
-	tried      []tables.Address
-	host       tables.Address
-	sent       float64
-	began      float64
-	gated      bool
-	counted    bool
+	Route, Key        string
+	HasIdempotencyKey bool // it bears a mark against repeats, without which a keyed call is not known again
+	Ticket            admit.Ticket
+	Deadline          float64 // its time limit
+	Importance        float64
+	route             *route
+	table             *table
+	retry             again.State
+	level             tables.Level
+	tried             []tables.Address
+	host              tables.Address
+	sent              float64
+	began             float64
+	gated             bool
+	counted           bool
 }
 
 // Outcome of asking.
 type Outcome int
 
 const (
-	Go        Outcome = iota
-	Throttled         // by a level
-	Full              // the proxy holds as much as it may
-	Queued            // it waits for its turn
-	NoTable           // no line yet; it may wait a little and ask again
-	NoRoute           // the tables know no such route
-	Over              // its time limit has passed
+	Proceed          Outcome = iota
+	Throttled                // by a level
+	AtCapacity               // the proxy holds as much as it may
+	Queued                   // it waits for its turn
+	NoLine                   // no line yet; it may wait a little and ask again
+	NoRoute                  // the tables know no such route
+	DeadlineExceeded         // its time limit has passed
 )
 
 // Come is a call that has just come. Out is a call that gives up its place in the queue for it.
-func (m *Mind) Come(c *Call, now float64) (o Outcome, out admit.Ticket) {
+func (m *Dispatcher) Admit(c *Call, now float64) (o Outcome, out admit.Ticket) {
 	m.counts.Calls++
 	c.began = now
 	if m.doc == nil {
-		return NoTable, 0
+		return NoLine, 0
 	}
 	r := m.routes[c.Route]
 	if r == nil {
 		return NoRoute, 0
 	}
 	c.Importance = r.Importance
-	if c.Until == 0 {
-		c.Until = now + r.TimeLimitMs
+	if c.Deadline == 0 {
+		c.Deadline = now + r.TimeLimitMs
 	}
 	m.find(c, r)
 	if !c.counted && (c.table != nil || len(m.ranges) == 0) {
@@ -270,41 +270,41 @@
 	if c.table != nil {
 		// The lower level wins, and the table's own way of trying again.
 		if own := c.table.levels[c.Route]; own != nil {
-			if c.level.Tries = c.table.tries[c.Route]; own.Amount() < gate.Amount() {
+			if c.level.Tries = c.table.tries[c.Route]; own.Value() < gate.Value() {
 				gate = own
 			}
 		}
 	}
-	if !gate.In(now, m.chance()) {
+	if !gate.Admit(now, m.chance()) {
 		m.counts.Throttled++
 		return Throttled, 0
 	}
-	switch v, out := m.gate.Come(c.Ticket, c.Importance, now, c.Until); v {
-	case admit.Wait:
+	switch v, out := m.gate.Acquire(c.Ticket, c.Importance, now, c.Deadline); v {
+	case admit.Queued:
 		return Queued, out
-	case admit.Refuse:
-		m.counts.Refused++
-		return Full, 0
+	case admit.Rejected:
+		m.counts.Rejected++
+		return AtCapacity, 0
 	}
 	c.gated = true
-	m.budget.First(now)
-	return Go, 0
+	m.budget.RecordFirstTry(now)
+	return Proceed, 0
 }
 
 // Turn is a queued call's.
-func (m *Mind) Turn(c *Call, now float64) {
+func (m *Dispatcher) Dequeued(c *Call, now float64) {
 	c.gated = true
-	m.budget.First(now)
+	m.budget.RecordFirstTry(now)
 }
 
 // GiveUp takes a queued call out of the queue; false if it has its turn already.
-func (m *Mind) GiveUp(c *Call) bool { return m.gate.Leave(c.Ticket) }
+func (m *Dispatcher) CancelQueued(c *Call) bool { return m.gate.Cancel(c.Ticket) }
 
 // Wait says how long a throttled client might stay away, in milliseconds.
-func (m *Mind) Wait(c *Call) float64 {
+func (m *Dispatcher) RetryAfter(c *Call) float64 {
 	if r := m.routes[c.Route]; r != nil {
 		l, _ := m.level(c, r)
-		return l.Wait()
+		return l.RetryAfter()
 	}
 	return 1000
 }
@@ -326,7 +326,7 @@
 // Table is the name of the call's table, and Version is not kept: the tables of now hold for each try.
 func (c *Call) Table() string { return c.name() }
 
-func (m *Mind) find(c *Call, r *route) {
+func (m *Dispatcher) find(c *Call, r *route) {
 	c.route, c.table = r, nil
 	if len(m.ranges) > 0 {
 		h := xxhash.Sum64String(c.Key) >> 32
@@ -343,7 +343,7 @@
 }
 
 // of gives the lines of a table that are not masked, in the zone that a route keeps to.
-func (m *Mind) lines(t *table, zone string) *lines {
+func (m *Dispatcher) lines(t *table, zone string) *lines {
 	if l := t.lines[zone]; l != nil {
 		return l
 	}
@@ -354,7 +354,7 @@
 			l.hosts, weights = append(l.hosts, a), append(weights, t.of.Lines[a])
 		}
 	}
-	way := map[string]pick.Way{"wheel": pick.ByWheel, "pair": pick.Pair}[m.doc.Pick]
+	way := map[string]pick.Policy{"wheel": pick.RoundRobin, "pair": pick.TwoChoices}[m.doc.Pick]
 	l.pick = pick.New(way, weights, m.chance)
 	t.lines[zone] = l
 	return l
@@ -362,17 +362,17 @@
 
 // Try is where a call goes next, and until when it may wait there.
 type Try struct {
-	Host  tables.Address
-	Until float64
-	Sent  float64 // it must reach the host by then, which would not know an earlier try again
-	Nth   int
-	Least bool // every line was avoided: this is the least bad of them
+	Host       tables.Address
+	Deadline   float64
+	ArriveBy   float64 // it must reach the host by then, which would not know an earlier try again
+	Number     int
+	LastResort bool // every line was avoided: this is the least bad of them
 }
 
 // First chooses the line of the first try.
-func (m *Mind) First(c *Call, now float64) (Try, Outcome) {
-	if now >= c.Until {
-		return Try{}, Over
+func (m *Dispatcher) FirstTry(c *Call, now float64) (Try, Outcome) {
+	if now >= c.Deadline {
+		return Try{}, DeadlineExceeded
 	}
 	r := m.routes[c.Route]
 	if r == nil {
@@ -380,17 +380,17 @@
 	}
 	m.find(c, r) // the tables may be others than when it came
 	repeat := r.Repeat
-	if repeat == again.Keyed && !c.Marked {
-		repeat = again.Mutating
+	if repeat == again.IdempotentByKey && !c.HasIdempotencyKey {
+		repeat = again.NonIdempotent
 	}
-	c.retry = again.Begin(again.Route{Repeat: repeat, Reach: r.Reach, Span: r.SpanMs, SLO: r.SLOMs, TryWait: m.doc.TryWait},
-		c.level.Tries, c.Until)
+	c.retry = again.NewState(again.Route{Idempotency: repeat, DedupScope: r.Reach, DedupWindow: r.SpanMs, SLO: r.SLOMs, TryTimeoutShare: m.doc.TryWait},
+		c.level.Tries, c.Deadline)
 	return m.choose(c, now)
 }
 
-func (m *Mind) choose(c *Call, now float64) (t Try, o Outcome) {
+func (m *Dispatcher) choose(c *Call, now float64) (t Try, o Outcome) {
 	if c.table == nil {
-		return t, NoTable
+		return t, NoLine
 	}
 	zone := ""
 	if c.route.OwnZone {
@@ -399,49 +399,49 @@
 	l := m.lines(c.table, zone)
 	may := func(i int) bool {
 		a := l.hosts[i]
-		return !slices.Contains(c.tried, a) && m.host(a).inHand < m.bounds.PerHost && c.retry.Among(m.host(a).place)
+		return !slices.Contains(c.tried, a) && m.host(a).inHand < m.bounds.MaxPerHost && c.retry.Allows(m.host(a).place)
 	}
-	open := func(i int) bool { return may(i) && m.avoid.Open(l.hosts[i], now) }
+	open := func(i int) bool { return may(i) && m.avoid.Available(l.hosts[i], now) }
 	at := l.pick.Pick(m.chance, open, func(i int) int { return m.host(l.hosts[i]).inHand })
 	if at < 0 && len(c.tried) == 0 {
 		// All are avoided or full: a table's lines are all there is, and the least bad answers more than none.
 		best := math.Inf(1)
 		for i, a := range l.hosts {
-			if until := m.avoid.Until(a); may(i) && until < best {
-				at, best, t.Least = i, until, true
+			if until := m.avoid.EjectedUntil(a); may(i) && until < best {
+				at, best, t.LastResort = i, until, true
 			}
 		}
 	}
 	if at < 0 {
 		if l.pick.Len() > 0 && len(c.tried) == 0 {
-			return t, Full
+			return t, AtCapacity
 		}
-		return t, NoTable
+		return t, NoLine
 	}
 	c.host, c.sent = l.hosts[at], now
-	t.Host, t.Until, t.Sent, t.Nth = c.host, c.retry.Wait(now), c.retry.Arrives(), len(c.tried)+1
+	t.Host, t.Deadline, t.ArriveBy, t.Number = c.host, c.retry.TryDeadline(now), c.retry.ArriveBy(), len(c.tried)+1
 	m.host(c.host).inHand++
-	m.avoid.Begin(c.host, now)
+	m.avoid.TryStarted(c.host, now)
 	m.counts.Tries++
-	return t, Go
+	return t, Proceed
 }
 
 // Failure is how a try ended without a good answer.
 type Failure int
 
 const (
-	NotSent   Failure = iota // no byte of it left
-	Unclear                  // no whole answer came
-	Busy                     // the host turned it away
-	Errored                  // the host answered that it failed
-	Abandoned                // its client gave up
+	NotSent     Failure = iota // no byte of it left
+	NoAnswer                   // no whole answer came
+	Rejected                   // the host turned it away
+	ServerError                // the host answered that it failed
+	Canceled                   // its client gave up
 )
 
 // Answered ends a try that was answered well.
-func (m *Mind) Answered(c *Call, now float64, load logic.Load) {
+func (m *Dispatcher) TrySucceeded(c *Call, now float64, load logic.Load) {
 	m.host(c.host).inHand--
 	took := now - c.sent
-	m.avoid.End(c.host, true, now, 0)
+	m.avoid.TryEnded(c.host, true, now, 0)
 	m.Tally(c.from()).Tried(c.Route, c.host, true, took, load)
 	if r := m.routes[c.Route]; r != nil {
 		if r.usual == 0 {
@@ -452,43 +452,43 @@
 }
 
 // Failed ends a try that was not, and says whether and where there is another.
-func (m *Mind) Failed(c *Call, f Failure, now float64, load logic.Load) (Try, again.Verdict) {
+func (m *Dispatcher) TryFailed(c *Call, f Failure, now float64, load logic.Load) (Try, again.Verdict) {
 	h := m.host(c.host)
 	h.inHand--
-	if f == Abandoned {
-		m.avoid.Unended(c.host)
+	if f == Canceled {
+		m.avoid.TryCanceled(c.host)
 		m.Tally(c.from()).Tried(c.Route, c.host, false, 0, load)
-		return Try{}, again.NotOrdered
+		return Try{}, again.NotAllowed
 	}
-	if m.avoid.End(c.host, false, now, m.chance()) {
-		m.counts.Shut++
+	if m.avoid.TryEnded(c.host, false, now, m.chance()) {
+		m.counts.Ejections++
 	}
 	m.Tally(c.from()).Tried(c.Route, c.host, false, 0, load)
 	fate := again.MayHaveRun
-	if f == NotSent || f == Busy && m.doc.FullIsProof {
+	if f == NotSent || f == Rejected && m.doc.FullIsProof {
 		fate = again.NeverRan
 	}
-	c.retry.Failed(fate, h.place, c.sent)
+	c.retry.RecordFailure(fate, h.place, c.sent)
 	c.tried = append(c.tried, c.host)
 	r := m.routes[c.Route]
 	if r == nil {
-		return Try{}, again.NotOrdered
+		return Try{}, again.NotAllowed
 	}
-	if v := c.retry.Next(now, r.usual, m.budget); v != again.Goes {
+	if v := c.retry.Decide(now, r.usual, m.budget); v != again.Retry {
 		return Try{}, v
 	}
 	m.find(c, r)
 	t, o := m.choose(c, now)
-	if o != Go {
-		return Try{}, again.Nowhere
+	if o != Proceed {
+		return Try{}, again.NoLine
 	}
-	t.Until = min(t.Until, c.Until)
-	m.counts.Further++
-	return t, again.Goes
+	t.Deadline = min(t.Deadline, c.Deadline)
+	m.counts.Retries++
+	return t, again.Retry
 }
 
 // Done ends a call. Next is a queued call whose turn it is, out those whose clients have given up.
-func (m *Mind) Done(c *Call, answered bool, now float64) (next admit.Ticket, out []admit.Ticket) {
+func (m *Dispatcher) EndCall(c *Call, answered bool, now float64) (next admit.Ticket, out []admit.Ticket) {
 	if !answered && c.counted && c.gated {
 		m.Tally(c.from()).Unanswered(c.Route, c.name())
 	}
@@ -496,14 +496,14 @@
 		return 0, nil
 	}
 	c.gated = false
-	return m.gate.End(now)
+	return m.gate.Release(now)
 }
 
 // Bare counts a call that found no line in time.
-func (m *Mind) Bare() { m.counts.Bare++ }
+func (m *Dispatcher) CountNoLine() { m.counts.NoLine++ }
 
 // Tally is what is to be reported to a director, by its place in the proxy's list.
-func (m *Mind) Tally(director int) *tally.Tally {
+func (m *Dispatcher) Tally(director int) *tally.Tally {
 	for len(m.tallies) <= director {
 		m.tallies = append(m.tallies, tally.New(m.birth))
 	}
@@ -511,11 +511,11 @@
 }
 
 // Counts and the rest are for metrics.
-func (m *Mind) Counts() Counts               { return m.counts }
-func (m *Mind) Load() (running, waiting int) { return m.gate.Running(), m.gate.Waiting() }
-func (m *Mind) Avoided(now float64) int      { return m.avoid.Shut(now) }
-func (m *Mind) WaitsTables() float64         { return m.bounds.WaitsTables }
-func (m *Mind) Route(name string) (r tables.Route, is bool) {
+func (m *Dispatcher) Counters() Counters                { return m.counts }
+func (m *Dispatcher) Occupancy() (running, waiting int) { return m.gate.Running(), m.gate.Queued() }
+func (m *Dispatcher) EjectedHosts(now float64) int      { return m.avoid.EjectedCount(now) }
+func (m *Dispatcher) TableWaitMs() float64              { return m.bounds.TableWaitMs }
+func (m *Dispatcher) Route(name string) (r tables.Route, is bool) {
 	if x := m.routes[name]; x != nil {
 		return x.Route, true
 	}
--- a/internal/carry/mind_test.go
+++ b/internal/carry/mind_test.go
@@ -32,19 +32,19 @@
 	return d.Seal(1, step, float64(step))
 }
 
-func mind(change func(*tables.Document)) *Mind {
-	m := New(Bounds{Zone: "y", InHand: 10, Queue: 2, PerHost: 3, WaitsTables: 100}, "b", rand.New(rand.NewPCG(1, 2)).Float64)
-	m.Follow(doc(1, change))
+func mind(change func(*tables.Document)) *Dispatcher {
+	m := New(Limits{Zone: "y", MaxInFlight: 10, MaxQueued: 2, MaxPerHost: 3, TableWaitMs: 100}, "b", rand.New(rand.NewPCG(1, 2)).Float64)
+	m.SetDocument(doc(1, change))
 	return m
 }
 
-func goes(t *testing.T, m *Mind, c *Call, now float64) Try {
+func goes(t *testing.T, m *Dispatcher, c *Call, now float64) Try {
 	t.Helper()
-	if o, _ := m.Come(c, now); o != Go {
+	if o, _ := m.Admit(c, now); o != Proceed {
 		t.Fatalf("comes: %s", o)
 	}
-	try, o := m.First(c, now)
-	if o != Go {
+	try, o := m.FirstTry(c, now)
+	if o != Proceed {
 		t.Fatalf("first try: %s", o)
 	}
 	return try
@@ -62,13 +62,13 @@
 		if try := goes(t, m, c, 0); string(try.Host) != fmt.Sprintf("h%d:1", tables.SliceOf(key, 4)) {
 			t.Fatalf("key %s of slice %d goes to %s", key, tables.SliceOf(key, 4), try.Host)
 		}
-		m.Answered(c, 1, logic.Load{})
-		m.Done(c, true, 1)
+		m.TrySucceeded(c, 1, logic.Load{})
+		m.EndCall(c, true, 1)
 	}
-	if o, _ := m.Come(&Call{Route: "sing"}, 0); o != NoRoute {
+	if o, _ := m.Admit(&Call{Route: "sing"}, 0); o != NoRoute {
 		t.Fatalf("an unknown route: %s", o)
 	}
-	if o, _ := New(Bounds{InHand: 1}, "b", nil).Come(&Call{Route: "read"}, 0); o != NoTable {
+	if o, _ := New(Limits{MaxInFlight: 1}, "b", nil).Admit(&Call{Route: "read"}, 0); o != NoLine {
 		t.Fatalf("without tables: %s", o)
 	}
 }
@@ -82,21 +82,21 @@
 	})
 	for i := range 100 {
 		for route, bad := range map[string][]tables.Address{"read": {"a:1"}, "note": {"a:1", "b:1"}} {
-			c := &Call{Route: route, Key: fmt.Sprint(i), Marked: true}
+			c := &Call{Route: route, Key: fmt.Sprint(i), HasIdempotencyKey: true}
 			try := goes(t, m, c, 0)
 			for _, b := range bad {
 				if try.Host == b {
 					t.Fatalf("%s goes to %s", route, b)
 				}
 			}
-			m.Answered(c, 1, logic.Load{})
-			m.Done(c, true, 1)
+			m.TrySucceeded(c, 1, logic.Load{})
+			m.EndCall(c, true, 1)
 		}
 	}
-	m.Follow(doc(2, func(d *tables.Document) { d.Masked = map[tables.Address]bool{"a:1": true, "b:1": true, "c:1": true} }))
+	m.SetDocument(doc(2, func(d *tables.Document) { d.Masked = map[tables.Address]bool{"a:1": true, "b:1": true, "c:1": true} }))
 	c := &Call{Route: "read", Key: "k"}
-	m.Come(c, 0)
-	if _, o := m.First(c, 0); o != NoTable {
+	m.Admit(c, 0)
+	if _, o := m.FirstTry(c, 0); o != NoLine {
 		t.Fatalf("all are masked: %s", o)
 	}
 }
@@ -108,30 +108,30 @@
 	for i := range 60 {
 		c := &Call{Route: "read", Key: "k"}
 		try := goes(t, m, c, float64(i))
-		if try.Least {
+		if try.LastResort {
 			least++
 		}
-		m.Failed(c, Unclear, float64(i), logic.Load{})
+		m.TryFailed(c, NoAnswer, float64(i), logic.Load{})
 		if c.tried[len(c.tried)-1] != c.host { // a further try is in hand
-			m.Failed(c, Unclear, float64(i), logic.Load{})
+			m.TryFailed(c, NoAnswer, float64(i), logic.Load{})
 		}
-		m.Done(c, false, float64(i))
+		m.EndCall(c, false, float64(i))
 	}
-	if m.Avoided(60) != 3 || least == 0 {
-		t.Fatalf("%d avoided, %d times the least bad", m.Avoided(60), least)
+	if m.EjectedHosts(60) != 3 || least == 0 {
+		t.Fatalf("%d avoided, %d times the least bad", m.EjectedHosts(60), least)
 	}
 }
 
 func TestAKeyedCallWithoutAMarkIsTriedOnce(t *testing.T) {
 	m := mind(nil)
-	for _, c := range []*Call{{Route: "note", Key: "k"}, {Route: "note", Key: "k", Marked: true}} {
+	for _, c := range []*Call{{Route: "note", Key: "k"}, {Route: "note", Key: "k", HasIdempotencyKey: true}} {
 		goes(t, m, c, 0)
 		first := c.host
-		next, why := m.Failed(c, Unclear, 100, logic.Load{})
+		next, why := m.TryFailed(c, NoAnswer, 100, logic.Load{})
 		switch {
-		case !c.Marked && why != again.Unsafe:
+		case !c.HasIdempotencyKey && why != again.Unsafe:
 			t.Errorf("without a mark: %s", why)
-		case c.Marked && first == "c:1" && why != again.Nowhere, c.Marked && first != "c:1" && (why != again.Goes || next.Host == "c:1" || next.Host == first):
+		case c.HasIdempotencyKey && first == "c:1" && why != again.NoLine, c.HasIdempotencyKey && first != "c:1" && (why != again.Retry || next.Host == "c:1" || next.Host == first):
 			t.Errorf("from %s to %s: %s", first, next.Host, why)
 		}
 	}
@@ -150,18 +150,18 @@
 		_ = i
 	}
 	c := &Call{Route: "read", Key: "k", Ticket: 50}
-	m.Come(c, 0)
-	if _, o := m.First(c, 0); o != Full {
+	m.Admit(c, 0)
+	if _, o := m.FirstTry(c, 0); o != AtCapacity {
 		t.Fatalf("all hosts are full: %s", o)
 	}
 	for ticket, importance := range []string{"read", "read", "note"} {
-		o, out := m.Come(&Call{Route: importance, Key: "k", Ticket: 60 + uint64Ticket(ticket)}, 0)
+		o, out := m.Admit(&Call{Route: importance, Key: "k", Ticket: 60 + uint64Ticket(ticket)}, 0)
 		if o != Queued || ticket == 2 && out != 61 {
 			t.Fatalf("%d: %s, %d is out", ticket, o, out)
 		}
 	}
-	m.Answered(calls[0], 5, logic.Load{})
-	if next, _ := m.Done(calls[0], true, 5); next != 62 {
+	m.TrySucceeded(calls[0], 5, logic.Load{})
+	if next, _ := m.EndCall(calls[0], true, 5); next != 62 {
 		t.Fatalf("%d goes next, not the important one", next)
 	}
 }
@@ -176,19 +176,19 @@
 	in, none := 0, 0
 	for i := range 2000 {
 		c := &Call{Route: "read", Key: fmt.Sprint(i)}
-		o, _ := m.Come(c, 0)
+		o, _ := m.Admit(c, 0)
 		if tables.SliceOf(c.Key, 4) == 0 && o != Throttled {
 			none++
 		}
-		if o == Go {
+		if o == Proceed {
 			in++
-			m.Done(c, false, 0)
+			m.EndCall(c, false, 0)
 		}
 	}
 	if none > 0 || in < 680 || in > 820 { // half of three quarters
 		t.Fatalf("%d let in, %d where the table lets none in", in, none)
 	}
-	m.Follow(doc(2, func(d *tables.Document) {
+	m.SetDocument(doc(2, func(d *tables.Document) {
 		d.LevelsBy = "rate"
 		r := d.Routes["read"]
 		r.Level.Level = 0.5
@@ -197,9 +197,9 @@
 	in = 0
 	for ms := range 20000 {
 		c := &Call{Route: "read", Key: "k"}
-		if o, _ := m.Come(c, float64(ms)); o == Go {
+		if o, _ := m.Admit(c, float64(ms)); o == Proceed {
 			in++
-			m.Done(c, false, float64(ms))
+			m.EndCall(c, false, float64(ms))
 		}
 	}
 	if in < 9 || in > 12 {
@@ -215,17 +215,17 @@
 		serial := uint64(0)
 		end := func(c *Call, answered bool) {
 			delete(live, uint64(c.Ticket))
-			next, out := m.Done(c, answered, now)
+			next, out := m.EndCall(c, answered, now)
 			for _, o := range out {
 				delete(queued, uint64(o))
 			}
 			if n := queued[uint64(next)]; next != 0 {
 				delete(queued, uint64(next))
-				m.Turn(n, now)
-				if _, o := m.First(n, now); o == Go {
+				m.Dequeued(n, now)
+				if _, o := m.FirstTry(n, now); o == Proceed {
 					live[uint64(next)] = n
 				} else {
-					m.Done(n, false, now)
+					m.EndCall(n, false, now)
 				}
 			}
 		}
@@ -242,14 +242,14 @@
 			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
 			case what < 3:
 				serial++
-				c := &Call{Route: rapid.SampledFrom([]string{"read", "note"}).Draw(t, "route"), Key: "k", Marked: true, Ticket: uint64Ticket(int(serial))}
-				o, out := m.Come(c, now)
+				c := &Call{Route: rapid.SampledFrom([]string{"read", "note"}).Draw(t, "route"), Key: "k", HasIdempotencyKey: true, Ticket: uint64Ticket(int(serial))}
+				o, out := m.Admit(c, now)
 				delete(queued, uint64(out))
 				switch o {
 				case Queued:
 					queued[serial] = c
-				case Go:
-					if _, o := m.First(c, now); o == Go {
+				case Proceed:
+					if _, o := m.FirstTry(c, now); o == Proceed {
 						live[serial] = c
 					} else {
 						end(c, false)
@@ -257,15 +257,15 @@
 				}
 			case what == 3 && one() != nil:
 				c := one()
-				m.Answered(c, now, logic.Load{})
+				m.TrySucceeded(c, now, logic.Load{})
 				end(c, true)
 			case what == 4 && one() != nil:
 				c := one()
-				if _, why := m.Failed(c, Failure(rapid.IntRange(0, 4).Draw(t, "failure")), now, logic.Load{}); why != again.Goes {
+				if _, why := m.TryFailed(c, Failure(rapid.IntRange(0, 4).Draw(t, "failure")), now, logic.Load{}); why != again.Retry {
 					end(c, false)
 				}
 			case what == 5:
-				m.Follow(doc(tables.Step(now+2), func(d *tables.Document) {
+				m.SetDocument(doc(tables.Step(now+2), func(d *tables.Document) {
 					if rapid.Bool().Draw(t, "fewer") {
 						for _, table := range d.Tables {
 							delete(table.Lines, "a:1")
@@ -281,7 +281,7 @@
 				}
 				held += h.inHand
 			}
-			if running, waiting := m.Load(); held != len(live) || waiting != len(queued) || running < len(live) || running > 10 {
+			if running, waiting := m.Occupancy(); held != len(live) || waiting != len(queued) || running < len(live) || running > 10 {
 				t.Fatalf("%d at hosts, %d live, %d running, %d waiting of %d", held, len(live), running, waiting, len(queued))
 			}
 		}
--- a/internal/choose/choose.go
+++ b/internal/choose/choose.go
@@ -11,11 +11,11 @@
 
 // Match is how requests of a route look.
 type Match struct {
-	Route            string
-	Prefix           string
-	Methods          []string // empty: any
-	KeyFrom, KeyName string   // "" the path, "header" or "query"
-	Mark             string   // header that bears the mark against repeats, in small letters
+	Route              string
+	Prefix             string
+	Methods            []string // empty: any
+	KeySource, KeyName string   // "" the path, "header" or "query"
+	IdempotencyHeader  string   // header that bears the mark against repeats, in small letters
 }
 
 // Find gives the route of a request: of those that match, the one with the longest prefix.
@@ -35,7 +35,7 @@
 // Key is what places a request in a slice.
 func (m *Match) Key(h *h1.Head) string {
 	path, query, _ := bytes.Cut(h.Target, []byte("?"))
-	switch m.KeyFrom {
+	switch m.KeySource {
 	case "header":
 		return string(h.Get(m.KeyName))
 	case "query":
@@ -46,4 +46,4 @@
 }
 
 // Marked says whether a request bears the mark by which hosts know it again.
-func (m *Match) Marked(h *h1.Head) bool { return len(h.Get(m.Mark)) > 0 }
+func (m *Match) HasIdempotencyKey(h *h1.Head) bool { return len(h.Get(m.IdempotencyHeader)) > 0 }
--- a/internal/pick/pick.go
+++ b/internal/pick/pick.go
@@ -8,19 +8,19 @@
 )
 
 // Chance gives numbers in [0,1).
-type Chance func() float64
+type RandFunc func() float64
 
 // Alias draws one of n in the same time whatever n is (Walker's table, built by Vose's way). A table changes now
 // and then and is drawn from thousands of times, so the building pays.
-type Alias struct {
+type AliasTable struct {
 	keep  []float64 // chance that a column keeps its own
 	other []int32
 }
 
 // NewAlias takes weights above 0. Weights so far apart that the small ones vanish beside the sum count as 0.
-func NewAlias(weights []float64) *Alias {
+func NewAliasTable(weights []float64) *AliasTable {
 	n := len(weights)
-	a := &Alias{keep: make([]float64, n), other: make([]int32, n)}
+	a := &AliasTable{keep: make([]float64, n), other: make([]int32, n)}
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
@@ -52,7 +52,7 @@
 }
 
 // Draw gives one of the n by weight.
-func (a *Alias) Draw(chance float64) int {
+func (a *AliasTable) Draw(chance float64) int {
 	at := chance * float64(len(a.keep))
 	i := min(int(at), len(a.keep)-1)
 	if at-float64(i) < a.keep[i] {
@@ -63,7 +63,7 @@
 
 // Wheel gives its lines in turn, each as often as its weight says and as evenly as can be: the one whose turn is
 // due first goes next.
-type Wheel struct{ turns turns }
+type RoundRobinScheduler struct{ turns turns }
 
 type turn struct {
 	due, every float64
@@ -87,8 +87,8 @@
 
 // NewWheel starts each line somewhere in its turn, or proxies that got a table together would all go to the same
 // line first.
-func NewWheel(weights []float64, chance Chance) *Wheel {
-	w := &Wheel{}
+func NewRoundRobinScheduler(weights []float64, chance RandFunc) *RoundRobinScheduler {
+	w := &RoundRobinScheduler{}
 	for i, weight := range weights {
 		every := 1 / weight
 		w.turns = append(w.turns, turn{every * chance(), every, i})
@@ -98,7 +98,7 @@
 }
 
 // Next gives the line whose turn it is, of those that are open. One that is not loses its turn.
-func (w *Wheel) Next(open func(int) bool) int {
+func (w *RoundRobinScheduler) Next(open func(int) bool) int {
 	for range len(w.turns) {
 		t := &w.turns[0]
 		line := t.line
@@ -126,50 +126,50 @@
 }
 
 // Way is how a table's lines are picked.
-type Way int
+type Policy int
 
 const (
-	Lottery Way = iota
-	ByWheel
-	Pair
+	Random Policy = iota
+	RoundRobin
+	TwoChoices
 )
 
 // Lines are a table's, ready to be picked from.
-type Lines struct {
-	way     Way
+type Picker struct {
+	way     Policy
 	weights []float64
-	alias   *Alias
-	wheel   *Wheel
+	alias   *AliasTable
+	wheel   *RoundRobinScheduler
 }
 
-func New(way Way, weights []float64, chance Chance) *Lines {
-	l := &Lines{way: way, weights: weights}
+func New(way Policy, weights []float64, chance RandFunc) *Picker {
+	l := &Picker{way: way, weights: weights}
 	if len(weights) == 0 {
 		return l
 	}
-	if way == ByWheel {
-		l.wheel = NewWheel(weights, chance)
+	if way == RoundRobin {
+		l.wheel = NewRoundRobinScheduler(weights, chance)
 	} else {
-		l.alias = NewAlias(weights)
+		l.alias = NewAliasTable(weights)
 	}
 	return l
 }
 
 // Len is how many lines there are.
-func (l *Lines) Len() int { return len(l.weights) }
+func (l *Picker) Len() int { return len(l.weights) }
 
 // redraws is how often a lottery draws again before it looks through all lines: where most are open it never
 // comes to that, and where few are the look is bounded.
 const redraws = 4
 
 // Pick gives a line by weight of those that are open, -1 if none is. Held says how many calls a line has in hand.
-func (l *Lines) Pick(chance Chance, open func(int) bool, held func(int) int) int {
+func (l *Picker) Pick(chance RandFunc, open func(int) bool, held func(int) int) int {
 	switch {
 	case len(l.weights) == 0:
 		return -1
-	case l.way == ByWheel:
+	case l.way == RoundRobin:
 		return l.wheel.Next(open)
-	case l.way == Lottery:
+	case l.way == Random:
 		return l.draw(chance, open)
 	}
 	first := l.draw(chance, open)
@@ -183,17 +183,17 @@
 	return first
 }
 
-func (l *Lines) draw(chance Chance, open func(int) bool) int {
+func (l *Picker) draw(chance RandFunc, open func(int) bool) int {
 	for range redraws {
 		if i := l.alias.Draw(chance()); open(i) {
 			return i
 		}
 	}
-	return Scan(l.weights, chance(), open)
+	return LinearScan(l.weights, chance(), open)
 }
 
 // Scan is the plain way: it looks through all lines.
-func Scan(weights []float64, chance float64, open func(int) bool) int {
+func LinearScan(weights []float64, chance float64, open func(int) bool) int {
 	sum, last := 0.0, -1
 	for i, w := range weights {
 		if open(i) {
--- a/internal/pick/pick_test.go
+++ b/internal/pick/pick_test.go
@@ -20,7 +20,7 @@
 // (then relative to the rest). The long run of a million picks holds one percent; this one holds the bound by chance.
 func TestSharesMatchTheWeights(t *testing.T) {
 	const picks = 200000
-	for _, way := range []Way{Lottery, ByWheel, Pair} {
+	for _, way := range []Policy{Random, RoundRobin, TwoChoices} {
 		for _, weights := range [][]float64{{1}, {1, 0.06}, {1, 2, 3, 4}, {5, 5, 0.5, 0.25, 10}} {
 			for _, closed := range []int{-1, 0} {
 				if closed == 0 && len(weights) == 1 {
@@ -29,7 +29,7 @@
 				open := func(i int) bool { return i != closed }
 				r := rand.New(rand.NewPCG(1, uint64(len(weights))))
 				got := make([]float64, len(weights))
-				var lines *Lines
+				var lines *Picker
 				for n := range picks {
 					if n%1000 == 0 { // the table is written anew, as it stands
 						lines = New(way, weights, r.Float64)
@@ -61,7 +61,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0.05, 5), 1, 12).Draw(t, "weights")
 		r := rand.New(rand.NewPCG(3, 4))
-		w := NewWheel(weights, r.Float64)
+		w := NewRoundRobinScheduler(weights, r.Float64)
 		sum := 0.0
 		for _, x := range weights {
 			sum += x
@@ -80,7 +80,7 @@
 
 func TestAPairTakesTheLessBusy(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
-	l := New(Pair, []float64{1, 1}, r.Float64)
+	l := New(TwoChoices, []float64{1, 1}, r.Float64)
 	got := 0
 	for range 4000 {
 		if l.Pick(r.Float64, all, func(i int) int { return 3 - 3*i }) == 1 {
@@ -95,7 +95,7 @@
 func TestNothingOpenAndOneOpen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(1e-9, 1e9), 0, 30).Draw(t, "weights")
-		way := Way(rapid.IntRange(0, 2).Draw(t, "way"))
+		way := Policy(rapid.IntRange(0, 2).Draw(t, "way"))
 		r := rand.New(rand.NewPCG(7, 8))
 		l := New(way, weights, r.Float64)
 		if got := l.Pick(r.Float64, func(int) bool { return false }, none); got != -1 {
@@ -119,11 +119,11 @@
 		}
 		b.Run(fmt.Sprintf("lines=%d/scan", n), func(b *testing.B) {
 			for b.Loop() {
-				Scan(weights, r.Float64(), all)
+				LinearScan(weights, r.Float64(), all)
 			}
 		})
 		for way, name := range []string{"lottery", "wheel", "pair"} {
-			l := New(Way(way), weights, r.Float64)
+			l := New(Policy(way), weights, r.Float64)
 			b.Run(fmt.Sprintf("lines=%d/%s", n, name), func(b *testing.B) {
 				for b.Loop() {
 					l.Pick(r.Float64, all, none)
@@ -132,7 +132,7 @@
 		}
 		b.Run(fmt.Sprintf("lines=%d/build", n), func(b *testing.B) {
 			for b.Loop() {
-				NewAlias(weights)
+				NewAliasTable(weights)
 			}
 		})
 	}
--- a/internal/platform/rollout_test.go
+++ b/internal/platform/rollout_test.go
@@ -67,7 +67,7 @@
 	config  string
 	log     *logged
 	client  *http.Client
-	demand  *pick.Alias // of slices
+	demand  *pick.AliasTable // of slices
 
 	mu    sync.Mutex
 	hosts map[string]*standin.Host
@@ -105,7 +105,7 @@
 		demand[i] = 1 / math.Sqrt(1+float64(i*7%fleetSlices)) // a few slices have several times the calls of others
 	}
 	f := &fleet{t: t, relay: newRelay(t), agent: newAgent(t), log: &logged{}, hosts: map[string]*standin.Host{}, gone: map[string]time.Time{},
-		tries: map[string]*tried{}, calls: map[int]int{}, demand: pick.NewAlias(demand),
+		tries: map[string]*tried{}, calls: map[int]int{}, demand: pick.NewAliasTable(demand),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
 	f.relay.transit, f.relay.proxies = transit, fleetProxies
 	for n := range fleetHosts {
@@ -225,7 +225,7 @@
 		f.mu.Unlock()
 		return false
 	}
-	name := hosts[pick.NewAlias(weights).Draw(rand.Float64())]
+	name := hosts[pick.NewAliasTable(weights).Draw(rand.Float64())]
 	address := f.hosts[name].Address
 	f.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), callDue)
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -86,12 +86,12 @@
 
 // exchange sends a request to a host and reads its answer, until the time of the try is over or the client is gone.
 func (s *Relay) exchange(cl *client, t carry.Try, method, head, body []byte) (*answer, carry.Failure) {
-	until := s.at(t.Until)
-	conn, err := s.hosts.get(t.Host, s.at(min(t.Until, t.Sent)))
+	until := s.at(t.Deadline)
+	conn, err := s.hosts.get(t.Host, s.at(min(t.Deadline, t.ArriveBy)))
 	if err != nil {
 		return nil, carry.NotSent
 	}
-	if !cl.calls(conn) || s.now() >= t.Sent { // the client is gone, or the time in which the host knows an earlier try
+	if !cl.calls(conn) || s.now() >= t.ArriveBy { // the client is gone, or the time in which the host knows an earlier try
 		cl.calls(nil)
 		s.hosts.put(t.Host, conn)
 		return nil, carry.NotSent
@@ -104,7 +104,7 @@
 	switch {
 	case a == nil && gone:
 		conn.Close()
-		return nil, carry.Abandoned
+		return nil, carry.Canceled
 	case a == nil:
 		conn.Close()
 	case !a.rest:
@@ -125,22 +125,22 @@
 		w.WriteBinary(body)
 	}
 	if w.Flush() != nil {
-		return nil, carry.Unclear // some of it may have been written
+		return nil, carry.NoAnswer // some of it may have been written
 	}
 	a := &answer{conn: conn}
 	r := conn.Reader()
 	for {
 		size, err := headSize(conn, until, s.in().Front.MostHead)
 		if err != nil {
-			return nil, carry.Unclear
+			return nil, carry.NoAnswer
 		}
 		raw, err := r.Next(size)
 		if err != nil {
-			return nil, carry.Unclear
+			return nil, carry.NoAnswer
 		}
 		a.raw = append(a.raw[:0], raw...)
 		if n, w := a.head.Answer(a.raw, len(a.raw)+1, method); w != nil || n != size || a.head.Status == 101 {
-			return nil, carry.Unclear
+			return nil, carry.NoAnswer
 		}
 		if a.head.Status >= 200 {
 			break
@@ -150,13 +150,13 @@
 		a.load, _ = orca.Parse(string(v))
 	}
 	if err := s.hold(a, until); err != nil {
-		return nil, carry.Unclear
+		return nil, carry.NoAnswer
 	}
 	switch a.head.Status {
 	case 503, 429:
-		return a, carry.Busy
+		return a, carry.Rejected
 	case 500, 502, 504:
-		return a, carry.Errored
+		return a, carry.ServerError
 	}
 	return a, answered
 }
--- a/internal/relay/meters.go
+++ b/internal/relay/meters.go
@@ -42,24 +42,24 @@
 	read := func(name, help string, of func() float64) {
 		m.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_relay_" + name, Help: help}, of))
 	}
-	counts := func(of func(carry.Counts) uint64) func() float64 {
+	counts := func(of func(carry.Counters) uint64) func() float64 {
 		return func() float64 {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return float64(of(s.mind.Counts()))
+			return float64(of(s.mind.Counters()))
 		}
 	}
 	for name, x := range map[string]struct {
 		help string
-		of   func(carry.Counts) uint64
+		of   func(carry.Counters) uint64
 	}{
-		"calls_total":         {"Calls that came.", func(c carry.Counts) uint64 { return c.Calls }},
-		"throttled_total":     {"Calls turned away by a level.", func(c carry.Counts) uint64 { return c.Throttled }},
-		"refused_total":       {"Calls turned away as too many were in hand.", func(c carry.Counts) uint64 { return c.Refused }},
-		"bare_total":          {"Calls for which no line came in time.", func(c carry.Counts) uint64 { return c.Bare }},
-		"tries_total":         {"Tries, first and further.", func(c carry.Counts) uint64 { return c.Tries }},
-		"further_total":       {"Further tries.", func(c carry.Counts) uint64 { return c.Further }},
-		"hosts_avoided_total": {"Times that a host was avoided after a run of failures.", func(c carry.Counts) uint64 { return c.Shut }},
+		"calls_total":         {"Calls that came.", func(c carry.Counters) uint64 { return c.Calls }},
+		"throttled_total":     {"Calls turned away by a level.", func(c carry.Counters) uint64 { return c.Throttled }},
+		"refused_total":       {"Calls turned away as too many were in hand.", func(c carry.Counters) uint64 { return c.Rejected }},
+		"bare_total":          {"Calls for which no line came in time.", func(c carry.Counters) uint64 { return c.NoLine }},
+		"tries_total":         {"Tries, first and further.", func(c carry.Counters) uint64 { return c.Tries }},
+		"further_total":       {"Further tries.", func(c carry.Counters) uint64 { return c.Retries }},
+		"hosts_avoided_total": {"Times that a host was avoided after a run of failures.", func(c carry.Counters) uint64 { return c.Ejections }},
 	} {
 		m.reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_relay_" + name, Help: x.help}, counts(x.of)))
 	}
@@ -78,7 +78,7 @@
 	read("hosts_avoided", "Hosts avoided now.", func() float64 {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return float64(s.mind.Avoided(s.now()))
+		return float64(s.mind.EjectedHosts(s.now()))
 	})
 	read("host_connections_idle", "Connections to hosts that stand idle.", func() float64 { return float64(s.hosts.open()) })
 	read("tables_version", "Step of the tables in force.", func() float64 {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -46,7 +46,7 @@
 	meters *meters
 
 	mu      sync.Mutex
-	mind    *carry.Mind
+	mind    *carry.Dispatcher
 	turns   map[admit.Ticket]*waiter
 	tickets admit.Ticket
 	fresh   chan struct{} // closed when the tables change
@@ -73,7 +73,7 @@
 		done: make(chan struct{})}
 	s.force.Store(set)
 	s.mind = carry.New(set.Bounds, strconv.FormatInt(s.epoch.UnixNano(), 36), seed.Float64)
-	s.hosts = newHosts(set.Hosts, set.Bounds.PerHost)
+	s.hosts = newHosts(set.Hosts, set.Bounds.MaxPerHost)
 	s.meters = newMeters(s)
 	s.follow = follow.NewSeveral(follow.Source{Directors: set.Directors, Proxy: set.Name, Zone: set.Zone, Rate: set.Rate, Wait: set.Wait,
 		Kept: set.Kept, Seen: s.take, Joined: watch.Joined, Log: log}, set.FollowAll)
@@ -115,8 +115,8 @@
 		slices.Sort(fixed)
 		return fmt.Errorf("can't change while the proxy runs: %s", strings.Join(fixed, ", "))
 	}
-	s.think(func(float64) { s.mind.Bind(set.Bounds) })
-	s.hosts.change(set.Hosts, set.Bounds.PerHost)
+	s.think(func(float64) { s.mind.SetLimits(set.Bounds) })
+	s.hosts.change(set.Hosts, set.Bounds.MaxPerHost)
 	s.force.Store(set)
 	s.log.Info("relay.reloaded", "routes", len(set.Routes))
 	return nil
@@ -139,7 +139,7 @@
 
 func (s *Relay) take(u follow.Update) {
 	s.think(func(float64) {
-		s.mind.Follow(u.Doc)
+		s.mind.SetDocument(u.Doc)
 		close(s.fresh)
 		s.fresh = make(chan struct{})
 	})
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Bounds.NoBudget = strings.Contains(more, "no budget")
+	set.Bounds.UnlimitedRetries = strings.Contains(more, "no budget")
 	s, err := New(set, Watch{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -386,7 +386,7 @@
 	s, _, at := start(t, "", document(1, 0, h.at()))
 	next := *s.in()
 	next.Routes = next.Routes[:1]
-	next.Bounds.InHand, next.Bounds.Queue = 0, 0
+	next.Bounds.MaxInFlight, next.Bounds.MaxQueued = 0, 0
 	next.Zone, next.Listen = "elsewhere", "127.0.0.1:1"
 	if err := s.Reload(&next); err == nil || !strings.Contains(err.Error(), "listen, zone") {
 		t.Fatalf("%v", err)
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -179,19 +179,19 @@
 
 // call carries a call to its end.
 func (s *Relay) call(cl *client, h *h1.Head, m *choose.Match, body []byte) bool {
-	c := &carry.Call{Route: m.Route, Key: m.Key(h), Marked: m.Marked(h)}
+	c := &carry.Call{Route: m.Route, Key: m.Key(h), HasIdempotencyKey: m.HasIdempotencyKey(h)}
 	span := s.meters.begin(m.Route)
-	if o := s.admit(cl, c); o != carry.Go {
+	if o := s.admit(cl, c); o != carry.Proceed {
 		s.end(c, false)
 		span.end(c.Table(), o.String(), 0, 0)
 		return s.turnAway(cl, c, o, h.Close)
 	}
 	head := render(make([]byte, 0, 512+h.Size), h, len(body))
-	mark := string(h.Get(m.Mark))
+	mark := string(h.Get(m.IdempotencyHeader))
 	var t carry.Try
 	var o carry.Outcome
-	s.think(func(now float64) { t, o = s.mind.First(c, now) })
-	if o != carry.Go {
+	s.think(func(now float64) { t, o = s.mind.FirstTry(c, now) })
+	if o != carry.Proceed {
 		s.end(c, false)
 		span.end(c.Table(), o.String(), 0, 0)
 		return s.turnAway(cl, c, o, h.Close)
@@ -206,19 +206,19 @@
 			load = a.load
 		}
 		if f == answered {
-			s.think(func(now float64) { s.mind.Answered(c, now, load) })
+			s.think(func(now float64) { s.mind.TrySucceeded(c, now, load) })
 			s.end(c, true)
-			span.end(c.Table(), string(t.Host), a.head.Status, t.Nth)
+			span.end(c.Table(), string(t.Host), a.head.Status, t.Number)
 			return s.pass(cl, a, h)
 		}
 		var next carry.Try
 		var why again.Verdict
 		s.think(func(now float64) {
-			next, why = s.mind.Failed(c, f, now, load)
+			next, why = s.mind.TryFailed(c, f, now, load)
 			ended = now
 		})
 		span.failed(string(t.Host), f, why)
-		if why == again.Goes {
+		if why == again.Retry {
 			if a != nil && a.rest {
 				a.conn.Close()
 			}
@@ -230,13 +230,13 @@
 		if a != nil {
 			status = a.head.Status
 		}
-		span.end(c.Table(), string(t.Host), status, t.Nth)
+		span.end(c.Table(), string(t.Host), status, t.Number)
 		switch {
-		case f == carry.Abandoned:
+		case f == carry.Canceled:
 			return false
 		case a != nil: // the host's own word on why it failed
 			return s.pass(cl, a, h)
-		case ended >= c.Until-1:
+		case ended >= c.Deadline-1:
 			return s.refuse(cl, http.StatusGatewayTimeout, "no answer came within the time limit", 0, h.Close)
 		}
 		return s.refuse(cl, http.StatusBadGateway, "the host gave no answer; another try: "+string(why), 0, h.Close)
@@ -254,7 +254,7 @@
 			s.tickets++
 			c.Ticket = s.tickets
 			var out admitTicket
-			o, out = s.mind.Come(c, now)
+			o, out = s.mind.Admit(c, now)
 			if fresh = s.fresh; o == carry.Queued {
 				w = &waiter{c, make(chan bool, 1)}
 				s.turns[c.Ticket] = w
@@ -264,9 +264,9 @@
 		switch o {
 		case carry.Queued:
 			return s.wait(cl, c, w)
-		case carry.NoTable:
+		case carry.NoLine:
 			if end == nil {
-				end = time.After(time.Duration(s.mind.WaitsTables() * float64(time.Millisecond)))
+				end = time.After(time.Duration(s.mind.TableWaitMs() * float64(time.Millisecond)))
 			}
 			select {
 			case <-fresh:
@@ -274,7 +274,7 @@
 			case <-end:
 			case <-cl.gone:
 			}
-			s.think(func(float64) { s.mind.Bare() })
+			s.think(func(float64) { s.mind.CountNoLine() })
 		}
 		return o
 	}
@@ -291,39 +291,39 @@
 }
 
 func (s *Relay) wait(cl *client, c *carry.Call, w *waiter) carry.Outcome {
-	timer := time.NewTimer(time.Until(s.at(c.Until)))
+	timer := time.NewTimer(time.Until(s.at(c.Deadline)))
 	defer timer.Stop()
 	select {
 	case goes := <-w.turn:
 		if goes {
-			return carry.Go
+			return carry.Proceed
 		}
-		return carry.Full
+		return carry.AtCapacity
 	case <-timer.C:
 	case <-cl.gone:
 	}
 	waited := false
 	s.think(func(float64) {
-		waited = s.mind.GiveUp(c)
+		waited = s.mind.CancelQueued(c)
 		delete(s.turns, c.Ticket)
 	})
 	if !waited { // its turn came at the same moment, or it is out
 		if <-w.turn {
-			return carry.Go
+			return carry.Proceed
 		}
-		return carry.Full
+		return carry.AtCapacity
 	}
-	return carry.Over
+	return carry.DeadlineExceeded
 }
 
 // end ends a call, and gives its place to one that waits.
 func (s *Relay) end(c *carry.Call, answered bool) {
 	s.think(func(now float64) {
-		next, out := s.mind.Done(c, answered, now)
+		next, out := s.mind.EndCall(c, answered, now)
 		s.out(out...)
 		if w := s.turns[next]; next != 0 && w != nil {
 			delete(s.turns, next)
-			s.mind.Turn(w.call, now)
+			s.mind.Dequeued(w.call, now)
 			w.turn <- true
 		}
 	})
@@ -334,13 +334,13 @@
 	switch o {
 	case carry.Throttled:
 		wait := 0.0
-		s.think(func(float64) { wait = s.mind.Wait(c) })
+		s.think(func(float64) { wait = s.mind.RetryAfter(c) })
 		return s.refuse(cl, http.StatusTooManyRequests, "the route is throttled", wait, closes)
-	case carry.Full:
+	case carry.AtCapacity:
 		return s.refuse(cl, http.StatusServiceUnavailable, "as many calls are in hand as may be", 1000, closes)
-	case carry.NoTable:
+	case carry.NoLine:
 		return s.refuse(cl, http.StatusServiceUnavailable, "no host is in the tables for this call", 1000, closes)
-	case carry.Over:
+	case carry.DeadlineExceeded:
 		return s.refuse(cl, http.StatusGatewayTimeout, "the time limit passed while the call waited", 0, closes)
 	}
 	return s.refuse(cl, http.StatusServiceUnavailable, "the tables know no such route", 1000, closes)
--- a/internal/settings/relay.go
+++ b/internal/settings/relay.go
@@ -22,7 +22,7 @@
 	Wait          time.Duration
 	ReportEvery   time.Duration
 	Routes        []choose.Match
-	Bounds        carry.Bounds
+	Bounds        carry.Limits
 	Front         RelayFront
 	Hosts         RelayHosts
 	TraceOneIn    int // calls; 0: none
@@ -94,22 +94,22 @@
 		switch {
 		case from == "path" && name == "":
 		case (from == "header" || from == "query") && name != "":
-			m.KeyFrom, m.KeyName = from, strings.ToLower(name)
+			m.KeySource, m.KeyName = from, strings.ToLower(name)
 			if from == "query" {
 				m.KeyName = name
 			}
 		default:
 			r.Fail("key", "%q is none of path, header:NAME, query:NAME", key)
 		}
-		m.Mark = strings.ToLower(r.Text("mark", "idempotency-key"))
+		m.IdempotencyHeader = strings.ToLower(r.Text("mark", "idempotency-key"))
 		out.Routes = append(out.Routes, m)
 		r.Done()
 	}
 	b := top.One("bounds", false)
-	out.Bounds.InHand = b.Whole("in_hand", 1000, 1, 1e6)
-	out.Bounds.Queue = b.Whole("queue", 200, 0, 1e5)
-	out.Bounds.PerHost = b.Whole("per_host", 100, 1, 1e5)
-	out.Bounds.WaitsTables = float64(millis(b.Span("waits_for_table", 500*time.Millisecond, 0, time.Minute)))
+	out.Bounds.MaxInFlight = b.Whole("in_hand", 1000, 1, 1e6)
+	out.Bounds.MaxQueued = b.Whole("queue", 200, 0, 1e5)
+	out.Bounds.MaxPerHost = b.Whole("per_host", 100, 1, 1e5)
+	out.Bounds.TableWaitMs = float64(millis(b.Span("waits_for_table", 500*time.Millisecond, 0, time.Minute)))
 	out.Front = RelayFront{MostHead: b.Size("most_head", 16<<10, 512, 1<<20), MostBody: b.Size("most_body", 1<<20, 0, 1<<30),
 		Slow: b.Span("slow_request", 10*time.Second, 10*time.Millisecond, time.Hour),
 		Idle: b.Span("client_idle", time.Minute, 100*time.Millisecond, 24*time.Hour)}
