--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,53 +1,58 @@
-// Package admit decides what a proxy lets in: the levels that the tables state, and what it can hold itself. Under
-// overload the least important calls go first, and nothing waits longer than its client does. No I/O, no clock.
+// Package admit decides which calls a proxy admits: by the admission levels in the tables, and by its own limits on
+// calls in flight and queued. Under overload the least important calls are rejected first, and no call is queued past
+// its deadline. It does no I/O and reads no clock.
 package admit
 
 import (
 	"container/heap"
 )
 
-// Level is how much of a route is let in.
+// Level is an admission level: the share or the rate of a route's calls that is admitted.
 type Level struct {
-	rate   bool // calls a second; else a share
-	amount float64
-	tokens float64
-	at     float64
+	isRate     bool // value is in calls per second; otherwise a share of the calls
+	value      float64
+	tokens     float64 // of a rate: calls that may be admitted now
+	refilledAt float64 // in milliseconds
 }
 
-// ByShare and ByRate make levels; a share of 1 or more lets all in.
-func NewShareLevel(share float64) Level { return Level{amount: share} }
+// NewShareLevel returns a level that admits a share of the calls, all at 1 or more.
+func NewShareLevel(share float64) Level { return Level{value: share} }
+
+// NewRateLevel returns a level that admits a rate of calls, by a token bucket.
 func NewRateLevel(perSecond float64) Level {
-	return Level{rate: true, amount: perSecond, tokens: max(1, perSecond*burst)}
+	return Level{isRate: true, value: perSecond, tokens: max(1, perSecond*burstSeconds)}
 }
 
-// burst is how many seconds' worth of a rate may come at once.
-const burst = 0.25
+// burstSeconds is the size of a burst: this many seconds' worth of a rate may be admitted at once.
+const burstSeconds = 0.25
 
-// Set changes how much is let in, and keeps what has been used of a rate.
-func (l *Level) Set(amount float64) {
-	l.amount = amount
-	if l.rate {
-		l.tokens = min(l.tokens, max(1, amount*burst))
+// Set changes the value. The tokens of a rate that were already used stay used.
+func (l *Level) Set(value float64) {
+	l.value = value
+	if l.isRate {
+		l.tokens = min(l.tokens, max(1, value*burstSeconds))
 	}
 }
 
-// Amount and ByRate are how much is let in, and how it is counted.
-func (l *Level) Value() float64 { return l.amount }
-func (l *Level) IsRate() bool   { return l.rate }
+// Value returns the admitted share, or the admitted calls per second.
+func (l *Level) Value() float64 { return l.value }
+
+// IsRate reports whether the value is in calls per second.
+func (l *Level) IsRate() bool { return l.isRate }
 
-// In says whether a call is let in; chance is in [0,1).
-func (l *Level) Admit(now, chance float64) bool {
-	if !l.rate {
-		return chance < l.amount
+// Admit reports whether a call is admitted; now is in milliseconds, random in [0,1).
+func (l *Level) Admit(now, random float64) bool {
+	if !l.isRate {
+		return random < l.value
 	}
-	if l.amount <= 0 {
+	if l.value <= 0 {
 		return false
 	}
-	if now > l.at {
-		if l.at > 0 {
-			l.tokens = min(max(1, l.amount*burst), l.tokens+l.amount*(now-l.at)/1000)
+	if now > l.refilledAt {
+		if l.refilledAt > 0 {
+			l.tokens = min(max(1, l.value*burstSeconds), l.tokens+l.value*(now-l.refilledAt)/1000)
 		}
-		l.at = now
+		l.refilledAt = now
 	}
 	if l.tokens < 1 {
 		return false
@@ -56,118 +61,128 @@
 	return true
 }
 
-// Wait is how long a client that was throttled might stay away, in milliseconds.
+// RetryAfter returns how long a throttled client should wait before it repeats the call, in milliseconds.
 func (l *Level) RetryAfter() float64 {
-	if l.rate && l.amount > 0 {
-		return max(1000, 1000/l.amount)
+	if l.isRate && l.value > 0 {
+		return max(1000, 1000/l.value)
 	}
 	return 1000
 }
 
-// Ticket names a call that waits; the caller gives it out.
+// Ticket identifies a queued call; the caller assigns it.
 type Ticket uint64
 
-// Verdict on a call that comes.
+// Verdict is the decision on a call that asks for a place among the calls in flight.
 type Verdict int
 
+// The verdicts.
 const (
 	Admitted Verdict = iota
 	Queued
 	Rejected
 )
 
-// Gate holds the calls in hand to a most, lets a bounded number wait by importance, and refuses the rest.
+// Limiter limits the calls in flight. It queues a bounded number of further calls by importance and rejects the rest.
 type Limiter struct {
-	most, queue int
-	running     int
-	waiting     line
-	serial      uint64
+	maxRunning, maxQueued int
+	running               int
+	queue                 waitQueue
+	sequence              uint64
 }
 
-type waiter struct {
+// queuedCall is a call in the queue of a Limiter.
+type queuedCall struct {
 	ticket     Ticket
 	importance float64
-	until      float64
-	serial     uint64
-	at         int
+	deadline   float64
+	sequence   uint64 // order of arrival
+	index      int    // in the heap
 }
 
-// line has the least important, and of those the one that came last, first: it is the one to go.
-type line []*waiter
+// waitQueue is a heap with the call to evict first on top: the least important, and of those the one that arrived last.
+type waitQueue []*queuedCall
 
-func (l line) Len() int { return len(l) }
-func (l line) Less(i, j int) bool {
-	if l[i].importance != l[j].importance {
-		return l[i].importance < l[j].importance
+func (q waitQueue) Len() int { return len(q) }
+func (q waitQueue) Less(i, j int) bool {
+	if q[i].importance != q[j].importance {
+		return q[i].importance < q[j].importance
 	}
-	return l[i].serial > l[j].serial
+	return q[i].sequence > q[j].sequence
 }
-func (l line) Swap(i, j int) { l[i], l[j] = l[j], l[i]; l[i].at, l[j].at = i, j }
-func (l *line) Push(x any)   { w := x.(*waiter); w.at = len(*l); *l = append(*l, w) }
-func (l *line) Pop() any {
-	old := *l
+func (q waitQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i]; q[i].index, q[j].index = i, j }
+func (q *waitQueue) Push(x any)   { c := x.(*queuedCall); c.index = len(*q); *q = append(*q, c) }
+func (q *waitQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	*l = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
 
-func NewLimiter(most, queue int) *Limiter { return &Limiter{most: most, queue: queue} }
+// NewLimiter returns a Limiter for the given numbers of calls in flight and queued.
+func NewLimiter(maxRunning, maxQueued int) *Limiter {
+	return &Limiter{maxRunning: maxRunning, maxQueued: maxQueued}
+}
 
-// Bind changes how much it holds.
-func (g *Limiter) SetLimits(most, queue int) { g.most, g.queue = most, queue }
+// SetLimits changes the limits. Calls that are already in flight or queued stay.
+func (l *Limiter) SetLimits(maxRunning, maxQueued int) {
+	l.maxRunning, l.maxQueued = maxRunning, maxQueued
+}
 
-// Come is a call that must begin by until. Where it takes the place of one that waits, that one is out.
-func (g *Limiter) Acquire(t Ticket, importance, now, until float64) (v Verdict, out Ticket) {
-	if g.running < g.most {
-		g.running++
+// Acquire asks for a place for a call that must start before its deadline. If the call displaces a less important one
+// from the full queue, evicted is the ticket of that one, otherwise 0.
+func (l *Limiter) Acquire(t Ticket, importance, now, deadline float64) (v Verdict, evicted Ticket) {
+	if l.running < l.maxRunning {
+		l.running++
 		return Admitted, 0
 	}
-	if until <= now || g.queue == 0 {
+	if deadline <= now || l.maxQueued == 0 {
 		return Rejected, 0
 	}
-	if len(g.waiting) >= g.queue {
-		if g.waiting[0].importance >= importance {
+	if len(l.queue) >= l.maxQueued {
+		if l.queue[0].importance >= importance {
 			return Rejected, 0
 		}
-		out = heap.Pop(&g.waiting).(*waiter).ticket
+		evicted = heap.Pop(&l.queue).(*queuedCall).ticket
 	}
-	g.serial++
-	heap.Push(&g.waiting, &waiter{ticket: t, importance: importance, until: until, serial: g.serial})
-	return Queued, out
+	l.sequence++
+	heap.Push(&l.queue, &queuedCall{ticket: t, importance: importance, deadline: deadline, sequence: l.sequence})
+	return Queued, evicted
 }
 
-// End is the end of a call that ran. The most important that waits, and of those the first that came, runs next; those
-// whose client gives up before are out.
-func (g *Limiter) Release(now float64) (next Ticket, out []Ticket) {
-	g.running--
-	for len(g.waiting) > 0 && g.running < g.most {
-		best := g.waiting[0]
-		for _, w := range g.waiting { // a short line; its other end is asked for far less often
-			if w.importance > best.importance || w.importance == best.importance && w.serial < best.serial {
-				best = w
+// Release frees the place of a call that ended. Next is the queued call that takes it, 0 if there is none: the most
+// important, and of those the first that arrived. Calls past their deadlines are removed from the queue as expired.
+func (l *Limiter) Release(now float64) (next Ticket, expired []Ticket) {
+	l.running--
+	for len(l.queue) > 0 && l.running < l.maxRunning {
+		best := l.queue[0]
+		for _, c := range l.queue { // linear, since the queue is short and the heap's top is the call to evict
+			if c.importance > best.importance || c.importance == best.importance && c.sequence < best.sequence {
+				best = c
 			}
 		}
-		heap.Remove(&g.waiting, best.at)
-		if best.until > now {
-			g.running++
-			return best.ticket, out
+		heap.Remove(&l.queue, best.index)
+		if best.deadline > now {
+			l.running++
+			return best.ticket, expired
 		}
-		out = append(out, best.ticket)
+		expired = append(expired, best.ticket)
 	}
-	return 0, out
+	return 0, expired
 }
 
-// Leave takes one out that waits; false if it does not.
-func (g *Limiter) Cancel(t Ticket) bool {
-	for _, w := range g.waiting {
-		if w.ticket == t {
-			heap.Remove(&g.waiting, w.at)
+// Cancel removes a call from the queue and reports whether it was there.
+func (l *Limiter) Cancel(t Ticket) bool {
+	for _, c := range l.queue {
+		if c.ticket == t {
+			heap.Remove(&l.queue, c.index)
 			return true
 		}
 	}
 	return false
 }
 
-// Running and Waiting are how many there are.
-func (g *Limiter) Running() int { return g.running }
-func (g *Limiter) Queued() int  { return len(g.waiting) }
+// Running returns the number of calls in flight.
+func (l *Limiter) Running() int { return l.running }
+
+// Queued returns the number of queued calls.
+func (l *Limiter) Queued() int { return len(l.queue) }
--- a/internal/again/again.go
+++ b/internal/again/again.go
@@ -1,18 +1,20 @@
-// Package again decides whether a proxy tries a call at another host after a try failed: only as ordered, only
-// what can't take effect twice, only while the budget lasts, and only what can still end in time. No I/O, no clock.
+// Package again decides whether a proxy retries a call at another host after a try failed. A retry must be allowed by
+// the tables, must not be able to take effect twice, must fit into the retry budget and must be able to end before the
+// deadline. The package does no I/O and reads no clock.
 package again
 
 import "math"
 
-// Fate is what is known of a try that failed.
+// Execution tells whether a host may have executed a try that failed.
 type Execution int
 
+// What may be known of the execution of a failed try.
 const (
-	NeverRan Execution = iota // no byte of it reached the host
+	NeverRan Execution = iota // no byte was sent, or the host rejected the call before it began
 	MayHaveRun
 )
 
-// Repeat and Reach are the route's, as documents spell them.
+// The values of Route.Idempotency and Route.DedupScope, as written in documents.
 const (
 	Idempotent      = "repeatable"
 	IdempotentByKey = "keyed"
@@ -23,35 +25,36 @@
 	DedupCell = "cell"
 )
 
-// Route is what the tables say of one.
+// Route is what the tables say of a route's retries.
 type Route struct {
 	Idempotency, DedupScope string
-	DedupWindow             float64 // milliseconds that hosts know a keyed call again
-	SLO                     float64
-	TryTimeoutShare         float64 // of the SLO time
+	DedupWindow             float64 // how long hosts recognize a repeat of a keyed call, in milliseconds
+	SLO                     float64 // the time within which answers are wanted, in milliseconds
+	TryTimeoutShare         float64 // time limit of a try that may be retried, as a share of SLO
 }
 
-// Place is where a host stands.
+// Location is the location of a host.
 type Location struct{ Zone, Cell string }
 
-// Call is one in hand. Times are milliseconds of one clock.
+// State is the retry state of one call. All times are in milliseconds of one clock.
 type State struct {
-	route Route
-	tries int // as ordered
-	until float64
-	made  int
-	ran   []Location // hosts at which it may have run
-	since float64    // when the first of those was sent
+	route          Route
+	mode           int // which retries the tables allow, see maxTries
+	deadline       float64
+	failedTries    int
+	executedAt     []Location // locations of the hosts that may have executed the call
+	firstExecution float64    // when the first try that may have run was sent
 }
 
-// Begin is a call that must end by until; tries is how further tries were ordered.
-func NewState(route Route, tries int, until float64) State {
-	return State{route: route, tries: tries, until: until}
+// NewState returns the state of a call that has not been tried; mode is the tries value of its level in the tables.
+func NewState(route Route, mode int, deadline float64) State {
+	return State{route: route, mode: mode, deadline: deadline}
 }
 
-// most is how many tries in all each order means.
-func most(tries int) int {
-	switch tries {
+// maxTries returns the number of tries that a mode allows, the first included. Mode 0 allows no retry, mode 1 one if
+// the first try certainly never ran, mode 2 one after any failure, and mode 3 two after any failure.
+func maxTries(mode int) int {
+	switch mode {
 	case 0:
 		return 1
 	case 3:
@@ -60,52 +63,56 @@
 	return 2
 }
 
-// Wait is when the try that begins now must end: a try that another may follow waits no longer than ordered.
-func (c *State) TryDeadline(now float64) float64 {
-	if c.tries >= 2 && c.made < most(c.tries)-1 && c.repeats() {
-		return min(c.until, now+c.route.TryTimeoutShare*c.route.SLO)
+// TryDeadline returns the deadline of a try that begins now. A try that may be followed by another gets only the time
+// that TryTimeoutShare allows; the last one has until the deadline of the call.
+func (s *State) TryDeadline(now float64) float64 {
+	if s.mode >= 2 && s.failedTries < maxTries(s.mode)-1 && s.isRepeatable() {
+		return min(s.deadline, now+s.route.TryTimeoutShare*s.route.SLO)
 	}
-	return c.until
+	return s.deadline
 }
 
-// repeats says whether a try that may have run can be followed by another at all.
-func (c *State) repeats() bool {
-	return c.route.Idempotency == Idempotent || c.route.Idempotency == IdempotentByKey
+// isRepeatable reports whether a try that may have run can be followed by another at all.
+func (s *State) isRepeatable() bool {
+	return s.route.Idempotency == Idempotent || s.route.Idempotency == IdempotentByKey
 }
 
-// Failed tells how a try ended that began at sent.
-func (c *State) RecordFailure(fate Execution, at Location, sent float64) {
-	c.made++
-	if fate == MayHaveRun {
-		if len(c.ran) == 0 {
-			c.since = sent
+// RecordFailure records a failed try that was sent at sentAt to a host at the given location.
+func (s *State) RecordFailure(execution Execution, at Location, sentAt float64) {
+	s.failedTries++
+	if execution == MayHaveRun {
+		if len(s.executedAt) == 0 {
+			s.firstExecution = sentAt
 		}
-		c.ran = append(c.ran, at)
+		s.executedAt = append(s.executedAt, at)
 	}
 }
 
-// Verdict is why there is another try or none; for reports and traces.
+// Verdict is the decision on a retry with its reason. Its text appears in answers and traces.
 type Verdict string
 
+// The verdicts.
 const (
 	Retry      Verdict = "goes"
 	NotAllowed Verdict = "not ordered"
 	Unsafe     Verdict = "might take effect twice"
 	TooLate    Verdict = "could not end in time"
 	NoBudget   Verdict = "no budget"
-	NoLine     Verdict = "no other line" // said by whoever picks
+	NoLine     Verdict = "no other line" // not returned by Decide, but by the caller that picks the host
 )
 
-// Next says whether another try may be made now. Usual is how long answers of the route take, 0 if not known.
-func (c *State) Decide(now, usual float64, b *Budget) Verdict {
+// Decide decides whether the call may be retried now. The usual latency of the route is meanLatency, 0 if unknown. If
+// the verdict is Retry, a token of the budget has been taken.
+func (s *State) Decide(now, meanLatency float64, b *Budget) Verdict {
 	switch {
-	case c.made >= most(c.tries):
+	case s.failedTries >= maxTries(s.mode):
 		return NotAllowed
-	case c.tries < 2 && len(c.ran) > 0:
+	case s.mode < 2 && len(s.executedAt) > 0:
 		return NotAllowed
-	case len(c.ran) > 0 && !c.repeats(), len(c.ran) > 0 && c.route.Idempotency == IdempotentByKey && now-c.since >= c.route.DedupWindow:
+	case len(s.executedAt) > 0 && !s.isRepeatable(),
+		len(s.executedAt) > 0 && s.route.Idempotency == IdempotentByKey && now-s.firstExecution >= s.route.DedupWindow:
 		return Unsafe
-	case now+usual >= c.until:
+	case now+meanLatency >= s.deadline:
 		return TooLate
 	case !b.take(now):
 		return NoBudget
@@ -113,21 +120,21 @@
 	return Retry
 }
 
-// Among says whether the next try may go to a host: a keyed call that may have run goes only to those who would
-// know it again, whichever of the earlier tries it was that ran.
-func (c *State) Allows(at Location) bool {
-	if c.route.Idempotency != IdempotentByKey {
+// Allows reports whether the next try may go to a host at a location. A keyed call that may have run goes only to hosts
+// that would recognize the repeat, whichever of the earlier tries was executed.
+func (s *State) Allows(at Location) bool {
+	if s.route.Idempotency != IdempotentByKey {
 		return true
 	}
-	for _, p := range c.ran {
-		switch c.route.DedupScope {
+	for _, executed := range s.executedAt {
+		switch s.route.DedupScope {
 		case DedupAll:
 		case DedupZone:
-			if p.Zone != at.Zone {
+			if executed.Zone != at.Zone {
 				return false
 			}
 		case DedupCell:
-			if p.Cell != at.Cell || at.Cell == "" {
+			if executed.Cell != at.Cell || at.Cell == "" {
 				return false
 			}
 		default:
@@ -137,52 +144,58 @@
 	return true
 }
 
-// Arrives bounds when the next try must reach its host, so that the host still knows the first.
-func (c *State) ArriveBy() float64 {
-	if c.route.Idempotency == IdempotentByKey && len(c.ran) > 0 {
-		return c.since + c.route.DedupWindow
+// ArriveBy returns when the next try must have reached its host, so that the host still recognizes the first as the
+// same call; +Inf if there is no such bound.
+func (s *State) ArriveBy() float64 {
+	if s.route.Idempotency == IdempotentByKey && len(s.executedAt) > 0 {
+		return s.firstExecution + s.route.DedupWindow
 	}
 	return math.Inf(1)
 }
 
-// Budget bounds further tries to a share of first tries, so that a fleet that fails is not sent a multiple of what
-// it failed at. A few a second are free, or a proxy with little traffic would have none.
+// Budget limits retries to a share of first tries, so that retries don't multiply the load on hosts that already fail
+// under it. In addition it grants some retries per second, since a proxy with little traffic would get none otherwise.
 type Budget struct {
-	share, floor, most float64
-	tokens, at         float64
-	off                bool
+	perFirstTry, perSecond, maxTokens float64
+	tokens, refilledAt                float64
+	unlimited                         bool
 }
 
+// A retry costs one token.
 const (
-	budgetShare = 0.2
-	budgetFloor = 1.0 // a second
-	budgetMost  = 20.0
+	budgetPerFirstTry = 0.2  // tokens earned by a first try
+	budgetPerSecond   = 1.0  // tokens granted per second
+	budgetMaxTokens   = 20.0 // tokens that can be saved up
 )
 
+// NewBudget returns a full budget.
 func NewBudget() *Budget {
-	return &Budget{share: budgetShare, floor: budgetFloor, most: budgetMost, tokens: budgetMost}
+	return &Budget{perFirstTry: budgetPerFirstTry, perSecond: budgetPerSecond, maxTokens: budgetMaxTokens,
+		tokens: budgetMaxTokens}
 }
 
-// NoLimit is a budget that never ends: the plain way, to measure against.
-func NewUnlimitedBudget() *Budget { return &Budget{off: true} }
+// NewUnlimitedBudget returns a budget that allows any number of retries, as a baseline for measurements.
+func NewUnlimitedBudget() *Budget { return &Budget{unlimited: true} }
 
-func (b *Budget) flow(now float64) {
-	if now > b.at {
-		if b.at > 0 {
-			b.tokens = min(b.most, b.tokens+b.floor*(now-b.at)/1000)
+// refill adds the tokens granted since the last call.
+func (b *Budget) refill(now float64) {
+	if now > b.refilledAt {
+		if b.refilledAt > 0 {
+			b.tokens = min(b.maxTokens, b.tokens+b.perSecond*(now-b.refilledAt)/1000)
 		}
-		b.at = now
+		b.refilledAt = now
 	}
 }
 
-// First tells of a first try.
+// RecordFirstTry adds the tokens that a first try earns.
 func (b *Budget) RecordFirstTry(now float64) {
-	b.flow(now)
-	b.tokens = min(b.most, b.tokens+b.share)
+	b.refill(now)
+	b.tokens = min(b.maxTokens, b.tokens+b.perFirstTry)
 }
 
+// take takes a token and reports whether there was one.
 func (b *Budget) take(now float64) bool {
-	if b.flow(now); b.off {
+	if b.refill(now); b.unlimited {
 		return true
 	}
 	if b.tokens < 1 {
--- a/internal/avoid/avoid.go
+++ b/internal/avoid/avoid.go
@@ -1,113 +1,117 @@
-// Package avoid keeps a proxy away from a host at which its own tries keep failing. It is the proxy's own view,
-// beside the tables: it closes no line for good, and where all are avoided the least bad is used. No I/O, no clock.
+// Package avoid ejects hosts at which a proxy's own tries keep failing (passive health checking). An ejection is the
+// proxy's own decision, independent of the tables, and always temporary; if all hosts are ejected, the caller uses the
+// least bad one. The package does no I/O and reads no clock.
 package avoid
 
 import "math"
 
-// Spans of avoidance, in milliseconds: the first is drawn about shortest, and each that follows without a good answer
-// between doubles, up to longest.
+// Bounds of an ejection, in milliseconds. The first ejection lasts about minEjectionMs, with jitter. Each further one
+// without a successful answer in between lasts twice as long as the last, up to about maxEjectionMs.
 const (
-	shortest = 3000.0
-	longest  = 24000.0
+	minEjectionMs = 3000.0
+	maxEjectionMs = 24000.0
 )
 
+// host is the state of a host that has failed since its last successful answer.
 type host struct {
-	failed  int // in a row
-	until   float64
-	span    float64
-	probing bool // one try is out to learn whether it is back
-	since   float64
+	consecutiveFailures int
+	ejectedUntil        float64 // 0: not ejected
+	ejectionMs          float64 // of the last ejection, without jitter
+	probing             bool    // a trial that decides about readmission is in flight
+	probeStart          float64
 }
 
-// View is one proxy's.
+// Detector detects failing hosts for one proxy.
 type Detector[K comparable] struct {
-	after int // failures in a row; 0: never avoids
-	hosts map[K]*host
+	threshold int // consecutive failures that eject a host; 0: hosts are never ejected
+	hosts     map[K]*host
 }
 
-func New[K comparable](after int) *Detector[K] { return &Detector[K]{after, map[K]*host{}} }
+// New returns a Detector that ejects a host after threshold consecutive failures, never if it is 0.
+func New[K comparable](threshold int) *Detector[K] { return &Detector[K]{threshold, map[K]*host{}} }
 
-// After sets how many failures in a row count; 0: none do.
-func (v *Detector[K]) SetThreshold(n int) {
-	if v.after = n; n == 0 {
-		clear(v.hosts)
+// SetThreshold sets how many consecutive failures eject a host. At 0, no host is ejected, and all are readmitted.
+func (d *Detector[K]) SetThreshold(threshold int) {
+	if d.threshold = threshold; threshold == 0 {
+		clear(d.hosts)
 	}
 }
 
-// Open says whether a try may go to a host. One whose span is over gets one try, and more once that was answered.
-// A try that never ends must not keep a host shut: after the longest span it counts as lost.
-func (v *Detector[K]) Available(k K, now float64) bool {
-	h := v.hosts[k]
-	return h == nil || h.until == 0 || now >= h.until && (!h.probing || now-h.since > longest)
+// Available reports whether a try may go to a host. After its ejection a host gets one try as a trial, and further ones
+// once that was answered. A trial that never ends must not keep the host ejected, so after maxEjectionMs it is ignored.
+func (d *Detector[K]) Available(k K, now float64) bool {
+	h := d.hosts[k]
+	return h == nil || h.ejectedUntil == 0 || now >= h.ejectedUntil && (!h.probing || now-h.probeStart > maxEjectionMs)
 }
 
-// Begin tells of a try.
-func (v *Detector[K]) TryStarted(k K, now float64) {
-	if h := v.hosts[k]; h != nil && h.until > 0 && now >= h.until {
-		h.probing, h.since = true, now
+// TryStarted records that a try was sent to a host. The first one after an ejection is the trial.
+func (d *Detector[K]) TryStarted(k K, now float64) {
+	if h := d.hosts[k]; h != nil && h.ejectedUntil > 0 && now >= h.ejectedUntil {
+		h.probing, h.probeStart = true, now
 	}
 }
 
-// End tells how a try ended; chance is in [0,1).
-func (v *Detector[K]) TryEnded(k K, good bool, now, chance float64) (shut bool) {
-	h := v.hosts[k]
-	if good {
+// TryEnded records the result of a try and reports whether it ejected the host; random is in [0,1).
+func (d *Detector[K]) TryEnded(k K, succeeded bool, now, random float64) (ejected bool) {
+	h := d.hosts[k]
+	if succeeded {
 		if h != nil {
-			delete(v.hosts, k)
+			delete(d.hosts, k)
 		}
 		return false
 	}
-	if v.after == 0 {
+	if d.threshold == 0 {
 		return false
 	}
 	if h == nil {
 		h = &host{}
-		v.hosts[k] = h
+		d.hosts[k] = h
 	}
-	h.failed++
+	h.consecutiveFailures++
 	switch {
-	case h.until > 0 && now < h.until: // begun before it was shut
+	case h.ejectedUntil > 0 && now < h.ejectedUntil: // the try began before the ejection
 		return false
-	case h.until > 0:
-		h.span = min(longest, 2*h.span)
-	case h.failed >= v.after:
-		h.span = shortest
+	case h.ejectedUntil > 0:
+		h.ejectionMs = min(maxEjectionMs, 2*h.ejectionMs)
+	case h.consecutiveFailures >= d.threshold:
+		h.ejectionMs = minEjectionMs
 	default:
 		return false
 	}
-	// Drawn, so that the proxies of a fleet don't all come back to a host at once.
-	h.until, h.probing = now+h.span*(0.7+0.6*chance), false
+	// The jitter of 30 percent keeps the proxies of a fleet from returning to a host at the same time.
+	h.ejectedUntil, h.probing = now+h.ejectionMs*(0.7+0.6*random), false
 	return true
 }
 
-// Unended tells that a try ended without a word on the host, given up by its client.
-func (v *Detector[K]) TryCanceled(k K) {
-	if h := v.hosts[k]; h != nil {
+// TryCanceled records that a try was canceled by its client, which says nothing about the host.
+func (d *Detector[K]) TryCanceled(k K) {
+	if h := d.hosts[k]; h != nil {
 		h.probing = false
 	}
 }
 
-// Until is when a host comes back; of hosts that are all avoided the first to come back is the least bad.
-func (v *Detector[K]) EjectedUntil(k K) float64 {
-	if h := v.hosts[k]; h != nil {
-		return h.until
+// EjectedUntil returns when the ejection of a host ends, 0 if its failures did not eject it yet, -Inf if there are none.
+// If all hosts are ejected, the one with the earliest end is the least bad.
+func (d *Detector[K]) EjectedUntil(k K) float64 {
+	if h := d.hosts[k]; h != nil {
+		return h.ejectedUntil
 	}
 	return math.Inf(-1)
 }
 
-// Keep forgets the hosts that no table names any more.
-func (v *Detector[K]) Retain(named func(K) bool) {
-	for k := range v.hosts {
+// Retain drops the state of hosts that no table names any more.
+func (d *Detector[K]) Retain(named func(K) bool) {
+	for k := range d.hosts {
 		if !named(k) {
-			delete(v.hosts, k)
+			delete(d.hosts, k)
 		}
 	}
 }
 
-// Shut is how many hosts are avoided now.
-func (v *Detector[K]) EjectedCount(now float64) (n int) {
-	for k := range v.hosts {
-		if !v.Available(k, now) {
+// EjectedCount returns the number of hosts that are unavailable now.
+func (d *Detector[K]) EjectedCount(now float64) (n int) {
+	for k := range d.hosts {
+		if !d.Available(k, now) {
 			n++
 		}
 	}
--- a/internal/avoid/avoid_test.go
+++ b/internal/avoid/avoid_test.go
@@ -2,80 +2,81 @@
 
 import "testing"
 
-func fail(v *Detector[string], n int, now float64) (shut bool) {
+// fail records n failed tries at the host h and reports whether the last one ejected it.
+func fail(d *Detector[string], n int, now float64) (ejected bool) {
 	for range n {
-		v.TryStarted("h", now)
-		shut = v.TryEnded("h", false, now, 0.5)
+		d.TryStarted("h", now)
+		ejected = d.TryEnded("h", false, now, 0.5)
 	}
-	return shut
+	return ejected
 }
 
 func TestARunOfFailuresShutsAHost(t *testing.T) {
-	v := New[string](3)
-	fail(v, 2, 0)
-	v.TryEnded("h", true, 0, 0) // a good answer ends the run
-	if fail(v, 2, 0) || !v.Available("h", 0) {
-		t.Fatal("shut after two in a row of three")
+	d := New[string](3)
+	fail(d, 2, 0)
+	d.TryEnded("h", true, 0, 0) // a successful answer resets the count
+	if fail(d, 2, 0) || !d.Available("h", 0) {
+		t.Fatal("ejected after 2 consecutive failures, threshold 3")
 	}
-	if !fail(v, 1, 0) || v.Available("h", 2999) || v.EjectedCount(1) != 1 {
-		t.Fatal("not shut after three in a row")
+	if !fail(d, 1, 0) || d.Available("h", 2999) || d.EjectedCount(1) != 1 {
+		t.Fatal("not ejected after 3 consecutive failures")
 	}
-	v.TryEnded("h", false, 100, 0.5) // a try begun before
-	if v.Available("h", 2999) || !v.Available("h", 3000) {
-		t.Fatalf("until %v", v.EjectedUntil("h"))
+	d.TryEnded("h", false, 100, 0.5) // a try that began before the ejection
+	if d.Available("h", 2999) || !d.Available("h", 3000) {
+		t.Fatalf("ejected until %v, want 3000", d.EjectedUntil("h"))
 	}
 }
 
-// After its span one try learns whether a host is back; others wait for what it meets.
+// After an ejection a single trial tells whether the host recovered. Until it ends, no other try goes to the host.
 func TestOneTryProbes(t *testing.T) {
-	v := New[string](3)
-	fail(v, 3, 0)
-	v.TryStarted("h", 3000)
-	if v.Available("h", 3000) {
-		t.Fatal("a second try while the first probes")
+	d := New[string](3)
+	fail(d, 3, 0)
+	d.TryStarted("h", 3000)
+	if d.Available("h", 3000) {
+		t.Fatal("a second try is allowed while the trial is in flight")
 	}
-	v.TryEnded("h", false, 3500, 0.5)
-	if v.Available("h", 9000) || !v.Available("h", 9500) {
-		t.Fatalf("the second span is not twice the first: until %v", v.EjectedUntil("h"))
+	d.TryEnded("h", false, 3500, 0.5)
+	if d.Available("h", 9000) || !d.Available("h", 9500) {
+		t.Fatalf("the second ejection is not twice as long as the first: until %v, want 9500", d.EjectedUntil("h"))
 	}
-	v.TryStarted("h", 9500)
-	v.TryEnded("h", true, 9600, 0)
-	if !v.Available("h", 9600) || fail(v, 2, 9600) {
-		t.Fatal("a good answer does not open it whole")
+	d.TryStarted("h", 9500)
+	d.TryEnded("h", true, 9600, 0)
+	if !d.Available("h", 9600) || fail(d, 2, 9600) {
+		t.Fatal("a successful trial does not readmit the host and reset its failures")
 	}
 }
 
-// A probe whose client gave up, or that never ends, does not keep a host shut for ever.
+// A trial that is canceled by its client, or that never ends, does not keep a host ejected forever.
 func TestALostProbe(t *testing.T) {
-	v := New[string](1)
-	fail(v, 1, 0)
-	v.TryStarted("h", 3000)
-	v.TryCanceled("h")
-	if !v.Available("h", 3001) {
-		t.Fatal("shut by a probe whose client gave up")
+	d := New[string](1)
+	fail(d, 1, 0)
+	d.TryStarted("h", 3000)
+	d.TryCanceled("h")
+	if !d.Available("h", 3001) {
+		t.Fatal("still ejected after the trial was canceled by its client")
 	}
-	v.TryStarted("h", 3001)
-	if v.Available("h", 20000) || !v.Available("h", 30000) {
-		t.Fatal("shut for ever by a probe that never ends")
+	d.TryStarted("h", 3001)
+	if d.Available("h", 20000) || !d.Available("h", 30000) {
+		t.Fatal("a trial that never ends is ignored too early, or keeps the host ejected forever")
 	}
 }
 
 func TestSpansHaveAnEnd(t *testing.T) {
-	v := New[string](1)
+	d := New[string](1)
 	now := 0.0
 	for range 20 {
-		fail(v, 1, now)
-		if next := v.EjectedUntil("h"); next-now > longest*1.3 {
-			t.Fatalf("a span of %v", next-now)
+		fail(d, 1, now)
+		if next := d.EjectedUntil("h"); next-now > maxEjectionMs*1.3 {
+			t.Fatalf("an ejection of %v ms, longer than the maximum with jitter", next-now)
 		}
-		now = v.EjectedUntil("h")
+		now = d.EjectedUntil("h")
 	}
-	v.Retain(func(string) bool { return false })
-	if !v.Available("h", 0) {
-		t.Fatal("remembers what no table names")
+	d.Retain(func(string) bool { return false })
+	if !d.Available("h", 0) {
+		t.Fatal("keeps the state of a host that no table names")
 	}
 	never := New[string](0)
 	if fail(never, 100, 0) || !never.Available("h", 0) {
-		t.Fatal("avoids though the tables say never")
+		t.Fatal("a host was ejected with a threshold of 0")
 	}
 }
--- a/internal/choose/choose.go
+++ b/internal/choose/choose.go
@@ -1,4 +1,4 @@
-// Package choose tells which route a request belongs to, and which key it bears. No I/O.
+// Package choose matches a request to its route and extracts the key that places it in a slice. It does no I/O.
 package choose
 
 import (
@@ -9,16 +9,16 @@
 	"vetchwood/internal/h1"
 )
 
-// Match is how requests of a route look.
+// Match describes the requests of a route.
 type Match struct {
 	Route              string
-	Prefix             string
+	Prefix             string   // of the path
 	Methods            []string // empty: any
-	KeySource, KeyName string   // "" the path, "header" or "query"
-	IdempotencyHeader  string   // header that bears the mark against repeats, in small letters
+	KeySource, KeyName string   // where the key is: "" for the path, "header" or "query" with the name of the field
+	IdempotencyHeader  string   // header of the idempotency key, in lower case
 }
 
-// Find gives the route of a request: of those that match, the one with the longest prefix.
+// Find returns the match of a request with the longest prefix, nil if none matches.
 func Find(routes []Match, h *h1.Head) *Match {
 	path, _, _ := bytes.Cut(h.Target, []byte("?"))
 	var best *Match
@@ -32,7 +32,7 @@
 	return best
 }
 
-// Key is what places a request in a slice.
+// Key returns the key that places a request in a slice.
 func (m *Match) Key(h *h1.Head) string {
 	path, query, _ := bytes.Cut(h.Target, []byte("?"))
 	switch m.KeySource {
@@ -45,5 +45,5 @@
 	return string(path)
 }
 
-// Marked says whether a request bears the mark by which hosts know it again.
+// HasIdempotencyKey reports whether a request has an idempotency key, by which hosts recognize a repeat.
 func (m *Match) HasIdempotencyKey(h *h1.Head) bool { return len(h.Get(m.IdempotencyHeader)) > 0 }
--- a/internal/pick/pick.go
+++ b/internal/pick/pick.go
@@ -1,5 +1,5 @@
-// Package pick chooses lines by weight: a lottery, a wheel, or the less busy of a pair. No I/O, no clock; chance
-// is handed in, so that a run can be played again.
+// Package pick picks lines of a table by weight: at random, by round robin, or as the less busy of two random ones. It
+// does no I/O and reads no clock; the caller passes the source of random numbers, so that runs can be reproduced.
 package pick
 
 import (
@@ -7,28 +7,29 @@
 	"math"
 )
 
-// Chance gives numbers in [0,1).
+// RandFunc returns random numbers in [0,1).
 type RandFunc func() float64
 
-// Alias draws one of n in the same time whatever n is (Walker's table, built by Vose's way). A table changes now
-// and then and is drawn from thousands of times, so the building pays.
+// AliasTable draws one of n weighted items in constant time (Walker's alias method, built with Vose's algorithm). A
+// table changes rarely and is drawn from thousands of times, which outweighs the cost of building it.
 type AliasTable struct {
-	keep  []float64 // chance that a column keeps its own
-	other []int32
+	keepProbability []float64 // probability that a column yields its own index
+	alias           []int32   // the index that the column yields otherwise
 }
 
-// NewAlias takes weights above 0. Weights so far apart that the small ones vanish beside the sum count as 0.
+// NewAliasTable builds a table for weights above 0. A weight so small that it vanishes in the floating-point sum counts
+// as 0.
 func NewAliasTable(weights []float64) *AliasTable {
 	n := len(weights)
-	a := &AliasTable{keep: make([]float64, n), other: make([]int32, n)}
+	a := &AliasTable{keepProbability: make([]float64, n), alias: make([]int32, n)}
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
 	}
 	small, large := make([]int32, 0, n), make([]int32, 0, n)
 	for i, w := range weights {
-		a.keep[i], a.other[i] = w/sum*float64(n), int32(i)
-		if a.keep[i] < 1 {
+		a.keepProbability[i], a.alias[i] = w/sum*float64(n), int32(i)
+		if a.keepProbability[i] < 1 {
 			small = append(small, int32(i))
 		} else {
 			large = append(large, int32(i))
@@ -37,173 +38,181 @@
 	for len(small) > 0 && len(large) > 0 {
 		s, l := small[len(small)-1], large[len(large)-1]
 		small = small[:len(small)-1]
-		a.other[s] = l
-		if a.keep[l] -= 1 - a.keep[s]; a.keep[l] < 1 {
+		a.alias[s] = l
+		if a.keepProbability[l] -= 1 - a.keepProbability[s]; a.keepProbability[l] < 1 {
 			large = large[:len(large)-1]
 			small = append(small, l)
 		}
 	}
-	for _, rest := range [][]int32{small, large} {
-		for _, i := range rest { // what rounding left over
-			a.keep[i] = 1
+	for _, remaining := range [][]int32{small, large} {
+		for _, i := range remaining { // columns left over by rounding errors
+			a.keepProbability[i] = 1
 		}
 	}
 	return a
 }
 
-// Draw gives one of the n by weight.
-func (a *AliasTable) Draw(chance float64) int {
-	at := chance * float64(len(a.keep))
-	i := min(int(at), len(a.keep)-1)
-	if at-float64(i) < a.keep[i] {
+// Draw returns an index with a probability proportional to its weight; r is a random number in [0,1).
+func (a *AliasTable) Draw(r float64) int {
+	x := r * float64(len(a.keepProbability))
+	i := min(int(x), len(a.keepProbability)-1)
+	if x-float64(i) < a.keepProbability[i] {
 		return i
 	}
-	return int(a.other[i])
+	return int(a.alias[i])
 }
 
-// Wheel gives its lines in turn, each as often as its weight says and as evenly as can be: the one whose turn is
-// due first goes next.
-type RoundRobinScheduler struct{ turns turns }
+// RoundRobinScheduler is a weighted round-robin scheduler: it returns each line as often as its weight demands and as
+// evenly spaced as possible. The line that is due first goes next (earliest deadline first).
+type RoundRobinScheduler struct{ slots slotHeap }
 
-type turn struct {
-	due, every float64
-	line       int
+// slot is the next turn of a line. A line is due at intervals of 1/weight in virtual time.
+type slot struct {
+	due, interval float64
+	line          int
 }
 
-type turns []turn
+// slotHeap is a min-heap by due time, then by line index.
+type slotHeap []slot
 
-func (t turns) Len() int { return len(t) }
-func (t turns) Less(i, j int) bool {
-	return t[i].due < t[j].due || t[i].due == t[j].due && t[i].line < t[j].line
+func (h slotHeap) Len() int { return len(h) }
+func (h slotHeap) Less(i, j int) bool {
+	return h[i].due < h[j].due || h[i].due == h[j].due && h[i].line < h[j].line
 }
-func (t turns) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *turns) Push(x any)   { *t = append(*t, x.(turn)) }
-func (t *turns) Pop() any {
-	old := *t
+func (h slotHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *slotHeap) Push(x any)   { *h = append(*h, x.(slot)) }
+func (h *slotHeap) Pop() any {
+	old := *h
 	x := old[len(old)-1]
-	*t = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return x
 }
 
-// NewWheel starts each line somewhere in its turn, or proxies that got a table together would all go to the same
-// line first.
-func NewRoundRobinScheduler(weights []float64, chance RandFunc) *RoundRobinScheduler {
-	w := &RoundRobinScheduler{}
+// NewRoundRobinScheduler returns a scheduler in which each line starts at a random point of its interval. Otherwise all
+// proxies that got a table at the same time would send their first calls to the same line.
+func NewRoundRobinScheduler(weights []float64, random RandFunc) *RoundRobinScheduler {
+	s := &RoundRobinScheduler{}
 	for i, weight := range weights {
-		every := 1 / weight
-		w.turns = append(w.turns, turn{every * chance(), every, i})
+		interval := 1 / weight
+		s.slots = append(s.slots, slot{interval * random(), interval, i})
 	}
-	heap.Init(&w.turns)
-	return w
+	heap.Init(&s.slots)
+	return s
 }
 
-// Next gives the line whose turn it is, of those that are open. One that is not loses its turn.
-func (w *RoundRobinScheduler) Next(open func(int) bool) int {
-	for range len(w.turns) {
-		t := &w.turns[0]
+// Next returns the available line that is due first, -1 if no line is available. An unavailable line that is due loses
+// its turn.
+func (s *RoundRobinScheduler) Next(available func(int) bool) int {
+	for range len(s.slots) {
+		t := &s.slots[0]
 		line := t.line
-		t.due += t.every
-		heap.Fix(&w.turns, 0)
-		if open(line) {
+		t.due += t.interval
+		heap.Fix(&s.slots, 0)
+		if available(line) {
 			return line
 		}
 	}
-	// The open ones are so light that their turn is far off: the next due of them.
+	// The available lines have such low weights that none became due in the loop. The one that is due first is picked.
 	best, due := -1, math.Inf(1)
-	for _, t := range w.turns {
-		if t.due < due && open(t.line) {
+	for _, t := range s.slots {
+		if t.due < due && available(t.line) {
 			best, due = t.line, t.due
 		}
 	}
-	for i := range w.turns {
-		if w.turns[i].line == best {
-			w.turns[i].due += w.turns[i].every
-			heap.Fix(&w.turns, i)
+	for i := range s.slots {
+		if s.slots[i].line == best {
+			s.slots[i].due += s.slots[i].interval
+			heap.Fix(&s.slots, i)
 			break
 		}
 	}
 	return best
 }
 
-// Way is how a table's lines are picked.
+// Policy is how the lines of a table are picked.
 type Policy int
 
+// The policies.
 const (
-	Random Policy = iota
-	RoundRobin
-	TwoChoices
+	Random     Policy = iota // weighted random
+	RoundRobin               // weighted round robin
+	TwoChoices               // of two weighted random lines, the one with fewer calls in flight
 )
 
-// Lines are a table's, ready to be picked from.
+// Picker picks from the lines of one table.
 type Picker struct {
-	way     Policy
-	weights []float64
-	alias   *AliasTable
-	wheel   *RoundRobinScheduler
+	policy     Policy
+	weights    []float64
+	aliasTable *AliasTable
+	scheduler  *RoundRobinScheduler
 }
 
-func New(way Policy, weights []float64, chance RandFunc) *Picker {
-	l := &Picker{way: way, weights: weights}
+// New returns a Picker for lines of the given weights.
+func New(policy Policy, weights []float64, random RandFunc) *Picker {
+	p := &Picker{policy: policy, weights: weights}
 	if len(weights) == 0 {
-		return l
+		return p
 	}
-	if way == RoundRobin {
-		l.wheel = NewRoundRobinScheduler(weights, chance)
+	if policy == RoundRobin {
+		p.scheduler = NewRoundRobinScheduler(weights, random)
 	} else {
-		l.alias = NewAliasTable(weights)
+		p.aliasTable = NewAliasTable(weights)
 	}
-	return l
+	return p
 }
 
-// Len is how many lines there are.
-func (l *Picker) Len() int { return len(l.weights) }
+// Len returns the number of lines.
+func (p *Picker) Len() int { return len(p.weights) }
 
-// redraws is how often a lottery draws again before it looks through all lines: where most are open it never
-// comes to that, and where few are the look is bounded.
-const redraws = 4
+// maxRedraws is the number of random draws before all lines are scanned. If most lines are available, a scan is almost
+// never needed; if few are, the number of futile draws is bounded.
+const maxRedraws = 4
 
-// Pick gives a line by weight of those that are open, -1 if none is. Held says how many calls a line has in hand.
-func (l *Picker) Pick(chance RandFunc, open func(int) bool, held func(int) int) int {
+// Pick returns the index of an available line, -1 if there is none. The function inFlight returns the number of calls
+// in flight at a line.
+func (p *Picker) Pick(random RandFunc, available func(int) bool, inFlight func(int) int) int {
 	switch {
-	case len(l.weights) == 0:
+	case len(p.weights) == 0:
 		return -1
-	case l.way == RoundRobin:
-		return l.wheel.Next(open)
-	case l.way == Random:
-		return l.draw(chance, open)
+	case p.policy == RoundRobin:
+		return p.scheduler.Next(available)
+	case p.policy == Random:
+		return p.draw(random, available)
 	}
-	first := l.draw(chance, open)
+	first := p.draw(random, available)
 	if first < 0 {
 		return -1
 	}
-	second := l.draw(chance, open)
-	if held(second) < held(first) {
+	second := p.draw(random, available)
+	if inFlight(second) < inFlight(first) {
 		return second
 	}
 	return first
 }
 
-func (l *Picker) draw(chance RandFunc, open func(int) bool) int {
-	for range redraws {
-		if i := l.alias.Draw(chance()); open(i) {
+// draw returns an available line by weight, -1 if there is none.
+func (p *Picker) draw(random RandFunc, available func(int) bool) int {
+	for range maxRedraws {
+		if i := p.aliasTable.Draw(random()); available(i) {
 			return i
 		}
 	}
-	return LinearScan(l.weights, chance(), open)
+	return LinearScan(p.weights, random(), available)
 }
 
-// Scan is the plain way: it looks through all lines.
-func LinearScan(weights []float64, chance float64, open func(int) bool) int {
+// LinearScan returns an available line by weight, -1 if there is none, in time linear in the number of lines; r is a
+// random number in [0,1).
+func LinearScan(weights []float64, r float64, available func(int) bool) int {
 	sum, last := 0.0, -1
 	for i, w := range weights {
-		if open(i) {
+		if available(i) {
 			sum, last = sum+w, i
 		}
 	}
-	at := chance * sum
+	x := r * sum
 	for i, w := range weights {
-		if open(i) {
-			if at -= w; at < 0 {
+		if available(i) {
+			if x -= w; x < 0 {
 				return i
 			}
 		}
