--- a/internal/again/again_test.go
+++ b/internal/again/again_test.go
@@ -6,124 +6,125 @@
 	"pgregory.net/rapid"
 )
 
-var note = Route{Repeat: Keyed, Reach: Cell, Span: 4000, SLO: 1000, TryWait: 1.2}
+var keyedRoute = Route{Idempotency: IdempotentByKey, DedupScope: DedupCell, DedupWindow: 4000, SLO: 1000, TryTimeoutShare: 1.2}
 
 func TestOnlyAsOrderedAndOnlyWhatIsSafe(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		route Route
-		tries int
-		fates []Fate
-		at    float64
-		want  Verdict
+	for _, test := range []struct {
+		name       string
+		route      Route
+		mode       int
+		executions []Execution
+		now        float64
+		want       Verdict
 	}{
-		{"none ordered", Route{Repeat: Repeatable}, 0, []Fate{NeverRan}, 100, NotOrdered},
-		{"proof", Route{Repeat: Mutating}, 1, []Fate{NeverRan}, 100, Goes},
-		{"no proof", Route{Repeat: Repeatable}, 1, []Fate{MayHaveRun}, 100, NotOrdered},
-		{"any failure, repeatable", Route{Repeat: Repeatable}, 2, []Fate{MayHaveRun}, 100, Goes},
-		{"one only", Route{Repeat: Repeatable}, 2, []Fate{MayHaveRun, MayHaveRun}, 100, NotOrdered},
-		{"two", Route{Repeat: Repeatable}, 3, []Fate{MayHaveRun, MayHaveRun}, 100, Goes},
-		{"two only", Route{Repeat: Repeatable}, 3, []Fate{MayHaveRun, MayHaveRun, NeverRan}, 100, NotOrdered},
-		{"mutating, any failure", Route{Repeat: Mutating}, 3, []Fate{MayHaveRun}, 100, Unsafe},
-		{"mutating, proof twice", Route{Repeat: Mutating}, 3, []Fate{NeverRan, NeverRan}, 100, Goes},
-		{"mutating, proof then none", Route{Repeat: Mutating}, 3, []Fate{NeverRan, MayHaveRun}, 100, Unsafe},
-		{"keyed within the span", note, 2, []Fate{MayHaveRun}, 3999, Goes},
-		{"keyed past the span", note, 2, []Fate{MayHaveRun}, 4000, Unsafe},
-		{"too late", Route{Repeat: Repeatable}, 2, []Fate{MayHaveRun}, 4900, TooLate},
+		{"no retry allowed", Route{Idempotency: Idempotent}, 0, []Execution{NeverRan}, 100, NotAllowed},
+		{"never ran", Route{Idempotency: NonIdempotent}, 1, []Execution{NeverRan}, 100, Retry},
+		{"may have run", Route{Idempotency: Idempotent}, 1, []Execution{MayHaveRun}, 100, NotAllowed},
+		{"any failure, repeatable", Route{Idempotency: Idempotent}, 2, []Execution{MayHaveRun}, 100, Retry},
+		{"one retry only", Route{Idempotency: Idempotent}, 2, []Execution{MayHaveRun, MayHaveRun}, 100, NotAllowed},
+		{"two retries", Route{Idempotency: Idempotent}, 3, []Execution{MayHaveRun, MayHaveRun}, 100, Retry},
+		{"two retries only", Route{Idempotency: Idempotent}, 3, []Execution{MayHaveRun, MayHaveRun, NeverRan}, 100, NotAllowed},
+		{"mutating, any failure", Route{Idempotency: NonIdempotent}, 3, []Execution{MayHaveRun}, 100, Unsafe},
+		{"mutating, never ran twice", Route{Idempotency: NonIdempotent}, 3, []Execution{NeverRan, NeverRan}, 100, Retry},
+		{"mutating, never ran, then may have run", Route{Idempotency: NonIdempotent}, 3, []Execution{NeverRan, MayHaveRun}, 100, Unsafe},
+		{"keyed within the deduplication window", keyedRoute, 2, []Execution{MayHaveRun}, 3999, Retry},
+		{"keyed past the deduplication window", keyedRoute, 2, []Execution{MayHaveRun}, 4000, Unsafe},
+		{"too late", Route{Idempotency: Idempotent}, 2, []Execution{MayHaveRun}, 4900, TooLate},
 	} {
-		call := Begin(c.route, c.tries, 5000)
-		for _, f := range c.fates {
-			call.Failed(f, Place{"a", "a-1"}, 0)
+		call := NewState(test.route, test.mode, 5000)
+		for _, execution := range test.executions {
+			call.RecordFailure(execution, Location{"a", "a-1"}, 0)
 		}
-		if got := call.Next(c.at, 150, NewBudget()); got != c.want {
-			t.Errorf("%s: %s, wanted %s", c.name, got, c.want)
+		if got := call.Decide(test.now, 150, NewBudget()); got != test.want {
+			t.Errorf("%s: verdict %q, want %q", test.name, got, test.want)
 		}
 	}
 }
 
 func TestAKeyedCallStaysWithinReach(t *testing.T) {
-	for reach, want := range map[string][3]bool{All: {true, true, true}, Zone: {true, true, false}, Cell: {true, false, false}, "": {}} {
-		call := Begin(Route{Repeat: Keyed, Reach: reach, Span: 4000}, 3, 5000)
-		if !call.Among(Place{"b", "b-1"}) {
-			t.Errorf("%s: bound before anything ran", reach)
+	for scope, want := range map[string][3]bool{DedupAll: {true, true, true}, DedupZone: {true, true, false}, DedupCell: {true, false, false}, "": {}} {
+		call := NewState(Route{Idempotency: IdempotentByKey, DedupScope: scope, DedupWindow: 4000}, 3, 5000)
+		if !call.Allows(Location{"b", "b-1"}) {
+			t.Errorf("scope %q: a host is excluded although no try may have run", scope)
 		}
-		call.Failed(NeverRan, Place{"b", "b-1"}, 0)
-		call.Failed(MayHaveRun, Place{"a", "a-1"}, 0)
-		for i, p := range []Place{{"a", "a-1"}, {"a", "a-2"}, {"b", "b-1"}} {
-			if got := call.Among(p); got != want[i] {
-				t.Errorf("%s: %v to %v", reach, got, p)
+		call.RecordFailure(NeverRan, Location{"b", "b-1"}, 0)
+		call.RecordFailure(MayHaveRun, Location{"a", "a-1"}, 0)
+		for i, p := range []Location{{"a", "a-1"}, {"a", "a-2"}, {"b", "b-1"}} {
+			if got := call.Allows(p); got != want[i] {
+				t.Errorf("scope %q: got %v for a retry at %v", scope, got, p)
 			}
 		}
 	}
 }
 
 func TestTheWaitOfATry(t *testing.T) {
-	call := Begin(note, 2, 5000)
-	if got := call.Wait(100); got != 1300 {
-		t.Errorf("a try that another may follow waits until %v", got)
+	call := NewState(keyedRoute, 2, 5000)
+	if got := call.TryDeadline(100); got != 1300 {
+		t.Errorf("the deadline of a try that may be retried is %v, want 1300", got)
 	}
-	call.Failed(MayHaveRun, Place{}, 100)
-	if got := call.Wait(1300); got != 5000 {
-		t.Errorf("the last waits until %v", got)
+	call.RecordFailure(MayHaveRun, Location{}, 100)
+	if got := call.TryDeadline(1300); got != 5000 {
+		t.Errorf("the deadline of the last try is %v, want 5000", got)
 	}
-	for _, c := range []Call{Begin(note, 1, 5000), Begin(Route{Repeat: Mutating, SLO: 1000, TryWait: 1.2}, 3, 5000)} {
-		if got := c.Wait(100); got != 5000 {
-			t.Errorf("cut short at %v with nothing to follow", got)
+	for _, c := range []State{NewState(keyedRoute, 1, 5000), NewState(Route{Idempotency: NonIdempotent, SLO: 1000, TryTimeoutShare: 1.2}, 3, 5000)} {
+		if got := c.TryDeadline(100); got != 5000 {
+			t.Errorf("the deadline of a try that can't be retried is %v, want 5000", got)
 		}
 	}
 }
 
-// Whatever happens, further tries are at most a share of first tries, a few a second and the store of a quiet time.
+// In any order of events, the number of retries is at most the share of first tries, plus the tokens granted per
+// second, plus the tokens saved up.
 func TestTheBudgetHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now, firsts, more := NewBudget(), 1.0, 0.0, 0.0
+		b, now, firstTries, retries := NewBudget(), 1.0, 0.0, 0.0
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now += rapid.Float64Range(0, 50).Draw(t, "later")
 			if rapid.IntRange(0, 3).Draw(t, "what") == 0 {
-				firsts++
-				b.First(now)
+				firstTries++
+				b.RecordFirstTry(now)
 			}
-			call := Begin(Route{Repeat: Repeatable}, 3, now+1e6)
-			call.Failed(MayHaveRun, Place{}, now)
-			if call.Next(now, 0, b) == Goes {
-				more++
+			call := NewState(Route{Idempotency: Idempotent}, 3, now+1e6)
+			call.RecordFailure(MayHaveRun, Location{}, now)
+			if call.Decide(now, 0, b) == Retry {
+				retries++
 			}
-			if most := budgetShare*firsts + budgetFloor*now/1000 + budgetMost; more > most {
-				t.Fatalf("%v further tries by %v ms after %v first ones", more, now, firsts)
+			if limit := budgetPerFirstTry*firstTries + budgetPerSecond*now/1000 + budgetMaxTokens; retries > limit {
+				t.Fatalf("%v retries by %v ms after %v first tries", retries, now, firstTries)
 			}
 		}
 	})
 }
 
-// A model that knows where a call really ran: no order of fates lets a mutating call run twice, nor a keyed one
-// where its first run is not known.
+// The model knows where a call really was executed. In any order of failures, a mutating call is not executed twice,
+// and a keyed call is not executed again at a host that would not recognize the repeat.
 func TestNoEffectTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		route := rapid.SampledFrom([]Route{{Repeat: Mutating}, note, {Repeat: Keyed, Reach: Zone, Span: 500}}).Draw(t, "route")
-		call := Begin(route, rapid.IntRange(0, 3).Draw(t, "tries"), 1e5)
-		now, ran, ranAt := 0.0, []Place(nil), 0.0
-		places := rapid.SampledFrom([]Place{{"a", "a1"}, {"a", "a2"}, {"b", "b1"}})
-		at := places.Draw(t, "first")
+		route := rapid.SampledFrom([]Route{{Idempotency: NonIdempotent}, keyedRoute, {Idempotency: IdempotentByKey, DedupScope: DedupZone, DedupWindow: 500}}).Draw(t, "route")
+		call := NewState(route, rapid.IntRange(0, 3).Draw(t, "tries"), 1e5)
+		now, executed, executedAt := 0.0, []Location(nil), 0.0
+		locations := rapid.SampledFrom([]Location{{"a", "a1"}, {"a", "a2"}, {"b", "b1"}})
+		at := locations.Draw(t, "first")
 		for {
-			known := len(ran) > 0 && route.Repeat == Keyed && now-ranAt < route.Span
-			for _, p := range ran {
-				known = known && (p.Cell == at.Cell || route.Reach == Zone && p.Zone == at.Zone)
+			recognized := len(executed) > 0 && route.Idempotency == IdempotentByKey && now-executedAt < route.DedupWindow
+			for _, p := range executed {
+				recognized = recognized && (p.Cell == at.Cell || route.DedupScope == DedupZone && p.Zone == at.Zone)
 			}
-			if runs := rapid.Bool().Draw(t, "runs"); runs && len(ran) > 0 && !known {
-				t.Fatalf("%s runs twice: at %v, then %v after %v ms", route.Repeat, ran, at, now-ranAt)
-			} else if runs && len(ran) == 0 {
-				ran, ranAt = append(ran, at), now
-				call.Failed(MayHaveRun, at, now)
+			if runs := rapid.Bool().Draw(t, "runs"); runs && len(executed) > 0 && !recognized {
+				t.Fatalf("%s call executed twice: at %v, then at %v after %v ms", route.Idempotency, executed, at, now-executedAt)
+			} else if runs && len(executed) == 0 {
+				executed, executedAt = append(executed, at), now
+				call.RecordFailure(MayHaveRun, at, now)
 			} else if runs {
-				call.Failed(MayHaveRun, at, now)
+				call.RecordFailure(MayHaveRun, at, now)
 			} else {
-				call.Failed(Fate(rapid.IntRange(0, 1).Draw(t, "known")), at, now)
+				call.RecordFailure(Execution(rapid.IntRange(0, 1).Draw(t, "known")), at, now)
 			}
 			now += rapid.Float64Range(0, 3000).Draw(t, "later")
-			if call.Next(now, 0, NoLimit()) != Goes {
+			if call.Decide(now, 0, NewUnlimitedBudget()) != Retry {
 				return
 			}
-			if at = places.Draw(t, "next"); !call.Among(at) {
+			if at = locations.Draw(t, "next"); !call.Allows(at) {
 				return
 			}
 		}
--- a/internal/platform/rollout_test.go
+++ b/internal/platform/rollout_test.go
@@ -68,7 +68,7 @@
 	config    string
 	log       *logBuffer
 	client    *http.Client
-	demand    *pick.Alias // distribution of calls over slices
+	demand    *pick.AliasTable // distribution of calls over slices
 
 	mu        sync.Mutex
 	hosts     map[string]*standin.Host
@@ -110,7 +110,7 @@
 	}
 	f := &fleet{t: t, relay: newRelayStub(t), discovery: newDiscoveryStub(t), log: &logBuffer{},
 		hosts: map[string]*standin.Host{}, removedAt: map[string]time.Time{},
-		tries: map[string]*hostSample{}, calls: map[int]int{}, demand: pick.NewAlias(demand),
+		tries: map[string]*hostSample{}, calls: map[int]int{}, demand: pick.NewAliasTable(demand),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
 	f.relay.ackDelay, f.relay.proxies = orderTransit, fleetProxies
 	for n := range fleetHosts {
@@ -235,7 +235,7 @@
 		f.mu.Unlock()
 		return false
 	}
-	name := hosts[pick.NewAlias(weights).Draw(rand.Float64())]
+	name := hosts[pick.NewAliasTable(weights).Draw(rand.Float64())]
 	address := f.hosts[name].Address
 	f.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
