--- a/cmd/vetchwood/commands.go
+++ b/cmd/vetchwood/commands.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	f := s.Service.Facts
+	f := s.Service.Config
 	fmt.Fprintf(out, "%s: valid\n", c.File)
 	for _, l := range []struct {
 		name string
@@ -83,7 +83,7 @@
 		{"one line to all proxies costs", fmt.Sprintf("%v lines, %.0f ms of the channel", float64(f.Proxies)*(f.MessageOverhead+2),
 			1000*float64(f.Proxies)*(f.MessageOverhead+2)/f.LinesPerSecond)},
 		{"memory", fmt.Sprintf("%d MiB, for %d connections at most if there are descriptors", s.Memory>>20, budget.Means{Memory: s.Memory, Descriptors: 1 << 30}.Of().Connections)},
-		{"longest wait of a poll", fmt.Sprintf("%v ms", s.Service.LongestWait)}} {
+		{"longest wait of a poll", fmt.Sprintf("%v ms", s.Service.MaxWait)}} {
 		fmt.Fprintf(out, "  %-30s %v\n", l.name, l.v)
 	}
 	for i, r := range s.Service.Routes {
--- a/cmd/vetchwood/tables.go
+++ b/cmd/vetchwood/tables.go
@@ -76,13 +76,13 @@
 }
 
 func (c *tablesShow) Run(ctx context.Context, out io.Writer, p *program) error {
-	var s control.Saved
+	var s control.SavedState
 	if err := p.Tables.client().Get(ctx, fmt.Sprintf("versions/%d", c.Version), &s); err != nil {
 		return err
 	}
 	return p.Tables.show(out, s, func(w io.Writer) {
 		fmt.Fprintln(w, "table\thost\tweight\t")
-		for _, l := range operate.Diff(control.Saved{}, s).Lines {
+		for _, l := range operate.Diff(control.SavedState{}, s).Lines {
 			fmt.Fprintf(w, "%s\t%s\t%.4g\t%s\n", l.Table, l.Host, l.To, map[bool]string{true: "masked"}[s.Masked[l.Host]])
 		}
 	})
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -40,7 +40,7 @@
 	listed    map[tables.Address]bool
 	swept     logic.Millis
 	last      *tables.Document // the newest that was kept
-	list0     []Listed         // the list as it was told last
+	list0     []HostEntry      // the list as it was told last
 	pinned    map[logic.TableID]Pin
 	operated  tables.Step // the newest version by an operator
 	cause     cause
@@ -56,7 +56,7 @@
 	healthFrom map[tables.Address]bool
 	notes      []any
 	out        []any
-	figures    Figures
+	figures    Stats
 }
 
 type timer struct {
@@ -73,8 +73,8 @@
 }
 
 // New is a director's start. What it returns first must be carried out before the first Handle.
-func New(seed uint64, now logic.Millis, svc Service, saved Saved) (*Core, []any) {
-	f := svc.Facts
+func New(seed uint64, now logic.Millis, svc Service, saved SavedState) (*Core, []any) {
+	f := svc.Config
 	c := &Core{svc: svc, module: logic.New(seed, f), names: newNames(svc.Zones, f.Proxies, &saved), line: saved.Line,
 		channel: channel.New(f.LinesPerSecond, f.MessageWindow),
 		intake:  sums.New(f.Slices > 0, f.ReportInterval, f.ReportLinesPerSecond), streams: map[logic.ProxyID]*stream{},
@@ -97,7 +97,7 @@
 	// Opening state is a step of its own, so that nothing is told that is not stored.
 	d := c.draft(float64(now))
 	d.change.Levels = d.is.levels
-	if svc.Leased {
+	if svc.SlicesLeased {
 		d.bare()
 	} else if f.Slices > 0 {
 		for t := range logic.TableID(f.Slices) {
@@ -121,7 +121,7 @@
 	c.list0, c.pinned = saved.List, map[logic.TableID]Pin{}
 	maps.Copy(c.pinned, saved.Pinned)
 	for t := range logic.TableID(f.Slices) {
-		if _, held := c.pinned[t]; !held && !svc.Leased {
+		if _, held := c.pinned[t]; !held && !svc.SlicesLeased {
 			c.give(t, d.is)
 		}
 	}
@@ -132,7 +132,7 @@
 	}
 	c.out = nil
 	d.change.Known = c.names.hosts
-	if f.Slices > 0 && saved.Step > 0 && !svc.Leased {
+	if f.Slices > 0 && saved.Step > 0 && !svc.SlicesLeased {
 		c.keep(c.document(w, 0)) // most proxies hold it, and need no more than the difference
 	}
 	c.world, c.opening = d.is, d.is.step
@@ -143,7 +143,7 @@
 
 // carry keeps what proxies with tables of their own held before the start: the module lays new ones from the
 // same numbers, and a proxy goes by the old until it is bound anew.
-func (d *draft) carry(saved *Saved) {
+func (d *draft) carry(saved *SavedState) {
 	d.is.carried = map[logic.ProxyID]map[string]*tables.Table{}
 	for id, old := range saved.Carried {
 		d.is.carried[id] = maps.Clone(old)
@@ -169,7 +169,7 @@
 	d.is.tables = map[logic.TableID]*tables.Table{}
 }
 
-func (c *Core) say(e Event) { c.out = append(c.out, e) }
+func (c *Core) say(e LogEvent) { c.out = append(c.out, e) }
 
 // take gives what is to be carried out, what all lots see first.
 func (c *Core) take() []any {
@@ -193,15 +193,15 @@
 			c.leaves(i)
 		case park.Wants:
 			c.wants(i)
-		case Passed:
+		case AnswersFlushed:
 			c.passed(now)
-		case Broke:
+		case Disconnected:
 			delete(c.onlookers, i.Ticket)
 		case Watch:
 			c.watch(now, i)
 		case Report:
 			c.report(now, i)
-		case List:
+		case HostList:
 			c.list(now, i.Hosts)
 		case Stored:
 			c.settle(now, i.Step)
@@ -225,9 +225,9 @@
 			c.guard(now, i)
 		case Pins:
 			c.tellPins(now, i.Ticket)
-		case Probed:
+		case ProbeResult:
 			if k, known := c.names.hosts[i.Address]; known {
-				c.notes = append(c.notes, logic.ProbeResult{Host: k.Number, Latency: i.Spent, Healthy: i.Good, Load: i.Load})
+				c.notes = append(c.notes, logic.ProbeResult{Host: k.Number, Latency: i.Latency, Healthy: i.Healthy, Load: i.Load})
 			}
 		}
 	}
@@ -256,7 +256,7 @@
 }
 
 // Wake is when Handle must be called again at the latest.
-func (c *Core) Wake() logic.Millis {
+func (c *Core) NextWake() logic.Millis {
 	at := c.intake.Next()
 	for _, t := range c.timers {
 		at = min(at, t.at)
@@ -274,11 +274,11 @@
 		case logic.SetTimer:
 			c.timers = append(c.timers, timer{now + o.Delay, o.Timer})
 		case logic.Probe:
-			if a := c.names.address[o.Host]; c.svc.Facts.MayProbe && a != "" {
+			if a := c.names.address[o.Host]; c.svc.Config.MayProbe && a != "" {
 				c.out = append(c.out, Probe{a})
 			}
 		case logic.LogText:
-			c.say(Event{Name: "module.says", Detail: o.Text})
+			c.say(LogEvent{Name: "module.says", Detail: o.Text})
 		case logic.WatchHosts, logic.RequestHosts, logic.SendToPeer:
 			// The list comes by itself, and there is no peer yet.
 		default:
@@ -293,12 +293,12 @@
 // commit makes a draft the newest version: on its way to the store, and with its messages from there to the channel.
 func (c *Core) commit(now logic.Millis, d *draft) {
 	d.check(now)
-	d.change.Least = d.is.step
+	d.change.OldestInUse = d.is.step
 	if d.change.Levels != nil {
 		c.known.levels = now
 	}
 	if oldest, any := c.stands.Oldest(); any {
-		d.change.Least = min(d.change.Least, oldest)
+		d.change.OldestInUse = min(d.change.OldestInUse, oldest)
 	}
 	c.world = d.is
 	s := &step{world: d.is, changed: slices.Collect(maps.Keys(d.change.Tables)), removes: d.removes()}
@@ -312,21 +312,21 @@
 		if !concerned && !(d.stamped && d.all) {
 			continue
 		}
-		if lines += c.svc.Facts.MessageOverhead; d.stamped {
+		if lines += c.svc.Config.MessageOverhead; d.stamped {
 			lines++
 		}
 		l := same
 		if l == nil {
 			l = &letter{c.document(d.is, id), d.serial, d.stamped, now}
 		}
-		if c.svc.Facts.Slices > 0 {
+		if c.svc.Config.Slices > 0 {
 			same = l
 		}
 		s.messages = append(s.messages, channel.Message{Proxy: id, Lines: lines, Body: l})
 	}
 	c.unsaved = append(c.unsaved, s)
 	c.out = append(c.out, Persist{d.change})
-	c.say(Event{Name: "step.ordered", Version: strconv.Itoa(int(d.is.step)),
+	c.say(LogEvent{Name: "step.ordered", Version: strconv.Itoa(int(d.is.step)),
 		Detail: strconv.Itoa(len(s.messages)) + " messages"})
 }
 
@@ -353,22 +353,22 @@
 		return
 	}
 	if r.Key != "" && r.Key == st.reports {
-		c.figures.Repeats++
-		c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Taken})
+		c.figures.RepeatedReports++
+		c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Accepted})
 		return
 	}
 	var calls []sums.Demand
 	for i, l := range r.Calls {
 		route, known := c.routes[l.Route]
 		if !known {
-			c.refuse(r.Ticket, Wrong, "cluster_stats["+strconv.Itoa(i)+"]: the settings know no route "+strconv.Quote(l.Route))
+			c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: the settings know no route "+strconv.Quote(l.Route))
 			return
 		}
-		line := sums.Demand{Proxy: id, Route: route, Calls: l.Calls, Unanswered: l.Lost}
-		if n := c.svc.Facts.Slices; n > 0 {
+		line := sums.Demand{Proxy: id, Route: route, Calls: l.Calls, Unanswered: l.Unanswered}
+		if n := c.svc.Config.Slices; n > 0 {
 			slice, err := strconv.Atoi(l.Table)
 			if err != nil || slice < 0 || slice >= n {
-				c.refuse(r.Ticket, Wrong, "cluster_stats["+strconv.Itoa(i)+"]: "+strconv.Quote(l.Table)+" is no slice")
+				c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: "+strconv.Quote(l.Table)+" is no slice")
 				return
 			}
 			line.Slice = logic.TableID(slice)
@@ -380,7 +380,7 @@
 	zone := c.names.zone(st.zone)
 	for _, t := range r.Tries {
 		if k, known := c.names.hosts[t.Address]; known && t.Ended > 0 {
-			met := sums.Tries{Host: k.Number, Zone: zone, Ended: t.Ended, Unanswered: t.Lost, AnsweredMs: t.Spent, Load: t.Load}
+			met := sums.Tries{Host: k.Number, Zone: zone, Ended: t.Ended, Unanswered: t.Unanswered, AnsweredMs: t.AnsweredMs, Load: t.Load}
 			c.intake.AddTries(now, met)
 			c.known.tried(now, met)
 		}
@@ -391,19 +391,19 @@
 			c.known.came(now, l)
 		}
 	}
-	c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Taken})
+	c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Accepted})
 }
 
 // list follows the list of hosts.
-func (c *Core) list(now logic.Millis, hosts []Listed) {
+func (c *Core) list(now logic.Millis, hosts []HostEntry) {
 	c.list0, c.lost = slices.Clone(hosts), 0
 	c.known.list(now, hosts)
 	c.notes = append(c.notes, logic.HostList{Kind: logic.HostListFull, Entries: c.entries(c.doubt(now, hosts), now)})
 	c.out = append(c.out, Persist{Change{Line: c.line, List: slices.Clone(hosts), Known: maps.Clone(c.names.hosts)}})
-	c.say(Event{Name: "list.told", Detail: strconv.Itoa(len(hosts)) + " hosts"})
+	c.say(LogEvent{Name: "list.told", Detail: strconv.Itoa(len(hosts)) + " hosts"})
 }
 
-func (c *Core) entries(hosts []Listed, now logic.Millis) (out []logic.HostEntry) {
+func (c *Core) entries(hosts []HostEntry, now logic.Millis) (out []logic.HostEntry) {
 	clear(c.listed)
 	for _, l := range hosts {
 		if c.listed[l.Address] {
@@ -415,21 +415,21 @@
 	return out
 }
 
-func (c *Core) entry(l Listed, now logic.Millis) logic.HostEntry {
+func (c *Core) entry(l HostEntry, now logic.Millis) logic.HostEntry {
 	id, _ := c.names.host(l)
 	return logic.HostEntry{Host: id, State: l.State, Cell: c.names.cell(l.Cell), Zone: c.names.zone(l.Zone), Weight: l.Weight,
 		StartedAt: min(logic.Millis(l.Born), now)}
 }
 
 // Figures are those of now.
-func (c *Core) Figures() Figures {
+func (c *Core) Stats() Stats {
 	f := c.figures
 	f.Step, f.Stored, f.Joined = c.world.step, c.stored.step, len(c.ids)
 	f.Hosts, f.Masked = len(c.listed), len(c.world.masked)
-	f.Oldest, _ = c.stands.Oldest()
-	f.Behind = c.stands.Behind(c.stored.step)
+	f.OldestHeld, _ = c.stands.Oldest()
+	f.ProxiesBehind = c.stands.Behind(c.stored.step)
 	f.Slices = len(c.world.tables)
-	f.Waiting, f.MostWaiting, f.QueueLimit = c.channel.QueuedLines(), c.channel.MaxQueuedLines(), c.svc.Facts.QueueLimit
-	f.MostMessages, f.ReportLinesWaiting = c.channel.MaxMessagesInWindow(), c.intake.Pending()
+	f.QueuedLines, f.MaxQueuedLines, f.QueueLimit = c.channel.QueuedLines(), c.channel.MaxQueuedLines(), c.svc.Config.QueueLimit
+	f.MaxMessagesInWindow, f.PendingReportLines = c.channel.MaxMessagesInWindow(), c.intake.Pending()
 	return f
 }
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -17,7 +17,7 @@
 	c       *Core
 	lot     *park.Lot
 	now     logic.Millis
-	disk    Saved
+	disk    SavedState
 	hold    bool
 	held    []Change
 	answers map[Ticket]Answer
@@ -27,18 +27,18 @@
 
 func service(slices int) Service {
 	return Service{Zones: []string{"a", "b"}, Pick: "lottery", ProxyNames: regexp.MustCompile(`^p[0-9]$`), Lease: 2000,
-		LongestWait: 30000, Kept: 16, Routes: []RouteInfo{{"read", tables.Route{Level: tables.Level{Level: 1, Tries: 1},
+		MaxWait: 30000, MaxBases: 16, Routes: []RouteInfo{{"read", tables.Route{Level: tables.Level{Level: 1, Tries: 1},
 			Repeat: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1}}},
-		Facts: logic.Config{Directors: 1, Proxies: 4, Slices: slices, LinesPerSecond: 1000, QueueLimit: 1000, MessageOverhead: 4,
+		Config: logic.Config{Directors: 1, Proxies: 4, Slices: slices, LinesPerSecond: 1000, QueueLimit: 1000, MessageOverhead: 4,
 			Transit: 5, WorstTransit: 50, DrainGrace: 2000, WarmAfter: 10000, ColdFailAfter: 1500, ColdOverloadLimit: 3, ColdCapacity: 0.2,
 			EmptyTableLimit: 2000, ReportInterval: 500, ReportLinesPerSecond: 100, MessageWindow: 10000, Levels: logic.LevelShare,
 			Routes: []logic.Route{{SLO: 1000, TimeLimit: 3000, Importance: 1, Idempotency: logic.Idempotent}}}}
 }
 
-func start(t *testing.T, svc Service, disk Saved) *rig {
+func start(t *testing.T, svc Service, disk SavedState) *rig {
 	r := &rig{t: t, now: 1e12, disk: disk, answers: map[Ticket]Answer{}}
 	if disk.Line == 0 {
-		r.disk = Saved{Line: 42, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}
+		r.disk = SavedState{Line: 42, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}
 	}
 	r.raise(svc)
 	return r
@@ -46,7 +46,7 @@
 
 func (r *rig) raise(svc Service) {
 	var out []any
-	r.lot = park.NewLot(0, 1, park.Terms{LongestWait: svc.LongestWait, Lease: svc.Lease, Zones: svc.Zones}, r.now)
+	r.lot = park.NewLot(0, 1, park.Terms{LongestWait: svc.MaxWait, Lease: svc.Lease, Zones: svc.Zones}, r.now)
 	r.c, out = New(5, r.now, svc, r.disk)
 	r.carry(out)
 }
@@ -81,7 +81,7 @@
 	if _, twice := r.answers[o.Ticket]; twice {
 		r.t.Fatalf("ticket %d is answered twice", o.Ticket)
 	}
-	if o.Doc != nil && (o.Kind == Whole || o.Kind == Delta) && o.Doc.Step > r.disk.Step {
+	if o.Doc != nil && (o.Kind == Full || o.Kind == Delta) && o.Doc.Step > r.disk.Step {
 		r.t.Fatalf("step %d is told, but only %d is stored", o.Doc.Step, r.disk.Step)
 	}
 	r.answers[o.Ticket] = o
@@ -95,7 +95,7 @@
 		case Publish:
 			r.heard(r.lot.See(r.now, o.View))
 			if o.Barrier {
-				r.carry(r.c.Handle(r.now, []any{Passed{}}))
+				r.carry(r.c.Handle(r.now, []any{AnswersFlushed{}}))
 			}
 		case park.Tell, park.Turned:
 			r.heard(r.lot.Told(r.now, o))
@@ -121,7 +121,7 @@
 		switch i := i.(type) {
 		case Poll:
 			r.heard(r.lot.Poll(r.now, i))
-		case Broke:
+		case Disconnected:
 			r.heard(r.lot.Broke(r.now, i))
 		default:
 			rest = append(rest, i)
@@ -133,7 +133,7 @@
 
 func (r *rig) pass(d logic.Millis) {
 	for end := r.now + d; r.now < end; {
-		r.now = min(end, max(r.now+1, r.c.Wake()), r.now+10)
+		r.now = min(end, max(r.now+1, r.c.NextWake()), r.now+10)
 		r.do()
 	}
 }
@@ -153,9 +153,9 @@
 	return a.Doc
 }
 
-func up(n int) (out []Listed) {
+func up(n int) (out []HostEntry) {
 	for i := range n {
-		out = append(out, Listed{ID: fmt.Sprintf("h%d", i), Address: tables.Address(fmt.Sprintf("10.0.0.%d:80", i)), Zone: "a",
+		out = append(out, HostEntry{ID: fmt.Sprintf("h%d", i), Address: tables.Address(fmt.Sprintf("10.0.0.%d:80", i)), Zone: "a",
 			Cell: fmt.Sprint(i / 2), Weight: 1})
 	}
 	return out
@@ -163,10 +163,10 @@
 
 // settled gives a rig whose slices all have lines, and a document that a proxy of it holds.
 func settled(t *testing.T, hosts int) (*rig, *tables.Document) {
-	r := start(t, service(8), Saved{})
-	r.do(List{up(hosts)})
+	r := start(t, service(8), SavedState{})
+	r.do(HostList{up(hosts)})
 	r.pass(1500)
-	d := r.want(r.poll("p1", 0), Whole)
+	d := r.want(r.poll("p1", 0), Full)
 	for name, table := range d.Tables {
 		if len(table.Lines) == 0 {
 			t.Fatalf("table %s has no lines", name)
@@ -191,7 +191,7 @@
 	}
 	list := up(4)
 	list[0].State = logic.Draining
-	r.do(List{list})
+	r.do(HostList{list})
 	r.pass(1500)
 	got := r.want(waits, Delta)
 	if !got.Masked["10.0.0.0:80"] {
@@ -224,13 +224,13 @@
 	r.hold = true
 	list := up(4)
 	list[0].State = logic.Draining
-	r.do(List{list})
+	r.do(HostList{list})
 	r.pass(1500)
 	if _, there := r.answers[waits]; there {
 		t.Fatal("told what is not stored")
 	}
 	// One that joins meanwhile gets what is stored, and the rest with the others.
-	joins := r.want(r.poll("p2", 0), Whole)
+	joins := r.want(r.poll("p2", 0), Full)
 	if joins.Step > r.disk.Step {
 		t.Fatalf("joined at %d, stored is %d", joins.Step, r.disk.Step)
 	}
@@ -244,7 +244,7 @@
 }
 
 func TestAStartBeforeItsOpeningIsStoredTellsNothing(t *testing.T) {
-	r := &rig{t: t, now: 1e12, hold: true, answers: map[Ticket]Answer{}, disk: Saved{Line: 42,
+	r := &rig{t: t, now: 1e12, hold: true, answers: map[Ticket]Answer{}, disk: SavedState{Line: 42,
 		Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}}
 	r.raise(service(8))
 	early := r.poll("p1", 0)
@@ -254,14 +254,14 @@
 	}
 	r.hold = false
 	r.pass(300)
-	r.want(early, Whole)
+	r.want(early, Full)
 }
 
 func TestAStartOverGoesOnFromTheStoredVersion(t *testing.T) {
 	r, d := settled(t, 4)
 	again := start(t, service(8), r.disk)
-	if again.now = r.now + 500; again.c.Figures().Step <= d.Step {
-		t.Fatalf("starts at %d after %d", again.c.Figures().Step, d.Step)
+	if again.now = r.now + 500; again.c.Stats().Step <= d.Step {
+		t.Fatalf("starts at %d after %d", again.c.Stats().Step, d.Step)
 	}
 	got := again.want(again.poll("p1", 0, d.Tag()), Delta)
 	if got.Step <= d.Step || len(got.Tables) != 8 {
@@ -275,7 +275,7 @@
 		}
 	}
 	// One that missed versions which nobody keeps any more gets the whole.
-	again.want(again.poll("p2", 0, tables.Tag{Line: 42, Step: 1, Digest: 1}), Whole)
+	again.want(again.poll("p2", 0, tables.Tag{Line: 42, Step: 1, Digest: 1}), Full)
 }
 
 func TestANewerPollTakesThePlaceOfTheOneThatWaits(t *testing.T) {
@@ -286,12 +286,12 @@
 	if _, there := r.answers[second]; there {
 		t.Fatal("the newer one was answered")
 	}
-	r.do(Broke{Ticket: first, Proxy: "p1"}) // its connection closes later; that is no leaving
-	if r.c.Figures().Joined != 1 {
+	r.do(Disconnected{Ticket: first, Proxy: "p1"}) // its connection closes later; that is no leaving
+	if r.c.Stats().Joined != 1 {
 		t.Fatal("left by a poll that was answered already")
 	}
-	r.do(Broke{Ticket: second, Proxy: "p1"})
-	if r.c.Figures().Joined != 0 {
+	r.do(Disconnected{Ticket: second, Proxy: "p1"})
+	if r.c.Stats().Joined != 0 {
 		t.Fatal("a broken connection is no leaving")
 	}
 }
@@ -299,11 +299,11 @@
 func TestAProxyLeavesWhenItPollsNoMore(t *testing.T) {
 	r, _ := settled(t, 4)
 	r.pass(1900)
-	if r.c.Figures().Joined != 1 {
+	if r.c.Stats().Joined != 1 {
 		t.Fatal("left before its lease was over")
 	}
 	r.pass(300)
-	if r.c.Figures().Joined != 0 {
+	if r.c.Stats().Joined != 0 {
 		t.Fatal("stayed past its lease")
 	}
 }
@@ -313,16 +313,16 @@
 	r.want(r.poll("nobody", 0), Unknown)
 	r.ticket++
 	r.do(Poll{Ticket: r.ticket, Proxy: "p1", Zone: "nowhere"})
-	r.want(r.ticket, Wrong)
+	r.want(r.ticket, Invalid)
 	for i := range 4 {
 		r.poll(fmt.Sprintf("p%d", i+1), 0)
 	}
 	r.want(r.poll("p9", 0), Unknown) // all numbers are taken by joined ones
 	r.pass(2200)
-	r.want(r.poll("p9", 0), Whole) // and one is free once some have left
+	r.want(r.poll("p9", 0), Full) // and one is free once some have left
 	for want, report := range map[AnswerKind]Report{
-		Unknown: {Proxy: "p2"}, Wrong: {Proxy: "p9", Calls: []RouteCalls{{Route: "no", Table: "1", Calls: 1}}},
-		Taken: {Proxy: "p9", Calls: []RouteCalls{{Route: "read", Table: "1", Calls: 1}}}} {
+		Unknown: {Proxy: "p2"}, Invalid: {Proxy: "p9", Calls: []RouteCalls{{Route: "no", Table: "1", Calls: 1}}},
+		Accepted: {Proxy: "p9", Calls: []RouteCalls{{Route: "read", Table: "1", Calls: 1}}}} {
 		r.ticket++
 		report.Ticket = r.ticket
 		r.do(report)
@@ -330,7 +330,7 @@
 	}
 	r.ticket++
 	r.do(Report{Ticket: r.ticket, Proxy: "p9", Calls: []RouteCalls{{Route: "read", Table: "8", Calls: 1}}})
-	r.want(r.ticket, Wrong)
+	r.want(r.ticket, Invalid)
 }
 
 func TestARepeatedReportCountsOnce(t *testing.T) {
@@ -338,9 +338,9 @@
 	for range 2 {
 		r.ticket++
 		r.do(Report{Ticket: r.ticket, Proxy: "p1", Key: "k-1", Calls: []RouteCalls{{Route: "read", Table: "3", Calls: 5}}})
-		r.want(r.ticket, Taken)
+		r.want(r.ticket, Accepted)
 	}
-	if f := r.c.Figures(); f.Reports != 1 || f.Repeats != 1 {
+	if f := r.c.Stats(); f.Reports != 1 || f.RepeatedReports != 1 {
 		t.Fatalf("%+v", f)
 	}
 }
@@ -351,7 +351,7 @@
 	waits := r.poll("p1", 20000, d.Tag())
 	list := up(4)
 	list[0].State = logic.Draining
-	r.do(List{list})
+	r.do(HostList{list})
 	r.pass(1500)
 	got := r.want(waits, Delta)
 	var st *stream
@@ -378,10 +378,10 @@
 // Without slices a proxy is bound to tables, and goes by its old ones over a start until it is bound anew.
 func TestProxiesWithTablesOfTheirOwn(t *testing.T) {
 	svc := service(0)
-	r := start(t, svc, Saved{})
-	r.do(List{up(5)})
+	r := start(t, svc, SavedState{})
+	r.do(HostList{up(5)})
 	r.pass(500)
-	first := r.want(r.poll("p1", 0), Whole)
+	first := r.want(r.poll("p1", 0), Full)
 	wait := r.poll("p1", 20000, first.Tag())
 	r.pass(2000)
 	d := r.answers[wait].Doc
@@ -389,16 +389,16 @@
 		t.Fatalf("not bound: %s", first.Whole())
 	}
 	again := start(t, svc, r.disk)
-	got := again.want(again.poll("p1", 0, d.Tag()), Whole)
+	got := again.want(again.poll("p1", 0, d.Tag()), Full)
 	if got.Routes["read"].Table != "was-read" || len(got.Tables["was-read"].Lines) == 0 || got.Step <= d.Step {
 		t.Fatalf("lost its table over a start: %s", got.Whole())
 	}
 	twice := start(t, svc, again.disk) // and over two in a row
-	if got = twice.want(twice.poll("p1", 0), Whole); len(got.Tables["was-read"].Lines) == 0 {
+	if got = twice.want(twice.poll("p1", 0), Full); len(got.Tables["was-read"].Lines) == 0 {
 		t.Fatalf("lost its table over two starts: %s", got.Whole())
 	}
 	wait = twice.poll("p1", 20000, got.Tag())
-	twice.do(List{up(5)})
+	twice.do(HostList{up(5)})
 	twice.pass(2500)
 	if got = twice.answers[wait].Doc; got == nil || got.Routes["read"].Table == "was-read" {
 		t.Fatalf("not bound anew: %v", twice.answers[wait])
@@ -412,7 +412,7 @@
 			list := up(5)
 			list[i].State = logic.Draining
 			r.poll("p1", 20000, d.Tag())
-			r.do(List{list})
+			r.do(HostList{list})
 			r.pass(2000)
 		}
 		return string(r.c.document(r.c.world, 0).Whole()) + fmt.Sprint(len(r.answers))
@@ -424,13 +424,13 @@
 
 // The channel never holds more than the limit, also where all that was listed drains at once.
 func TestTheQueueStaysShort(t *testing.T) {
-	r := start(t, service(8), Saved{})
-	r.do(List{up(12)})
+	r := start(t, service(8), SavedState{})
+	r.do(HostList{up(12)})
 	r.pass(1500)
 	tag := map[string]tables.Tag{}
 	for i := range 4 {
 		p := fmt.Sprintf("p%d", i)
-		tag[p] = r.want(r.poll(p, 0), Whole).Tag()
+		tag[p] = r.want(r.poll(p, 0), Full).Tag()
 	}
 	for round := range 10 {
 		list := up(12)
@@ -441,7 +441,7 @@
 		for p, held := range tag {
 			tickets[p] = r.poll(p, 20000, held)
 		}
-		r.do(List{list})
+		r.do(HostList{list})
 		r.pass(700)
 		for p, ticket := range tickets {
 			if a, there := r.answers[ticket]; there {
@@ -449,21 +449,21 @@
 			}
 		}
 	}
-	if f := r.c.Figures(); f.MostWaiting > f.QueueLimit || f.MostWaiting == 0 {
-		t.Fatalf("%v lines waited, of %v", f.MostWaiting, f.QueueLimit)
+	if f := r.c.Stats(); f.MaxQueuedLines > f.QueueLimit || f.MaxQueuedLines == 0 {
+		t.Fatalf("%v lines waited, of %v", f.MaxQueuedLines, f.QueueLimit)
 	}
 }
 
 // roll asks for a rollback to what a version held.
-func (r *rig) roll(to Saved, who string, since tables.Step, force bool) Answer {
+func (r *rig) roll(to SavedState, who string, since tables.Step, force bool) Answer {
 	r.ticket++
 	r.do(Rollback{Ticket: r.ticket, To: to.Step, Content: to.Tables, Since: since, Who: who, Why: "test", Force: force})
 	return r.answers[r.ticket]
 }
 
 // version keeps what is ordered now, as the history does.
-func (r *rig) version() Saved {
-	s := Saved{Step: r.c.world.step, Tables: map[logic.TableID]*tables.Table{}}
+func (r *rig) version() SavedState {
+	s := SavedState{Step: r.c.world.step, Tables: map[logic.TableID]*tables.Table{}}
 	for id, t := range r.c.world.tables {
 		s.Tables[id] = t
 	}
@@ -477,19 +477,19 @@
 	old := r.version()
 	list := up(4)
 	list[0].State = logic.Draining
-	r.do(List{list})
+	r.do(HostList{list})
 	r.pass(2500)
 	list[0].State = logic.Up
-	r.do(List{list})
+	r.do(HostList{list})
 	r.pass(6000)
-	r.want(r.poll("p1", 0), Whole)
+	r.want(r.poll("p1", 0), Full)
 	before := r.c.world.step
 	a := r.roll(old, "ann", before, true)
 	if a.Kind != Done || a.Body.(*Operated).Version <= before || len(a.Body.(*Operated).Tables) != 8 {
 		t.Fatalf("%+v", a)
 	}
 	r.pass(300)
-	got := r.want(r.poll("p1", 0), Whole)
+	got := r.want(r.poll("p1", 0), Full)
 	for name, table := range got.Tables {
 		for h, w := range d.Tables[name].Lines {
 			if table.Lines[h] != w {
@@ -498,9 +498,9 @@
 		}
 	}
 	list[1].State = logic.Draining
-	r.do(List{list})
+	r.do(HostList{list})
 	r.pass(300)
-	got = r.want(r.poll("p1", 0), Whole)
+	got = r.want(r.poll("p1", 0), Full)
 	for name, table := range got.Tables {
 		if table.Lines["10.0.0.1:80"] > 0 || len(table.Lines) == 0 {
 			t.Fatalf("table %s: %v though host 1 drains", name, table.Lines)
@@ -508,15 +508,15 @@
 	}
 	// A start over holds on to the pins.
 	again := start(t, service(8), r.disk)
-	again.do(List{list})
+	again.do(HostList{list})
 	again.pass(3000)
-	if got := again.want(again.poll("p1", 0), Whole); len(again.c.pinned) != 8 || got.Tables["0"].Lines["10.0.0.1:80"] > 0 {
+	if got := again.want(again.poll("p1", 0), Full); len(again.c.pinned) != 8 || got.Tables["0"].Lines["10.0.0.1:80"] > 0 {
 		t.Fatalf("%d are pinned after a start over: %s", len(again.c.pinned), got.Whole())
 	}
 	again.ticket++
 	again.do(Release{Ticket: again.ticket, Who: "ann", Why: "test"})
 	list[2].State = logic.Draining
-	again.do(List{list})
+	again.do(HostList{list})
 	again.pass(2000)
 	if len(again.c.pinned) != 0 || again.disk.Pinned == nil || len(again.disk.Pinned) != 0 {
 		t.Fatal("still pinned after the release")
@@ -531,7 +531,7 @@
 func TestRollbacksThatAreRefused(t *testing.T) {
 	r, _ := settled(t, 4)
 	old := r.version()
-	moved := Saved{Step: old.Step, Tables: map[logic.TableID]*tables.Table{}}
+	moved := SavedState{Step: old.Step, Tables: map[logic.TableID]*tables.Table{}}
 	for id, table := range old.Tables {
 		lines := map[tables.Address]float64{"10.0.0.0:80": 1}
 		moved.Tables[id] = &tables.Table{From: table.From, To: table.To, Lines: lines}
@@ -539,7 +539,7 @@
 	if a := r.roll(moved, "ann", old.Step, false); a.Kind != Refused || a.Body.(*Operated).Moved <= mostMoved || len(r.c.pinned) > 0 {
 		t.Errorf("moves too much: %+v", a)
 	}
-	if a := r.roll(old, "", old.Step, false); a.Kind != Wrong {
+	if a := r.roll(old, "", old.Step, false); a.Kind != Invalid {
 		t.Errorf("nobody asks: %+v", a)
 	}
 	if a := r.roll(old, "ann", old.Step, false); a.Kind != Done {
@@ -552,12 +552,12 @@
 	for i := range gone {
 		gone[i].State = logic.Gone
 	}
-	r.do(List{gone})
+	r.do(HostList{gone})
 	if a := r.roll(old, "bob", r.c.world.step, true); a.Kind != Refused {
 		t.Errorf("leaves tables bare: %+v", a)
 	}
 	own := service(0)
-	if a := start(t, own, Saved{}).roll(old, "ann", 9, true); a.Kind != Wrong {
+	if a := start(t, own, SavedState{}).roll(old, "ann", 9, true); a.Kind != Invalid {
 		t.Errorf("without slices: %+v", a)
 	}
 }
@@ -571,11 +571,11 @@
 	r.hold = true // ordered, and not yet stored
 	list := up(4)
 	list[0].State = logic.Draining
-	r.do(List{list})
+	r.do(HostList{list})
 	r.pass(600)
 	half := r.c.world.step
 	list[0].State = logic.Up
-	r.do(List{list})
+	r.do(HostList{list})
 	if a := r.roll(old, "ann", half, true); a.Kind != Done || a.Body.(*Operated).Version <= half {
 		t.Fatalf("%+v", a)
 	}
--- a/internal/control/held.go
+++ b/internal/control/held.go
@@ -75,7 +75,7 @@
 	d := c.draft(float64(now))
 	known := false
 	for _, g := range all {
-		if g.Fence == 0 || int(g.Slice) >= c.svc.Facts.Slices || c.custody.fences[g.Slice] >= g.Fence {
+		if g.Fence == 0 || int(g.Slice) >= c.svc.Config.Slices || c.custody.fences[g.Slice] >= g.Fence {
 			continue
 		}
 		again := c.custody.fences[g.Slice] > 0
@@ -111,7 +111,7 @@
 			c.expect(now, g.Slice)
 			c.given = now
 		}
-		c.say(Event{Name: "slice.given", Version: strconv.Itoa(int(d.is.step)), Detail: strconv.Itoa(int(g.Slice)) + " fence " +
+		c.say(LogEvent{Name: "slice.given", Version: strconv.Itoa(int(d.is.step)), Detail: strconv.Itoa(int(g.Slice)) + " fence " +
 			strconv.FormatUint(g.Fence, 10) + map[bool]string{true: "", false: ", no record"}[g.Record != nil]})
 	}
 	if len(d.fresh) == 0 {
@@ -124,11 +124,11 @@
 }
 
 // named is a host by its entry in a record, or as it is known here.
-func (c *Core) named(a tables.Address, h tables.Host) Listed {
+func (c *Core) named(a tables.Address, h tables.Host) HostEntry {
 	if k, known := c.names.hosts[a]; known {
 		h = k.Host
 	}
-	return Listed{Address: a, ID: h.ID, Zone: h.Zone, Cell: h.Cell}
+	return HostEntry{Address: a, ID: h.ID, Zone: h.Zone, Cell: h.Cell}
 }
 
 func (c *Core) withdrawn(now logic.Millis, t logic.TableID) {
@@ -142,7 +142,7 @@
 	d.change.Tables[t] = nil
 	delete(c.custody.fences, t)
 	c.notes = append(c.notes, logic.SliceOwnership{Slice: t, Owned: false})
-	c.say(Event{Name: "slice.withdrawn", Version: strconv.Itoa(int(d.is.step)), Detail: strconv.Itoa(int(t))})
+	c.say(LogEvent{Name: "slice.withdrawn", Version: strconv.Itoa(int(d.is.step)), Detail: strconv.Itoa(int(t))})
 	c.reread(now, d)
 }
 
--- a/internal/control/held_test.go
+++ b/internal/control/held_test.go
@@ -11,9 +11,9 @@
 // leased gives a rig that holds slices 0 to 3 by a lease, and knows its list.
 func leased(t *testing.T) *rig {
 	svc := service(8)
-	svc.Leased, svc.Learns, svc.Name = true, true, "d1"
-	r := start(t, svc, Saved{})
-	r.do(List{up(3)}, Guard{Until: r.now + 60000})
+	svc.SlicesLeased, svc.QueriesPeers, svc.Name = true, true, "d1"
+	r := start(t, svc, SavedState{})
+	r.do(HostList{up(3)}, Guard{Until: r.now + 60000})
 	var all []Given
 	for s := range logic.TableID(4) {
 		all = append(all, Given{Slice: s, Fence: 100 + uint64(s), Record: &Record{Slice: s, Lines: map[tables.Address]float64{"10.0.0.1:80": 1}}})
@@ -26,7 +26,7 @@
 // told, and one that is withdrawn is told no more.
 func TestOnlyWhatIsHeldIsTold(t *testing.T) {
 	r := leased(t)
-	d := r.want(r.poll("p1", 0), Whole)
+	d := r.want(r.poll("p1", 0), Full)
 	if len(d.Tables) != 4 || d.Tables["2"].Fence != 102 || len(d.Tables["2"].Lines) == 0 {
 		t.Fatalf("%+v", d.Tables)
 	}
@@ -42,7 +42,7 @@
 	r.hold = false
 	r.do()
 	r.pass(1500)
-	d = r.want(r.poll("p1", 0), Whole)
+	d = r.want(r.poll("p1", 0), Full)
 	if six := d.Tables["6"]; six == nil || six.Fence != 7 || len(six.Lines) == 0 {
 		t.Fatalf("slice 6 has lines by now: %+v", six)
 	}
@@ -66,14 +66,14 @@
 // goes on with what changed meanwhile.
 func TestALeaseThatIsOver(t *testing.T) {
 	r := leased(t)
-	d := r.want(r.poll("p1", 0), Whole)
+	d := r.want(r.poll("p1", 0), Full)
 	r.pass(1000)
-	d = r.want(r.poll("p1", 0), Whole)
+	d = r.want(r.poll("p1", 0), Full)
 	waits := r.poll("p1", 20000, d.Tag())
 	r.do(Guard{Until: r.now - 1})
 	hosts := up(3)
 	hosts[1].State = logic.Draining
-	r.do(List{hosts})
+	r.do(HostList{hosts})
 	r.pass(1000)
 	late := r.poll("p2", 0)
 	r.pass(500)
@@ -87,7 +87,7 @@
 	if a.Doc == nil || offers(a.Doc, "10.0.0.1:80") || a.Lease <= 0 || a.Lease > 5000 {
 		t.Fatalf("%+v", a)
 	}
-	r.want(late, Whole)
+	r.want(late, Full)
 	r.do(Guard{Until: r.now - 1})
 	last := r.poll("p1", 100, a.Doc.Tag())
 	r.pass(4000)
@@ -97,7 +97,7 @@
 // What another director knows reaches the module, is over some time later, and is not told on as our own.
 func TestWhatIsLearnt(t *testing.T) {
 	r := leased(t)
-	d := r.want(r.poll("p1", 0), Whole)
+	d := r.want(r.poll("p1", 0), Full)
 	ask := func() *learn.Facts {
 		r.ticket++
 		r.do(Facts{r.ticket})
@@ -108,7 +108,7 @@
 	heard.Hosts[1].State = learn.Draining
 	r.do(Learnt{[]learn.Heard{{Facts: heard, Age: 3}}})
 	r.pass(300)
-	d = r.want(r.poll("p1", 0), Whole)
+	d = r.want(r.poll("p1", 0), Full)
 	if offers(d, "10.0.0.1:80") {
 		t.Fatalf("a drain that another knows of: %+v", d.Masked)
 	}
@@ -117,18 +117,18 @@
 	} else if own.Hosts[1].State != learn.Up {
 		t.Fatal("what was learnt is told on at first hand")
 	}
-	r.do(List{up(3)}) // a list that is late
+	r.do(HostList{up(3)}) // a list that is late
 	r.pass(300)
-	if d = r.want(r.poll("p1", 0), Whole); offers(d, "10.0.0.1:80") {
+	if d = r.want(r.poll("p1", 0), Full); offers(d, "10.0.0.1:80") {
 		t.Fatal("a late list undid it")
 	}
 	r.pass(believeFor)
 	if len(r.c.believed) > 0 {
 		t.Fatal("it is believed for ever")
 	}
-	r.do(List{up(3)[1:2]}) // the only host now
+	r.do(HostList{up(3)[1:2]}) // the only host now
 	r.pass(3000)
-	if d = r.want(r.poll("p1", 0), Whole); !offers(d, "10.0.0.1:80") {
+	if d = r.want(r.poll("p1", 0), Full); !offers(d, "10.0.0.1:80") {
 		t.Fatal("the list's word does not hold again")
 	}
 }
--- a/internal/control/known.go
+++ b/internal/control/known.go
@@ -68,7 +68,7 @@
 	return &known{since: now, levels: now, states: map[tables.Address]stated{}, met: map[logic.HostID]*meeting{}, calls: map[callsOf]*calls{}}
 }
 
-func (k *known) list(now logic.Millis, hosts []Listed) {
+func (k *known) list(now logic.Millis, hosts []HostEntry) {
 	next := make(map[tables.Address]stated, len(hosts))
 	for _, l := range hosts {
 		is := stated{l.State, l.Born, now}
@@ -182,7 +182,7 @@
 	for r, l := range c.world.levels {
 		f.Levels = append(f.Levels, learn.Level{Route: c.svc.Routes[r].Name, Level: l.Level, Tries: l.Tries, Age: float64(now - k.levels)})
 	}
-	c.out = append(c.out, Answer{Ticket: q.Ticket, Kind: Told, Body: &f})
+	c.out = append(c.out, Answer{Ticket: q.Ticket, Kind: FactsReply, Body: &f})
 }
 
 // ListLost says that the list does not answer any more; it is found again with the next List.
@@ -208,7 +208,7 @@
 	}
 	con := learn.Weigh(own, in.Heard)
 	for _, d := range con.Doubts {
-		c.say(Event{Name: "peer.doubted", Detail: d.Director + ": " + d.Why})
+		c.say(LogEvent{Name: "peer.doubted", Detail: d.Director + ": " + d.Why})
 	}
 	var entries []logic.HostEntry
 	for _, h := range con.Hosts {
@@ -217,14 +217,14 @@
 		if again && was.State == h.State && was.Born == h.Born {
 			continue
 		}
-		l := Listed{ID: h.ID, Address: h.Address, Zone: h.Zone, Cell: h.Cell, State: statesNamed[h.State], Weight: cmp.Or(h.Weight, 1), Born: h.Born}
+		l := HostEntry{ID: h.ID, Address: h.Address, Zone: h.Zone, Cell: h.Cell, State: statesNamed[h.State], Weight: cmp.Or(h.Weight, 1), Born: h.Born}
 		entries = append(entries, c.entry(l, now))
-		c.say(Event{Name: "host.learnt", Host: string(h.Address), Detail: string(h.State)})
+		c.say(LogEvent{Name: "host.learnt", Host: string(h.Address), Detail: string(h.State)})
 	}
 	if len(entries) > 0 {
 		c.notes = append(c.notes, logic.HostList{Kind: logic.HostListDelta, Entries: entries})
 	}
-	c.figures.Learnt += uint64(len(entries))
+	c.figures.HostsLearnt += uint64(len(entries))
 	for _, h := range con.Health {
 		k, has := c.names.hosts[h.Address]
 		if !has || c.healthFrom[h.Address] {
@@ -267,7 +267,7 @@
 }
 
 // doubt puts what is believed over the list's word where that is later news, for hosts of the same life.
-func (c *Core) doubt(now logic.Millis, hosts []Listed) []Listed {
+func (c *Core) doubt(now logic.Millis, hosts []HostEntry) []HostEntry {
 	if len(c.believed) == 0 {
 		return hosts
 	}
@@ -302,7 +302,7 @@
 		}
 		return float64(now - at)
 	}
-	if c.svc.Learns && learn.Due(float64(now-c.known.since), since(c.lost), since(c.given), since(c.asked)) {
+	if c.svc.QueriesPeers && learn.Due(float64(now-c.known.since), since(c.lost), since(c.given), since(c.asked)) {
 		c.asked = now
 		c.out = append(c.out, AskPeers{})
 	}
--- a/internal/control/names.go
+++ b/internal/control/names.go
@@ -23,7 +23,7 @@
 	fresh   map[logic.ProxyID]string // that got numbers and are yet to be stored
 }
 
-func newNames(zones []string, most int, saved *Saved) *names {
+func newNames(zones []string, most int, saved *SavedState) *names {
 	n := &names{hosts: maps.Clone(saved.Known), address: map[logic.HostID]tables.Address{},
 		proxies: maps.Clone(saved.Proxies), named: map[logic.ProxyID]string{}, zones: map[string]logic.ZoneID{},
 		cells: map[string]logic.CellID{}, most: most, fresh: map[logic.ProxyID]string{}}
@@ -46,7 +46,7 @@
 }
 
 // host numbers a host by a hash of its address, so that directors that share nothing mostly agree.
-func (n *names) host(l Listed) (id logic.HostID, changed bool) {
+func (n *names) host(l HostEntry) (id logic.HostID, changed bool) {
 	is := KnownHost{Host: tables.Host{ID: l.ID, Zone: l.Zone, Cell: l.Cell}}
 	if k, known := n.hosts[l.Address]; known {
 		is.Number = k.Number
--- a/internal/control/operate.go
+++ b/internal/control/operate.go
@@ -66,7 +66,7 @@
 	out := map[tables.Address]pins.Host{}
 	for _, l := range c.list0 {
 		born := min(logic.Millis(l.Born), now)
-		out[l.Address] = pins.Host{Up: l.State == logic.Up, Cold: born > 0 && now < born+c.svc.Facts.WarmAfter,
+		out[l.Address] = pins.Host{Up: l.State == logic.Up, Cold: born > 0 && now < born+c.svc.Config.WarmAfter,
 			Masked: c.world.masked[l.Address]}
 	}
 	return out
@@ -74,24 +74,24 @@
 
 func (c *Core) rollback(now logic.Millis, r Rollback) {
 	switch {
-	case c.svc.Facts.Slices == 0:
-		c.operator(r.Ticket, Wrong, "proxies have tables of their own here; only tables of slices can be rolled back", nil)
+	case c.svc.Config.Slices == 0:
+		c.operator(r.Ticket, Invalid, "proxies have tables of their own here; only tables of slices can be rolled back", nil)
 		return
-	case c.svc.Facts.SingleOwner:
-		c.operator(r.Ticket, Wrong, "slices have single owners here: a table goes to another only by the module's hand-over", nil)
+	case c.svc.Config.SingleOwner:
+		c.operator(r.Ticket, Invalid, "slices have single owners here: a table goes to another only by the module's hand-over", nil)
 		return
 	case c.operated > r.Since:
 		c.operator(r.Ticket, Conflict, fmt.Sprintf("version %d, an operator's, came after version %d", c.operated, r.Since), nil)
 		return
 	case r.Who == "" || r.Why == "":
-		c.operator(r.Ticket, Wrong, "who and why are needed", nil)
+		c.operator(r.Ticket, Invalid, "who and why are needed", nil)
 		return
 	}
 	listed := c.hosts(now)
 	o := &Operated{Version: c.world.step}
 	var bare []string
 	for _, id := range slices.Sorted(maps.Keys(r.Content)) {
-		if r.Content[id] == nil || int(id) >= c.svc.Facts.Slices || !c.holds(id) {
+		if r.Content[id] == nil || int(id) >= c.svc.Config.Slices || !c.holds(id) {
 			continue
 		}
 		m := pins.Mend(int(id), r.Content[id].Lines, listed)
@@ -100,12 +100,12 @@
 		}
 		o.Tables = append(o.Tables, HeldTable{id, r.To, r.Who, m.Faults})
 		if was := c.world.tables[id]; was != nil {
-			o.Moved += pins.Moved(was.Lines, m.Lines) / float64(c.svc.Facts.Slices)
+			o.Moved += pins.Moved(was.Lines, m.Lines) / float64(c.svc.Config.Slices)
 		}
 	}
 	switch {
 	case len(o.Tables) == 0:
-		c.operator(r.Ticket, Wrong, "the version has none of these tables", nil)
+		c.operator(r.Ticket, Invalid, "the version has none of these tables", nil)
 	case len(bare) > 0:
 		c.operator(r.Ticket, Refused, "tables "+strings.Join(bare, ", ")+" would be left without a host", o)
 	case o.Moved > mostMoved && !r.Force:
@@ -124,7 +124,7 @@
 		c.tend(now)
 		o.Version, o.Rest = c.world.step, len(c.untended(now))
 		c.operated = c.world.step
-		c.say(Event{Name: "operator.rollback", Version: strconv.Itoa(int(c.world.step)),
+		c.say(LogEvent{Name: "operator.rollback", Version: strconv.Itoa(int(c.world.step)),
 			Detail: fmt.Sprintf("%s: %d tables to version %d: %s", r.Who, len(o.Tables), r.To, r.Why)})
 		c.operator(r.Ticket, Done, "", o)
 	}
@@ -132,7 +132,7 @@
 
 func (c *Core) release(now logic.Millis, r Release) {
 	if r.Who == "" {
-		c.operator(r.Ticket, Wrong, "who is needed", nil)
+		c.operator(r.Ticket, Invalid, "who is needed", nil)
 		return
 	}
 	which := r.Tables
@@ -158,7 +158,7 @@
 		d.change.Who, d.change.Why, d.change.Pinned = r.Who, r.Why, c.pinned
 		c.commit(now, d)
 		c.operated = c.world.step
-		c.say(Event{Name: "operator.release", Version: strconv.Itoa(int(c.world.step)), Detail: fmt.Sprintf("%s: %d tables: %s", r.Who, len(o.Tables), r.Why)})
+		c.say(LogEvent{Name: "operator.release", Version: strconv.Itoa(int(c.world.step)), Detail: fmt.Sprintf("%s: %d tables: %s", r.Who, len(o.Tables), r.Why)})
 	}
 	o.Version = c.world.step
 	c.operator(r.Ticket, Done, "", o)
@@ -217,7 +217,7 @@
 	}
 	d, listed := c.draft(float64(now)), c.hosts(now)
 	joined := float64(len(c.ids))
-	room := queuePart*c.svc.Facts.QueueLimit - c.channel.QueuedLines() - joined*c.svc.Facts.MessageOverhead
+	room := queuePart*c.svc.Config.QueueLimit - c.channel.QueuedLines() - joined*c.svc.Config.MessageOverhead
 	for _, s := range slices.Concat(c.behind, c.unsaved) {
 		for _, m := range s.messages {
 			room -= m.Lines
--- a/internal/control/streams.go
+++ b/internal/control/streams.go
@@ -52,7 +52,7 @@
 	c.ids = slices.Insert(c.ids, at, id)
 	// What a new one is told here holds the masks and levels that stand, so it is never bare of them.
 	c.notes = append(c.notes, logic.ProxyJoined{Proxy: id, Fresh: len(j.Held) == 0, Rate: j.Rate, Zone: c.names.zone(j.Zone)})
-	c.say(Event{Name: "proxy.joined", Proxy: j.Proxy})
+	c.say(LogEvent{Name: "proxy.joined", Proxy: j.Proxy})
 	if c.stored.step >= c.opening {
 		c.tell(st, c.document(c.stored, id))
 	}
@@ -119,7 +119,7 @@
 	}
 	c.channel.DropProxy(id)
 	c.notes = append(c.notes, logic.ProxyLeft{Proxy: id})
-	c.say(Event{Name: "proxy.left", Proxy: st.name, Detail: why})
+	c.say(LogEvent{Name: "proxy.left", Proxy: st.name, Detail: why})
 }
 
 // wants tells a proxy of what is stored, where what it was to be told is older than a removal.
@@ -202,7 +202,7 @@
 func (c *Core) removal(w *world) {
 	c.figures.Removals++
 	c.shown.floor, c.shown.dirty = w.step, true
-	if c.svc.Facts.Slices > 0 {
+	if c.svc.Config.Slices > 0 {
 		c.shown.doc = c.document(w, 0)
 		c.keep(c.shown.doc)
 	}
@@ -234,11 +234,11 @@
 		return
 	}
 	c.kept[tag], c.shown.dirty = d, true
-	if c.svc.Facts.Slices > 0 && (c.last == nil || d.Step > c.last.Step) {
+	if c.svc.Config.Slices > 0 && (c.last == nil || d.Step > c.last.Step) {
 		d.After(c.last) // all proxies are told the same documents, one after the other
 		c.last = d
 	}
-	if c.oldest = append(c.oldest, tag); len(c.oldest) > c.svc.Kept {
+	if c.oldest = append(c.oldest, tag); len(c.oldest) > c.svc.MaxBases {
 		c.kept[c.oldest[0]].Forget()
 		delete(c.kept, c.oldest[0])
 		c.oldest = c.oldest[1:]
--- a/internal/control/types.go
+++ b/internal/control/types.go
@@ -21,47 +21,47 @@
 
 // Service is what is directed, in the words of the settings.
 type Service struct {
-	Name        string // of the director
-	Facts       logic.Config
-	Routes      []RouteInfo
-	Zones       []string
-	Pick        string
-	ProxyNames  *regexp.Regexp
-	Lease       logic.Millis // without a poll for so long, a proxy has left
-	LongestWait logic.Millis
-	Kept        int  // documents kept as bases for differences
-	Learns      bool // it asks the others, where slices are held by lease
-	Leased      bool // slices are held by lease, each by one of several directors
+	Name         string // of the director
+	Config       logic.Config
+	Routes       []RouteInfo
+	Zones        []string
+	Pick         string
+	ProxyNames   *regexp.Regexp
+	Lease        logic.Millis // without a poll for so long, a proxy has left
+	MaxWait      logic.Millis
+	MaxBases     int  // documents kept as bases for differences
+	QueriesPeers bool // it asks the others, where slices are held by lease
+	SlicesLeased bool // slices are held by lease, each by one of several directors
 }
 
 // What polls and answers are is package park's, where polls wait.
 type (
-	Ticket     = park.Ticket
-	Poll       = park.Poll
-	Broke      = park.Broke
-	Answer     = park.Answer
-	AnswerKind = park.Kind
+	Ticket       = park.Ticket
+	Poll         = park.Poll
+	Disconnected = park.Broke
+	Answer       = park.Answer
+	AnswerKind   = park.Kind
 )
 
 const (
-	Unchanged = park.Unchanged
-	Whole     = park.Whole
-	Delta     = park.Delta
-	Taken     = park.Taken
-	Unknown   = park.Unknown
-	Wrong     = park.Wrong
-	Busy      = park.Busy
-	Done      = park.Done
-	Conflict  = park.Conflict
-	Told      = park.Told
-	Replaced  = park.Replaced
-	Refused   = park.Refused
+	Unchanged  = park.Unchanged
+	Full       = park.Whole
+	Delta      = park.Delta
+	Accepted   = park.Taken
+	Unknown    = park.Unknown
+	Invalid    = park.Wrong
+	Busy       = park.Busy
+	Done       = park.Done
+	Conflict   = park.Conflict
+	FactsReply = park.Told
+	Replaced   = park.Replaced
+	Refused    = park.Refused
 )
 
 // Inputs, beside those of the lots.
 type (
 	// Passed says that all that lots had answered when they were closed is written.
-	Passed struct{}
+	AnswersFlushed struct{}
 	// Report is a proxy's sums since its last one. Key tells a repeat from a new one.
 	Report struct {
 		Ticket Ticket
@@ -71,29 +71,29 @@
 		Calls  []RouteCalls
 	}
 	HostTries struct {
-		Address     tables.Address
-		Ended, Lost int
-		Spent       float64
-		Load        logic.Load
+		Address           tables.Address
+		Ended, Unanswered int
+		AnsweredMs        float64
+		Load              logic.Load
 	}
 	RouteCalls struct {
-		Route, Table string
-		Calls, Lost  int
+		Route, Table      string
+		Calls, Unanswered int
 	}
 	// List is the whole list of hosts as it was just told.
-	List struct{ Hosts []Listed }
+	HostList struct{ Hosts []HostEntry }
 	// Stored says that all steps up to this one would outlive a crash.
-	Stored struct{ Step tables.Step }
-	Probed struct {
+	Stored      struct{ Step tables.Step }
+	ProbeResult struct {
 		Address tables.Address
-		Spent   logic.Millis
-		Good    bool
+		Latency logic.Millis
+		Healthy bool
 		Load    logic.Load
 	}
 )
 
 // Listed is a host in the list. Born is in Unix milliseconds; 0 is a distant past.
-type Listed struct {
+type HostEntry struct {
 	ID      string          `json:"id"`
 	Address tables.Address  `json:"address"`
 	Zone    string          `json:"zone"`
@@ -117,7 +117,7 @@
 	// AskPeers asks for what other directors know; Learnt brings it.
 	AskPeers struct{}
 	// Event is one thing that happened, for the log.
-	Event struct {
+	LogEvent struct {
 		Name                         string
 		Proxy, Host, Version, Detail string
 	}
@@ -125,25 +125,25 @@
 
 // Change is what a step writes; nil parts stay as they were. Who and Why are for the audit: the module's steps have none.
 type Change struct {
-	Who, Why string                `json:",omitempty"`
-	From     tables.Step           `json:",omitempty"` // the version that it goes back to
-	Least    tables.Step           `json:"-"`          // the oldest version that a joined proxy stands on; it is kept
-	Pinned   map[logic.TableID]Pin // all of them, where one changed
-	Line     tables.Line
-	Step     tables.Step
-	At       float64
-	Tables   map[logic.TableID]*tables.Table // nil: gone
-	Masked   map[tables.Address]bool
-	Levels   []tables.Level
-	Bound    map[logic.ProxyID][]logic.TableID
-	Carried  map[logic.ProxyID]map[string]*tables.Table // what proxies held before the start, by route
-	Named    map[logic.ProxyID]string                   // numbers that proxies got
-	Known    map[tables.Address]KnownHost
-	List     []Listed
+	Who, Why    string                `json:",omitempty"`
+	From        tables.Step           `json:",omitempty"` // the version that it goes back to
+	OldestInUse tables.Step           `json:"-"`          // the oldest version that a joined proxy stands on; it is kept
+	Pinned      map[logic.TableID]Pin // all of them, where one changed
+	Line        tables.Line
+	Step        tables.Step
+	At          float64
+	Tables      map[logic.TableID]*tables.Table // nil: gone
+	Masked      map[tables.Address]bool
+	Levels      []tables.Level
+	Bound       map[logic.ProxyID][]logic.TableID
+	Carried     map[logic.ProxyID]map[string]*tables.Table // what proxies held before the start, by route
+	Named       map[logic.ProxyID]string                   // numbers that proxies got
+	Known       map[tables.Address]KnownHost
+	List        []HostEntry
 }
 
 // Apply is what a change does to what was stored.
-func (s *Saved) Apply(c Change) {
+func (s *SavedState) Apply(c Change) {
 	if c.Step > 0 {
 		s.Step, s.At = c.Step, c.At
 	}
@@ -192,7 +192,7 @@
 }
 
 // Saved is all that was stored.
-type Saved struct {
+type SavedState struct {
 	Line    tables.Line
 	Step    tables.Step
 	At      float64
@@ -203,23 +203,23 @@
 	Carried map[logic.ProxyID]map[string]*tables.Table
 	Proxies map[string]logic.ProxyID
 	Known   map[tables.Address]KnownHost
-	List    []Listed
+	List    []HostEntry
 	Pinned  map[logic.TableID]Pin
 }
 
 // Figures are counted for the operator.
-type Figures struct {
-	Step, Stored                     tables.Step
-	Joined                           int
-	Waiting, MostWaiting, QueueLimit float64
-	MostMessages                     int
-	Reports, Repeats, Refused        uint64
-	Removals                         uint64      // versions that took a host out of all tables, each a barrier
-	Oldest                           tables.Step // that a joined proxy stands on
-	Behind                           int         // proxies that stand on something older than what is stored
-	Faults                           uint64      // found by checks before publishing
-	ReportLinesWaiting               int
-	Hosts, Masked                    int
-	Slices                           int    // held
-	Learnt                           uint64 // hosts whose state another director knew first
+type Stats struct {
+	Step, Stored                            tables.Step
+	Joined                                  int
+	QueuedLines, MaxQueuedLines, QueueLimit float64
+	MaxMessagesInWindow                     int
+	Reports, RepeatedReports, Refused       uint64
+	Removals                                uint64      // versions that took a host out of all tables, each a barrier
+	OldestHeld                              tables.Step // that a joined proxy stands on
+	ProxiesBehind                           int         // proxies that stand on something older than what is stored
+	CheckFailures                           uint64      // found by checks before publishing
+	PendingReportLines                      int
+	Hosts, Masked                           int
+	Slices                                  int    // held
+	HostsLearnt                             uint64 // hosts whose state another director knew first
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -29,14 +29,14 @@
 
 func (c *Core) watch(now logic.Millis, w Watch) {
 	switch {
-	case c.svc.Facts.Slices == 0:
-		c.refuse(w.Ticket, Wrong, "proxies have tables of their own here: there is none that all follow")
+	case c.svc.Config.Slices == 0:
+		c.refuse(w.Ticket, Invalid, "proxies have tables of their own here: there is none that all follow")
 		return
 	case len(c.onlookers) >= mostOnlookers:
 		c.refuse(w.Ticket, Busy, "too many look on")
 		return
 	}
-	o := onlooker{until: now + max(0, min(w.Wait, c.svc.LongestWait)), delta: w.WantsDelta}
+	o := onlooker{until: now + max(0, min(w.Wait, c.svc.MaxWait)), delta: w.WantsDelta}
 	for _, tag := range w.Held {
 		if d := c.kept[tag]; d != nil && (o.base == nil || d.Step > o.base.Step) {
 			o.base = d
@@ -59,7 +59,7 @@
 			continue
 		}
 		delete(c.onlookers, t)
-		a := Answer{Ticket: t, Doc: doc, Kind: Whole}
+		a := Answer{Ticket: t, Doc: doc, Kind: Full}
 		if o.base == doc {
 			a.Kind = Unchanged
 		} else if o.base != nil && o.delta {
--- a/internal/control/world.go
+++ b/internal/control/world.go
@@ -58,7 +58,7 @@
 		if was := d.is.tables[id]; was != nil {
 			t.From, t.To, t.Levels, t.Fence = was.From, was.To, maps.Clone(was.Levels), was.Fence
 			maps.Copy(t.Lines, was.Lines)
-		} else if n := d.c.svc.Facts.Slices; n > 0 {
+		} else if n := d.c.svc.Config.Slices; n > 0 {
 			from, to := tables.SliceRange(int(id), n)
 			t.From, t.To = &from, &to
 		}
@@ -84,7 +84,7 @@
 var everyone func(logic.ProxyID) bool
 
 func (d *draft) users(t logic.TableID) func(logic.ProxyID) bool {
-	if d.c.svc.Facts.Slices > 0 || t == logic.AllTables {
+	if d.c.svc.Config.Slices > 0 || t == logic.AllTables {
 		return everyone
 	}
 	return func(id logic.ProxyID) bool {
@@ -98,7 +98,7 @@
 }
 
 func (d *draft) holders(a tables.Address) func(logic.ProxyID) bool {
-	if d.c.svc.Facts.Slices > 0 {
+	if d.c.svc.Config.Slices > 0 {
 		for _, t := range d.is.tables {
 			if _, holds := t.Lines[a]; holds {
 				return everyone
@@ -119,7 +119,7 @@
 }
 
 func (d *draft) order(o logic.Order) {
-	f := d.c.svc.Facts
+	f := d.c.svc.Config
 	switch o := o.(type) {
 	case logic.SetLine:
 		if f.Slices > 0 && !d.c.holds(o.Table) {
@@ -128,8 +128,8 @@
 		a := d.c.names.address[o.Host]
 		if a == "" || math.IsNaN(o.Weight) || o.Weight > 1e9 {
 			// No version may bear it. The module has no such host or weight; a line of a store that was changed might.
-			d.c.figures.Faults++
-			d.c.say(Event{Name: "check.line_dropped", Detail: fmt.Sprintf("table %d, host %d, weight %v", o.Table, o.Host, o.Weight)})
+			d.c.figures.CheckFailures++
+			d.c.say(LogEvent{Name: "check.line_dropped", Detail: fmt.Sprintf("table %d, host %d, weight %v", o.Table, o.Host, o.Weight)})
 			return
 		}
 		t := d.table(o.Table)
@@ -163,7 +163,7 @@
 			delete(d.is.masked, a)
 		}
 		d.charge(1, d.holders(a))
-		d.c.say(Event{Name: "host.masked", Host: string(a), Detail: strconv.FormatBool(o.On)})
+		d.c.say(LogEvent{Name: "host.masked", Host: string(a), Detail: strconv.FormatBool(o.On)})
 	case logic.Throttle:
 		to := tables.Level{Level: o.Level, Tries: o.Retries}
 		if o.Table == logic.AllTables {
@@ -191,7 +191,7 @@
 			}
 		}
 		d.charge(float64(max(1, bits.OnesCount64(uint64(o.Routes)))), d.users(o.Table))
-		d.c.say(Event{Name: "level.set", Detail: strconv.FormatFloat(o.Level, 'g', 4, 64)})
+		d.c.say(LogEvent{Name: "level.set", Detail: strconv.FormatFloat(o.Level, 'g', 4, 64)})
 	case logic.Bind:
 		if d.change.Bound == nil {
 			d.is.bound, d.change.Bound = maps.Clone(d.is.bound), map[logic.ProxyID][]logic.TableID{}
@@ -225,7 +225,7 @@
 // document is what a proxy is told at a world's step.
 func (c *Core) document(w *world, id logic.ProxyID) *tables.Document {
 	key := ""
-	if c.svc.Facts.Slices == 0 {
+	if c.svc.Config.Slices == 0 {
 		var b strings.Builder
 		for r := range c.svc.Routes {
 			if by := w.bound[id]; r < len(by) && by[r] >= 0 {
@@ -240,7 +240,7 @@
 	if d := w.docs[key]; d != nil {
 		return d
 	}
-	f := c.svc.Facts
+	f := c.svc.Config
 	d := &tables.Document{Pick: c.svc.Pick, Ejects: f.EjectAfterFailures, TryWait: f.TryTimeout, FullIsProof: !f.RejectedMayHaveRun,
 		LevelsBy: map[logic.LevelUnit]string{logic.LevelShare: "share", logic.LevelRate: "rate", logic.NoLevels: "none"}[f.Levels],
 		Routes:   map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{},
@@ -335,7 +335,7 @@
 		s.Listed[a] = checks.Host{Up: h.Up, Cold: h.Cold}
 	}
 	for _, f := range checks.Look(s) {
-		d.c.figures.Faults++
-		d.c.say(Event{Name: "check.failed", Host: string(f.Host), Version: strconv.Itoa(int(d.is.step)), Detail: f.String()})
+		d.c.figures.CheckFailures++
+		d.c.say(LogEvent{Name: "check.failed", Host: string(f.Host), Version: strconv.Itoa(int(d.is.step)), Detail: f.String()})
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -86,7 +86,7 @@
 	go func() { failed <- front.Serve() }()
 	go func() {
 		err := roster.Follow(ctx, s.Roster.Consul, s.Roster.Service, s.Roster.Wait,
-			func(hosts []control.Listed) { d.Post(control.List{Hosts: hosts}) }, func() { d.Post(control.ListLost{}) }, log)
+			func(hosts []control.HostEntry) { d.Post(control.HostList{Hosts: hosts}) }, func() { d.Post(control.ListLost{}) }, log)
 		if ctx.Err() == nil {
 			failed <- err
 		}
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -21,7 +21,7 @@
 
 // Store makes changes durable.
 type Store interface {
-	Load() (control.Saved, error)
+	Load() (control.SavedState, error)
 	Write([]control.Change) error
 }
 
@@ -51,7 +51,7 @@
 	door   *inflow.Door
 	doorMu sync.Mutex
 	opens  tables.Step // the version that this start begins with
-	seen   atomic.Pointer[control.Figures]
+	seen   atomic.Pointer[control.Stats]
 	slow   atomic.Int64 // longest turn of the loop, in microseconds
 	late   atomic.Int64 // latest that the core's own time came, in microseconds
 
@@ -78,7 +78,7 @@
 		line: saved.Line, door: inflow.NewDoor(rand.Float64), writes: make(chan control.Change, 4096), running: make(chan struct{})}
 	d.bays = newBays(svc, d.Now())
 	d.core, d.first = control.New(rand.Uint64(), d.Now(), svc, saved)
-	f := d.core.Figures()
+	f := d.core.Stats()
 	d.seen.Store(&f)
 	d.opens = f.Step
 	log.Info("director.loaded", "line", uint64(saved.Line), "step", uint64(saved.Step), "hosts", len(saved.List),
@@ -123,7 +123,7 @@
 		if a, answered := d.poll(in); answered {
 			d.deliver(a)
 		}
-	case control.Broke:
+	case control.Disconnected:
 		if in.Proxy == "" {
 			d.post(in)
 			return
@@ -203,7 +203,7 @@
 func (d *Director) Ready() bool { return d.seen.Load().Stored >= d.opens }
 
 // Figures are those of the last turn.
-func (d *Director) Figures() control.Figures { return *d.seen.Load() }
+func (d *Director) Figures() control.Stats { return *d.seen.Load() }
 
 // LongestTurn is the longest that the loop has been busy with one batch.
 func (d *Director) LongestTurn() time.Duration {
@@ -247,13 +247,13 @@
 			d.late.Store(late)
 		}
 		d.carryOut(ctx, d.core.Handle(now, in))
-		due = d.core.Wake()
-		f := d.core.Figures()
+		due = d.core.NextWake()
+		f := d.core.Stats()
 		d.seen.Store(&f)
 		if took := time.Since(began).Microseconds(); took > d.slow.Load() {
 			d.slow.Store(took)
 		}
-		timer.Reset(d.Until(d.core.Wake()))
+		timer.Reset(d.Until(d.core.NextWake()))
 	}
 	close(d.writes)
 	return <-stored
@@ -291,7 +291,7 @@
 			}
 		case control.Probe:
 			go d.ask(ctx, o.Address)
-		case control.Event:
+		case control.LogEvent:
 			level := slog.LevelInfo
 			if o.Name == "step.ordered" {
 				level = slog.LevelDebug
@@ -301,7 +301,7 @@
 	}
 }
 
-func attrs(e control.Event) (out []slog.Attr) {
+func attrs(e control.LogEvent) (out []slog.Attr) {
 	for _, a := range []slog.Attr{slog.String("proxy", e.Proxy), slog.String("host", e.Host),
 		slog.String("version", e.Version), slog.String("detail", e.Detail)} {
 		if a.Value.String() != "" {
@@ -315,7 +315,7 @@
 	began := time.Now()
 	good, load := d.probe(ctx, host)
 	spent := logic.Millis(float64(time.Since(began).Microseconds()) / 1000)
-	d.Post(control.Probed{Address: host, Spent: spent, Good: good, Load: load})
+	d.Post(control.ProbeResult{Address: host, Latency: spent, Healthy: good, Load: load})
 }
 
 // ErrStore ends a director whose store refuses writes for long: what is not stored is not told.
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -26,8 +26,8 @@
 	fails  func(write int) (before, after bool)
 }
 
-func (m *memory) Load() (control.Saved, error) {
-	return control.Saved{Line: 7, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
+func (m *memory) Load() (control.SavedState, error) {
+	return control.SavedState{Line: 7, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
 }
 
 func (m *memory) Write(all []control.Change) error {
@@ -72,9 +72,9 @@
 }
 
 func service() control.Service {
-	return control.Service{Zones: []string{"a"}, Pick: "lottery", ProxyNames: regexp.MustCompile("p[0-9]"), Lease: 5000, LongestWait: 5000, Kept: 16,
+	return control.Service{Zones: []string{"a"}, Pick: "lottery", ProxyNames: regexp.MustCompile("p[0-9]"), Lease: 5000, MaxWait: 5000, MaxBases: 16,
 		Routes: []control.RouteInfo{{Name: "read", Route: tables.Route{Level: tables.Level{Level: 1, Tries: 1}, Repeat: "repeatable", SLOMs: 1000, TimeLimitMs: 3000}}},
-		Facts: logic.Config{Directors: 1, Proxies: 4, Slices: 8, LinesPerSecond: 5000, QueueLimit: 5000, MessageOverhead: 4, Transit: 5, WorstTransit: 50,
+		Config: logic.Config{Directors: 1, Proxies: 4, Slices: 8, LinesPerSecond: 5000, QueueLimit: 5000, MessageOverhead: 4, Transit: 5, WorstTransit: 50,
 			DrainGrace: 2000, WarmAfter: 10000, ColdFailAfter: 1500, ColdOverloadLimit: 3, ColdCapacity: 0.2, EmptyTableLimit: 2000, ReportInterval: 500, ReportLinesPerSecond: 100,
 			MessageWindow: 10000, Levels: logic.LevelShare, Routes: []logic.Route{{SLO: 1000, TimeLimit: 3000, Importance: 1, Idempotency: logic.Idempotent}}}}
 }
@@ -105,15 +105,15 @@
 					d.Post(control.Poll{Ticket: d.Entrance(0).Ticket(), Proxy: "p1", Zone: "a"})
 					var last tables.Step
 					for i := range 8 {
-						var hosts []control.Listed
+						var hosts []control.HostEntry
 						for h := range 4 {
-							l := control.Listed{ID: fmt.Sprint(h), Address: tables.Address(fmt.Sprintf("10.0.0.%d:80", h)), Zone: "a", Cell: fmt.Sprint(h)}
+							l := control.HostEntry{ID: fmt.Sprint(h), Address: tables.Address(fmt.Sprintf("10.0.0.%d:80", h)), Zone: "a", Cell: fmt.Sprint(h)}
 							if h == i%4 {
 								l.State = logic.Draining
 							}
 							hosts = append(hosts, l)
 						}
-						d.Post(control.List{Hosts: hosts})
+						d.Post(control.HostList{Hosts: hosts})
 						time.Sleep(150 * time.Millisecond)
 					}
 					for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -167,7 +167,7 @@
 func TestAStormAtTheDoor(t *testing.T) {
 	svc := service()
 	svc.ProxyNames = regexp.MustCompile(`^p[0-9]+$`)
-	svc.Facts.Proxies, svc.Facts.QueueLimit = 20000, 1e7
+	svc.Config.Proxies, svc.Config.QueueLimit = 20000, 1e7
 	d, err := New(svc, &memory{fails: func(int) (bool, bool) { return false, false }}, nil, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -176,7 +176,7 @@
 	ran := make(chan struct{})
 	f := &nowhere{}
 	go func() { d.Run(ctx, f); close(ran) }()
-	d.Post(control.List{Hosts: []control.Listed{{ID: "h", Address: "10.0.0.1:80", Zone: "a", Weight: 1}}})
+	d.Post(control.HostList{Hosts: []control.HostEntry{{ID: "h", Address: "10.0.0.1:80", Zone: "a", Weight: 1}}})
 	e := d.Entrance(0)
 	var in, away, acknowledged, kept int
 	for end, i := time.Now().Add(2*time.Second), 0; time.Now().Before(end); i++ {
--- a/internal/director/lots.go
+++ b/internal/director/lots.go
@@ -43,7 +43,7 @@
 		n *= 2
 	}
 	out := make([]*bay, n)
-	terms := park.Terms{LongestWait: svc.LongestWait, Lease: svc.Lease, Zones: svc.Zones}
+	terms := park.Terms{LongestWait: svc.MaxWait, Lease: svc.Lease, Zones: svc.Zones}
 	for i := range out {
 		out[i] = &bay{lot: park.NewLot(i, n, terms, now), allow: inflow.NewAllowances(rand.Float64, mostClients/n)}
 	}
@@ -187,7 +187,7 @@
 			if us := took.Microseconds(); us > d.barrier.Load() {
 				d.barrier.Store(us)
 			}
-			d.post(control.Passed{})
+			d.post(control.AnswersFlushed{})
 			return
 		}
 		if took < time.Millisecond {
--- a/internal/director/lots_test.go
+++ b/internal/director/lots_test.go
@@ -63,7 +63,7 @@
 func TestARemovalIsABarrier(t *testing.T) {
 	svc := service()
 	svc.ProxyNames = regexp.MustCompile(`^p[0-9]+$`)
-	svc.Facts.Proxies, svc.Facts.QueueLimit, svc.Facts.LinesPerSecond = 300, 1e7, 200000
+	svc.Config.Proxies, svc.Config.QueueLimit, svc.Config.LinesPerSecond = 300, 1e7, 200000
 	d, err := New(svc, &memory{fails: func(int) (bool, bool) { return false, false }}, nil, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -88,22 +88,22 @@
 					w.write(a)
 				}
 				if n%97 == 0 {
-					d.Post(control.Broke{Ticket: p.Ticket, Proxy: name})
+					d.Post(control.Disconnected{Ticket: p.Ticket, Proxy: name})
 				}
 				time.Sleep(500 * time.Microsecond)
 			}
 		})
 	}
 	for i := 0; time.Now().Before(end); i++ {
-		var hosts []control.Listed
+		var hosts []control.HostEntry
 		for h := range 6 {
-			l := control.Listed{ID: fmt.Sprint(h), Address: address(h), Zone: "a", Cell: fmt.Sprint(h), Weight: 1}
+			l := control.HostEntry{ID: fmt.Sprint(h), Address: address(h), Zone: "a", Cell: fmt.Sprint(h), Weight: 1}
 			if h == i%6 {
 				l.State = logic.Draining
 			}
 			hosts = append(hosts, l)
 		}
-		d.Post(control.List{Hosts: hosts})
+		d.Post(control.HostList{Hosts: hosts})
 		time.Sleep(120 * time.Millisecond)
 	}
 	all.Wait()
--- a/internal/longpoll/ask.go
+++ b/internal/longpoll/ask.go
@@ -199,18 +199,18 @@
 	}
 	p.ticket = 0
 	kind := a.Kind
-	if kind == control.Whole && p.any || kind == control.Replaced {
+	if kind == control.Full && p.any || kind == control.Replaced {
 		kind = control.Unchanged
 	}
 	var h *head
 	switch kind {
 	case control.Unknown:
 		s.refuseAsked(p, bad(http.StatusNotFound, "%s", a.Why))
-	case control.Wrong:
+	case control.Invalid:
 		s.refuseAsked(p, bad(http.StatusBadRequest, "%s", a.Why))
 	case control.Busy:
 		s.refuseAsked(p, bad(http.StatusServiceUnavailable, "%s", a.Why))
-	case control.Told:
+	case control.FactsReply:
 		body, err := json.Marshal(a.Body)
 		if err != nil {
 			s.refuseAsked(p, bad(http.StatusInternalServerError, "%v", err))
@@ -220,13 +220,13 @@
 		h.set("Cache-Control", "no-store")
 		h.end("application/json", len(body))
 		s.write(p, h, body, p.closes)
-	case control.Taken:
+	case control.Accepted:
 		h := newHead(http.StatusNoContent, p.closes)
 		h.end("", 0)
 		s.write(p, h, nil, p.closes)
 	case control.Unchanged:
 		h = newHead(http.StatusNotModified, p.closes)
-	case control.Whole:
+	case control.Full:
 		h = newHead(http.StatusOK, p.closes)
 	case control.Delta:
 		h = newHead(http.StatusIMUsed, p.closes)
@@ -246,7 +246,7 @@
 		}
 		var body []byte
 		switch kind {
-		case control.Whole:
+		case control.Full:
 			body = a.Doc.Whole()
 			h.end(tables.MediaType, len(body))
 		case control.Delta:
--- a/internal/longpoll/bench_test.go
+++ b/internal/longpoll/bench_test.go
@@ -99,7 +99,7 @@
 	a := control.Answer{Ticket: p.Ticket, To: p.From, Kind: control.Unchanged, Doc: s.doc}
 	switch {
 	case len(p.Held) == 0 || p.Held[0] != s.doc.Tag():
-		a.Kind = control.Whole
+		a.Kind = control.Full
 	case p.Wait > 0:
 		s.waits[p.Ticket] = p.From
 		return a, false
@@ -112,7 +112,7 @@
 	defer s.mu.Unlock()
 	s.doc = d
 	for t, from := range s.waits {
-		s.front.Answer(control.Answer{Ticket: t, To: from, Kind: control.Whole, Doc: d})
+		s.front.Answer(control.Answer{Ticket: t, To: from, Kind: control.Full, Doc: d})
 	}
 	clear(s.waits)
 }
--- a/internal/longpoll/cores_test.go
+++ b/internal/longpoll/cores_test.go
@@ -22,8 +22,8 @@
 // forgets is a store in which all writes hold at once.
 type forgets struct{}
 
-func (forgets) Load() (control.Saved, error) {
-	return control.Saved{Line: 7, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
+func (forgets) Load() (control.SavedState, error) {
+	return control.SavedState{Line: 7, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
 }
 func (forgets) Write([]control.Change) error { return nil }
 
@@ -55,9 +55,9 @@
 
 // all gives a running director with a front, in which so many proxies have joined.
 func running(b testing.TB, proxies int) (*director.Director, *Server, string) {
-	svc := control.Service{Zones: []string{"a"}, Pick: "lottery", ProxyNames: regexp.MustCompile("^p[0-9]+$"), Lease: 600000, LongestWait: 600000, Kept: 16,
+	svc := control.Service{Zones: []string{"a"}, Pick: "lottery", ProxyNames: regexp.MustCompile("^p[0-9]+$"), Lease: 600000, MaxWait: 600000, MaxBases: 16,
 		Routes: []control.RouteInfo{{Name: "read", Route: tables.Route{Level: tables.Level{Level: 1, Tries: 1}, Repeat: "repeatable", SLOMs: 1000, TimeLimitMs: 3000}}},
-		Facts: logic.Config{Directors: 1, Proxies: 65000, Slices: 160, LinesPerSecond: 1e7, QueueLimit: 1e8, MessageOverhead: 1, Transit: 1, WorstTransit: 50,
+		Config: logic.Config{Directors: 1, Proxies: 65000, Slices: 160, LinesPerSecond: 1e7, QueueLimit: 1e8, MessageOverhead: 1, Transit: 1, WorstTransit: 50,
 			DrainGrace: 2000, WarmAfter: 1000, ColdFailAfter: 1500, ColdOverloadLimit: 3, ColdCapacity: 0.2, EmptyTableLimit: 2000, ReportInterval: 500, ReportLinesPerSecond: 100,
 			MessageWindow: 10000, Levels: logic.LevelShare, Routes: []logic.Route{{SLO: 1000, TimeLimit: 3000, Importance: 1, Idempotency: logic.Idempotent}}}}
 	d, err := director.New(svc, forgets{}, nil, slog.New(slog.DiscardHandler))
@@ -74,11 +74,11 @@
 	ended := make(chan error, 1)
 	go func() { ended <- d.Run(ctx, s) }()
 	b.Cleanup(func() { stop(); <-ended; s.Close() })
-	var hosts []control.Listed
+	var hosts []control.HostEntry
 	for i := range 78 {
-		hosts = append(hosts, control.Listed{ID: fmt.Sprint(i), Address: tables.Address(fmt.Sprintf("10.0.0.%d:80", i)), Zone: "a", Cell: fmt.Sprint(i / 3), Weight: 1})
+		hosts = append(hosts, control.HostEntry{ID: fmt.Sprint(i), Address: tables.Address(fmt.Sprintf("10.0.0.%d:80", i)), Zone: "a", Cell: fmt.Sprint(i / 3), Weight: 1})
 	}
-	d.Post(control.List{Hosts: hosts})
+	d.Post(control.HostList{Hosts: hosts})
 	for d.Figures().Hosts == 0 || !d.Ready() {
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/longpoll/longpoll_test.go
+++ b/internal/longpoll/longpoll_test.go
@@ -44,7 +44,7 @@
 		d.polls = append(d.polls, in)
 	case control.Report:
 		d.reports = append(d.reports, in)
-	case control.Broke:
+	case control.Disconnected:
 		d.broke = append(d.broke, in.Ticket)
 	}
 	answer := d.answer
@@ -95,9 +95,9 @@
 	return func(in any) *control.Answer {
 		switch in := in.(type) {
 		case control.Poll:
-			return &control.Answer{Ticket: in.Ticket, Kind: control.Whole, Doc: doc}
+			return &control.Answer{Ticket: in.Ticket, Kind: control.Full, Doc: doc}
 		case control.Report:
-			return &control.Answer{Ticket: in.Ticket, Kind: control.Taken}
+			return &control.Answer{Ticket: in.Ticket, Kind: control.Accepted}
 		}
 		return nil
 	}
@@ -149,14 +149,14 @@
 		status  string
 		says    []string
 	}{
-		{"first poll", nil, control.Answer{Kind: control.Whole, Doc: next}, "200 OK",
+		{"first poll", nil, control.Answer{Kind: control.Full, Doc: next}, "200 OK",
 			[]string{"ETag: " + next.Tag().ETag(), "Content-Type: " + tables.MediaType, string(next.Whole())}},
 		{"unchanged", []string{"If-None-Match: " + next.Tag().ETag(), "Prefer: wait=7"}, control.Answer{Kind: control.Unchanged, Doc: next},
 			"304 Not Modified", []string{"ETag: " + next.Tag().ETag(), "Preference-Applied: wait=7"}},
 		{"difference", []string{"If-None-Match: " + base.Tag().ETag(), "A-IM: vcdiff, json-patch;q=0.5", "Prefer: respond-async, wait=90"},
 			control.Answer{Kind: control.Delta, Doc: next, Base: base, Patch: patch}, "226 IM Used",
 			[]string{"IM: json-patch", "Delta-Base: " + base.Tag().ETag(), "ETag: " + next.Tag().ETag(), "Preference-Applied: wait=20", string(patch)}},
-		{"any", []string{"If-None-Match: *"}, control.Answer{Kind: control.Whole, Doc: next}, "304 Not Modified", nil},
+		{"any", []string{"If-None-Match: *"}, control.Answer{Kind: control.Full, Doc: next}, "304 Not Modified", nil},
 		{"unknown", nil, control.Answer{Kind: control.Unknown, Why: "no such proxy"}, "404 Not Found",
 			[]string{"application/problem+json", `"detail":"no such proxy"`}},
 		{"busy", nil, control.Answer{Kind: control.Busy, Why: "too much"}, "503 Service Unavailable", []string{"Retry-After: "}},
--- a/internal/longpoll/server.go
+++ b/internal/longpoll/server.go
@@ -137,7 +137,7 @@
 				s.asked.Delete(p.ticket)
 			}
 			if p.poll {
-				s.core.Post(control.Broke{Ticket: p.ticket, Proxy: p.proxy})
+				s.core.Post(control.Disconnected{Ticket: p.ticket, Proxy: p.proxy})
 			}
 		}
 		return nil
--- a/internal/lrs/lrs.go
+++ b/internal/lrs/lrs.go
@@ -114,7 +114,7 @@
 				case Calls:
 					calls.Calls += int(m.Total)
 				case Unanswered:
-					calls.Lost += int(m.Total)
+					calls.Unanswered += int(m.Total)
 				}
 			}
 			for k, e := range u.Endpoints {
@@ -125,7 +125,7 @@
 				r.Tries = append(r.Tries, tries)
 			}
 		}
-		if calls.Calls > 0 || calls.Lost > 0 {
+		if calls.Calls > 0 || calls.Unanswered > 0 {
 			r.Calls = append(r.Calls, calls)
 		}
 	}
@@ -141,14 +141,14 @@
 		return t, fmt.Errorf("more than 1e9 requests")
 	}
 	t = control.HostTries{Address: tables.Address(netip.AddrPortFrom(ip, uint16(e.Address.Socket.Port)).String()),
-		Ended: int(e.Successful + e.Errors), Lost: int(e.Errors)}
+		Ended: int(e.Successful + e.Errors), Unanswered: int(e.Errors)}
 	var load logic.Load
 	for _, m := range e.Metrics {
 		if math.IsNaN(m.Total) || m.Total < 0 || m.Total > 1e12 {
 			return t, fmt.Errorf("metric %.40q: %v is out of range", m.Name, m.Total)
 		}
 		if m.Name == Spent {
-			t.Spent = m.Total
+			t.AnsweredMs = m.Total
 		} else if m.Finished > 0 {
 			orca.Set(&load, m.Name, m.Total/float64(m.Finished))
 		}
--- a/internal/lrs/lrs_test.go
+++ b/internal/lrs/lrs_test.go
@@ -25,14 +25,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(r.Calls, []control.RouteCalls{{Route: "read", Table: "17", Calls: 12, Lost: 2}}) {
+	if !reflect.DeepEqual(r.Calls, []control.RouteCalls{{Route: "read", Table: "17", Calls: 12, Unanswered: 2}}) {
 		t.Errorf("%+v", r.Calls)
 	}
 	if len(r.Tries) != 1 || r.Proxy != "p1" {
 		t.Fatalf("%+v", r)
 	}
 	h := r.Tries[0]
-	if h.Address != "127.0.0.1:7001" || h.Ended != 10 || h.Lost != 1 || h.Spent != 900 || *h.Load.Utilization != 0.75 || h.Load.Throughput != nil {
+	if h.Address != "127.0.0.1:7001" || h.Ended != 10 || h.Unanswered != 1 || h.AnsweredMs != 900 || *h.Load.Utilization != 0.75 || h.Load.Throughput != nil {
 		t.Errorf("%+v", h)
 	}
 }
@@ -60,12 +60,12 @@
 			return
 		}
 		for _, h := range r.Tries {
-			if h.Ended < h.Lost || h.Lost < 0 || !(h.Spent >= 0) || h.Address == "" {
+			if h.Ended < h.Unanswered || h.Unanswered < 0 || !(h.AnsweredMs >= 0) || h.Address == "" {
 				t.Fatalf("%+v", h)
 			}
 		}
 		for _, c := range r.Calls {
-			if c.Calls < 0 || c.Lost < 0 {
+			if c.Calls < 0 || c.Unanswered < 0 {
 				t.Fatalf("%+v", c)
 			}
 		}
--- a/internal/mqtt/bench_test.go
+++ b/internal/mqtt/bench_test.go
@@ -87,7 +87,7 @@
 				}
 				from := bytes.Load()
 				began := time.Now()
-				r.d.Post(control.List{Hosts: hosts(4, 1+round%3)})
+				r.d.Post(control.HostList{Hosts: hosts(4, 1+round%3)})
 				for _, c := range clients {
 					for c.told.Load() == 0 {
 						time.Sleep(200 * time.Microsecond)
@@ -136,7 +136,7 @@
 	go s.Serve()
 	go h.Serve()
 	b.Cleanup(func() { stop(); s.Close(); h.Close(); <-ran })
-	d.Post(control.List{Hosts: hosts(4, -1)})
+	d.Post(control.HostList{Hosts: hosts(4, -1)})
 	return r
 }
 
--- a/internal/mqtt/mqtt_test.go
+++ b/internal/mqtt/mqtt_test.go
@@ -31,8 +31,8 @@
 
 type memory struct{}
 
-func (memory) Load() (control.Saved, error) {
-	return control.Saved{Line: 42, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
+func (memory) Load() (control.SavedState, error) {
+	return control.SavedState{Line: 42, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
 }
 func (memory) Write([]control.Change) error { return nil }
 
@@ -46,9 +46,9 @@
 	s *Server
 }
 
-func hosts(n int, drained int) (out []control.Listed) {
+func hosts(n int, drained int) (out []control.HostEntry) {
 	for i := range n {
-		l := control.Listed{ID: fmt.Sprint("h", i), Address: tables.Address(fmt.Sprintf("10.0.0.%d:80", i)), Zone: "a", Weight: 1}
+		l := control.HostEntry{ID: fmt.Sprint("h", i), Address: tables.Address(fmt.Sprintf("10.0.0.%d:80", i)), Zone: "a", Weight: 1}
 		if i == drained {
 			l.State = logic.Draining
 		}
@@ -59,9 +59,9 @@
 
 // newDirector makes one of four hosts and eight slices.
 func newDirector(t testing.TB, proxies int, wait logic.Millis) *director.Director {
-	svc := control.Service{Zones: []string{"a"}, Pick: "lottery", ProxyNames: regexp.MustCompile(`^p[0-9]+$`), Lease: 3000, LongestWait: wait, Kept: 64,
+	svc := control.Service{Zones: []string{"a"}, Pick: "lottery", ProxyNames: regexp.MustCompile(`^p[0-9]+$`), Lease: 3000, MaxWait: wait, MaxBases: 64,
 		Routes: []control.RouteInfo{{Name: "read", Route: tables.Route{Level: tables.Level{Level: 1, Tries: 1}, Repeat: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1}}},
-		Facts: logic.Config{Directors: 1, Proxies: proxies, Slices: 8, LinesPerSecond: 1e6, QueueLimit: 1e6, MessageOverhead: 4, Transit: 5, WorstTransit: 50,
+		Config: logic.Config{Directors: 1, Proxies: proxies, Slices: 8, LinesPerSecond: 1e6, QueueLimit: 1e6, MessageOverhead: 4, Transit: 5, WorstTransit: 50,
 			DrainGrace: 2000, WarmAfter: 10000, ColdFailAfter: 1500, ColdOverloadLimit: 3, ColdCapacity: 0.2, EmptyTableLimit: 2000, ReportInterval: 500, ReportLinesPerSecond: 100,
 			MessageWindow: 10000, Levels: logic.LevelShare, Routes: []logic.Route{{SLO: 1000, TimeLimit: 3000, Importance: 1, Idempotency: logic.Idempotent}}}}
 	d, err := director.New(svc, memory{}, nil, slog.New(slog.DiscardHandler))
@@ -88,7 +88,7 @@
 	go func() { d.Run(ctx, nobody{}, s); close(ran) }()
 	go s.Serve()
 	t.Cleanup(func() { stop(); s.Close(); <-ran })
-	d.Post(control.List{Hosts: hosts(4, -1)})
+	d.Post(control.HostList{Hosts: hosts(4, -1)})
 	return &rig{d, s}
 }
 
@@ -191,13 +191,13 @@
 	}
 	now := func() *tables.Document { mu.Lock(); defer mu.Unlock(); return held }
 	eventually(t, "a whole table", func() bool { return full(now()) })
-	r.d.Post(control.List{Hosts: hosts(4, 1)})
+	r.d.Post(control.HostList{Hosts: hosts(4, 1)})
 	eventually(t, "the drain", func() bool { return !offers(now(), "10.0.0.1:80") })
 	if !offers(now(), "10.0.0.2:80") {
 		t.Fatal("the host that drains next is in no table as it is")
 	}
 	m.TerminateConnectionForTest()
-	r.d.Post(control.List{Hosts: hosts(4, 2)})
+	r.d.Post(control.HostList{Hosts: hosts(4, 2)})
 	eventually(t, "the next drain, by the session that goes on", func() bool { return !offers(now(), "10.0.0.2:80") })
 	mu.Lock()
 	defer mu.Unlock()
@@ -395,7 +395,7 @@
 	go func() { d.Run(ctx, nobody{}, s); close(ran) }()
 	go s.Serve()
 	t.Cleanup(func() { stop(); s.Close(); <-ran })
-	d.Post(control.List{Hosts: hosts(4, -1)})
+	d.Post(control.HostList{Hosts: hosts(4, -1)})
 	mute, err := net.Dial("tcp", s.Addr().String()) // subscribes, and reads nothing from then on
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -31,7 +31,7 @@
 // Store is what it needs of the history.
 type Store interface {
 	Versions(most int) ([]store.Version, error)
-	At(tables.Step) (control.Saved, error)
+	At(tables.Step) (control.SavedState, error)
 	Verify() (int, []error)
 }
 
@@ -112,7 +112,7 @@
 		}
 		a, err := s.At(tables.Step(from))
 		if err == nil {
-			var b control.Saved
+			var b control.SavedState
 			if b, err = s.At(tables.Step(to)); err == nil {
 				answer(w)(Diff(a, b), nil)
 				return
@@ -193,7 +193,7 @@
 		answer(w)(a.Body, nil)
 	default:
 		operated, _ := a.Body.(*control.Operated)
-		status := map[control.AnswerKind]int{control.Wrong: http.StatusBadRequest, control.Conflict: http.StatusConflict,
+		status := map[control.AnswerKind]int{control.Invalid: http.StatusBadRequest, control.Conflict: http.StatusConflict,
 			control.Refused: http.StatusUnprocessableEntity}[a.Kind]
 		w.Header().Set("Content-Type", "application/problem+json")
 		w.WriteHeader(status)
@@ -229,7 +229,7 @@
 }
 
 // Diff compares two versions, by table and host.
-func Diff(a, b control.Saved) *Difference {
+func Diff(a, b control.SavedState) *Difference {
 	d := &Difference{From: a.Step, To: b.Step, Lines: []LineChange{}, Masked: []tables.Address{}, Opened: []tables.Address{},
 		Levels: !slices.Equal(a.Levels, b.Levels)}
 	ids := map[logic.TableID]bool{}
--- a/internal/rehearse/directors_test.go
+++ b/internal/rehearse/directors_test.go
@@ -51,7 +51,7 @@
 			n := d.metric("vetchwood_slices_held")
 			held, all = held+n, all && n > 0
 		}
-		return all && int(held) == s.running.Service.Facts.Slices
+		return all && int(held) == s.running.Service.Config.Slices
 	})
 }
 
@@ -170,7 +170,7 @@
 			given[c.Table] = c.At
 		}
 	}
-	grace := float64(s.running.Service.Facts.DrainGrace)
+	grace := float64(s.running.Service.Config.DrainGrace)
 	time.Sleep(time.Duration(grace)*time.Millisecond + 4*time.Second)
 	for _, x := range s.book.Sends() {
 		if at, mine := given[x.Table]; mine && x.Host == host.Address && x.At > at {
--- a/internal/rehearse/play.go
+++ b/internal/rehearse/play.go
@@ -179,7 +179,7 @@
 }
 
 func (s *stage) terms(from, until float64) judge.Terms {
-	f := s.running.Service.Facts
+	f := s.running.Service.Config
 	t := judge.Terms{Routes: map[string]tables.Route{}, LateShare: map[string]float64{}, Slices: f.Slices,
 		Bare: float64(f.EmptyTableLimit), Grace: float64(f.DrainGrace), Warm: span(f.WarmAfter), ColdFrom: f.ColdCapacity,
 		Tip: f.ColdOverloadLimit, Fall: span(f.ColdFailAfter), Queue: f.QueueLimit, Head: f.MessageOverhead, Messages: f.MessageLimit,
--- a/internal/rehearse/rogue_test.go
+++ b/internal/rehearse/rogue_test.go
@@ -62,14 +62,14 @@
 			r.answer(in)
 		}
 	case control.Report:
-		go r.front.Answer(control.Answer{Ticket: in.Ticket, Kind: control.Taken})
-	case control.Broke:
+		go r.front.Answer(control.Answer{Ticket: in.Ticket, Kind: control.Accepted})
+	case control.Disconnected:
 		delete(r.waiting, in.Ticket)
 	}
 }
 
 func (r *rogue) answer(p control.Poll) {
-	a := control.Answer{Ticket: p.Ticket, To: p.From, Kind: control.Whole, Doc: r.doc}
+	a := control.Answer{Ticket: p.Ticket, To: p.From, Kind: control.Full, Doc: r.doc}
 	if len(p.Held) > 0 {
 		if base := r.kept[p.Held[0]]; base != nil {
 			if patch := r.doc.Delta(base); patch != nil {
@@ -149,7 +149,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	log := slog.New(slog.DiscardHandler)
-	go roster.Follow(ctx, r.registry.URL(), "hosts", 5*time.Second, func([]control.Listed) {}, func() {}, log)
+	go roster.Follow(ctx, r.registry.URL(), "hosts", 5*time.Second, func([]control.HostEntry) {}, func() {}, log)
 	if r.front, err = longpoll.Listen("127.0.0.1:0", r, longpoll.Limits{MostHead: 1 << 14, MostBody: 1 << 20, SlowRequest: time.Second,
 		Idle: time.Minute, Write: time.Second, LongestWait: 10000}, log); err != nil {
 		t.Fatal(err)
--- a/internal/rehearse/stage.go
+++ b/internal/rehearse/stage.go
@@ -146,7 +146,7 @@
 	for {
 		ready := 0
 		for _, r := range s.proxies {
-			if d := r.Held(); d != nil && len(d.Tables) >= max(1, s.running.Service.Facts.Slices) && full(d) {
+			if d := r.Held(); d != nil && len(d.Tables) >= max(1, s.running.Service.Config.Slices) && full(d) {
 				ready++
 			}
 		}
@@ -202,7 +202,7 @@
 func (s *stage) addHost(warm bool) (*member, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f, fleet := s.running.Service.Facts, s.script.Fleet
+	f, fleet := s.running.Service.Config, s.script.Fleet
 	n := s.spare
 	s.spare++
 	zones := s.running.Service.Zones
@@ -249,7 +249,7 @@
 	text := fmt.Sprintf("relay %q {\n  listen = \"127.0.0.1:0\"\n  zone = %q\n  directors = [\"%s\"]\n  follow = %q\n  front = %q\n  rate = %g\n  wait = \"5s\"\n"+
 		"  report_every = \"%dms\"\n  drain = \"0s\"\n}\n", name, zones[i%len(zones)], strings.Join(s.urls(mqtt), `", "`),
 		map[bool]string{true: "all", false: "one"}[len(s.directors) > 1], map[bool]string{true: "mqtt", false: "poll"}[mqtt],
-		s.script.Load.Peak/float64(s.script.Fleet.Proxies), int(s.running.Service.Facts.ReportInterval))
+		s.script.Load.Peak/float64(s.script.Fleet.Proxies), int(s.running.Service.Config.ReportInterval))
 	for _, r := range s.script.Routes {
 		text += fmt.Sprintf("route %q {\n  prefix = %q\n  key = \"header:%s\"\n}\n", r.Name, "/"+r.Name, standin.HeaderSlice)
 	}
--- a/internal/roster/follow.go
+++ b/internal/roster/follow.go
@@ -32,13 +32,13 @@
 
 // Follow tells each list as it comes, until the context ends. It asks again after failures, each time later; after the
 // second it says that the list is lost. The next list ends that, so it is told again then.
-func Follow(ctx context.Context, url, service string, wait time.Duration, tell func([]control.Listed), lost func(), log *slog.Logger) error {
+func Follow(ctx context.Context, url, service string, wait time.Duration, tell func([]control.HostEntry), lost func(), log *slog.Logger) error {
 	client, err := api.NewClient(&api.Config{Address: url})
 	if err != nil {
 		return err
 	}
 	index, failures := uint64(0), 0
-	var told []control.Listed
+	var told []control.HostEntry
 	first := true
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -76,7 +76,7 @@
 	return ctx.Err()
 }
 
-func read(entries []*api.ServiceEntry, log *slog.Logger) (out []control.Listed) {
+func read(entries []*api.ServiceEntry, log *slog.Logger) (out []control.HostEntry) {
 	for _, e := range entries {
 		if e.Service == nil {
 			continue
@@ -89,7 +89,7 @@
 			log.Warn("roster.entry_skipped", "id", e.Service.ID, "address", address, "port", e.Service.Port)
 			continue
 		}
-		l := control.Listed{ID: e.Service.ID, Address: tables.Address(net.JoinHostPort(address, strconv.Itoa(e.Service.Port))),
+		l := control.HostEntry{ID: e.Service.ID, Address: tables.Address(net.JoinHostPort(address, strconv.Itoa(e.Service.Port))),
 			Zone: e.Service.Meta[MetaZone], Cell: e.Service.Meta[MetaCell], Weight: float64(e.Service.Weights.Passing),
 			State: state(e.Checks)}
 		if ms, err := strconv.ParseFloat(e.Service.Meta[MetaStarted], 64); err == nil && ms > 0 {
@@ -97,7 +97,7 @@
 		}
 		out = append(out, l)
 	}
-	slices.SortFunc(out, func(a, b control.Listed) int { return strings.Compare(string(a.Address), string(b.Address)) })
+	slices.SortFunc(out, func(a, b control.HostEntry) int { return strings.Compare(string(a.Address), string(b.Address)) })
 	return out
 }
 
--- a/internal/roster/follow_test.go
+++ b/internal/roster/follow_test.go
@@ -18,16 +18,16 @@
 
 type follower struct {
 	mu    sync.Mutex
-	lists [][]control.Listed
+	lists [][]control.HostEntry
 }
 
-func (f *follower) tell(l []control.Listed) {
+func (f *follower) tell(l []control.HostEntry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lists = append(f.lists, l)
 }
 
-func (f *follower) last() (n int, l []control.Listed) {
+func (f *follower) last() (n int, l []control.HostEntry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.lists) == 0 {
@@ -36,7 +36,7 @@
 	return len(f.lists), f.lists[len(f.lists)-1]
 }
 
-func (f *follower) await(t *testing.T, what string, is func([]control.Listed) bool) {
+func (f *follower) await(t *testing.T, what string, is func([]control.HostEntry) bool) {
 	t.Helper()
 	for end := time.Now().Add(8 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		if n, l := f.last(); n > 0 && is(l) {
@@ -64,16 +64,16 @@
 	go func() {
 		ended <- roster.Follow(ctx, r.URL(), "hosts", 2*time.Second, f.tell, func() {}, slog.New(slog.DiscardHandler))
 	}()
-	f.await(t, "both hosts", func(l []control.Listed) bool {
-		return len(l) == 2 && l[0] == control.Listed{ID: "h1", Address: "127.0.0.1:7001", Zone: "a", Cell: "a-0", Weight: 1} &&
+	f.await(t, "both hosts", func(l []control.HostEntry) bool {
+		return len(l) == 2 && l[0] == control.HostEntry{ID: "h1", Address: "127.0.0.1:7001", Zone: "a", Cell: "a-0", Weight: 1} &&
 			l[1].Born == 1234567.5
 	})
 	r.State("h1", logic.Draining)
-	f.await(t, "a drain", func(l []control.Listed) bool { return l[0].State == logic.Draining })
+	f.await(t, "a drain", func(l []control.HostEntry) bool { return l[0].State == logic.Draining })
 	r.State("h1", logic.Gone)
-	f.await(t, "a failed check", func(l []control.Listed) bool { return l[0].State == logic.Gone })
+	f.await(t, "a failed check", func(l []control.HostEntry) bool { return l[0].State == logic.Gone })
 	r.Remove("h1")
-	f.await(t, "a removal", func(l []control.Listed) bool { return len(l) == 1 })
+	f.await(t, "a removal", func(l []control.HostEntry) bool { return len(l) == 1 })
 	// A list without end of the same says nothing new.
 	before, _ := f.last()
 	time.Sleep(2500 * time.Millisecond) // past a blocking query's wait
@@ -85,9 +85,9 @@
 	r.Put("h3", "127.0.0.1:7003", "a", "a-1", 0)
 	time.Sleep(300 * time.Millisecond)
 	r.Away(false)
-	f.await(t, "the change while it was away", func(l []control.Listed) bool { return len(l) == 2 })
+	f.await(t, "the change while it was away", func(l []control.HostEntry) bool { return len(l) == 2 })
 	r.Put("h4", "127.0.0.1:7004", "a", "a-1", 0)
-	f.await(t, "changes at the lower index", func(l []control.Listed) bool { return len(l) == 3 })
+	f.await(t, "changes at the lower index", func(l []control.HostEntry) bool { return len(l) == 3 })
 	// Wrong and empty lists are passed on as they are; an entry without an address can't be.
 	r.Wrong(func(all []*api.ServiceEntry) []*api.ServiceEntry {
 		ghost := *all[0]
@@ -96,9 +96,9 @@
 		ghost.Service = &service
 		return []*api.ServiceEntry{&ghost, all[1]}
 	})
-	f.await(t, "a wrong list", func(l []control.Listed) bool { return len(l) == 1 && l[0].ID == "h3" })
+	f.await(t, "a wrong list", func(l []control.HostEntry) bool { return len(l) == 1 && l[0].ID == "h3" })
 	r.Wrong(func([]*api.ServiceEntry) []*api.ServiceEntry { return nil })
-	f.await(t, "an empty list", func(l []control.Listed) bool { return len(l) == 0 })
+	f.await(t, "an empty list", func(l []control.HostEntry) bool { return len(l) == 0 })
 	stop()
 	select {
 	case err := <-ended:
@@ -129,17 +129,17 @@
 	}
 	f := &follower{}
 	go roster.Follow(t.Context(), r.URL(), "hosts", time.Second, f.tell, func() {}, slog.New(slog.DiscardHandler))
-	f.await(t, "both", func(l []control.Listed) bool { return len(l) == 2 })
+	f.await(t, "both", func(l []control.HostEntry) bool { return len(l) == 2 })
 	if err := client.Agent().EnableServiceMaintenance("h0", "upgrade"); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "maintenance drains", func(l []control.Listed) bool { return l[0].State == logic.Draining })
+	f.await(t, "maintenance drains", func(l []control.HostEntry) bool { return l[0].State == logic.Draining })
 	if err := client.Agent().DisableServiceMaintenance("h0"); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "its end", func(l []control.Listed) bool { return l[0].State == logic.Up })
+	f.await(t, "its end", func(l []control.HostEntry) bool { return l[0].State == logic.Up })
 	if err := client.Agent().ServiceDeregister("h1"); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "its leaving", func(l []control.Listed) bool { return len(l) == 1 })
+	f.await(t, "its leaving", func(l []control.HostEntry) bool { return len(l) == 1 })
 }
--- a/internal/settings/director.go
+++ b/internal/settings/director.go
@@ -70,7 +70,7 @@
 	if out.Written, err = Flat(text, path); err != nil {
 		return nil, err
 	}
-	f := &out.Service.Facts
+	f := &out.Service.Config
 	if all, names := r.Blocks("director", 1, 1, 1); len(all) > 0 {
 		out.director(all[0], names[0], path)
 		out.Service.Name = names[0]
@@ -112,7 +112,7 @@
 	"cell": logic.DedupCell}
 
 func (out *Running) service(r *Reader) {
-	f, own := &out.Service.Facts, ""
+	f, own := &out.Service.Config, ""
 	if len(out.Service.Zones) > 0 {
 		own = out.Service.Zones[0]
 	}
@@ -144,7 +144,7 @@
 }
 
 func (out *Running) route(r *Reader, name string) {
-	f := &out.Service.Facts
+	f := &out.Service.Config
 	repeat := r.Text("repeat", Needed, "repeatable", "keyed", "mutating")
 	reach := r.Text("reach", "", "", "all", "zone", "cell")
 	span := r.Span("span", 0, 0, time.Hour)
@@ -235,7 +235,7 @@
 }
 
 func (out *Running) rest(r *Reader) {
-	f := &out.Service.Facts
+	f := &out.Service.Config
 	f.Directors = 1
 	in := r.One("reports", false)
 	f.ReportInterval = millis(in.Span("every", 500*time.Millisecond, 10*time.Millisecond, time.Minute))
@@ -261,30 +261,30 @@
 
 	in = r.One("poll", false)
 	longest := in.Span("longest_wait", 30*time.Second, time.Second, time.Hour)
-	out.Service.LongestWait = millis(longest)
+	out.Service.MaxWait = millis(longest)
 	idle := in.Span("idle", 2*time.Minute, time.Second, time.Hour)
 	if idle < longest {
 		in.Fail("longest_wait", "%v is longer than a connection may be idle, %v", longest, idle)
 	}
 	if out.Custody != nil {
 		// A poll is sent anew often enough that what its answer says is covered by the lease.
-		out.Service.LongestWait = min(out.Service.LongestWait, millis(out.Custody.TTL/3))
+		out.Service.MaxWait = min(out.Service.MaxWait, millis(out.Custody.TTL/3))
 	}
-	out.Service.Kept = in.Whole("kept_versions", 256, 1, 100000)
+	out.Service.MaxBases = in.Whole("kept_versions", 256, 1, 100000)
 	out.Front = longpoll.Limits{MostHead: in.Size("most_head", 16<<10, 512, 1<<20),
 		MostBody:    in.Size("most_body", 4<<20, 512, 64<<20),
 		SlowRequest: in.Span("slow_request", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
 		Idle:        idle, Write: in.Span("slow_answer", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
-		LongestWait: out.Service.LongestWait}
+		LongestWait: out.Service.MaxWait}
 	if out.MQTT != nil {
-		out.MQTT.Limits.LongestWait = out.Service.LongestWait
+		out.MQTT.Limits.LongestWait = out.Service.MaxWait
 	}
 	in.Done()
 }
 
 // custody says by what leases slices are held, where there are several directors.
 func (out *Running) custody(r *Reader) {
-	f := &out.Service.Facts
+	f := &out.Service.Config
 	all, _ := r.Blocks("custody", 0, 0, 1)
 	if len(all) == 0 {
 		return
@@ -305,8 +305,8 @@
 	if f.SingleOwner {
 		in.Fail("", "custody is not yet to be had where slices have single owners")
 	}
-	out.Service.Learns = in.Truth("learn", true)
-	out.Custody, out.Service.Leased = t, true
+	out.Service.QueriesPeers = in.Truth("learn", true)
+	out.Custody, out.Service.SlicesLeased = t, true
 	in.Done()
 }
 
@@ -324,7 +324,7 @@
 	m.Limits = mqtt.Limits{MostPacket: in.Size("most_packet", 4<<20, 512, 64<<20),
 		Connect:   in.Span("connect", 10*time.Second, 100*time.Millisecond, time.Minute),
 		KeepAlive: in.Span("keep_alive", time.Minute, time.Second, 10*time.Hour), Write: in.Span("slow_packet", 10*time.Second, 100*time.Millisecond, 10*time.Minute)}
-	m.Limits.Sessions = in.Whole("sessions", 2*out.Service.Facts.Proxies+100, 1, 1e6)
+	m.Limits.Sessions = in.Whole("sessions", 2*out.Service.Config.Proxies+100, 1, 1e6)
 	m.Limits.Expiry = millis(in.Span("session", 5*time.Minute, 0, 24*time.Hour))
 	m.Limits.Unanswered = millis(in.Span("unanswered", 30*time.Second, time.Second, time.Hour))
 	m.Limits.Connects = in.Number("connects_per_second", 2000, 1, 1e6)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := s.Service.Facts
+	f := s.Service.Config
 	if s.Name != "d1" || s.StorePath != "/etc/v/d.db" || f.Slices != 64 || f.DrainGrace != 2500 || f.Levels != logic.LevelShare ||
 		!f.MayProbe || len(f.Routes) != 2 || f.Routes[1].Idempotency != logic.IdempotentByKey || f.Routes[1].DedupScope != logic.DedupCell ||
 		f.Routes[1].DedupWindow != 4000 || !f.Routes[1].IsWrite || s.Service.Routes[1].Name != "batch-note" ||
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -112,7 +112,7 @@
 	cur := s.Cursor()
 	for k, v := cur.First(); k != nil; k, v = cur.Next() {
 		step := stepOf(k)
-		if uint64(now.Step-step) < uint64(keep.Versions) || now.Least > 0 && step > now.Least {
+		if uint64(now.Step-step) < uint64(keep.Versions) || now.OldestInUse > 0 && step > now.OldestInUse {
 			break
 		}
 		var c content
@@ -169,7 +169,7 @@
 var ErrNoVersion = errors.New("no such version is kept")
 
 // At gives a version's content: the last snapshot before it, and what changed since.
-func (s *Store) At(step tables.Step) (saved control.Saved, err error) {
+func (s *Store) At(step tables.Step) (saved control.SavedState, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		cur := tx.Bucket(snapshots).Cursor()
 		k, v := cur.Seek(stepKey(step + 1))
@@ -186,7 +186,7 @@
 		if err := unseal(fmt.Sprintf("snapshots/%d", from), v, &c); err != nil {
 			return offer(tx, err, from-1)
 		}
-		saved = control.Saved{Step: from, At: c.At, Tables: c.Tables, Masked: c.Masked, Levels: c.Levels, Bound: c.Bound}
+		saved = control.SavedState{Step: from, At: c.At, Tables: c.Tables, Masked: c.Masked, Levels: c.Levels, Bound: c.Bound}
 		if saved.Tables == nil {
 			saved.Tables = map[logic.TableID]*tables.Table{}
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -94,7 +94,7 @@
 }
 
 // Load reads all that is stored.
-func (s *Store) Load() (saved control.Saved, err error) {
+func (s *Store) Load() (saved control.SavedState, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) (err error) {
 		saved, err = load(tx)
 		return err
@@ -105,7 +105,7 @@
 	return saved, nil
 }
 
-func load(tx *bbolt.Tx) (saved control.Saved, err error) {
+func load(tx *bbolt.Tx) (saved control.SavedState, err error) {
 	saved.Tables = map[logic.TableID]*tables.Table{}
 	saved.Bound = map[logic.ProxyID][]logic.TableID{}
 	for key, to := range map[string]any{"line": &saved.Line, "step": &saved.Step, "at": &saved.At,
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -32,7 +32,7 @@
 		{Step: 1, At: 5, Tables: map[logic.TableID]*tables.Table{3: table, 4: table}, Masked: map[tables.Address]bool{"a:1": true},
 			Bound: map[logic.ProxyID][]logic.TableID{2: {1, -1}}},
 		{Step: 2, At: 6, Tables: map[logic.TableID]*tables.Table{4: nil}, Bound: map[logic.ProxyID][]logic.TableID{2: nil}},
-		{List: []control.Listed{{ID: "h", Address: "a:1", State: logic.Draining, Born: 12.5}},
+		{List: []control.HostEntry{{ID: "h", Address: "a:1", State: logic.Draining, Born: 12.5}},
 			Known: map[tables.Address]control.KnownHost{"a:1": {Number: 9}}, Named: map[logic.ProxyID]string{3: "q"}},
 		{Named: map[logic.ProxyID]string{3: "p"}}, // the number went to another
 	})
@@ -49,10 +49,10 @@
 	}
 	defer s.Close()
 	got, err := s.Load()
-	want := control.Saved{Line: first.Line, Step: 2, At: 6, Tables: map[logic.TableID]*tables.Table{3: table},
+	want := control.SavedState{Line: first.Line, Step: 2, At: 6, Tables: map[logic.TableID]*tables.Table{3: table},
 		Masked: map[tables.Address]bool{"a:1": true}, Bound: map[logic.ProxyID][]logic.TableID{},
 		Proxies: map[string]logic.ProxyID{"o": 1, "p": 3}, Known: map[tables.Address]control.KnownHost{"a:1": {Number: 9}},
-		List: []control.Listed{{ID: "h", Address: "a:1", State: logic.Draining, Born: 12.5}}}
+		List: []control.HostEntry{{ID: "h", Address: "a:1", State: logic.Draining, Born: 12.5}}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Fatalf("%v\n%+v\n%+v", err, got, want)
 	}
@@ -80,7 +80,7 @@
 // drawnHistory writes a history and keeps what each version held.
 func drawnHistory(t *rapid.T, s *Store, steps int) map[tables.Step]string {
 	held := map[tables.Step]string{}
-	state := control.Saved{Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}
+	state := control.SavedState{Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}
 	weight := rapid.Float64Range(0.01, 9)
 	for step := tables.Step(1); step <= tables.Step(steps); step++ {
 		c := control.Change{Step: step, At: float64(step), Tables: map[logic.TableID]*tables.Table{}}
@@ -102,7 +102,7 @@
 	return held
 }
 
-func tablesOf(s control.Saved) map[logic.TableID]tables.Table {
+func tablesOf(s control.SavedState) map[logic.TableID]tables.Table {
 	out := map[logic.TableID]tables.Table{}
 	for id, t := range s.Tables {
 		out[id] = *t
@@ -195,7 +195,7 @@
 		if step > 300 {
 			least = step
 		}
-		if err := s.Write([]control.Change{{Step: step, At: float64(step), Least: least}}); err != nil {
+		if err := s.Write([]control.Change{{Step: step, At: float64(step), OldestInUse: least}}); err != nil {
 			t.Fatal(err)
 		}
 		_, err := s.At(100)
--- a/internal/subscribe/desk.go
+++ b/internal/subscribe/desk.go
@@ -177,7 +177,7 @@
 // part takes a session's connection away; the proxy has left until it is back.
 func (d *Desk) part(now logic.Millis, s *session) {
 	if s.ticket != 0 {
-		d.say(Post{control.Broke{Ticket: s.ticket, Proxy: s.proxy}})
+		d.say(Post{control.Disconnected{Ticket: s.ticket, Proxy: s.proxy}})
 		delete(d.tickets, s.ticket)
 		s.ticket = 0
 	}
@@ -272,7 +272,7 @@
 		}
 		u.Codes = append(u.Codes, Success)
 		if s.ticket != 0 {
-			d.say(Post{control.Broke{Ticket: s.ticket, Proxy: s.proxy}})
+			d.say(Post{control.Disconnected{Ticket: s.ticket, Proxy: s.proxy}})
 			delete(d.tickets, s.ticket)
 		}
 		s.topic, s.proxy, s.watch, s.ticket, s.retryAt = "", "", false, 0, 0
@@ -311,7 +311,7 @@
 	}
 	s.ticket = 0
 	switch a.Kind {
-	case control.Whole, control.Delta:
+	case control.Full, control.Delta:
 		d.deliver(now, s, a)
 	case control.Unchanged:
 		d.poll(s)
@@ -395,7 +395,7 @@
 	if _, open := d.conns[of.conn]; !open || of.id == 0 {
 		return
 	}
-	code := map[control.AnswerKind]Code{control.Taken: Success, control.Unknown: NotAuthorized, control.Wrong: PayloadInvalid,
+	code := map[control.AnswerKind]Code{control.Accepted: Success, control.Unknown: NotAuthorized, control.Invalid: PayloadInvalid,
 		control.Busy: QuotaExceeded}[a.Kind]
 	d.say(Acked{of.conn, of.id, code, a.Why})
 }
--- a/internal/subscribe/desk_test.go
+++ b/internal/subscribe/desk_test.go
@@ -57,7 +57,7 @@
 		for _, tag := range p.Held {
 			base = w.docs[tag.Step-1]
 		}
-		a := control.Answer{Ticket: ticket, Doc: newest, Kind: control.Whole}
+		a := control.Answer{Ticket: ticket, Doc: newest, Kind: control.Full}
 		if base == newest {
 			continue
 		}
@@ -78,7 +78,7 @@
 			switch p := o.In.(type) {
 			case control.Poll:
 				w.parked[p.Ticket] = p
-			case control.Broke:
+			case control.Disconnected:
 				delete(w.parked, p.Ticket)
 			}
 		case Deliver:
@@ -217,7 +217,7 @@
 		t.Errorf("two topics: %+v", g)
 	}
 	doc := (&tables.Document{Tables: map[string]*tables.Table{}}).Seal(1, 1, 0)
-	d.Handle(3002, Told{control.Answer{Ticket: ticket, Kind: control.Whole, Doc: doc}})
+	d.Handle(3002, Told{control.Answer{Ticket: ticket, Kind: control.Full, Doc: doc}})
 	if out := d.Handle(12000); !find(out, closed(6, Implementation)) {
 		t.Errorf("nothing is acknowledged: %+v", out)
 	}
