--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -17,46 +17,46 @@
 
 // Core is one director's.
 type Core struct {
-	svc       Service
-	module    *logic.Director
-	names     *names
-	line      tables.Line
-	world     *world      // as ordered
-	stored    *world      // the newest that would outlive a crash
-	opening   tables.Step // the first of this start
-	unsaved   []*step
-	channel   *channel.Channel
-	intake    *sums.Aggregator
-	streams   map[logic.ProxyID]*stream
-	ids       []logic.ProxyID // joined, in order
-	stands    versions.Index[logic.ProxyID]
-	readers   map[logic.ProxyID]bool // that read what was ordered before they joined as it is stored
-	kept      map[tables.Tag]*tables.Document
-	oldest    []tables.Tag
-	shown     shown
-	behind    []*step // stored, and held back until a removal has been shown to all lots
-	timers    []timer
-	routes    map[string]logic.RouteID
-	listed    map[tables.Address]bool
-	swept     logic.Millis
-	last      *tables.Document // the newest that was kept
-	list0     []HostEntry      // the list as it was told last
-	pinned    map[logic.TableID]Pin
-	operated  tables.Step // the newest version by an operator
-	cause     cause
-	onlookers map[Ticket]onlooker
-	custody   *custody // nil: all slices are ours
-	known     *known
-	lost      logic.Millis // since when the list does not answer; 0: it does
-	given     logic.Millis // when slices came last
-	asked     logic.Millis // when the others were asked last
-	believed  map[tables.Address]believed
-	expected  map[logic.TableID][]expectation
+	svc              Service
+	module           *logic.Director
+	ids              *idRegistry
+	line             tables.Line
+	current          *world      // as ordered
+	stored           *world      // the newest that would outlive a crash
+	firstStep        tables.Step // the first of this start
+	unsaved          []*pendingStep
+	channel          *channel.Channel
+	aggregator       *sums.Aggregator
+	proxies          map[logic.ProxyID]*joinedProxy
+	joined           []logic.ProxyID // joined, in order
+	heldSteps        versions.Index[logic.ProxyID]
+	catchingUp       map[logic.ProxyID]bool // that read what was ordered before they joined as it is stored
+	bases            map[tables.Tag]*tables.Document
+	baseTags         []tables.Tag
+	view             lotView
+	heldBack         []*pendingStep // stored, and held back until a removal has been shown to all lots
+	timers           []timer
+	routeIDs         map[string]logic.RouteID
+	listed           map[tables.Address]bool
+	lastRefresh      logic.Millis
+	newestBase       *tables.Document // the newest that was kept
+	hostList         []HostEntry      // the list as it was told last
+	pinned           map[logic.TableID]Pin
+	lastOperatorStep tables.Step // the newest version by an operator
+	changeCause      cause
+	watchers         map[Ticket]watcher
+	ownership        *custody // nil: all slices are ours
+	observations     *known
+	listLostAt       logic.Millis // since when the list does not answer; 0: it does
+	slicesAssignedAt logic.Millis // when slices came last
+	peersQueriedAt   logic.Millis // when the others were asked last
+	peerStates       map[tables.Address]believed
+	expectedDemand   map[logic.TableID][]expectation
 	// healthFrom are hosts of which another's health was taken over; once is enough, or it would count again and again.
-	healthFrom map[tables.Address]bool
-	notes      []any
-	out        []any
-	figures    Stats
+	healthAdopted map[tables.Address]bool
+	events        []any
+	out           []any
+	stats         Stats
 }
 
 type timer struct {
@@ -65,24 +65,24 @@
 }
 
 // step is a world on its way to the store, with the messages that wait for it.
-type step struct {
-	world    *world
-	messages []channel.Message
-	changed  []logic.TableID
-	removes  bool // a host from all tables
+type pendingStep struct {
+	state       *world
+	messages    []channel.Message
+	changed     []logic.TableID
+	removesHost bool // a host from all tables
 }
 
 // New is a director's start. What it returns first must be carried out before the first Handle.
 func New(seed uint64, now logic.Millis, svc Service, saved SavedState) (*Core, []any) {
 	f := svc.Config
-	c := &Core{svc: svc, module: logic.New(seed, f), names: newNames(svc.Zones, f.Proxies, &saved), line: saved.Line,
-		channel: channel.New(f.LinesPerSecond, f.MessageWindow),
-		intake:  sums.New(f.Slices > 0, f.ReportInterval, f.ReportLinesPerSecond), streams: map[logic.ProxyID]*stream{},
-		readers: map[logic.ProxyID]bool{}, shown: shown{dirty: true, until: logic.Millis(math.Inf(1))}, kept: map[tables.Tag]*tables.Document{}, routes: map[string]logic.RouteID{},
-		listed: map[tables.Address]bool{}, known: newKnown(now), onlookers: map[Ticket]onlooker{}, believed: map[tables.Address]believed{},
-		expected: map[logic.TableID][]expectation{}, healthFrom: map[tables.Address]bool{}}
+	c := &Core{svc: svc, module: logic.New(seed, f), ids: newIDRegistry(svc.Zones, f.Proxies, &saved), line: saved.Line,
+		channel:    channel.New(f.LinesPerSecond, f.MessageWindow),
+		aggregator: sums.New(f.Slices > 0, f.ReportInterval, f.ReportLinesPerSecond), proxies: map[logic.ProxyID]*joinedProxy{},
+		catchingUp: map[logic.ProxyID]bool{}, view: lotView{dirty: true, validUntil: logic.Millis(math.Inf(1))}, bases: map[tables.Tag]*tables.Document{}, routeIDs: map[string]logic.RouteID{},
+		listed: map[tables.Address]bool{}, observations: newKnown(now), watchers: map[Ticket]watcher{}, peerStates: map[tables.Address]believed{},
+		expectedDemand: map[logic.TableID][]expectation{}, healthAdopted: map[tables.Address]bool{}}
 	for i, r := range svc.Routes {
-		c.routes[r.Name] = logic.RouteID(i)
+		c.routeIDs[r.Name] = logic.RouteID(i)
 	}
 	w := &world{step: saved.Step, at: saved.At, tables: saved.Tables, masked: saved.Masked, levels: saved.Levels,
 		bound: map[logic.ProxyID][]logic.TableID{}, carried: saved.Carried, docs: map[string]*tables.Document{}}
@@ -93,7 +93,7 @@
 		w.levels = append(w.levels, svc.Routes[r].Level)
 	}
 	w.levels = w.levels[:len(svc.Routes)]
-	c.world, c.stored = w, w
+	c.current, c.stored = w, w
 	// Opening state is a step of its own, so that nothing is told that is not stored.
 	d := c.draft(float64(now))
 	d.change.Levels = d.is.levels
@@ -115,10 +115,10 @@
 			}
 		}
 	} else {
-		d.carry(&saved)
+		d.carryOverTables(&saved)
 	}
-	c.notes = append(c.notes, logic.HostList{Kind: logic.HostListFromDisk, Entries: c.entries(saved.List, now)})
-	c.list0, c.pinned = saved.List, map[logic.TableID]Pin{}
+	c.events = append(c.events, logic.HostList{Kind: logic.HostListFromDisk, Entries: c.hostEntries(saved.List, now)})
+	c.hostList, c.pinned = saved.List, map[logic.TableID]Pin{}
 	maps.Copy(c.pinned, saved.Pinned)
 	for t := range logic.TableID(f.Slices) {
 		if _, held := c.pinned[t]; !held && !svc.SlicesLeased {
@@ -126,24 +126,24 @@
 		}
 	}
 	for _, a := range slices.Sorted(maps.Keys(d.is.masked)) {
-		if k, known := c.names.hosts[a]; known {
-			c.notes = append(c.notes, logic.InheritedMask{Host: k.Number})
+		if k, known := c.ids.hosts[a]; known {
+			c.events = append(c.events, logic.InheritedMask{Host: k.Number})
 		}
 	}
 	c.out = nil
-	d.change.Known = c.names.hosts
+	d.change.Known = c.ids.hosts
 	if f.Slices > 0 && saved.Step > 0 && !svc.SlicesLeased {
-		c.keep(c.document(w, 0)) // most proxies hold it, and need no more than the difference
+		c.keepBase(c.document(w, 0)) // most proxies hold it, and need no more than the difference
 	}
-	c.world, c.opening = d.is, d.is.step
-	c.unsaved = append(c.unsaved, &step{world: d.is})
+	c.current, c.firstStep = d.is, d.is.step
+	c.unsaved = append(c.unsaved, &pendingStep{state: d.is})
 	c.out = append(c.out, Persist{d.change})
-	return c, c.take()
+	return c, c.takeOutputs()
 }
 
 // carry keeps what proxies with tables of their own held before the start: the module lays new ones from the
 // same numbers, and a proxy goes by the old until it is bound anew.
-func (d *draft) carry(saved *SavedState) {
+func (d *draft) carryOverTables(saved *SavedState) {
 	d.is.carried = map[logic.ProxyID]map[string]*tables.Table{}
 	for id, old := range saved.Carried {
 		d.is.carried[id] = maps.Clone(old)
@@ -169,14 +169,14 @@
 	d.is.tables = map[logic.TableID]*tables.Table{}
 }
 
-func (c *Core) say(e LogEvent) { c.out = append(c.out, e) }
+func (c *Core) log(e LogEvent) { c.out = append(c.out, e) }
 
 // take gives what is to be carried out, what all lots see first.
-func (c *Core) take() []any {
+func (c *Core) takeOutputs() []any {
 	out := c.out
 	c.out = nil
-	if c.shown.dirty {
-		out = append([]any{c.publish()}, out...)
+	if c.view.dirty {
+		out = append([]any{c.publishView()}, out...)
 	}
 	return out
 }
@@ -188,23 +188,23 @@
 		case park.Join:
 			c.join(now, i)
 		case park.Holds:
-			c.acknowledged(now, i)
+			c.acknowledge(now, i)
 		case park.Leaves:
-			c.leaves(i)
+			c.handleLeave(i)
 		case park.Wants:
-			c.wants(i)
+			c.notifyStored(i)
 		case AnswersFlushed:
-			c.passed(now)
+			c.endBarrier(now)
 		case Disconnected:
-			delete(c.onlookers, i.Ticket)
+			delete(c.watchers, i.Ticket)
 		case Watch:
 			c.watch(now, i)
 		case Report:
 			c.report(now, i)
 		case HostList:
-			c.list(now, i.Hosts)
+			c.updateHosts(now, i.Hosts)
 		case Stored:
-			c.settle(now, i.Step)
+			c.advanceStored(now, i.Step)
 		case Rollback:
 			c.rollback(now, i)
 		case Release:
@@ -218,46 +218,46 @@
 		case Learnt:
 			c.learnt(now, i)
 		case ListLost:
-			if c.lost == 0 {
-				c.lost = now
+			if c.listLostAt == 0 {
+				c.listLostAt = now
 			}
 		case Guard:
 			c.guard(now, i)
 		case Pins:
 			c.tellPins(now, i.Ticket)
 		case ProbeResult:
-			if k, known := c.names.hosts[i.Address]; known {
-				c.notes = append(c.notes, logic.ProbeResult{Host: k.Number, Latency: i.Latency, Healthy: i.Healthy, Load: i.Load})
+			if k, known := c.ids.hosts[i.Address]; known {
+				c.events = append(c.events, logic.ProbeResult{Host: k.Number, Latency: i.Latency, Healthy: i.Healthy, Load: i.Load})
 			}
 		}
 	}
-	if named := c.names.fresh; len(named) > 0 { // once a turn: a whole fleet may come in one
-		c.names.fresh = map[logic.ProxyID]string{}
+	if named := c.ids.unstored; len(named) > 0 { // once a turn: a whole fleet may come in one
+		c.ids.unstored = map[logic.ProxyID]string{}
 		c.out = append(c.out, Persist{Change{Line: c.line, Named: named}})
 	}
 	for _, m := range c.channel.PopDue(now) {
-		c.arrive(now, m)
+		c.deliver(now, m)
 	}
-	c.believe(now)
-	c.notes = append(c.notes, c.intake.Due(now)...)
+	c.refreshPeerStates(now)
+	c.events = append(c.events, c.aggregator.Due(now)...)
 	slices.SortStableFunc(c.timers, func(a, b timer) int { return cmp.Compare(a.at, b.at) })
 	for len(c.timers) > 0 && c.timers[0].at <= now {
-		c.notes = append(c.notes, logic.TimerFired{Timer: c.timers[0].id})
+		c.events = append(c.events, logic.TimerFired{Timer: c.timers[0].id})
 		c.timers = c.timers[1:]
 	}
-	if len(c.notes) > 0 {
-		notes := c.notes
-		c.notes = nil
-		c.carryOut(now, c.module.Handle(now, notes))
+	if len(c.events) > 0 {
+		notes := c.events
+		c.events = nil
+		c.execute(now, c.module.Handle(now, notes))
 	}
 	c.tend(now)
-	c.look(now)
-	return c.take()
+	c.answerWatchers(now)
+	return c.takeOutputs()
 }
 
 // Wake is when Handle must be called again at the latest.
 func (c *Core) NextWake() logic.Millis {
-	at := c.intake.Next()
+	at := c.aggregator.Next()
 	for _, t := range c.timers {
 		at = min(at, t.at)
 	}
@@ -267,18 +267,18 @@
 	return at
 }
 
-func (c *Core) carryOut(now logic.Millis, orders []logic.Order) {
+func (c *Core) execute(now logic.Millis, orders []logic.Order) {
 	d := c.draft(float64(now))
 	for _, o := range orders {
 		switch o := o.(type) {
 		case logic.SetTimer:
 			c.timers = append(c.timers, timer{now + o.Delay, o.Timer})
 		case logic.Probe:
-			if a := c.names.address[o.Host]; c.svc.Config.MayProbe && a != "" {
+			if a := c.ids.addresses[o.Host]; c.svc.Config.MayProbe && a != "" {
 				c.out = append(c.out, Probe{a})
 			}
 		case logic.LogText:
-			c.say(LogEvent{Name: "module.says", Detail: o.Text})
+			c.log(LogEvent{Name: "module.says", Detail: o.Text})
 		case logic.WatchHosts, logic.RequestHosts, logic.SendToPeer:
 			// The list comes by itself, and there is no peer yet.
 		default:
@@ -295,15 +295,15 @@
 	d.check(now)
 	d.change.OldestInUse = d.is.step
 	if d.change.Levels != nil {
-		c.known.levels = now
+		c.observations.levels = now
 	}
-	if oldest, any := c.stands.Oldest(); any {
+	if oldest, any := c.heldSteps.Oldest(); any {
 		d.change.OldestInUse = min(d.change.OldestInUse, oldest)
 	}
-	c.world = d.is
-	s := &step{world: d.is, changed: slices.Collect(maps.Keys(d.change.Tables)), removes: d.removes()}
-	var same *letter // where all are told the same
-	for _, id := range c.ids {
+	c.current = d.is
+	s := &pendingStep{state: d.is, changed: slices.Collect(maps.Keys(d.change.Tables)), removesHost: d.removes()}
+	var same *documentUpdate // where all are told the same
+	for _, id := range c.joined {
 		lines, concerned := d.of, d.of > 0
 		if len(d.lines) > 0 {
 			own, its := d.lines[id]
@@ -317,7 +317,7 @@
 		}
 		l := same
 		if l == nil {
-			l = &letter{c.document(d.is, id), d.serial, d.stamped, now}
+			l = &documentUpdate{c.document(d.is, id), d.serial, d.stamped, now}
 		}
 		if c.svc.Config.Slices > 0 {
 			same = l
@@ -326,40 +326,40 @@
 	}
 	c.unsaved = append(c.unsaved, s)
 	c.out = append(c.out, Persist{d.change})
-	c.say(LogEvent{Name: "step.ordered", Version: strconv.Itoa(int(d.is.step)),
+	c.log(LogEvent{Name: "step.ordered", Version: strconv.Itoa(int(d.is.step)),
 		Detail: strconv.Itoa(len(s.messages)) + " messages"})
 }
 
 func (c *Core) refuse(t Ticket, kind AnswerKind, why string) {
-	c.figures.Refused++
+	c.stats.Refused++
 	c.out = append(c.out, Answer{Ticket: t, Kind: kind, Why: why})
 }
 
 // believe lets go of what was learnt long ago, and asks for more.
-func (c *Core) believe(now logic.Millis) {
-	if now < c.swept+50 {
+func (c *Core) refreshPeerStates(now logic.Millis) {
+	if now < c.lastRefresh+50 {
 		return
 	}
-	c.swept = now
+	c.lastRefresh = now
 	c.disbelieve(now)
 	c.askPeers(now)
 }
 
 func (c *Core) report(now logic.Millis, r Report) {
-	id, ok := c.find(r.Proxy)
-	st := c.streams[id]
+	id, ok := c.proxyID(r.Proxy)
+	st := c.proxies[id]
 	if !ok || st == nil {
 		c.refuse(r.Ticket, Unknown, "proxy "+strconv.Quote(r.Proxy)+" has not polled within the lease")
 		return
 	}
-	if r.Key != "" && r.Key == st.reports {
-		c.figures.RepeatedReports++
+	if r.Key != "" && r.Key == st.lastReportKey {
+		c.stats.RepeatedReports++
 		c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Accepted})
 		return
 	}
 	var calls []sums.Demand
 	for i, l := range r.Calls {
-		route, known := c.routes[l.Route]
+		route, known := c.routeIDs[l.Route]
 		if !known {
 			c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: the settings know no route "+strconv.Quote(l.Route))
 			return
@@ -375,61 +375,61 @@
 		}
 		calls = append(calls, line)
 	}
-	st.reports = r.Key
-	c.figures.Reports++
-	zone := c.names.zone(st.zone)
+	st.lastReportKey = r.Key
+	c.stats.Reports++
+	zone := c.ids.zone(st.zone)
 	for _, t := range r.Tries {
-		if k, known := c.names.hosts[t.Address]; known && t.Ended > 0 {
+		if k, known := c.ids.hosts[t.Address]; known && t.Ended > 0 {
 			met := sums.Tries{Host: k.Number, Zone: zone, Ended: t.Ended, Unanswered: t.Unanswered, AnsweredMs: t.AnsweredMs, Load: t.Load}
-			c.intake.AddTries(now, met)
-			c.known.tried(now, met)
+			c.aggregator.AddTries(now, met)
+			c.observations.tried(now, met)
 		}
 	}
 	for _, l := range calls {
 		if l.Calls > 0 {
-			c.intake.AddDemand(now, l)
-			c.known.came(now, l)
+			c.aggregator.AddDemand(now, l)
+			c.observations.came(now, l)
 		}
 	}
 	c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Accepted})
 }
 
 // list follows the list of hosts.
-func (c *Core) list(now logic.Millis, hosts []HostEntry) {
-	c.list0, c.lost = slices.Clone(hosts), 0
-	c.known.list(now, hosts)
-	c.notes = append(c.notes, logic.HostList{Kind: logic.HostListFull, Entries: c.entries(c.doubt(now, hosts), now)})
-	c.out = append(c.out, Persist{Change{Line: c.line, List: slices.Clone(hosts), Known: maps.Clone(c.names.hosts)}})
-	c.say(LogEvent{Name: "list.told", Detail: strconv.Itoa(len(hosts)) + " hosts"})
+func (c *Core) updateHosts(now logic.Millis, hosts []HostEntry) {
+	c.hostList, c.listLostAt = slices.Clone(hosts), 0
+	c.observations.list(now, hosts)
+	c.events = append(c.events, logic.HostList{Kind: logic.HostListFull, Entries: c.hostEntries(c.doubt(now, hosts), now)})
+	c.out = append(c.out, Persist{Change{Line: c.line, List: slices.Clone(hosts), Known: maps.Clone(c.ids.hosts)}})
+	c.log(LogEvent{Name: "list.told", Detail: strconv.Itoa(len(hosts)) + " hosts"})
 }
 
-func (c *Core) entries(hosts []HostEntry, now logic.Millis) (out []logic.HostEntry) {
+func (c *Core) hostEntries(hosts []HostEntry, now logic.Millis) (out []logic.HostEntry) {
 	clear(c.listed)
 	for _, l := range hosts {
 		if c.listed[l.Address] {
 			continue // named twice: the first counts
 		}
 		c.listed[l.Address] = true
-		out = append(out, c.entry(l, now))
+		out = append(out, c.hostEntry(l, now))
 	}
 	return out
 }
 
-func (c *Core) entry(l HostEntry, now logic.Millis) logic.HostEntry {
-	id, _ := c.names.host(l)
-	return logic.HostEntry{Host: id, State: l.State, Cell: c.names.cell(l.Cell), Zone: c.names.zone(l.Zone), Weight: l.Weight,
+func (c *Core) hostEntry(l HostEntry, now logic.Millis) logic.HostEntry {
+	id, _ := c.ids.host(l)
+	return logic.HostEntry{Host: id, State: l.State, Cell: c.ids.cell(l.Cell), Zone: c.ids.zone(l.Zone), Weight: l.Weight,
 		StartedAt: min(logic.Millis(l.Born), now)}
 }
 
 // Figures are those of now.
 func (c *Core) Stats() Stats {
-	f := c.figures
-	f.Step, f.Stored, f.Joined = c.world.step, c.stored.step, len(c.ids)
-	f.Hosts, f.Masked = len(c.listed), len(c.world.masked)
-	f.OldestHeld, _ = c.stands.Oldest()
-	f.ProxiesBehind = c.stands.Behind(c.stored.step)
-	f.Slices = len(c.world.tables)
+	f := c.stats
+	f.Step, f.Stored, f.Joined = c.current.step, c.stored.step, len(c.joined)
+	f.Hosts, f.Masked = len(c.listed), len(c.current.masked)
+	f.OldestHeld, _ = c.heldSteps.Oldest()
+	f.ProxiesBehind = c.heldSteps.Behind(c.stored.step)
+	f.Slices = len(c.current.tables)
 	f.QueuedLines, f.MaxQueuedLines, f.QueueLimit = c.channel.QueuedLines(), c.channel.MaxQueuedLines(), c.svc.Config.QueueLimit
-	f.MaxMessagesInWindow, f.PendingReportLines = c.channel.MaxMessagesInWindow(), c.intake.Pending()
+	f.MaxMessagesInWindow, f.PendingReportLines = c.channel.MaxMessagesInWindow(), c.aggregator.Pending()
 	return f
 }
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -12,20 +12,20 @@
 )
 
 // rig drives a core by hand: time goes on in beats, and what is to be stored is stored at once unless held.
-type rig struct {
-	t       *testing.T
-	c       *Core
-	lot     *park.Lot
-	now     logic.Millis
-	disk    SavedState
-	hold    bool
-	held    []Change
-	answers map[Ticket]Answer
-	probes  int
-	ticket  Ticket
-}
-
-func service(slices int) Service {
+type harness struct {
+	t             *testing.T
+	c             *Core
+	lot           *park.Lot
+	now           logic.Millis
+	store         SavedState
+	holdWrites    bool
+	pendingWrites []Change
+	answers       map[Ticket]Answer
+	probes        int
+	ticket        Ticket
+}
+
+func testService(slices int) Service {
 	return Service{Zones: []string{"a", "b"}, Pick: "lottery", ProxyNames: regexp.MustCompile(`^p[0-9]$`), Lease: 2000,
 		MaxWait: 30000, MaxBases: 16, Routes: []RouteInfo{{"read", tables.Route{Level: tables.Level{Level: 1, Tries: 1},
 			Repeat: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1}}},
@@ -35,24 +35,24 @@
 			Routes: []logic.Route{{SLO: 1000, TimeLimit: 3000, Importance: 1, Idempotency: logic.Idempotent}}}}
 }
 
-func start(t *testing.T, svc Service, disk SavedState) *rig {
-	r := &rig{t: t, now: 1e12, disk: disk, answers: map[Ticket]Answer{}}
+func newHarness(t *testing.T, svc Service, disk SavedState) *harness {
+	r := &harness{t: t, now: 1e12, store: disk, answers: map[Ticket]Answer{}}
 	if disk.Line == 0 {
-		r.disk = SavedState{Line: 42, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}
+		r.store = SavedState{Line: 42, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}
 	}
-	r.raise(svc)
+	r.startCore(svc)
 	return r
 }
 
-func (r *rig) raise(svc Service) {
+func (r *harness) startCore(svc Service) {
 	var out []any
 	r.lot = park.NewLot(0, 1, park.Terms{LongestWait: svc.MaxWait, Lease: svc.Lease, Zones: svc.Zones}, r.now)
-	r.c, out = New(5, r.now, svc, r.disk)
-	r.carry(out)
+	r.c, out = New(5, r.now, svc, r.store)
+	r.execute(out)
 }
 
 // write is what the store does, through its encoding.
-func (r *rig) write(c Change) {
+func (r *harness) writeChange(c Change) {
 	text, err := json.Marshal(c)
 	if err != nil {
 		r.t.Fatal(err)
@@ -61,90 +61,90 @@
 	if err := json.Unmarshal(text, &c); err != nil {
 		r.t.Fatal(err)
 	}
-	if c.Step > 0 && c.Step <= r.disk.Step {
-		r.t.Fatalf("step %d is written after %d", c.Step, r.disk.Step)
+	if c.Step > 0 && c.Step <= r.store.Step {
+		r.t.Fatalf("step %d is written after %d", c.Step, r.store.Step)
 	}
-	r.disk.Apply(c)
+	r.store.Apply(c)
 }
 
 // heard carries on what the lot says.
-func (r *rig) heard(said park.Said) {
+func (r *harness) handleLotOutput(said park.Said) {
 	for _, a := range said.Answers {
-		r.answer(a)
+		r.recordAnswer(a)
 	}
 	if len(said.Core) > 0 {
-		r.carry(r.c.Handle(r.now, said.Core))
+		r.execute(r.c.Handle(r.now, said.Core))
 	}
 }
 
-func (r *rig) answer(o Answer) {
+func (r *harness) recordAnswer(o Answer) {
 	if _, twice := r.answers[o.Ticket]; twice {
 		r.t.Fatalf("ticket %d is answered twice", o.Ticket)
 	}
-	if o.Doc != nil && (o.Kind == Full || o.Kind == Delta) && o.Doc.Step > r.disk.Step {
-		r.t.Fatalf("step %d is told, but only %d is stored", o.Doc.Step, r.disk.Step)
+	if o.Doc != nil && (o.Kind == Full || o.Kind == Delta) && o.Doc.Step > r.store.Step {
+		r.t.Fatalf("step %d is told, but only %d is stored", o.Doc.Step, r.store.Step)
 	}
 	r.answers[o.Ticket] = o
 }
 
-func (r *rig) carry(out []any) {
+func (r *harness) execute(out []any) {
 	for _, o := range out {
 		switch o := o.(type) {
 		case Answer:
-			r.answer(o)
+			r.recordAnswer(o)
 		case Publish:
-			r.heard(r.lot.See(r.now, o.View))
+			r.handleLotOutput(r.lot.See(r.now, o.View))
 			if o.Barrier {
-				r.carry(r.c.Handle(r.now, []any{AnswersFlushed{}}))
+				r.execute(r.c.Handle(r.now, []any{AnswersFlushed{}}))
 			}
 		case park.Tell, park.Turned:
-			r.heard(r.lot.Told(r.now, o))
+			r.handleLotOutput(r.lot.Told(r.now, o))
 		case Persist:
-			r.held = append(r.held, o.Change)
+			r.pendingWrites = append(r.pendingWrites, o.Change)
 		case Probe:
 			r.probes++
 		}
 	}
-	for !r.hold && len(r.held) > 0 {
-		c := r.held[0]
-		r.held = r.held[1:]
-		if r.write(c); c.Step > 0 {
-			r.carry(r.c.Handle(r.now, []any{Stored{c.Step}}))
+	for !r.holdWrites && len(r.pendingWrites) > 0 {
+		c := r.pendingWrites[0]
+		r.pendingWrites = r.pendingWrites[1:]
+		if r.writeChange(c); c.Step > 0 {
+			r.execute(r.c.Handle(r.now, []any{Stored{c.Step}}))
 		}
 	}
 }
 
-func (r *rig) do(in ...any) {
+func (r *harness) handle(in ...any) {
 	r.t.Helper()
 	var rest []any
 	for _, i := range in {
 		switch i := i.(type) {
 		case Poll:
-			r.heard(r.lot.Poll(r.now, i))
+			r.handleLotOutput(r.lot.Poll(r.now, i))
 		case Disconnected:
-			r.heard(r.lot.Broke(r.now, i))
+			r.handleLotOutput(r.lot.Broke(r.now, i))
 		default:
 			rest = append(rest, i)
 		}
 	}
-	r.heard(r.lot.Turn(r.now))
-	r.carry(r.c.Handle(r.now, rest))
+	r.handleLotOutput(r.lot.Turn(r.now))
+	r.execute(r.c.Handle(r.now, rest))
 }
 
-func (r *rig) pass(d logic.Millis) {
+func (r *harness) advance(d logic.Millis) {
 	for end := r.now + d; r.now < end; {
 		r.now = min(end, max(r.now+1, r.c.NextWake()), r.now+10)
-		r.do()
+		r.handle()
 	}
 }
 
-func (r *rig) poll(proxy string, wait logic.Millis, held ...tables.Tag) Ticket {
+func (r *harness) poll(proxy string, wait logic.Millis, held ...tables.Tag) Ticket {
 	r.ticket++
-	r.do(Poll{Ticket: r.ticket, Proxy: proxy, Zone: "a", Wait: wait, Held: held, WantsDelta: true})
+	r.handle(Poll{Ticket: r.ticket, Proxy: proxy, Zone: "a", Wait: wait, Held: held, WantsDelta: true})
 	return r.ticket
 }
 
-func (r *rig) want(t Ticket, kind AnswerKind) *tables.Document {
+func (r *harness) wantAnswer(t Ticket, kind AnswerKind) *tables.Document {
 	r.t.Helper()
 	a, there := r.answers[t]
 	if !there || a.Kind != kind {
@@ -153,7 +153,7 @@
 	return a.Doc
 }
 
-func up(n int) (out []HostEntry) {
+func upHosts(n int) (out []HostEntry) {
 	for i := range n {
 		out = append(out, HostEntry{ID: fmt.Sprintf("h%d", i), Address: tables.Address(fmt.Sprintf("10.0.0.%d:80", i)), Zone: "a",
 			Cell: fmt.Sprint(i / 2), Weight: 1})
@@ -162,11 +162,11 @@
 }
 
 // settled gives a rig whose slices all have lines, and a document that a proxy of it holds.
-func settled(t *testing.T, hosts int) (*rig, *tables.Document) {
-	r := start(t, service(8), SavedState{})
-	r.do(HostList{up(hosts)})
-	r.pass(1500)
-	d := r.want(r.poll("p1", 0), Full)
+func settledHarness(t *testing.T, hosts int) (*harness, *tables.Document) {
+	r := newHarness(t, testService(8), SavedState{})
+	r.handle(HostList{upHosts(hosts)})
+	r.advance(1500)
+	d := r.wantAnswer(r.poll("p1", 0), Full)
 	for name, table := range d.Tables {
 		if len(table.Lines) == 0 {
 			t.Fatalf("table %s has no lines", name)
@@ -174,7 +174,7 @@
 	}
 	// Levels are stated to a proxy that joins; from then on all is quiet.
 	for range 4 {
-		r.pass(900)
+		r.advance(900)
 		if a := r.answers[r.poll("p1", 0, d.Tag())]; a.Doc != nil {
 			d = a.Doc
 		}
@@ -183,17 +183,17 @@
 }
 
 func TestAPollWaitsForAChangeAndGetsTheDifference(t *testing.T) {
-	r, d := settled(t, 4)
+	r, d := settledHarness(t, 4)
 	waits := r.poll("p1", 20000, d.Tag())
-	r.pass(1000)
+	r.advance(1000)
 	if _, there := r.answers[waits]; there {
 		t.Fatalf("answered though nothing changed: %+v", r.answers[waits])
 	}
-	list := up(4)
+	list := upHosts(4)
 	list[0].State = logic.Draining
-	r.do(HostList{list})
-	r.pass(1500)
-	got := r.want(waits, Delta)
+	r.handle(HostList{list})
+	r.advance(1500)
+	got := r.wantAnswer(waits, Delta)
 	if !got.Masked["10.0.0.0:80"] {
 		for _, table := range got.Tables {
 			if table.Lines["10.0.0.0:80"] > 0 {
@@ -208,62 +208,62 @@
 }
 
 func TestAPollThatWaitedLongEnoughIsAnswered(t *testing.T) {
-	r, d := settled(t, 4)
+	r, d := settledHarness(t, 4)
 	waits := r.poll("p1", 1000, d.Tag())
-	r.pass(900)
+	r.advance(900)
 	if _, there := r.answers[waits]; there {
 		t.Fatal("answered early")
 	}
-	r.pass(200)
-	r.want(waits, Unchanged)
+	r.advance(200)
+	r.wantAnswer(waits, Unchanged)
 }
 
 func TestNothingIsToldBeforeItIsStored(t *testing.T) {
-	r, d := settled(t, 4)
+	r, d := settledHarness(t, 4)
 	waits := r.poll("p1", 20000, d.Tag())
-	r.hold = true
-	list := up(4)
+	r.holdWrites = true
+	list := upHosts(4)
 	list[0].State = logic.Draining
-	r.do(HostList{list})
-	r.pass(1500)
+	r.handle(HostList{list})
+	r.advance(1500)
 	if _, there := r.answers[waits]; there {
 		t.Fatal("told what is not stored")
 	}
 	// One that joins meanwhile gets what is stored, and the rest with the others.
-	joins := r.want(r.poll("p2", 0), Full)
-	if joins.Step > r.disk.Step {
-		t.Fatalf("joined at %d, stored is %d", joins.Step, r.disk.Step)
+	joins := r.wantAnswer(r.poll("p2", 0), Full)
+	if joins.Step > r.store.Step {
+		t.Fatalf("joined at %d, stored is %d", joins.Step, r.store.Step)
 	}
 	later := r.poll("p2", 20000, joins.Tag())
-	r.hold = false
-	r.pass(1500)
-	r.want(waits, Delta)
-	if got := r.want(later, Delta); got.Step < r.answers[waits].Doc.Step {
+	r.holdWrites = false
+	r.advance(1500)
+	r.wantAnswer(waits, Delta)
+	if got := r.wantAnswer(later, Delta); got.Step < r.answers[waits].Doc.Step {
 		t.Fatalf("the one that joined meanwhile is at %d, the other at %d", got.Step, r.answers[waits].Doc.Step)
 	}
 }
 
 func TestAStartBeforeItsOpeningIsStoredTellsNothing(t *testing.T) {
-	r := &rig{t: t, now: 1e12, hold: true, answers: map[Ticket]Answer{}, disk: SavedState{Line: 42,
+	r := &harness{t: t, now: 1e12, holdWrites: true, answers: map[Ticket]Answer{}, store: SavedState{Line: 42,
 		Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}}
-	r.raise(service(8))
+	r.startCore(testService(8))
 	early := r.poll("p1", 0)
-	r.pass(300)
+	r.advance(300)
 	if _, there := r.answers[early]; there {
 		t.Fatal("told before the opening step is stored")
 	}
-	r.hold = false
-	r.pass(300)
-	r.want(early, Full)
+	r.holdWrites = false
+	r.advance(300)
+	r.wantAnswer(early, Full)
 }
 
 func TestAStartOverGoesOnFromTheStoredVersion(t *testing.T) {
-	r, d := settled(t, 4)
-	again := start(t, service(8), r.disk)
+	r, d := settledHarness(t, 4)
+	again := newHarness(t, testService(8), r.store)
 	if again.now = r.now + 500; again.c.Stats().Step <= d.Step {
 		t.Fatalf("starts at %d after %d", again.c.Stats().Step, d.Step)
 	}
-	got := again.want(again.poll("p1", 0, d.Tag()), Delta)
+	got := again.wantAnswer(again.poll("p1", 0, d.Tag()), Delta)
 	if got.Step <= d.Step || len(got.Tables) != 8 {
 		t.Fatalf("step %d after %d", got.Step, d.Step)
 	}
@@ -275,70 +275,70 @@
 		}
 	}
 	// One that missed versions which nobody keeps any more gets the whole.
-	again.want(again.poll("p2", 0, tables.Tag{Line: 42, Step: 1, Digest: 1}), Full)
+	again.wantAnswer(again.poll("p2", 0, tables.Tag{Line: 42, Step: 1, Digest: 1}), Full)
 }
 
 func TestANewerPollTakesThePlaceOfTheOneThatWaits(t *testing.T) {
-	r, d := settled(t, 4)
+	r, d := settledHarness(t, 4)
 	first := r.poll("p1", 20000, d.Tag())
 	second := r.poll("p1", 20000, d.Tag())
-	r.want(first, Replaced)
+	r.wantAnswer(first, Replaced)
 	if _, there := r.answers[second]; there {
 		t.Fatal("the newer one was answered")
 	}
-	r.do(Disconnected{Ticket: first, Proxy: "p1"}) // its connection closes later; that is no leaving
+	r.handle(Disconnected{Ticket: first, Proxy: "p1"}) // its connection closes later; that is no leaving
 	if r.c.Stats().Joined != 1 {
 		t.Fatal("left by a poll that was answered already")
 	}
-	r.do(Disconnected{Ticket: second, Proxy: "p1"})
+	r.handle(Disconnected{Ticket: second, Proxy: "p1"})
 	if r.c.Stats().Joined != 0 {
 		t.Fatal("a broken connection is no leaving")
 	}
 }
 
 func TestAProxyLeavesWhenItPollsNoMore(t *testing.T) {
-	r, _ := settled(t, 4)
-	r.pass(1900)
+	r, _ := settledHarness(t, 4)
+	r.advance(1900)
 	if r.c.Stats().Joined != 1 {
 		t.Fatal("left before its lease was over")
 	}
-	r.pass(300)
+	r.advance(300)
 	if r.c.Stats().Joined != 0 {
 		t.Fatal("stayed past its lease")
 	}
 }
 
 func TestRefusals(t *testing.T) {
-	r, _ := settled(t, 4)
-	r.want(r.poll("nobody", 0), Unknown)
+	r, _ := settledHarness(t, 4)
+	r.wantAnswer(r.poll("nobody", 0), Unknown)
 	r.ticket++
-	r.do(Poll{Ticket: r.ticket, Proxy: "p1", Zone: "nowhere"})
-	r.want(r.ticket, Invalid)
+	r.handle(Poll{Ticket: r.ticket, Proxy: "p1", Zone: "nowhere"})
+	r.wantAnswer(r.ticket, Invalid)
 	for i := range 4 {
 		r.poll(fmt.Sprintf("p%d", i+1), 0)
 	}
-	r.want(r.poll("p9", 0), Unknown) // all numbers are taken by joined ones
-	r.pass(2200)
-	r.want(r.poll("p9", 0), Full) // and one is free once some have left
+	r.wantAnswer(r.poll("p9", 0), Unknown) // all numbers are taken by joined ones
+	r.advance(2200)
+	r.wantAnswer(r.poll("p9", 0), Full) // and one is free once some have left
 	for want, report := range map[AnswerKind]Report{
 		Unknown: {Proxy: "p2"}, Invalid: {Proxy: "p9", Calls: []RouteCalls{{Route: "no", Table: "1", Calls: 1}}},
 		Accepted: {Proxy: "p9", Calls: []RouteCalls{{Route: "read", Table: "1", Calls: 1}}}} {
 		r.ticket++
 		report.Ticket = r.ticket
-		r.do(report)
-		r.want(r.ticket, want)
+		r.handle(report)
+		r.wantAnswer(r.ticket, want)
 	}
 	r.ticket++
-	r.do(Report{Ticket: r.ticket, Proxy: "p9", Calls: []RouteCalls{{Route: "read", Table: "8", Calls: 1}}})
-	r.want(r.ticket, Invalid)
+	r.handle(Report{Ticket: r.ticket, Proxy: "p9", Calls: []RouteCalls{{Route: "read", Table: "8", Calls: 1}}})
+	r.wantAnswer(r.ticket, Invalid)
 }
 
 func TestARepeatedReportCountsOnce(t *testing.T) {
-	r, _ := settled(t, 4)
+	r, _ := settledHarness(t, 4)
 	for range 2 {
 		r.ticket++
-		r.do(Report{Ticket: r.ticket, Proxy: "p1", Key: "k-1", Calls: []RouteCalls{{Route: "read", Table: "3", Calls: 5}}})
-		r.want(r.ticket, Accepted)
+		r.handle(Report{Ticket: r.ticket, Proxy: "p1", Key: "k-1", Calls: []RouteCalls{{Route: "read", Table: "3", Calls: 5}}})
+		r.wantAnswer(r.ticket, Accepted)
 	}
 	if f := r.c.Stats(); f.Reports != 1 || f.RepeatedReports != 1 {
 		t.Fatalf("%+v", f)
@@ -347,59 +347,59 @@
 
 // A message counts as applied when the proxy's next poll shows it, and not before.
 func TestThePollIsTheAcknowledgement(t *testing.T) {
-	r, d := settled(t, 4)
+	r, d := settledHarness(t, 4)
 	waits := r.poll("p1", 20000, d.Tag())
-	list := up(4)
+	list := upHosts(4)
 	list[0].State = logic.Draining
-	r.do(HostList{list})
-	r.pass(1500)
-	got := r.want(waits, Delta)
-	var st *stream
-	for _, s := range r.c.streams {
+	r.handle(HostList{list})
+	r.advance(1500)
+	got := r.wantAnswer(waits, Delta)
+	var st *joinedProxy
+	for _, s := range r.c.proxies {
 		st = s
 	}
-	if len(st.owed) == 0 {
+	if len(st.unacknowledged) == 0 {
 		t.Fatal("owes nothing before it has polled again")
 	}
 	r.poll("p1", 0, d.Tag()) // it lost the answer
-	if len(st.owed) == 0 {
+	if len(st.unacknowledged) == 0 {
 		t.Fatal("an old version was taken for an acknowledgement")
 	}
-	before := len(st.owed)
-	if a := r.answers[r.poll("p1", 20000, got.Tag())]; len(st.owed) >= before {
-		t.Fatalf("still owes %d", len(st.owed))
+	before := len(st.unacknowledged)
+	if a := r.answers[r.poll("p1", 20000, got.Tag())]; len(st.unacknowledged) >= before {
+		t.Fatalf("still owes %d", len(st.unacknowledged))
 	} else if a.Doc != nil { // more had come meanwhile
-		if r.poll("p1", 20000, a.Doc.Tag()); len(st.owed) != 0 {
-			t.Fatalf("still owes %d", len(st.owed))
+		if r.poll("p1", 20000, a.Doc.Tag()); len(st.unacknowledged) != 0 {
+			t.Fatalf("still owes %d", len(st.unacknowledged))
 		}
 	}
 }
 
 // Without slices a proxy is bound to tables, and goes by its old ones over a start until it is bound anew.
 func TestProxiesWithTablesOfTheirOwn(t *testing.T) {
-	svc := service(0)
-	r := start(t, svc, SavedState{})
-	r.do(HostList{up(5)})
-	r.pass(500)
-	first := r.want(r.poll("p1", 0), Full)
+	svc := testService(0)
+	r := newHarness(t, svc, SavedState{})
+	r.handle(HostList{upHosts(5)})
+	r.advance(500)
+	first := r.wantAnswer(r.poll("p1", 0), Full)
 	wait := r.poll("p1", 20000, first.Tag())
-	r.pass(2000)
+	r.advance(2000)
 	d := r.answers[wait].Doc
 	if d == nil || d.Routes["read"].Table == "" || len(d.Tables[d.Routes["read"].Table].Lines) == 0 {
 		t.Fatalf("not bound: %s", first.Whole())
 	}
-	again := start(t, svc, r.disk)
-	got := again.want(again.poll("p1", 0, d.Tag()), Full)
+	again := newHarness(t, svc, r.store)
+	got := again.wantAnswer(again.poll("p1", 0, d.Tag()), Full)
 	if got.Routes["read"].Table != "was-read" || len(got.Tables["was-read"].Lines) == 0 || got.Step <= d.Step {
 		t.Fatalf("lost its table over a start: %s", got.Whole())
 	}
-	twice := start(t, svc, again.disk) // and over two in a row
-	if got = twice.want(twice.poll("p1", 0), Full); len(got.Tables["was-read"].Lines) == 0 {
+	twice := newHarness(t, svc, again.store) // and over two in a row
+	if got = twice.wantAnswer(twice.poll("p1", 0), Full); len(got.Tables["was-read"].Lines) == 0 {
 		t.Fatalf("lost its table over two starts: %s", got.Whole())
 	}
 	wait = twice.poll("p1", 20000, got.Tag())
-	twice.do(HostList{up(5)})
-	twice.pass(2500)
+	twice.handle(HostList{upHosts(5)})
+	twice.advance(2500)
 	if got = twice.answers[wait].Doc; got == nil || got.Routes["read"].Table == "was-read" {
 		t.Fatalf("not bound anew: %v", twice.answers[wait])
 	}
@@ -407,15 +407,15 @@
 
 func TestTheSameInputsGiveTheSameAnswers(t *testing.T) {
 	play := func() string {
-		r, d := settled(t, 5)
+		r, d := settledHarness(t, 5)
 		for i := range 5 {
-			list := up(5)
+			list := upHosts(5)
 			list[i].State = logic.Draining
 			r.poll("p1", 20000, d.Tag())
-			r.do(HostList{list})
-			r.pass(2000)
+			r.handle(HostList{list})
+			r.advance(2000)
 		}
-		return string(r.c.document(r.c.world, 0).Whole()) + fmt.Sprint(len(r.answers))
+		return string(r.c.document(r.c.current, 0).Whole()) + fmt.Sprint(len(r.answers))
 	}
 	if a, b := play(), play(); a != b {
 		t.Fatalf("%s\n%s", a, b)
@@ -424,16 +424,16 @@
 
 // The channel never holds more than the limit, also where all that was listed drains at once.
 func TestTheQueueStaysShort(t *testing.T) {
-	r := start(t, service(8), SavedState{})
-	r.do(HostList{up(12)})
-	r.pass(1500)
+	r := newHarness(t, testService(8), SavedState{})
+	r.handle(HostList{upHosts(12)})
+	r.advance(1500)
 	tag := map[string]tables.Tag{}
 	for i := range 4 {
 		p := fmt.Sprintf("p%d", i)
-		tag[p] = r.want(r.poll(p, 0), Full).Tag()
+		tag[p] = r.wantAnswer(r.poll(p, 0), Full).Tag()
 	}
 	for round := range 10 {
-		list := up(12)
+		list := upHosts(12)
 		for i := range 6 {
 			list[(round+i)%12].State = logic.Draining
 		}
@@ -441,8 +441,8 @@
 		for p, held := range tag {
 			tickets[p] = r.poll(p, 20000, held)
 		}
-		r.do(HostList{list})
-		r.pass(700)
+		r.handle(HostList{list})
+		r.advance(700)
 		for p, ticket := range tickets {
 			if a, there := r.answers[ticket]; there {
 				tag[p] = a.Doc.Tag()
@@ -455,16 +455,16 @@
 }
 
 // roll asks for a rollback to what a version held.
-func (r *rig) roll(to SavedState, who string, since tables.Step, force bool) Answer {
+func (r *harness) rollback(to SavedState, who string, since tables.Step, force bool) Answer {
 	r.ticket++
-	r.do(Rollback{Ticket: r.ticket, To: to.Step, Content: to.Tables, Since: since, Who: who, Why: "test", Force: force})
+	r.handle(Rollback{Ticket: r.ticket, To: to.Step, Content: to.Tables, Since: since, Who: who, Why: "test", Force: force})
 	return r.answers[r.ticket]
 }
 
 // version keeps what is ordered now, as the history does.
-func (r *rig) version() SavedState {
-	s := SavedState{Step: r.c.world.step, Tables: map[logic.TableID]*tables.Table{}}
-	for id, t := range r.c.world.tables {
+func (r *harness) currentState() SavedState {
+	s := SavedState{Step: r.c.current.step, Tables: map[logic.TableID]*tables.Table{}}
+	for id, t := range r.c.current.tables {
 		s.Tables[id] = t
 	}
 	return s
@@ -473,23 +473,23 @@
 // A rollback is a new version with old content, held against the module until it is released; a pinned host that drains
 // goes out within the grace all the same, and nothing is bare.
 func TestARollbackHoldsWhatTheRulesAllow(t *testing.T) {
-	r, d := settled(t, 4)
-	old := r.version()
-	list := up(4)
+	r, d := settledHarness(t, 4)
+	old := r.currentState()
+	list := upHosts(4)
 	list[0].State = logic.Draining
-	r.do(HostList{list})
-	r.pass(2500)
+	r.handle(HostList{list})
+	r.advance(2500)
 	list[0].State = logic.Up
-	r.do(HostList{list})
-	r.pass(6000)
-	r.want(r.poll("p1", 0), Full)
-	before := r.c.world.step
-	a := r.roll(old, "ann", before, true)
+	r.handle(HostList{list})
+	r.advance(6000)
+	r.wantAnswer(r.poll("p1", 0), Full)
+	before := r.c.current.step
+	a := r.rollback(old, "ann", before, true)
 	if a.Kind != Done || a.Body.(*Operated).Version <= before || len(a.Body.(*Operated).Tables) != 8 {
 		t.Fatalf("%+v", a)
 	}
-	r.pass(300)
-	got := r.want(r.poll("p1", 0), Full)
+	r.advance(300)
+	got := r.wantAnswer(r.poll("p1", 0), Full)
 	for name, table := range got.Tables {
 		for h, w := range d.Tables[name].Lines {
 			if table.Lines[h] != w {
@@ -498,66 +498,66 @@
 		}
 	}
 	list[1].State = logic.Draining
-	r.do(HostList{list})
-	r.pass(300)
-	got = r.want(r.poll("p1", 0), Full)
+	r.handle(HostList{list})
+	r.advance(300)
+	got = r.wantAnswer(r.poll("p1", 0), Full)
 	for name, table := range got.Tables {
 		if table.Lines["10.0.0.1:80"] > 0 || len(table.Lines) == 0 {
 			t.Fatalf("table %s: %v though host 1 drains", name, table.Lines)
 		}
 	}
 	// A start over holds on to the pins.
-	again := start(t, service(8), r.disk)
-	again.do(HostList{list})
-	again.pass(3000)
-	if got := again.want(again.poll("p1", 0), Full); len(again.c.pinned) != 8 || got.Tables["0"].Lines["10.0.0.1:80"] > 0 {
+	again := newHarness(t, testService(8), r.store)
+	again.handle(HostList{list})
+	again.advance(3000)
+	if got := again.wantAnswer(again.poll("p1", 0), Full); len(again.c.pinned) != 8 || got.Tables["0"].Lines["10.0.0.1:80"] > 0 {
 		t.Fatalf("%d are pinned after a start over: %s", len(again.c.pinned), got.Whole())
 	}
 	again.ticket++
-	again.do(Release{Ticket: again.ticket, Who: "ann", Why: "test"})
+	again.handle(Release{Ticket: again.ticket, Who: "ann", Why: "test"})
 	list[2].State = logic.Draining
-	again.do(HostList{list})
-	again.pass(2000)
-	if len(again.c.pinned) != 0 || again.disk.Pinned == nil || len(again.disk.Pinned) != 0 {
+	again.handle(HostList{list})
+	again.advance(2000)
+	if len(again.c.pinned) != 0 || again.store.Pinned == nil || len(again.store.Pinned) != 0 {
 		t.Fatal("still pinned after the release")
 	}
-	for id, table := range again.c.world.tables { // the module has them again, and moves them
-		if table.Lines["10.0.0.2:80"] > 0 && !again.c.world.masked["10.0.0.2:80"] {
+	for id, table := range again.c.current.tables { // the module has them again, and moves them
+		if table.Lines["10.0.0.2:80"] > 0 && !again.c.current.masked["10.0.0.2:80"] {
 			t.Fatalf("table %d stays on a host that drains: %v", id, table.Lines)
 		}
 	}
 }
 
 func TestRollbacksThatAreRefused(t *testing.T) {
-	r, _ := settled(t, 4)
-	old := r.version()
+	r, _ := settledHarness(t, 4)
+	old := r.currentState()
 	moved := SavedState{Step: old.Step, Tables: map[logic.TableID]*tables.Table{}}
 	for id, table := range old.Tables {
 		lines := map[tables.Address]float64{"10.0.0.0:80": 1}
 		moved.Tables[id] = &tables.Table{From: table.From, To: table.To, Lines: lines}
 	}
-	if a := r.roll(moved, "ann", old.Step, false); a.Kind != Refused || a.Body.(*Operated).Moved <= mostMoved || len(r.c.pinned) > 0 {
+	if a := r.rollback(moved, "ann", old.Step, false); a.Kind != Refused || a.Body.(*Operated).Moved <= mostMoved || len(r.c.pinned) > 0 {
 		t.Errorf("moves too much: %+v", a)
 	}
-	if a := r.roll(old, "", old.Step, false); a.Kind != Invalid {
+	if a := r.rollback(old, "", old.Step, false); a.Kind != Invalid {
 		t.Errorf("nobody asks: %+v", a)
 	}
-	if a := r.roll(old, "ann", old.Step, false); a.Kind != Done {
+	if a := r.rollback(old, "ann", old.Step, false); a.Kind != Done {
 		t.Errorf("%+v", a)
 	}
-	if a := r.roll(moved, "bob", old.Step, true); a.Kind != Conflict {
+	if a := r.rollback(moved, "bob", old.Step, true); a.Kind != Conflict {
 		t.Errorf("two at once: %+v", a)
 	}
-	gone := up(4)
+	gone := upHosts(4)
 	for i := range gone {
 		gone[i].State = logic.Gone
 	}
-	r.do(HostList{gone})
-	if a := r.roll(old, "bob", r.c.world.step, true); a.Kind != Refused {
+	r.handle(HostList{gone})
+	if a := r.rollback(old, "bob", r.c.current.step, true); a.Kind != Refused {
 		t.Errorf("leaves tables bare: %+v", a)
 	}
-	own := service(0)
-	if a := start(t, own, SavedState{}).roll(old, "ann", 9, true); a.Kind != Invalid {
+	own := testService(0)
+	if a := newHarness(t, own, SavedState{}).rollback(old, "ann", 9, true); a.Kind != Invalid {
 		t.Errorf("without slices: %+v", a)
 	}
 }
@@ -565,25 +565,25 @@
 // A rollback while a publish is half out: what was ordered before it goes out before it, no proxy sees the old content
 // after the new one, and all end on the rollback.
 func TestARollbackAmidAPublish(t *testing.T) {
-	r, d := settled(t, 4)
-	old := r.version()
+	r, d := settledHarness(t, 4)
+	old := r.currentState()
 	waits := r.poll("p1", 20000, d.Tag())
-	r.hold = true // ordered, and not yet stored
-	list := up(4)
+	r.holdWrites = true // ordered, and not yet stored
+	list := upHosts(4)
 	list[0].State = logic.Draining
-	r.do(HostList{list})
-	r.pass(600)
-	half := r.c.world.step
+	r.handle(HostList{list})
+	r.advance(600)
+	half := r.c.current.step
 	list[0].State = logic.Up
-	r.do(HostList{list})
-	if a := r.roll(old, "ann", half, true); a.Kind != Done || a.Body.(*Operated).Version <= half {
+	r.handle(HostList{list})
+	if a := r.rollback(old, "ann", half, true); a.Kind != Done || a.Body.(*Operated).Version <= half {
 		t.Fatalf("%+v", a)
 	}
-	final := r.c.world.step
-	r.hold = false
+	final := r.c.current.step
+	r.holdWrites = false
 	seen, tag := d.Step, d.Tag()
 	for range 20 {
-		r.pass(100)
+		r.advance(100)
 		a, there := r.answers[waits]
 		if !there {
 			continue
@@ -597,7 +597,7 @@
 	if seen < final {
 		t.Fatalf("ended on %d, the rollback is %d", seen, final)
 	}
-	got := r.c.kept[tag]
+	got := r.c.bases[tag]
 	for name, table := range d.Tables {
 		for h, w := range table.Lines {
 			if got.Tables[name].Lines[h] != w {
--- a/internal/control/held.go
+++ b/internal/control/held.go
@@ -48,8 +48,8 @@
 
 // bare takes all slices out of an opening world: none is held yet.
 func (d *draft) bare() {
-	d.c.custody = &custody{fences: map[logic.TableID]uint64{}, own: d.is.tables}
-	d.c.shown.until = logic.Millis(math.Inf(-1))
+	d.c.ownership = &custody{fences: map[logic.TableID]uint64{}, own: d.is.tables}
+	d.c.view.validUntil = logic.Millis(math.Inf(-1))
 	d.change.Tables = map[logic.TableID]*tables.Table{}
 	for t := range d.is.tables {
 		d.change.Tables[t] = nil
@@ -58,36 +58,36 @@
 }
 
 // holds says whether a table is ours to write.
-func (c *Core) holds(t logic.TableID) bool { return c.custody == nil || c.custody.fences[t] > 0 }
+func (c *Core) holds(t logic.TableID) bool { return c.ownership == nil || c.ownership.fences[t] > 0 }
 
 func (c *Core) guard(now logic.Millis, g Guard) {
-	if c.custody != nil {
-		c.shown.until, c.shown.dirty = g.Until, true
+	if c.ownership != nil {
+		c.view.validUntil, c.view.dirty = g.Until, true
 	}
 }
 
 // givens takes slices over. Proxies read them from the document, as on joining; that costs the channel nothing, and
 // is its own version.
 func (c *Core) givens(now logic.Millis, all []Given) {
-	if c.custody == nil {
+	if c.ownership == nil {
 		return
 	}
 	d := c.draft(float64(now))
 	known := false
 	for _, g := range all {
-		if g.Fence == 0 || int(g.Slice) >= c.svc.Config.Slices || c.custody.fences[g.Slice] >= g.Fence {
+		if g.Fence == 0 || int(g.Slice) >= c.svc.Config.Slices || c.ownership.fences[g.Slice] >= g.Fence {
 			continue
 		}
-		again := c.custody.fences[g.Slice] > 0
-		c.custody.fences[g.Slice] = g.Fence
+		again := c.ownership.fences[g.Slice] > 0
+		c.ownership.fences[g.Slice] = g.Fence
 		t := d.table(g.Slice)
 		if !again {
 			lines := map[tables.Address]float64{}
-			switch own := c.custody.own[g.Slice]; {
+			switch own := c.ownership.own[g.Slice]; {
 			case g.Record != nil:
 				for a, w := range g.Record.Lines {
 					if w > 0 && w <= 1e9 {
-						_, changed := c.names.host(c.named(a, g.Record.Hosts[a]))
+						_, changed := c.ids.host(c.named(a, g.Record.Hosts[a]))
 						lines[a], known = w, known || changed
 					}
 				}
@@ -102,69 +102,69 @@
 		}
 		if _, pinned := c.pinned[g.Slice]; !pinned && !again {
 			c.give(g.Slice, d.is)
-			if g.Record != nil && len(c.expected[g.Slice]) == 0 {
+			if g.Record != nil && len(c.expectedDemand[g.Slice]) == 0 {
 				for _, x := range g.Record.Demand { // by another's clock, but better than nothing
 					x.Age += max(0, float64(now)-g.Record.At)
-					c.expected[g.Slice] = append(c.expected[g.Slice], expectation{x, now})
+					c.expectedDemand[g.Slice] = append(c.expectedDemand[g.Slice], expectation{x, now})
 				}
 			}
 			c.expect(now, g.Slice)
-			c.given = now
+			c.slicesAssignedAt = now
 		}
-		c.say(LogEvent{Name: "slice.given", Version: strconv.Itoa(int(d.is.step)), Detail: strconv.Itoa(int(g.Slice)) + " fence " +
+		c.log(LogEvent{Name: "slice.given", Version: strconv.Itoa(int(d.is.step)), Detail: strconv.Itoa(int(g.Slice)) + " fence " +
 			strconv.FormatUint(g.Fence, 10) + map[bool]string{true: "", false: ", no record"}[g.Record != nil]})
 	}
 	if len(d.fresh) == 0 {
 		return
 	}
 	if known {
-		d.change.Known = maps.Clone(c.names.hosts)
+		d.change.Known = maps.Clone(c.ids.hosts)
 	}
 	c.reread(now, d)
 }
 
 // named is a host by its entry in a record, or as it is known here.
 func (c *Core) named(a tables.Address, h tables.Host) HostEntry {
-	if k, known := c.names.hosts[a]; known {
+	if k, known := c.ids.hosts[a]; known {
 		h = k.Host
 	}
 	return HostEntry{Address: a, ID: h.ID, Zone: h.Zone, Cell: h.Cell}
 }
 
 func (c *Core) withdrawn(now logic.Millis, t logic.TableID) {
-	if c.custody == nil || c.custody.fences[t] == 0 {
+	if c.ownership == nil || c.ownership.fences[t] == 0 {
 		return
 	}
 	d := c.draft(float64(now))
 	d.table(t)
-	c.custody.own[t] = c.world.tables[t]
+	c.ownership.own[t] = c.current.tables[t]
 	delete(d.is.tables, t)
 	d.change.Tables[t] = nil
-	delete(c.custody.fences, t)
-	c.notes = append(c.notes, logic.SliceOwnership{Slice: t, Owned: false})
-	c.say(LogEvent{Name: "slice.withdrawn", Version: strconv.Itoa(int(d.is.step)), Detail: strconv.Itoa(int(t))})
+	delete(c.ownership.fences, t)
+	c.events = append(c.events, logic.SliceOwnership{Slice: t, Owned: false})
+	c.log(LogEvent{Name: "slice.withdrawn", Version: strconv.Itoa(int(d.is.step)), Detail: strconv.Itoa(int(t))})
 	c.reread(now, d)
 }
 
 // reread commits a version that proxies read by themselves: no message goes through the channel.
 func (c *Core) reread(now logic.Millis, d *draft) {
 	c.commit(now, d)
-	for id, st := range c.streams {
-		st.reads = max(st.reads, d.is.step)
-		c.readers[id] = true
+	for id, st := range c.proxies {
+		st.catchUpTo = max(st.catchUpTo, d.is.step)
+		c.catchingUp[id] = true
 	}
 }
 
 // lay gives a table its fence once it has a line.
 func (d *draft) lay(id logic.TableID, t *tables.Table) {
-	if c := d.c.custody; c != nil && len(t.Lines) > 0 {
+	if c := d.c.ownership; c != nil && len(t.Lines) > 0 {
 		t.Fence = c.fences[id]
 	}
 }
 
 // told are the tables of a world that proxies are told of.
 func (c *Core) told(w *world) map[logic.TableID]*tables.Table {
-	if c.custody == nil {
+	if c.ownership == nil {
 		return w.tables
 	}
 	out := make(map[logic.TableID]*tables.Table, len(w.tables))
@@ -178,18 +178,18 @@
 
 // record puts what a stored version changed where the slices' next holders find it.
 func (c *Core) record(w *world, changed []logic.TableID) {
-	if c.custody == nil {
+	if c.ownership == nil {
 		return
 	}
 	slices.Sort(changed)
 	for _, id := range changed {
 		t := w.tables[id]
-		if t == nil || t.Fence == 0 || c.custody.fences[id] != t.Fence {
+		if t == nil || t.Fence == 0 || c.ownership.fences[id] != t.Fence {
 			continue
 		}
 		r := Record{Slice: id, Fence: t.Fence, Director: c.svc.Name, At: w.at, Demand: c.rates(logic.Millis(w.at), id), Lines: t.Lines, Hosts: map[tables.Address]tables.Host{}}
 		for a := range t.Lines {
-			r.Hosts[a] = c.names.hosts[a].Host
+			r.Hosts[a] = c.ids.hosts[a].Host
 		}
 		c.out = append(c.out, r)
 	}
--- a/internal/control/known.go
+++ b/internal/control/known.go
@@ -109,12 +109,12 @@
 // rates are those of a slice's routes by their names.
 func (c *Core) rates(now logic.Millis, slice logic.TableID) (out []learn.Demand) {
 	for r, info := range c.svc.Routes {
-		x := c.known.calls[callsOf{slice, logic.RouteID(r)}]
+		x := c.observations.calls[callsOf{slice, logic.RouteID(r)}]
 		if x == nil || now-x.last > 10*knownFor {
 			continue
 		}
 		// What has been gathered since a short while ago stands for less than the whole span.
-		span := overMs * (1 - math.Exp(-max(500, float64(now-c.known.since))/overMs))
+		span := overMs * (1 - math.Exp(-max(500, float64(now-c.observations.since))/overMs))
 		out = append(out, learn.Demand{Slice: int(slice), Route: info.Name, Rate: 1000 * x.came.read(now) / span,
 			Lost: 1000 * x.lost.read(now) / span, Age: float64(now - x.last)})
 	}
@@ -128,19 +128,19 @@
 // what was told last is so until they fail.
 func (c *Core) listAge(now logic.Millis) float64 {
 	switch {
-	case c.known.listed == 0:
+	case c.observations.listed == 0:
 		return -1
-	case c.lost > 0:
-		return float64(now - c.lost)
+	case c.listLostAt > 0:
+		return float64(now - c.listLostAt)
 	}
 	return 0
 }
 
 func (c *Core) listHosts(now logic.Millis) (out []learn.Host) {
-	for _, l := range c.list0 {
+	for _, l := range c.hostList {
 		h := learn.Host{Address: l.Address, ID: l.ID, Zone: l.Zone, Cell: l.Cell, State: stateNames[l.State], Weight: l.Weight,
-			Born: l.Born, Masked: c.world.masked[l.Address]}
-		if s, has := c.known.states[l.Address]; has {
+			Born: l.Born, Masked: c.current.masked[l.Address]}
+		if s, has := c.observations.states[l.Address]; has {
 			h.StateAge = float64(now - s.since)
 		}
 		out = append(out, h)
@@ -152,13 +152,13 @@
 type Facts struct{ Ticket Ticket }
 
 func (c *Core) facts(now logic.Millis, q Facts) {
-	k := c.known
-	f := learn.Facts{Director: c.svc.Name, Line: c.line, Up: float64(now - k.since), Joined: len(c.ids), ListAge: c.listAge(now)}
+	k := c.observations
+	f := learn.Facts{Director: c.svc.Name, Line: c.line, Up: float64(now - k.since), Joined: len(c.joined), ListAge: c.listAge(now)}
 	if k.listed > 0 { // its store's list is from before its start: no news to anybody
 		f.Hosts = c.listHosts(now)
 	}
 	for i, h := range f.Hosts {
-		id := c.names.hosts[h.Address].Number
+		id := c.ids.hosts[h.Address].Number
 		m := k.met[id]
 		if m == nil || now-m.last > 10*knownFor {
 			continue
@@ -175,11 +175,11 @@
 		})
 		f.Hosts[i].Health = x
 	}
-	for _, t := range slices.Sorted(maps.Keys(c.world.tables)) {
+	for _, t := range slices.Sorted(maps.Keys(c.current.tables)) {
 		f.Demand = append(f.Demand, c.rates(now, t)...)
-		f.Slices = append(f.Slices, learn.Slice{Slice: int(t), Fence: c.world.tables[t].Fence, Version: c.world.step})
+		f.Slices = append(f.Slices, learn.Slice{Slice: int(t), Fence: c.current.tables[t].Fence, Version: c.current.step})
 	}
-	for r, l := range c.world.levels {
+	for r, l := range c.current.levels {
 		f.Levels = append(f.Levels, learn.Level{Route: c.svc.Routes[r].Name, Level: l.Level, Tries: l.Tries, Age: float64(now - k.levels)})
 	}
 	c.out = append(c.out, Answer{Ticket: q.Ticket, Kind: FactsReply, Body: &f})
@@ -202,43 +202,43 @@
 
 // learnt weighs what was told and passes on what follows from it.
 func (c *Core) learnt(now logic.Millis, in Learnt) {
-	own := learn.Own{ListAge: c.listAge(now), Hosts: c.listHosts(now), Reports: len(c.known.met) > 0 && now-c.known.since > 2*knownFor}
+	own := learn.Own{ListAge: c.listAge(now), Hosts: c.listHosts(now), Reports: len(c.observations.met) > 0 && now-c.observations.since > 2*knownFor}
 	if own.ListAge > float64(believeFor) {
 		own.ListAge = -1
 	}
 	con := learn.Weigh(own, in.Heard)
 	for _, d := range con.Doubts {
-		c.say(LogEvent{Name: "peer.doubted", Detail: d.Director + ": " + d.Why})
+		c.log(LogEvent{Name: "peer.doubted", Detail: d.Director + ": " + d.Why})
 	}
 	var entries []logic.HostEntry
 	for _, h := range con.Hosts {
-		was, again := c.believed[h.Address]
-		c.believed[h.Address] = believed{h, now + believeFor}
+		was, again := c.peerStates[h.Address]
+		c.peerStates[h.Address] = believed{h, now + believeFor}
 		if again && was.State == h.State && was.Born == h.Born {
 			continue
 		}
 		l := HostEntry{ID: h.ID, Address: h.Address, Zone: h.Zone, Cell: h.Cell, State: statesNamed[h.State], Weight: cmp.Or(h.Weight, 1), Born: h.Born}
-		entries = append(entries, c.entry(l, now))
-		c.say(LogEvent{Name: "host.learnt", Host: string(h.Address), Detail: string(h.State)})
+		entries = append(entries, c.hostEntry(l, now))
+		c.log(LogEvent{Name: "host.learnt", Host: string(h.Address), Detail: string(h.State)})
 	}
 	if len(entries) > 0 {
-		c.notes = append(c.notes, logic.HostList{Kind: logic.HostListDelta, Entries: entries})
+		c.events = append(c.events, logic.HostList{Kind: logic.HostListDelta, Entries: entries})
 	}
-	c.figures.HostsLearnt += uint64(len(entries))
+	c.stats.HostsLearnt += uint64(len(entries))
 	for _, h := range con.Health {
-		k, has := c.names.hosts[h.Address]
-		if !has || c.healthFrom[h.Address] {
+		k, has := c.ids.hosts[h.Address]
+		if !has || c.healthAdopted[h.Address] {
 			continue
 		}
-		c.healthFrom[h.Address] = true
-		m := logic.HostSample{Host: k.Number, Zone: c.names.zone(h.Zone), Period: logic.Millis(h.Health.Over), Finished: int(math.Round(h.Health.Ended)),
+		c.healthAdopted[h.Address] = true
+		m := logic.HostSample{Host: k.Number, Zone: c.ids.zone(h.Zone), Period: logic.Millis(h.Health.Over), Finished: int(math.Round(h.Health.Ended)),
 			Failed: int(math.Round(h.Health.Lost)), MeanLatency: logic.Millis(h.Health.Spent), Load: orca.Of(h.Health.Load)}
 		if m.Finished > 0 {
-			c.notes = append(c.notes, m)
+			c.events = append(c.events, m)
 		}
 	}
 	for _, d := range con.Demand {
-		c.expected[logic.TableID(d.Slice)] = append(slices.DeleteFunc(c.expected[logic.TableID(d.Slice)], func(o expectation) bool {
+		c.expectedDemand[logic.TableID(d.Slice)] = append(slices.DeleteFunc(c.expectedDemand[logic.TableID(d.Slice)], func(o expectation) bool {
 			return o.Route == d.Route
 		}), expectation{d, now})
 	}
@@ -252,28 +252,28 @@
 
 // expect tells the module what a slice that was just given is asked for, as far as that is known and not too old.
 func (c *Core) expect(now logic.Millis, slice logic.TableID) {
-	for _, e := range c.expected[slice] {
-		route, has := c.routes[e.Route]
+	for _, e := range c.expectedDemand[slice] {
+		route, has := c.routeIDs[e.Route]
 		age := float64(now-e.at) + e.Age
 		if !has || age > float64(believeFor) || e.Rate <= 0 {
 			continue
 		}
 		n := int(math.Round(e.Rate * overMs / 1000))
 		if n > 0 {
-			c.notes = append(c.notes, logic.SliceDemand{Slice: slice, Route: route, Period: logic.Millis(overMs), Calls: n, Unanswered: int(e.Lost * overMs / 1000)})
+			c.events = append(c.events, logic.SliceDemand{Slice: slice, Route: route, Period: logic.Millis(overMs), Calls: n, Unanswered: int(e.Lost * overMs / 1000)})
 		}
 	}
-	delete(c.expected, slice)
+	delete(c.expectedDemand, slice)
 }
 
 // doubt puts what is believed over the list's word where that is later news, for hosts of the same life.
 func (c *Core) doubt(now logic.Millis, hosts []HostEntry) []HostEntry {
-	if len(c.believed) == 0 {
+	if len(c.peerStates) == 0 {
 		return hosts
 	}
 	hosts = slices.Clone(hosts)
 	for i, l := range hosts {
-		if b, has := c.believed[l.Address]; has && now < b.until && b.Born == l.Born && l.State == logic.Up && b.State != learn.Up {
+		if b, has := c.peerStates[l.Address]; has && now < b.until && b.Born == l.Born && l.State == logic.Up && b.State != learn.Up {
 			hosts[i].State = statesNamed[b.State]
 		}
 	}
@@ -283,14 +283,14 @@
 // disbelieve lets go of what was learnt long ago: the list's word holds again.
 func (c *Core) disbelieve(now logic.Millis) {
 	over := false
-	for a, b := range c.believed {
+	for a, b := range c.peerStates {
 		if now >= b.until {
-			delete(c.believed, a)
+			delete(c.peerStates, a)
 			over = true
 		}
 	}
-	if over && c.known.listed > 0 {
-		c.notes = append(c.notes, logic.HostList{Kind: logic.HostListFull, Entries: c.entries(c.doubt(now, c.list0), now)})
+	if over && c.observations.listed > 0 {
+		c.events = append(c.events, logic.HostList{Kind: logic.HostListFull, Entries: c.hostEntries(c.doubt(now, c.hostList), now)})
 	}
 }
 
@@ -302,8 +302,8 @@
 		}
 		return float64(now - at)
 	}
-	if c.svc.QueriesPeers && learn.Due(float64(now-c.known.since), since(c.lost), since(c.given), since(c.asked)) {
-		c.asked = now
+	if c.svc.QueriesPeers && learn.Due(float64(now-c.observations.since), since(c.listLostAt), since(c.slicesAssignedAt), since(c.peersQueriedAt)) {
+		c.peersQueriedAt = now
 		c.out = append(c.out, AskPeers{})
 	}
 }
--- a/internal/control/names.go
+++ b/internal/control/names.go
@@ -11,22 +11,22 @@
 )
 
 // names gives the module's numbers to hosts, proxies, zones and cells, and back.
-type names struct {
-	hosts   map[tables.Address]KnownHost
-	address map[logic.HostID]tables.Address
-	proxies map[string]logic.ProxyID
-	named   map[logic.ProxyID]string
-	zones   map[string]logic.ZoneID
-	cells   map[string]logic.CellID
-	most    int
-	free    logic.ProxyID            // no lower number is
-	fresh   map[logic.ProxyID]string // that got numbers and are yet to be stored
+type idRegistry struct {
+	hosts      map[tables.Address]KnownHost
+	addresses  map[logic.HostID]tables.Address
+	proxies    map[string]logic.ProxyID
+	proxyNames map[logic.ProxyID]string
+	zones      map[string]logic.ZoneID
+	cells      map[string]logic.CellID
+	maxProxies int
+	nextFree   logic.ProxyID            // no lower number is
+	unstored   map[logic.ProxyID]string // that got numbers and are yet to be stored
 }
 
-func newNames(zones []string, most int, saved *SavedState) *names {
-	n := &names{hosts: maps.Clone(saved.Known), address: map[logic.HostID]tables.Address{},
-		proxies: maps.Clone(saved.Proxies), named: map[logic.ProxyID]string{}, zones: map[string]logic.ZoneID{},
-		cells: map[string]logic.CellID{}, most: most, fresh: map[logic.ProxyID]string{}}
+func newIDRegistry(zones []string, most int, saved *SavedState) *idRegistry {
+	n := &idRegistry{hosts: maps.Clone(saved.Known), addresses: map[logic.HostID]tables.Address{},
+		proxies: maps.Clone(saved.Proxies), proxyNames: map[logic.ProxyID]string{}, zones: map[string]logic.ZoneID{},
+		cells: map[string]logic.CellID{}, maxProxies: most, unstored: map[logic.ProxyID]string{}}
 	if n.hosts == nil {
 		n.hosts = map[tables.Address]KnownHost{}
 	}
@@ -34,10 +34,10 @@
 		n.proxies = map[string]logic.ProxyID{}
 	}
 	for a, h := range n.hosts {
-		n.address[h.Number] = a
+		n.addresses[h.Number] = a
 	}
 	for name, id := range n.proxies {
-		n.named[id] = name
+		n.proxyNames[id] = name
 	}
 	for i, z := range zones {
 		n.zones[z] = logic.ZoneID(i)
@@ -46,7 +46,7 @@
 }
 
 // host numbers a host by a hash of its address, so that directors that share nothing mostly agree.
-func (n *names) host(l HostEntry) (id logic.HostID, changed bool) {
+func (n *idRegistry) host(l HostEntry) (id logic.HostID, changed bool) {
 	is := KnownHost{Host: tables.Host{ID: l.ID, Zone: l.Zone, Cell: l.Cell}}
 	if k, known := n.hosts[l.Address]; known {
 		is.Number = k.Number
@@ -54,20 +54,20 @@
 		return is.Number, is != k
 	}
 	is.Number = logic.HostID(xxhash.Sum64String(string(l.Address)))
-	for ; is.Number == 0 || n.address[is.Number] != ""; is.Number++ {
+	for ; is.Number == 0 || n.addresses[is.Number] != ""; is.Number++ {
 	}
-	n.hosts[l.Address], n.address[is.Number] = is, l.Address
+	n.hosts[l.Address], n.addresses[is.Number] = is, l.Address
 	return is.Number, true
 }
 
-func (n *names) zone(name string) logic.ZoneID {
+func (n *idRegistry) zone(name string) logic.ZoneID {
 	if _, known := n.zones[name]; !known {
 		n.zones[name] = logic.ZoneID(len(n.zones))
 	}
 	return n.zones[name]
 }
 
-func (n *names) cell(name string) logic.CellID {
+func (n *idRegistry) cell(name string) logic.CellID {
 	if _, known := n.cells[name]; !known {
 		n.cells[name] = logic.CellID(len(n.cells))
 	}
@@ -75,26 +75,26 @@
 }
 
 // proxy gives a proxy its number; where all are taken, that of one that is not joined.
-func (n *names) proxy(name string, joined func(logic.ProxyID) bool) (id logic.ProxyID, ok bool) {
+func (n *idRegistry) proxy(name string, joined func(logic.ProxyID) bool) (id logic.ProxyID, ok bool) {
 	if id, known := n.proxies[name]; known {
 		return id, true
 	}
-	for ; n.free < logic.ProxyID(n.most); n.free++ {
-		if n.named[n.free] == "" {
-			n.number(name, n.free)
-			return n.free, true
+	for ; n.nextFree < logic.ProxyID(n.maxProxies); n.nextFree++ {
+		if n.proxyNames[n.nextFree] == "" {
+			n.assign(name, n.nextFree)
+			return n.nextFree, true
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(n.named)) {
+	for _, id := range slices.Sorted(maps.Keys(n.proxyNames)) {
 		if !joined(id) {
-			delete(n.proxies, n.named[id])
-			n.number(name, id)
+			delete(n.proxies, n.proxyNames[id])
+			n.assign(name, id)
 			return id, true
 		}
 	}
 	return 0, false
 }
 
-func (n *names) number(name string, id logic.ProxyID) {
-	n.proxies[name], n.named[id], n.fresh[id] = id, name, name
+func (n *idRegistry) assign(name string, id logic.ProxyID) {
+	n.proxies[name], n.proxyNames[id], n.unstored[id] = id, name, name
 }
--- a/internal/control/operate.go
+++ b/internal/control/operate.go
@@ -64,10 +64,10 @@
 // hosts is what the rules need to know of those that are listed.
 func (c *Core) hosts(now logic.Millis) map[tables.Address]pins.Host {
 	out := map[tables.Address]pins.Host{}
-	for _, l := range c.list0 {
+	for _, l := range c.hostList {
 		born := min(logic.Millis(l.Born), now)
 		out[l.Address] = pins.Host{Up: l.State == logic.Up, Cold: born > 0 && now < born+c.svc.Config.WarmAfter,
-			Masked: c.world.masked[l.Address]}
+			Masked: c.current.masked[l.Address]}
 	}
 	return out
 }
@@ -80,15 +80,15 @@
 	case c.svc.Config.SingleOwner:
 		c.operator(r.Ticket, Invalid, "slices have single owners here: a table goes to another only by the module's hand-over", nil)
 		return
-	case c.operated > r.Since:
-		c.operator(r.Ticket, Conflict, fmt.Sprintf("version %d, an operator's, came after version %d", c.operated, r.Since), nil)
+	case c.lastOperatorStep > r.Since:
+		c.operator(r.Ticket, Conflict, fmt.Sprintf("version %d, an operator's, came after version %d", c.lastOperatorStep, r.Since), nil)
 		return
 	case r.Who == "" || r.Why == "":
 		c.operator(r.Ticket, Invalid, "who and why are needed", nil)
 		return
 	}
 	listed := c.hosts(now)
-	o := &Operated{Version: c.world.step}
+	o := &Operated{Version: c.current.step}
 	var bare []string
 	for _, id := range slices.Sorted(maps.Keys(r.Content)) {
 		if r.Content[id] == nil || int(id) >= c.svc.Config.Slices || !c.holds(id) {
@@ -99,7 +99,7 @@
 			bare = append(bare, strconv.Itoa(int(id)))
 		}
 		o.Tables = append(o.Tables, HeldTable{id, r.To, r.Who, m.Faults})
-		if was := c.world.tables[id]; was != nil {
+		if was := c.current.tables[id]; was != nil {
 			o.Moved += pins.Moved(was.Lines, m.Lines) / float64(c.svc.Config.Slices)
 		}
 	}
@@ -116,15 +116,15 @@
 		c.pinned = maps.Clone(c.pinned)
 		for _, h := range o.Tables {
 			if _, had := c.pinned[h.Table]; !had {
-				c.notes = append(c.notes, logic.SliceOwnership{Slice: h.Table, Owned: false})
+				c.events = append(c.events, logic.SliceOwnership{Slice: h.Table, Owned: false})
 			}
 			c.pinned[h.Table] = Pin{Lines: maps.Clone(r.Content[h.Table].Lines), Step: r.To, Who: r.Who}
 		}
-		c.cause = cause{who: r.Who, why: r.Why, from: r.To, new: true}
+		c.changeCause = cause{who: r.Who, why: r.Why, from: r.To, new: true}
 		c.tend(now)
-		o.Version, o.Rest = c.world.step, len(c.untended(now))
-		c.operated = c.world.step
-		c.say(LogEvent{Name: "operator.rollback", Version: strconv.Itoa(int(c.world.step)),
+		o.Version, o.Rest = c.current.step, len(c.untended(now))
+		c.lastOperatorStep = c.current.step
+		c.log(LogEvent{Name: "operator.rollback", Version: strconv.Itoa(int(c.current.step)),
 			Detail: fmt.Sprintf("%s: %d tables to version %d: %s", r.Who, len(o.Tables), r.To, r.Why)})
 		c.operator(r.Ticket, Done, "", o)
 	}
@@ -149,7 +149,7 @@
 		delete(c.pinned, id)
 		o.Tables = append(o.Tables, HeldTable{Table: id, Step: p.Step, Who: p.Who})
 		if c.holds(id) {
-			c.give(id, c.world)
+			c.give(id, c.current)
 		}
 	}
 	if len(o.Tables) > 0 {
@@ -157,26 +157,26 @@
 		d := c.draft(float64(now))
 		d.change.Who, d.change.Why, d.change.Pinned = r.Who, r.Why, c.pinned
 		c.commit(now, d)
-		c.operated = c.world.step
-		c.say(LogEvent{Name: "operator.release", Version: strconv.Itoa(int(c.world.step)), Detail: fmt.Sprintf("%s: %d tables: %s", r.Who, len(o.Tables), r.Why)})
+		c.lastOperatorStep = c.current.step
+		c.log(LogEvent{Name: "operator.release", Version: strconv.Itoa(int(c.current.step)), Detail: fmt.Sprintf("%s: %d tables: %s", r.Who, len(o.Tables), r.Why)})
 	}
-	o.Version = c.world.step
+	o.Version = c.current.step
 	c.operator(r.Ticket, Done, "", o)
 }
 
 // give puts a slice in the module's charge, with the lines that stand.
 func (c *Core) give(id logic.TableID, w *world) {
-	c.notes = append(c.notes, logic.SliceOwnership{Slice: id, Owned: true})
+	c.events = append(c.events, logic.SliceOwnership{Slice: id, Owned: true})
 	table := w.tables[id]
 	for _, a := range slices.Sorted(maps.Keys(table.Lines)) {
-		if k, known := c.names.hosts[a]; known {
-			c.notes = append(c.notes, logic.StoredLine{Slice: id, Host: k.Number, Weight: table.Lines[a]})
+		if k, known := c.ids.hosts[a]; known {
+			c.events = append(c.events, logic.StoredLine{Slice: id, Host: k.Number, Weight: table.Lines[a]})
 		}
 	}
 }
 
 func (c *Core) tellPins(now logic.Millis, t Ticket) {
-	o := &Operated{Version: c.world.step, Rest: len(c.untended(now))}
+	o := &Operated{Version: c.current.step, Rest: len(c.untended(now))}
 	listed := c.hosts(now)
 	for _, id := range slices.Sorted(maps.Keys(c.pinned)) {
 		p := c.pinned[id]
@@ -199,10 +199,10 @@
 	}
 	listed := c.hosts(now)
 	for _, id := range slices.Sorted(maps.Keys(c.pinned)) {
-		if c.world.tables[id] == nil {
+		if c.current.tables[id] == nil {
 			continue // another director's
 		}
-		if m := pins.Mend(int(id), c.pinned[id].Lines, listed); !maps.Equal(m.Lines, c.world.tables[id].Lines) {
+		if m := pins.Mend(int(id), c.pinned[id].Lines, listed); !maps.Equal(m.Lines, c.current.tables[id].Lines) {
 			out = append(out, id)
 		}
 	}
@@ -212,20 +212,20 @@
 // tend writes pinned tables as the rules allow them now, as many as the channel has room for; what is left follows.
 func (c *Core) tend(now logic.Millis) {
 	todo := c.untended(now)
-	if len(todo) == 0 && !c.cause.new {
+	if len(todo) == 0 && !c.changeCause.new {
 		return
 	}
 	d, listed := c.draft(float64(now)), c.hosts(now)
-	joined := float64(len(c.ids))
+	joined := float64(len(c.joined))
 	room := queuePart*c.svc.Config.QueueLimit - c.channel.QueuedLines() - joined*c.svc.Config.MessageOverhead
-	for _, s := range slices.Concat(c.behind, c.unsaved) {
+	for _, s := range slices.Concat(c.heldBack, c.unsaved) {
 		for _, m := range s.messages {
 			room -= m.Lines
 		}
 	}
 	// What drains must not wait for room: these tables come first, and are written whatever room there is.
 	urgent := func(id logic.TableID) bool {
-		for a := range c.world.tables[id].Lines {
+		for a := range c.current.tables[id].Lines {
 			if h, known := listed[a]; known && !h.Up {
 				return true
 			}
@@ -244,7 +244,7 @@
 	for _, id := range todo {
 		want := pins.Mend(int(id), c.pinned[id].Lines, listed).Lines
 		lines := 0.0
-		was := c.world.tables[id].Lines
+		was := c.current.tables[id].Lines
 		for a, w := range want {
 			if was[a] != w {
 				lines++
@@ -263,16 +263,16 @@
 		maps.Copy(t.Lines, want)
 		d.charge(lines, everyone)
 	}
-	if d.change.Who, d.change.Why, d.change.From = c.cause.who, c.cause.why, c.cause.from; d.change.Who == "" {
+	if d.change.Who, d.change.Why, d.change.From = c.changeCause.who, c.changeCause.why, c.changeCause.from; d.change.Who == "" {
 		d.change.Who, d.change.Why = "vetchwood", "a pinned table is mended: the rules stand above it"
 	}
-	if c.cause.new {
+	if c.changeCause.new {
 		d.change.Pinned, d.wrote = c.pinned, true
 	}
 	if d.wrote {
 		c.commit(now, d)
 	}
-	if c.cause.new = false; len(c.untended(now)) == 0 {
-		c.cause = cause{}
+	if c.changeCause.new = false; len(c.untended(now)) == 0 {
+		c.changeCause = cause{}
 	}
 }
--- a/internal/control/types.go
+++ b/internal/control/types.go
@@ -157,9 +157,9 @@
 			delete(s.Bound, id)
 		}
 	}
-	replace(&s.Masked, maps.Clone(c.Masked), c.Masked != nil)
-	replace(&s.Levels, c.Levels, c.Levels != nil)
-	replace(&s.Carried, c.Carried, c.Carried != nil)
+	replaceIf(&s.Masked, maps.Clone(c.Masked), c.Masked != nil)
+	replaceIf(&s.Levels, c.Levels, c.Levels != nil)
+	replaceIf(&s.Carried, c.Carried, c.Carried != nil)
 	for id, name := range c.Named {
 		maps.DeleteFunc(s.Proxies, func(_ string, has logic.ProxyID) bool { return has == id })
 		if s.Proxies == nil {
@@ -167,12 +167,12 @@
 		}
 		s.Proxies[name] = id
 	}
-	replace(&s.Known, c.Known, c.Known != nil)
-	replace(&s.List, c.List, c.List != nil)
-	replace(&s.Pinned, c.Pinned, c.Pinned != nil)
+	replaceIf(&s.Known, c.Known, c.Known != nil)
+	replaceIf(&s.List, c.List, c.List != nil)
+	replaceIf(&s.Pinned, c.Pinned, c.Pinned != nil)
 }
 
-func replace[T any](to *T, by T, set bool) {
+func replaceIf[T any](to *T, by T, set bool) {
 	if set {
 		*to = by
 	}
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -18,47 +18,47 @@
 }
 
 // onlooker is a Watch that waits.
-type onlooker struct {
+type watcher struct {
 	base  *tables.Document
 	until logic.Millis
 	delta bool
 }
 
 // mostOnlookers is how many may wait; each costs a comparison a version.
-const mostOnlookers = 200
+const maxWatchers = 200
 
 func (c *Core) watch(now logic.Millis, w Watch) {
 	switch {
 	case c.svc.Config.Slices == 0:
 		c.refuse(w.Ticket, Invalid, "proxies have tables of their own here: there is none that all follow")
 		return
-	case len(c.onlookers) >= mostOnlookers:
+	case len(c.watchers) >= maxWatchers:
 		c.refuse(w.Ticket, Busy, "too many look on")
 		return
 	}
-	o := onlooker{until: now + max(0, min(w.Wait, c.svc.MaxWait)), delta: w.WantsDelta}
+	o := watcher{until: now + max(0, min(w.Wait, c.svc.MaxWait)), delta: w.WantsDelta}
 	for _, tag := range w.Held {
-		if d := c.kept[tag]; d != nil && (o.base == nil || d.Step > o.base.Step) {
+		if d := c.bases[tag]; d != nil && (o.base == nil || d.Step > o.base.Step) {
 			o.base = d
 		}
 	}
-	c.onlookers[w.Ticket] = o
-	c.look(now)
+	c.watchers[w.Ticket] = o
+	c.answerWatchers(now)
 }
 
 // look answers those that look on and have waited long enough, or hold something older.
-func (c *Core) look(now logic.Millis) {
-	if len(c.onlookers) == 0 || c.stored.step < c.opening || c.shown.closed {
+func (c *Core) answerWatchers(now logic.Millis) {
+	if len(c.watchers) == 0 || c.stored.step < c.firstStep || c.view.closed {
 		return
 	}
 	doc := c.document(c.stored, 0)
-	c.keep(doc)
-	for _, t := range slices.Sorted(maps.Keys(c.onlookers)) {
-		o := c.onlookers[t]
+	c.keepBase(doc)
+	for _, t := range slices.Sorted(maps.Keys(c.watchers)) {
+		o := c.watchers[t]
 		if o.base == doc && now < o.until {
 			continue
 		}
-		delete(c.onlookers, t)
+		delete(c.watchers, t)
 		a := Answer{Ticket: t, Doc: doc, Kind: Full}
 		if o.base == doc {
 			a.Kind = Unchanged
--- a/internal/control/world.go
+++ b/internal/control/world.go
@@ -41,9 +41,9 @@
 }
 
 func (c *Core) draft(at float64) *draft {
-	w := *c.world
-	w.step, w.at, w.docs = c.world.step+1, at, map[string]*tables.Document{}
-	return &draft{c: c, was: c.world, is: &w, fresh: map[logic.TableID]bool{}, lines: map[logic.ProxyID]float64{},
+	w := *c.current
+	w.step, w.at, w.docs = c.current.step+1, at, map[string]*tables.Document{}
+	return &draft{c: c, was: c.current, is: &w, fresh: map[logic.TableID]bool{}, lines: map[logic.ProxyID]float64{},
 		change: Change{Line: c.line, Step: w.step, At: at}}
 }
 
@@ -73,7 +73,7 @@
 		d.of += lines
 		return
 	}
-	for _, id := range d.c.ids {
+	for _, id := range d.c.joined {
 		if concerned(id) {
 			d.lines[id] += lines
 		}
@@ -125,11 +125,11 @@
 		if f.Slices > 0 && !d.c.holds(o.Table) {
 			return // it was withdrawn while the module did not know yet
 		}
-		a := d.c.names.address[o.Host]
+		a := d.c.ids.addresses[o.Host]
 		if a == "" || math.IsNaN(o.Weight) || o.Weight > 1e9 {
 			// No version may bear it. The module has no such host or weight; a line of a store that was changed might.
-			d.c.figures.CheckFailures++
-			d.c.say(LogEvent{Name: "check.line_dropped", Detail: fmt.Sprintf("table %d, host %d, weight %v", o.Table, o.Host, o.Weight)})
+			d.c.stats.CheckFailures++
+			d.c.log(LogEvent{Name: "check.line_dropped", Detail: fmt.Sprintf("table %d, host %d, weight %v", o.Table, o.Host, o.Weight)})
 			return
 		}
 		t := d.table(o.Table)
@@ -152,7 +152,7 @@
 		t.Levels = nil
 		d.charge(1, d.users(o.Table))
 	case logic.Mask:
-		a := d.c.names.address[o.Host]
+		a := d.c.ids.addresses[o.Host]
 		if d.change.Masked == nil {
 			d.is.masked = maps.Clone(d.is.masked)
 			d.change.Masked = d.is.masked
@@ -163,7 +163,7 @@
 			delete(d.is.masked, a)
 		}
 		d.charge(1, d.holders(a))
-		d.c.say(LogEvent{Name: "host.masked", Host: string(a), Detail: strconv.FormatBool(o.On)})
+		d.c.log(LogEvent{Name: "host.masked", Host: string(a), Detail: strconv.FormatBool(o.On)})
 	case logic.Throttle:
 		to := tables.Level{Level: o.Level, Tries: o.Retries}
 		if o.Table == logic.AllTables {
@@ -191,7 +191,7 @@
 			}
 		}
 		d.charge(float64(max(1, bits.OnesCount64(uint64(o.Routes)))), d.users(o.Table))
-		d.c.say(LogEvent{Name: "level.set", Detail: strconv.FormatFloat(o.Level, 'g', 4, 64)})
+		d.c.log(LogEvent{Name: "level.set", Detail: strconv.FormatFloat(o.Level, 'g', 4, 64)})
 	case logic.Bind:
 		if d.change.Bound == nil {
 			d.is.bound, d.change.Bound = maps.Clone(d.is.bound), map[logic.ProxyID][]logic.TableID{}
@@ -248,7 +248,7 @@
 	use := func(name string, t *tables.Table) {
 		d.Tables[name] = t
 		for a := range t.Lines {
-			d.Hosts[a] = c.names.hosts[a].Host
+			d.Hosts[a] = c.ids.hosts[a].Host
 			if w.masked[a] {
 				d.Masked[a] = true
 			}
@@ -317,7 +317,7 @@
 // a removal back because it leaves a table bare for a moment would break another rule.
 func (d *draft) check(now logic.Millis) {
 	s := checks.Step{Was: map[string]*tables.Table{}, Is: map[string]*tables.Table{}, MaskedWas: d.was.masked, Masked: d.is.masked,
-		Known: func(a tables.Address) bool { _, known := d.c.names.hosts[a]; return known }, Listed: map[tables.Address]checks.Host{}}
+		Known: func(a tables.Address) bool { _, known := d.c.ids.hosts[a]; return known }, Listed: map[tables.Address]checks.Host{}}
 	look := d.change.Tables
 	if d.change.Masked != nil {
 		look = d.is.tables
@@ -335,7 +335,7 @@
 		s.Listed[a] = checks.Host{Up: h.Up, Cold: h.Cold}
 	}
 	for _, f := range checks.Look(s) {
-		d.c.figures.CheckFailures++
-		d.c.say(LogEvent{Name: "check.failed", Host: string(f.Host), Version: strconv.Itoa(int(d.is.step)), Detail: f.String()})
+		d.c.stats.CheckFailures++
+		d.c.log(LogEvent{Name: "check.failed", Host: string(f.Host), Version: strconv.Itoa(int(d.is.step)), Detail: f.String()})
 	}
 }
