--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -15,72 +15,78 @@
 	"vetchwood/logic"
 )
 
-// Core is one director's.
+// Core is the state of one director.
 type Core struct {
 	svc              Service
 	module           *logic.Director
 	ids              *idRegistry
 	line             tables.Line
-	current          *world      // as ordered
-	stored           *world      // the newest that would outlive a crash
-	firstStep        tables.Step // the first of this start
-	unsaved          []*pendingStep
+	current          *world         // state as of the newest ordered step
+	stored           *world         // state as of the newest durable step
+	firstStep        tables.Step    // the first step of this start
+	unsaved          []*pendingStep // ordered steps that are not yet durable, oldest first
 	channel          *channel.Channel
 	aggregator       *sums.Aggregator
 	proxies          map[logic.ProxyID]*joinedProxy
-	joined           []logic.ProxyID // joined, in order
-	heldSteps        versions.Index[logic.ProxyID]
-	catchingUp       map[logic.ProxyID]bool // that read what was ordered before they joined as it is stored
-	bases            map[tables.Tag]*tables.Document
-	baseTags         []tables.Tag
+	joined           []logic.ProxyID                 // numbers of the joined proxies, ascending
+	heldSteps        versions.Index[logic.ProxyID]   // joined proxies by the version that they hold
+	catchingUp       map[logic.ProxyID]bool          // proxies that have not received joinedProxy.catchUpTo yet
+	bases            map[tables.Tag]*tables.Document // documents that deltas may start from
+	baseTags         []tables.Tag                    // tags of bases, oldest first
 	view             lotView
-	heldBack         []*pendingStep // stored, and held back until a removal has been shown to all lots
+	heldBack         []*pendingStep // durable steps whose messages are held back until the barrier of a removal ends
 	timers           []timer
 	routeIDs         map[string]logic.RouteID
-	listed           map[tables.Address]bool
-	lastRefresh      logic.Millis
-	newestBase       *tables.Document // the newest that was kept
-	hostList         []HostEntry      // the list as it was told last
+	listed           map[tables.Address]bool // addresses of the host list
+	lastRefresh      logic.Millis            // time of the last refreshPeerStates
+	newestBase       *tables.Document        // document of the newest version in bases
+	hostList         []HostEntry             // as last reported by discovery
 	pinned           map[logic.TableID]Pin
-	lastOperatorStep tables.Step // the newest version by an operator
+	lastOperatorStep tables.Step // the newest version that an operator ordered
 	changeCause      cause
 	watchers         map[Ticket]watcher
-	ownership        *custody // nil: all slices are ours
+	ownership        *custody // nil: this director owns all slices
 	observations     *known
-	listLostAt       logic.Millis // since when the list does not answer; 0: it does
-	slicesAssignedAt logic.Millis // when slices came last
-	peersQueriedAt   logic.Millis // when the others were asked last
-	peerStates       map[tables.Address]believed
-	expectedDemand   map[logic.TableID][]expectation
-	// healthFrom are hosts of which another's health was taken over; once is enough, or it would count again and again.
+	listLostAt       logic.Millis                    // time at which discovery stopped answering; 0: it answers
+	slicesAssignedAt logic.Millis                    // time of the last assignment of slices to this director
+	peersQueriedAt   logic.Millis                    // time of the last query to other directors
+	peerStates       map[tables.Address]believed     // host states taken over from other directors
+	expectedDemand   map[logic.TableID][]expectation // demand of slices as their previous holders saw it
+	// healthAdopted holds the hosts whose health figures were taken over from another director. This is done once per
+	// host, since the same tries would otherwise be counted repeatedly.
 	healthAdopted map[tables.Address]bool
-	events        []any
-	out           []any
+	events        []any // events for the next call of the decision module
+	out           []any // outputs of the current call
 	stats         Stats
 }
 
+// timer is a pending timer of the decision module.
 type timer struct {
 	at logic.Millis
 	id logic.TimerID
 }
 
-// step is a world on its way to the store, with the messages that wait for it.
+// pendingStep is a step that is being stored, with the messages to send once it is durable.
 type pendingStep struct {
 	state       *world
 	messages    []channel.Message
-	changed     []logic.TableID
-	removesHost bool // a host from all tables
+	changed     []logic.TableID // tables that the step changes
+	removesHost bool            // the step removes a host from all tables
 }
 
-// New is a director's start. What it returns first must be carried out before the first Handle.
+// New starts a director from its saved state. The caller carries out the returned outputs before the first call of
+// Handle.
 func New(seed uint64, now logic.Millis, svc Service, saved SavedState) (*Core, []any) {
 	f := svc.Config
 	c := &Core{svc: svc, module: logic.New(seed, f), ids: newIDRegistry(svc.Zones, f.Proxies, &saved), line: saved.Line,
 		channel:    channel.New(f.LinesPerSecond, f.MessageWindow),
-		aggregator: sums.New(f.Slices > 0, f.ReportInterval, f.ReportLinesPerSecond), proxies: map[logic.ProxyID]*joinedProxy{},
-		catchingUp: map[logic.ProxyID]bool{}, view: lotView{dirty: true, validUntil: logic.Millis(math.Inf(1))}, bases: map[tables.Tag]*tables.Document{}, routeIDs: map[string]logic.RouteID{},
-		listed: map[tables.Address]bool{}, observations: newKnown(now), watchers: map[Ticket]watcher{}, peerStates: map[tables.Address]believed{},
-		expectedDemand: map[logic.TableID][]expectation{}, healthAdopted: map[tables.Address]bool{}}
+		aggregator: sums.New(f.Slices > 0, f.ReportInterval, f.ReportLinesPerSecond),
+		proxies:    map[logic.ProxyID]*joinedProxy{}, catchingUp: map[logic.ProxyID]bool{},
+		view:  lotView{dirty: true, validUntil: logic.Millis(math.Inf(1))},
+		bases: map[tables.Tag]*tables.Document{}, routeIDs: map[string]logic.RouteID{},
+		listed: map[tables.Address]bool{}, observations: newKnown(now), watchers: map[Ticket]watcher{},
+		peerStates: map[tables.Address]believed{}, expectedDemand: map[logic.TableID][]expectation{},
+		healthAdopted: map[tables.Address]bool{}}
 	for i, r := range svc.Routes {
 		c.routeIDs[r.Name] = logic.RouteID(i)
 	}
@@ -94,7 +100,7 @@
 	}
 	w.levels = w.levels[:len(svc.Routes)]
 	c.current, c.stored = w, w
-	// Opening state is a step of its own, so that nothing is told that is not stored.
+	// The initial state is a step of its own, so that only stored state is published.
 	d := c.draft(float64(now))
 	d.change.Levels = d.is.levels
 	if svc.SlicesLeased {
@@ -133,7 +139,7 @@
 	c.out = nil
 	d.change.Known = c.ids.hosts
 	if f.Slices > 0 && saved.Step > 0 && !svc.SlicesLeased {
-		c.keepBase(c.document(w, 0)) // most proxies hold it, and need no more than the difference
+		c.keepBase(c.document(w, 0)) // most proxies hold this document, so a delta is enough for them
 	}
 	c.current, c.firstStep = d.is, d.is.step
 	c.unsaved = append(c.unsaved, &pendingStep{state: d.is})
@@ -141,8 +147,8 @@
 	return c, c.takeOutputs()
 }
 
-// carry keeps what proxies with tables of their own held before the start: the module lays new ones from the
-// same numbers, and a proxy goes by the old until it is bound anew.
+// carryOverTables keeps the tables that proxies with their own tables held before the start. The decision module
+// assigns new tables under the same numbers, and a proxy follows its old tables until it is bound again.
 func (d *draft) carryOverTables(saved *SavedState) {
 	d.is.carried = map[logic.ProxyID]map[string]*tables.Table{}
 	for id, old := range saved.Carried {
@@ -169,9 +175,10 @@
 	d.is.tables = map[logic.TableID]*tables.Table{}
 }
 
+// log emits an entry for the log.
 func (c *Core) log(e LogEvent) { c.out = append(c.out, e) }
 
-// take gives what is to be carried out, what all lots see first.
+// takeOutputs returns and clears the collected outputs. If the view of the lots has changed, it comes first.
 func (c *Core) takeOutputs() []any {
 	out := c.out
 	c.out = nil
@@ -181,7 +188,7 @@
 	return out
 }
 
-// Handle is all that happened up to a time; what it returns is to be carried out in order.
+// Handle processes the inputs that arrived up to now. The caller carries out the returned outputs in order.
 func (c *Core) Handle(now logic.Millis, in []any) []any {
 	for _, i := range in {
 		switch i := i.(type) {
@@ -231,7 +238,7 @@
 			}
 		}
 	}
-	if named := c.ids.unstored; len(named) > 0 { // once a turn: a whole fleet may come in one
+	if named := c.ids.unstored; len(named) > 0 { // one write per call, as a whole fleet may join in one
 		c.ids.unstored = map[logic.ProxyID]string{}
 		c.out = append(c.out, Persist{Change{Line: c.line, Named: named}})
 	}
@@ -246,27 +253,28 @@
 		c.timers = c.timers[1:]
 	}
 	if len(c.events) > 0 {
-		notes := c.events
+		events := c.events
 		c.events = nil
-		c.execute(now, c.module.Handle(now, notes))
+		c.execute(now, c.module.Handle(now, events))
 	}
 	c.tend(now)
 	c.answerWatchers(now)
 	return c.takeOutputs()
 }
 
-// Wake is when Handle must be called again at the latest.
+// NextWake returns the latest time of the next call of Handle.
 func (c *Core) NextWake() logic.Millis {
 	at := c.aggregator.Next()
 	for _, t := range c.timers {
 		at = min(at, t.at)
 	}
-	if next, waits := c.channel.Next(); waits {
+	if next, pending := c.channel.Next(); pending {
 		at = min(at, next)
 	}
 	return at
 }
 
+// execute carries out the orders of the decision module. Those that change published state form one step.
 func (c *Core) execute(now logic.Millis, orders []logic.Order) {
 	d := c.draft(float64(now))
 	for _, o := range orders {
@@ -280,7 +288,7 @@
 		case logic.LogText:
 			c.log(LogEvent{Name: "module.says", Detail: o.Text})
 		case logic.WatchHosts, logic.RequestHosts, logic.SendToPeer:
-			// The list comes by itself, and there is no peer yet.
+			// The host list arrives without a request, and messages to peers are not supported yet.
 		default:
 			d.order(o)
 		}
@@ -290,24 +298,25 @@
 	}
 }
 
-// commit makes a draft the newest version: on its way to the store, and with its messages from there to the channel.
+// commit makes a draft the newest version and passes it to the store. Its messages are queued for the channel once it
+// is durable.
 func (c *Core) commit(now logic.Millis, d *draft) {
 	d.check(now)
 	d.change.OldestInUse = d.is.step
 	if d.change.Levels != nil {
 		c.observations.levels = now
 	}
-	if oldest, any := c.heldSteps.Oldest(); any {
+	if oldest, found := c.heldSteps.Oldest(); found {
 		d.change.OldestInUse = min(d.change.OldestInUse, oldest)
 	}
 	c.current = d.is
 	s := &pendingStep{state: d.is, changed: slices.Collect(maps.Keys(d.change.Tables)), removesHost: d.removes()}
-	var same *documentUpdate // where all are told the same
+	var shared *documentUpdate // shared by all proxies where there are slices
 	for _, id := range c.joined {
 		lines, concerned := d.of, d.of > 0
 		if len(d.lines) > 0 {
-			own, its := d.lines[id]
-			lines, concerned = lines+own, concerned || its
+			own, found := d.lines[id]
+			lines, concerned = lines+own, concerned || found
 		}
 		if !concerned && !(d.stamped && d.all) {
 			continue
@@ -315,14 +324,14 @@
 		if lines += c.svc.Config.MessageOverhead; d.stamped {
 			lines++
 		}
-		l := same
-		if l == nil {
-			l = &documentUpdate{c.document(d.is, id), d.serial, d.stamped, now}
+		u := shared
+		if u == nil {
+			u = &documentUpdate{c.document(d.is, id), d.serial, d.stamped, now}
 		}
 		if c.svc.Config.Slices > 0 {
-			same = l
+			shared = u
 		}
-		s.messages = append(s.messages, channel.Message{Proxy: id, Lines: lines, Body: l})
+		s.messages = append(s.messages, channel.Message{Proxy: id, Lines: lines, Body: u})
 	}
 	c.unsaved = append(c.unsaved, s)
 	c.out = append(c.out, Persist{d.change})
@@ -330,14 +339,18 @@
 		Detail: strconv.Itoa(len(s.messages)) + " messages"})
 }
 
+// refuse answers a ticket with an error and counts it.
 func (c *Core) refuse(t Ticket, kind AnswerKind, why string) {
 	c.stats.Refused++
 	c.out = append(c.out, Answer{Ticket: t, Kind: kind, Why: why})
 }
 
-// believe lets go of what was learnt long ago, and asks for more.
+// peerRefreshInterval is the minimum interval in milliseconds between two calls of refreshPeerStates that take effect.
+const peerRefreshInterval logic.Millis = 50
+
+// refreshPeerStates expires host states that were learnt from other directors and queries the directors when due.
 func (c *Core) refreshPeerStates(now logic.Millis) {
-	if now < c.lastRefresh+50 {
+	if now < c.lastRefresh+peerRefreshInterval {
 		return
 	}
 	c.lastRefresh = now
@@ -345,14 +358,15 @@
 	c.askPeers(now)
 }
 
+// report counts a load report and passes it to the aggregator.
 func (c *Core) report(now logic.Millis, r Report) {
 	id, ok := c.proxyID(r.Proxy)
-	st := c.proxies[id]
-	if !ok || st == nil {
-		c.refuse(r.Ticket, Unknown, "proxy "+strconv.Quote(r.Proxy)+" has not polled within the lease")
+	p := c.proxies[id]
+	if !ok || p == nil {
+		c.refuse(r.Ticket, Unknown, "proxy "+strconv.Quote(r.Proxy)+" has not polled within its lease")
 		return
 	}
-	if r.Key != "" && r.Key == st.lastReportKey {
+	if r.Key != "" && r.Key == p.lastReportKey {
 		c.stats.RepeatedReports++
 		c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Accepted})
 		return
@@ -361,28 +375,28 @@
 	for i, l := range r.Calls {
 		route, known := c.routeIDs[l.Route]
 		if !known {
-			c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: the settings know no route "+strconv.Quote(l.Route))
+			c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: the settings define no route "+strconv.Quote(l.Route))
 			return
 		}
 		line := sums.Demand{Proxy: id, Route: route, Calls: l.Calls, Unanswered: l.Unanswered}
 		if n := c.svc.Config.Slices; n > 0 {
 			slice, err := strconv.Atoi(l.Table)
 			if err != nil || slice < 0 || slice >= n {
-				c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: "+strconv.Quote(l.Table)+" is no slice")
+				c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: "+strconv.Quote(l.Table)+" is not the number of a slice")
 				return
 			}
 			line.Slice = logic.TableID(slice)
 		}
 		calls = append(calls, line)
 	}
-	st.lastReportKey = r.Key
+	p.lastReportKey = r.Key
 	c.stats.Reports++
-	zone := c.ids.zone(st.zone)
+	zone := c.ids.zone(p.zone)
 	for _, t := range r.Tries {
 		if k, known := c.ids.hosts[t.Address]; known && t.Ended > 0 {
-			met := sums.Tries{Host: k.Number, Zone: zone, Ended: t.Ended, Unanswered: t.Unanswered, AnsweredMs: t.AnsweredMs, Load: t.Load}
-			c.aggregator.AddTries(now, met)
-			c.observations.tried(now, met)
+			tries := sums.Tries{Host: k.Number, Zone: zone, Ended: t.Ended, Unanswered: t.Unanswered, AnsweredMs: t.AnsweredMs, Load: t.Load}
+			c.aggregator.AddTries(now, tries)
+			c.observations.tried(now, tries)
 		}
 	}
 	for _, l := range calls {
@@ -394,7 +408,7 @@
 	c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Accepted})
 }
 
-// list follows the list of hosts.
+// updateHosts takes over a new host list, stores it and passes it to the decision module.
 func (c *Core) updateHosts(now logic.Millis, hosts []HostEntry) {
 	c.hostList, c.listLostAt = slices.Clone(hosts), 0
 	c.observations.list(now, hosts)
@@ -403,11 +417,12 @@
 	c.log(LogEvent{Name: "list.told", Detail: strconv.Itoa(len(hosts)) + " hosts"})
 }
 
+// hostEntries converts a host list for the decision module and records the listed addresses.
 func (c *Core) hostEntries(hosts []HostEntry, now logic.Millis) (out []logic.HostEntry) {
 	clear(c.listed)
 	for _, l := range hosts {
 		if c.listed[l.Address] {
-			continue // named twice: the first counts
+			continue // the first of several entries with the same address counts
 		}
 		c.listed[l.Address] = true
 		out = append(out, c.hostEntry(l, now))
@@ -415,21 +430,22 @@
 	return out
 }
 
+// hostEntry converts a host for the decision module. A start time in the future is taken as now.
 func (c *Core) hostEntry(l HostEntry, now logic.Millis) logic.HostEntry {
 	id, _ := c.ids.host(l)
 	return logic.HostEntry{Host: id, State: l.State, Cell: c.ids.cell(l.Cell), Zone: c.ids.zone(l.Zone), Weight: l.Weight,
 		StartedAt: min(logic.Millis(l.Born), now)}
 }
 
-// Figures are those of now.
+// Stats returns the current statistics.
 func (c *Core) Stats() Stats {
-	f := c.stats
-	f.Step, f.Stored, f.Joined = c.current.step, c.stored.step, len(c.joined)
-	f.Hosts, f.Masked = len(c.listed), len(c.current.masked)
-	f.OldestHeld, _ = c.heldSteps.Oldest()
-	f.ProxiesBehind = c.heldSteps.Behind(c.stored.step)
-	f.Slices = len(c.current.tables)
-	f.QueuedLines, f.MaxQueuedLines, f.QueueLimit = c.channel.QueuedLines(), c.channel.MaxQueuedLines(), c.svc.Config.QueueLimit
-	f.MaxMessagesInWindow, f.PendingReportLines = c.channel.MaxMessagesInWindow(), c.aggregator.Pending()
-	return f
+	s := c.stats
+	s.Step, s.Stored, s.Joined = c.current.step, c.stored.step, len(c.joined)
+	s.Hosts, s.Masked = len(c.listed), len(c.current.masked)
+	s.OldestHeld, _ = c.heldSteps.Oldest()
+	s.ProxiesBehind = c.heldSteps.Behind(c.stored.step)
+	s.Slices = len(c.current.tables)
+	s.QueuedLines, s.MaxQueuedLines, s.QueueLimit = c.channel.QueuedLines(), c.channel.MaxQueuedLines(), c.svc.Config.QueueLimit
+	s.MaxMessagesInWindow, s.PendingReportLines = c.channel.MaxMessagesInWindow(), c.aggregator.Pending()
+	return s
 }
--- a/internal/control/names.go
+++ b/internal/control/names.go
@@ -10,7 +10,7 @@
 	"vetchwood/logic"
 )
 
-// names gives the module's numbers to hosts, proxies, zones and cells, and back.
+// idRegistry maps the names of hosts, proxies, zones and cells to the numbers that the decision module uses, and back.
 type idRegistry struct {
 	hosts      map[tables.Address]KnownHost
 	addresses  map[logic.HostID]tables.Address
@@ -18,11 +18,13 @@
 	proxyNames map[logic.ProxyID]string
 	zones      map[string]logic.ZoneID
 	cells      map[string]logic.CellID
-	maxProxies int
-	nextFree   logic.ProxyID            // no lower number is
-	unstored   map[logic.ProxyID]string // that got numbers and are yet to be stored
+	maxProxies int                      // maximum number of proxy numbers
+	nextFree   logic.ProxyID            // all lower numbers are taken
+	unstored   map[logic.ProxyID]string // newly numbered proxies that are not yet stored
 }
 
+// newIDRegistry returns a registry with the numbers of the saved state. Zones are numbered by their order in the
+// settings.
 func newIDRegistry(zones []string, most int, saved *SavedState) *idRegistry {
 	n := &idRegistry{hosts: maps.Clone(saved.Known), addresses: map[logic.HostID]tables.Address{},
 		proxies: maps.Clone(saved.Proxies), proxyNames: map[logic.ProxyID]string{}, zones: map[string]logic.ZoneID{},
@@ -45,7 +47,8 @@
 	return n
 }
 
-// host numbers a host by a hash of its address, so that directors that share nothing mostly agree.
+// host returns the number of a host, and whether its entry has changed. The number is a hash of the address, so that
+// directors agree on most numbers without shared state. If the hash is 0 or taken, the next free number is used.
 func (n *idRegistry) host(l HostEntry) (id logic.HostID, changed bool) {
 	is := KnownHost{Host: tables.Host{ID: l.ID, Zone: l.Zone, Cell: l.Cell}}
 	if k, known := n.hosts[l.Address]; known {
@@ -60,6 +63,7 @@
 	return is.Number, true
 }
 
+// zone returns the number of a zone, and assigns one if it is new.
 func (n *idRegistry) zone(name string) logic.ZoneID {
 	if _, known := n.zones[name]; !known {
 		n.zones[name] = logic.ZoneID(len(n.zones))
@@ -67,6 +71,7 @@
 	return n.zones[name]
 }
 
+// cell returns the number of a cell, and assigns one if it is new.
 func (n *idRegistry) cell(name string) logic.CellID {
 	if _, known := n.cells[name]; !known {
 		n.cells[name] = logic.CellID(len(n.cells))
@@ -74,7 +79,8 @@
 	return n.cells[name]
 }
 
-// proxy gives a proxy its number; where all are taken, that of one that is not joined.
+// proxy returns the number of a proxy, and assigns one if it is new. Once all numbers are taken, it reuses the number
+// of a proxy that is not joined; ok is false if there is none.
 func (n *idRegistry) proxy(name string, joined func(logic.ProxyID) bool) (id logic.ProxyID, ok bool) {
 	if id, known := n.proxies[name]; known {
 		return id, true
@@ -95,6 +101,7 @@
 	return 0, false
 }
 
+// assign gives a number to a proxy and marks it to be stored.
 func (n *idRegistry) assign(name string, id logic.ProxyID) {
 	n.proxies[name], n.proxyNames[id], n.unstored[id] = id, name, name
 }
--- a/internal/control/streams.go
+++ b/internal/control/streams.go
@@ -12,106 +12,111 @@
 	"vetchwood/logic"
 )
 
-// stream is a proxy that polls. Its polls wait in a lot (package park); here is what it has been told that it may have.
+// joinedProxy is a proxy that polls. Its polls are pending in a lot (package park); the core decides which documents the
+// lot may answer with. Steps that were ordered before the proxy joined send it no messages, so it gets the documents up
+// to catchUpTo as they are stored.
 type joinedProxy struct {
 	name           string
 	zone           string
 	visit          park.Visit
-	doc            *tables.Document
-	acknowledged   tables.Step       // acknowledged; 0: nothing that is known
-	unacknowledged []*documentUpdate // that have left the channel and were not owned up to
-	lastReportKey  string            // key of the last one
-	catchUpTo      tables.Step       // what was ordered when it joined, and so reads by itself
-	heldStep       versions.Member[logic.ProxyID]
+	doc            *tables.Document               // newest document passed to the lot; nil: none yet
+	acknowledged   tables.Step                    // version that the proxy holds by its latest poll; 0: none that is known
+	unacknowledged []*documentUpdate              // updates that have left the channel and are not yet acknowledged
+	lastReportKey  string                         // Key of the latest load report
+	catchUpTo      tables.Step                    // newest version that was ordered when it joined
+	heldStep       versions.Member[logic.ProxyID] // its place in Core.heldSteps
 }
 
-// letter is the body of a message, one for all that are told the same.
+// documentUpdate is the body of a message, shared by all proxies that get the same document.
 type documentUpdate struct {
 	doc       *tables.Document
 	serial    logic.SerialID
 	stamped   bool
-	orderedAt logic.Millis // of the order
+	orderedAt logic.Millis // time of the order
 }
 
-// join takes a proxy in, and tells it what is stored.
+// join adds a proxy and passes the stored document to its lot.
 func (c *Core) join(now logic.Millis, j park.Join) {
 	id, ok := c.proxyID(j.Proxy)
 	if !ok {
 		c.stats.Refused++
 		c.out = append(c.out, park.Turned{Proxy: j.Proxy, Visit: j.Visit, Kind: Unknown,
-			Why: "the settings know no proxy " + strconv.Quote(j.Proxy) + ", or hold no more of them"})
+			Why: "proxy " + strconv.Quote(j.Proxy) + " does not match the settings, or the maximum of proxies has joined"})
 		return
 	}
 	if c.proxies[id] != nil {
-		c.removeProxy(id, "joins anew")
+		c.removeProxy(id, "joined again")
 	}
-	st := &joinedProxy{name: j.Proxy, zone: j.Zone, visit: j.Visit, catchUpTo: c.current.step}
-	st.heldStep.Of = id
-	c.proxies[id] = st
+	p := &joinedProxy{name: j.Proxy, zone: j.Zone, visit: j.Visit, catchUpTo: c.current.step}
+	p.heldStep.Of = id
+	c.proxies[id] = p
 	at, _ := slices.BinarySearch(c.joined, id)
 	c.joined = slices.Insert(c.joined, at, id)
-	// What a new one is told here holds the masks and levels that stand, so it is never bare of them.
+	// The document passed to a new proxy here contains the current masks and levels, so it never runs without them.
 	c.events = append(c.events, logic.ProxyJoined{Proxy: id, Fresh: len(j.Held) == 0, Rate: j.Rate, Zone: c.ids.zone(j.Zone)})
 	c.log(LogEvent{Name: "proxy.joined", Proxy: j.Proxy})
 	if c.stored.step >= c.firstStep {
-		c.notify(st, c.document(c.stored, id))
+		c.notify(p, c.document(c.stored, id))
 	}
-	if st.doc == nil || st.doc.Step < st.catchUpTo {
+	if p.doc == nil || p.doc.Step < p.catchUpTo {
 		c.catchingUp[id] = true
 	}
 }
 
-// tell lets a proxy have a document, if it is news.
-func (c *Core) notify(st *joinedProxy, d *tables.Document) {
-	if st.doc != nil && d.Step <= st.doc.Step {
+// notify passes a document to the lot of a proxy if it is newer than the previous one.
+func (c *Core) notify(p *joinedProxy, d *tables.Document) {
+	if p.doc != nil && d.Step <= p.doc.Step {
 		return
 	}
 	c.keepBase(d)
-	st.doc = d
-	c.out = append(c.out, park.Tell{Proxy: st.name, Visit: st.visit, Doc: d})
+	p.doc = d
+	c.out = append(c.out, park.Tell{Proxy: p.name, Visit: p.visit, Doc: d})
 }
 
-// of gives a proxy's stream, if it is of that visit.
+// proxyInVisit returns the proxy with a name if it is joined and in the given visit, and nil otherwise.
 func (c *Core) proxyInVisit(proxy string, visit park.Visit) (logic.ProxyID, *joinedProxy) {
 	id, known := c.ids.proxies[proxy]
-	if st := c.proxies[id]; known && st != nil && st.visit == visit {
-		return id, st
+	if p := c.proxies[id]; known && p != nil && p.visit == visit {
+		return id, p
 	}
 	return 0, nil
 }
 
-// acknowledged takes an acknowledgement.
+// acknowledge records the version that a proxy holds by its poll, and confirms the updates up to that version.
 func (c *Core) acknowledge(now logic.Millis, h park.Holds) {
-	id, st := c.proxyInVisit(h.Proxy, h.Visit)
-	if st == nil {
+	id, p := c.proxyInVisit(h.Proxy, h.Visit)
+	if p == nil {
 		return
 	}
-	if st.acknowledged = h.Step; h.Step == 0 {
-		c.heldSteps.Drop(&st.heldStep)
+	if p.acknowledged = h.Step; h.Step == 0 {
+		c.heldSteps.Drop(&p.heldStep)
 		return
 	}
-	c.heldSteps.Move(&st.heldStep, h.Step)
-	st.unacknowledged = slices.DeleteFunc(st.unacknowledged, func(l *documentUpdate) bool { return c.confirmApplied(now, id, st, l) })
+	c.heldSteps.Move(&p.heldStep, h.Step)
+	p.unacknowledged = slices.DeleteFunc(p.unacknowledged, func(u *documentUpdate) bool { return c.confirmApplied(now, id, p, u) })
 }
 
-// applied tells the module of a message that is in force, once it is.
-func (c *Core) confirmApplied(now logic.Millis, id logic.ProxyID, st *joinedProxy, l *documentUpdate) bool {
-	if l.doc.Step > st.acknowledged {
+// confirmApplied reports whether a proxy has applied an update, and if so passes the acknowledgement to the decision
+// module.
+func (c *Core) confirmApplied(now logic.Millis, id logic.ProxyID, p *joinedProxy, u *documentUpdate) bool {
+	if u.doc.Step > p.acknowledged {
 		return false
 	}
-	c.events = append(c.events, logic.Acknowledged{Proxy: id, Serial: l.serial, Latency: now - l.orderedAt})
+	c.events = append(c.events, logic.Acknowledged{Proxy: id, Serial: u.serial, Latency: now - u.orderedAt})
 	return true
 }
 
+// handleLeave removes a proxy that its lot reports as gone.
 func (c *Core) handleLeave(l park.Leaves) {
-	if id, st := c.proxyInVisit(l.Proxy, l.Visit); st != nil {
+	if id, p := c.proxyInVisit(l.Proxy, l.Visit); p != nil {
 		c.removeProxy(id, l.Why)
 	}
 }
 
+// removeProxy removes a joined proxy and drops its queued messages.
 func (c *Core) removeProxy(id logic.ProxyID, why string) {
-	st := c.proxies[id]
-	c.heldSteps.Drop(&st.heldStep)
+	p := c.proxies[id]
+	c.heldSteps.Drop(&p.heldStep)
 	delete(c.proxies, id)
 	delete(c.catchingUp, id)
 	if at, found := slices.BinarySearch(c.joined, id); found {
@@ -119,39 +124,40 @@
 	}
 	c.channel.DropProxy(id)
 	c.events = append(c.events, logic.ProxyLeft{Proxy: id})
-	c.log(LogEvent{Name: "proxy.left", Proxy: st.name, Detail: why})
+	c.log(LogEvent{Name: "proxy.left", Proxy: p.name, Detail: why})
 }
 
-// wants tells a proxy of what is stored, where what it was to be told is older than a removal.
+// notifyStored passes the stored document to the lot of a proxy whose previous document is older than a removal.
 func (c *Core) notifyStored(w park.Wants) {
-	if id, st := c.proxyInVisit(w.Proxy, w.Visit); st != nil {
-		c.notify(st, c.document(c.stored, id)) // if it is no news, the word of it is on its way to the lot
+	if id, p := c.proxyInVisit(w.Proxy, w.Visit); p != nil {
+		c.notify(p, c.document(c.stored, id)) // without effect if that document is already on its way to the lot
 	}
 }
 
-// arrive tells a proxy what has left the channel for it.
+// deliver passes on a message that has left the channel.
 func (c *Core) deliver(now logic.Millis, m channel.Message) {
-	st := c.proxies[m.Proxy]
-	l := m.Body.(*documentUpdate)
-	if st == nil {
+	p := c.proxies[m.Proxy]
+	u := m.Body.(*documentUpdate)
+	if p == nil {
 		return
 	}
-	if l.stamped && !c.confirmApplied(now, m.Proxy, st, l) {
-		st.unacknowledged = append(st.unacknowledged, l)
+	if u.stamped && !c.confirmApplied(now, m.Proxy, p, u) {
+		p.unacknowledged = append(p.unacknowledged, u)
 	}
-	if st.doc != nil {
-		c.notify(st, l.doc)
+	if p.doc != nil {
+		c.notify(p, u.doc)
 	}
 }
 
-// settle lets go what is safe now. A removal is shown to all lots before it, and what was ordered after it, goes on.
+// advanceStored publishes the steps up to upTo, which are durable now. A step that removes a host raises a barrier: its
+// messages and those of later steps are held back until all lots have seen the removal.
 func (c *Core) advanceStored(now logic.Millis, upTo tables.Step) {
-	var settled []*world
+	var newlyStored []*world
 	for len(c.unsaved) > 0 && c.unsaved[0].state.step <= upTo {
 		s := c.unsaved[0]
 		c.unsaved = c.unsaved[1:]
 		c.stored = s.state
-		settled = append(settled, s.state)
+		newlyStored = append(newlyStored, s.state)
 		c.record(s.state, s.changed)
 		if s.removesHost {
 			c.startBarrier(s.state)
@@ -162,25 +168,25 @@
 		c.enqueueStored(now)
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.catchingUp)) {
-		st := c.proxies[id]
-		// What was ordered before it joined came as no message to it; it reads on as it is stored.
-		switch at := min(st.catchUpTo, c.stored.step); {
-		case st.doc == nil && c.stored.step >= c.firstStep:
-			c.notify(st, c.document(c.stored, id))
-		case st.doc != nil && st.doc.Step < at:
-			for _, w := range settled {
+		p := c.proxies[id]
+		// Steps that were ordered before the proxy joined send it no message; it gets their documents once stored.
+		switch at := min(p.catchUpTo, c.stored.step); {
+		case p.doc == nil && c.stored.step >= c.firstStep:
+			c.notify(p, c.document(c.stored, id))
+		case p.doc != nil && p.doc.Step < at:
+			for _, w := range newlyStored {
 				if w.step == at {
-					c.notify(st, c.document(w, id))
+					c.notify(p, c.document(w, id))
 				}
 			}
 		}
-		if st.doc != nil && st.doc.Step >= st.catchUpTo {
+		if p.doc != nil && p.doc.Step >= p.catchUpTo {
 			delete(c.catchingUp, id)
 		}
 	}
 }
 
-// offer puts the messages of what is stored into the channel.
+// enqueueStored puts the messages of the held-back steps into the channel, except those to proxies that have left.
 func (c *Core) enqueueStored(now logic.Millis) {
 	for _, s := range c.heldBack {
 		c.channel.Enqueue(now, slices.DeleteFunc(s.messages, func(m channel.Message) bool { return c.proxies[m.Proxy] == nil }))
@@ -188,17 +194,17 @@
 	c.heldBack = nil
 }
 
-// shown is what lots see of the core, beside the bases that are kept.
+// lotView is what lots see of the core, in addition to the bases of deltas.
 type lotView struct {
-	floor      tables.Step
-	doc        *tables.Document
-	closed     bool
-	barrierDue bool // a barrier is to be raised with the next view
-	validUntil logic.Millis
-	dirty      bool
+	floor      tables.Step      // version of the newest removal; lots answer with nothing older
+	doc        *tables.Document // document of that removal; nil without slices
+	closed     bool             // a removal is pending: lots answer no polls
+	barrierDue bool             // the next view starts a barrier
+	validUntil logic.Millis     // end of the leases of this director
+	dirty      bool             // the view has changed since it was published
 }
 
-// removal closes the lots until what they answered before is written.
+// startBarrier closes the lots until all answers that they gave before are written.
 func (c *Core) startBarrier(w *world) {
 	c.stats.Removals++
 	c.view.floor, c.view.dirty = w.step, true
@@ -211,7 +217,8 @@
 	}
 }
 
-// passed opens them again. Removals that were stored meanwhile are covered: nothing was answered since.
+// endBarrier opens the lots again. It also covers removals that were stored in the meantime, as lots answer nothing
+// while they are closed.
 func (c *Core) endBarrier(now logic.Millis) {
 	if c.view.closed {
 		c.view.closed, c.view.dirty = false, true
@@ -219,7 +226,7 @@
 	}
 }
 
-// publish shows the lots how things stand.
+// publishView returns the current view for the lots and marks it as published.
 func (c *Core) publishView() Publish {
 	p := Publish{View: &park.View{Kept: maps.Clone(c.bases), Floor: c.view.floor, Doc: c.view.doc, Closed: c.view.closed,
 		Until: c.view.validUntil}, Barrier: c.view.barrierDue}
@@ -227,7 +234,7 @@
 	return p
 }
 
-// keep makes a document a base that differences may start from.
+// keepBase keeps a document as a base that deltas may start from. The oldest base is dropped beyond Service.MaxBases.
 func (c *Core) keepBase(d *tables.Document) {
 	tag := d.Tag()
 	if c.bases[tag] != nil {
@@ -235,7 +242,7 @@
 	}
 	c.bases[tag], c.view.dirty = d, true
 	if c.svc.Config.Slices > 0 && (c.newestBase == nil || d.Step > c.newestBase.Step) {
-		d.After(c.newestBase) // all proxies are told the same documents, one after the other
+		d.After(c.newestBase) // all proxies get the same sequence of documents
 		c.newestBase = d
 	}
 	if c.baseTags = append(c.baseTags, tag); len(c.baseTags) > c.svc.MaxBases {
@@ -245,7 +252,7 @@
 	}
 }
 
-// find gives a proxy's number, if the settings know it.
+// proxyID returns the number of a proxy, and false if its name does not match the settings or no number is free.
 func (c *Core) proxyID(name string) (logic.ProxyID, bool) {
 	if !c.svc.ProxyNames.MatchString(name) {
 		return 0, false
--- a/internal/control/types.go
+++ b/internal/control/types.go
@@ -1,7 +1,7 @@
-// Package control is one director without its sockets: it feeds the module what happened, and turns the
-// module's orders into versions of what each proxy is told, into messages that wait for the channel, and into
-// answers to polls. No I/O, no clock, nothing global: what comes in at a time decides what goes out. It places
-// nothing and judges nothing; that is package logic's.
+// Package control implements a director without its sockets. It passes events to the decision module (package logic)
+// and turns the orders of the module into versions of the documents of the proxies, into messages that are queued for
+// the channel, and into answers to polls. It does no I/O, reads no clock and has no global state: its outputs depend
+// only on its inputs and their times. Placement and health are decided by package logic, not here.
 package control
 
 import (
@@ -13,28 +13,28 @@
 	"vetchwood/logic"
 )
 
-// RouteInfo is a route by its name, with what proxies are told of it.
+// RouteInfo is a named route with the settings that are published to proxies.
 type RouteInfo struct {
 	Name string
 	tables.Route
 }
 
-// Service is what is directed, in the words of the settings.
+// Service holds the settings of a director and of the service that it directs.
 type Service struct {
-	Name         string // of the director
+	Name         string // name of the director
 	Config       logic.Config
 	Routes       []RouteInfo
 	Zones        []string
-	Pick         string
-	ProxyNames   *regexp.Regexp
-	Lease        logic.Millis // without a poll for so long, a proxy has left
-	MaxWait      logic.Millis
-	MaxBases     int  // documents kept as bases for differences
-	QueriesPeers bool // it asks the others, where slices are held by lease
-	SlicesLeased bool // slices are held by lease, each by one of several directors
+	Pick         string         // policy by which proxies pick a line of a table
+	ProxyNames   *regexp.Regexp // pattern of the valid proxy names
+	Lease        logic.Millis   // a proxy that has not polled for this long has left
+	MaxWait      logic.Millis   // maximum time that a poll stays pending
+	MaxBases     int            // maximum number of documents kept as bases of deltas
+	QueriesPeers bool           // queries other directors for their state; only with SlicesLeased
+	SlicesLeased bool           // each slice is held under a lease by one of several directors
 }
 
-// What polls and answers are is package park's, where polls wait.
+// Polls and answers are defined by package park, which keeps the pending polls.
 type (
 	Ticket       = park.Ticket
 	Poll         = park.Poll
@@ -43,6 +43,7 @@
 	AnswerKind   = park.Kind
 )
 
+// Kinds of answers; see package park.
 const (
 	Unchanged  = park.Unchanged
 	Full       = park.Whole
@@ -58,11 +59,12 @@
 	Refused    = park.Refused
 )
 
-// Inputs, beside those of the lots.
+// Inputs of Core.Handle, in addition to those that come from lots (package park).
 type (
-	// Passed says that all that lots had answered when they were closed is written.
+	// AnswersFlushed reports that all answers that lots had given before they were closed are written.
 	AnswersFlushed struct{}
-	// Report is a proxy's sums since its last one. Key tells a repeat from a new one.
+	// Report is a load report of a proxy: sums since its previous report. A report with the Key of the previous one is a
+	// repetition and is not counted again.
 	Report struct {
 		Ticket Ticket
 		Proxy  string
@@ -70,20 +72,23 @@
 		Tries  []HostTries
 		Calls  []RouteCalls
 	}
+	// HostTries sums the tries of a proxy at a host.
 	HostTries struct {
 		Address           tables.Address
 		Ended, Unanswered int
-		AnsweredMs        float64
+		AnsweredMs        float64 // total duration of the answered tries in milliseconds
 		Load              logic.Load
 	}
+	// RouteCalls counts the calls of a proxy by route and table.
 	RouteCalls struct {
 		Route, Table      string
 		Calls, Unanswered int
 	}
-	// List is the whole list of hosts as it was just told.
+	// HostList is the complete host list that discovery has just reported.
 	HostList struct{ Hosts []HostEntry }
-	// Stored says that all steps up to this one would outlive a crash.
-	Stored      struct{ Step tables.Step }
+	// Stored reports that all steps up to Step are durable.
+	Stored struct{ Step tables.Step }
+	// ProbeResult is the outcome of a Probe. Latency is the duration of the probe.
 	ProbeResult struct {
 		Address tables.Address
 		Latency logic.Millis
@@ -92,7 +97,7 @@
 	}
 )
 
-// Listed is a host in the list. Born is in Unix milliseconds; 0 is a distant past.
+// HostEntry is a host of the host list. Born is the start time of the host in Unix milliseconds; 0 is a start long ago.
 type HostEntry struct {
 	ID      string          `json:"id"`
 	Address tables.Address  `json:"address"`
@@ -103,46 +108,48 @@
 	Born    float64         `json:"born"`
 }
 
-// Outputs.
+// Outputs of New and Core.Handle.
 type (
-	// Publish shows all lots a view, before anything else of the same turn is carried out. With a Barrier, Passed is wanted once
-	// what they had answered by then is written.
+	// Publish passes a view to all lots, before any other output of the same call is carried out. With Barrier, the
+	// caller sends AnswersFlushed once all answers that the lots had given by then are written.
 	Publish struct {
 		View    *park.View
 		Barrier bool
 	}
-	// Persist must outlive a crash before Stored is said.
+	// Persist passes a change to the store. Stored is sent only after the change is durable.
 	Persist struct{ Change Change }
-	Probe   struct{ Address tables.Address }
-	// AskPeers asks for what other directors know; Learnt brings it.
+	// Probe requests a health check of a host.
+	Probe struct{ Address tables.Address }
+	// AskPeers requests the state that other directors know, which comes as Learnt.
 	AskPeers struct{}
-	// Event is one thing that happened, for the log.
+	// LogEvent is an entry for the log.
 	LogEvent struct {
 		Name                         string
 		Proxy, Host, Version, Detail string
 	}
 )
 
-// Change is what a step writes; nil parts stay as they were. Who and Why are for the audit: the module's steps have none.
+// Change is the part of the stored state that a step writes; nil fields stay unchanged. Who and Why are for the audit
+// history and are empty in steps of the decision module.
 type Change struct {
 	Who, Why    string                `json:",omitempty"`
-	From        tables.Step           `json:",omitempty"` // the version that it goes back to
-	OldestInUse tables.Step           `json:"-"`          // the oldest version that a joined proxy stands on; it is kept
-	Pinned      map[logic.TableID]Pin // all of them, where one changed
+	From        tables.Step           `json:",omitempty"` // the version that a rollback restores
+	OldestInUse tables.Step           `json:"-"`          // the oldest version that a joined proxy holds; the history keeps it
+	Pinned      map[logic.TableID]Pin // all pins, where one has changed
 	Line        tables.Line
 	Step        tables.Step
 	At          float64
-	Tables      map[logic.TableID]*tables.Table // nil: gone
+	Tables      map[logic.TableID]*tables.Table // nil: the table is deleted
 	Masked      map[tables.Address]bool
 	Levels      []tables.Level
 	Bound       map[logic.ProxyID][]logic.TableID
-	Carried     map[logic.ProxyID]map[string]*tables.Table // what proxies held before the start, by route
-	Named       map[logic.ProxyID]string                   // numbers that proxies got
+	Carried     map[logic.ProxyID]map[string]*tables.Table // tables of earlier starts that proxies still follow, by route
+	Named       map[logic.ProxyID]string                   // names of newly numbered proxies
 	Known       map[tables.Address]KnownHost
 	List        []HostEntry
 }
 
-// Apply is what a change does to what was stored.
+// Apply applies a change to the stored state.
 func (s *SavedState) Apply(c Change) {
 	if c.Step > 0 {
 		s.Step, s.At = c.Step, c.At
@@ -178,20 +185,20 @@
 	}
 }
 
-// Pin is a table that an operator holds as it is.
+// Pin fixes a table at the lines that an operator has chosen.
 type Pin struct {
 	Lines map[tables.Address]float64
-	Step  tables.Step // the version that its lines are from
+	Step  tables.Step // the version that Lines come from
 	Who   string
 }
 
-// KnownHost keeps a host's number over restarts.
+// KnownHost preserves the number of a host across restarts.
 type KnownHost struct {
 	Number logic.HostID `json:"number"`
 	tables.Host
 }
 
-// Saved is all that was stored.
+// SavedState is the complete stored state.
 type SavedState struct {
 	Line    tables.Line
 	Step    tables.Step
@@ -207,19 +214,19 @@
 	Pinned  map[logic.TableID]Pin
 }
 
-// Figures are counted for the operator.
+// Stats holds the statistics of a director for the operator.
 type Stats struct {
 	Step, Stored                            tables.Step
 	Joined                                  int
 	QueuedLines, MaxQueuedLines, QueueLimit float64
-	MaxMessagesInWindow                     int
+	MaxMessagesInWindow                     int // most messages to one proxy within Config.MessageWindow
 	Reports, RepeatedReports, Refused       uint64
-	Removals                                uint64      // versions that took a host out of all tables, each a barrier
-	OldestHeld                              tables.Step // that a joined proxy stands on
-	ProxiesBehind                           int         // proxies that stand on something older than what is stored
-	CheckFailures                           uint64      // found by checks before publishing
+	Removals                                uint64      // versions that removed a host from all tables, each behind a barrier
+	OldestHeld                              tables.Step // oldest version that a joined proxy holds
+	ProxiesBehind                           int         // proxies that hold a version older than the stored one
+	CheckFailures                           uint64      // faults that checks found before publishing
 	PendingReportLines                      int
 	Hosts, Masked                           int
-	Slices                                  int    // held
-	HostsLearnt                             uint64 // hosts whose state another director knew first
+	Slices                                  int    // slices whose tables this director holds
+	HostsLearnt                             uint64 // hosts whose state was first learnt from another director
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -8,8 +8,8 @@
 	"vetchwood/logic"
 )
 
-// Watch asks for what all proxies are told, for one that looks on: the module does not hear of it, nothing waits for it, and
-// it is told of a version once that is stored.
+// Watch polls for the document of all proxies on behalf of a client that is no proxy. It is not passed to the decision
+// module, nothing waits for its acknowledgement, and it is answered with a version as soon as that is stored.
 type Watch struct {
 	Ticket     Ticket
 	Held       []tables.Tag
@@ -17,23 +17,24 @@
 	WantsDelta bool
 }
 
-// onlooker is a Watch that waits.
+// watcher is a pending Watch.
 type watcher struct {
-	base  *tables.Document
-	until logic.Millis
-	delta bool
+	base  *tables.Document // newest kept document that the client holds; nil: none
+	until logic.Millis     // time of the answer if there is no newer version
+	delta bool             // the client accepts a delta
 }
 
-// mostOnlookers is how many may wait; each costs a comparison a version.
+// maxWatchers limits the pending watches. Each costs a comparison per version.
 const maxWatchers = 200
 
+// watch adds a pending watch, and answers it at once if its client holds an older version.
 func (c *Core) watch(now logic.Millis, w Watch) {
 	switch {
 	case c.svc.Config.Slices == 0:
-		c.refuse(w.Ticket, Invalid, "proxies have tables of their own here: there is none that all follow")
+		c.refuse(w.Ticket, Invalid, "no common document to watch: without slices, each proxy has its own tables")
 		return
 	case len(c.watchers) >= maxWatchers:
-		c.refuse(w.Ticket, Busy, "too many look on")
+		c.refuse(w.Ticket, Busy, "too many pending watches")
 		return
 	}
 	o := watcher{until: now + max(0, min(w.Wait, c.svc.MaxWait)), delta: w.WantsDelta}
@@ -46,7 +47,8 @@
 	c.answerWatchers(now)
 }
 
-// look answers those that look on and have waited long enough, or hold something older.
+// answerWatchers answers the watches whose clients hold an older version or whose time is over. It answers nothing
+// before the first step of this start is stored, nor while the lots are closed.
 func (c *Core) answerWatchers(now logic.Millis) {
 	if len(c.watchers) == 0 || c.stored.step < c.firstStep || c.view.closed {
 		return
