--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -11,7 +11,8 @@
 	"vetchwood/logic"
 )
 
-// rig drives a core by hand: time goes on in beats, and what is to be stored is stored at once unless held.
+// harness drives a Core with one lot. Time advances only by its methods, and changes are stored at once unless
+// holdWrites is set.
 type harness struct {
 	t             *testing.T
 	c             *Core
@@ -25,6 +26,7 @@
 	ticket        Ticket
 }
 
+// testService returns the settings of a service with one route and four proxies.
 func testService(slices int) Service {
 	return Service{Zones: []string{"a", "b"}, Pick: "lottery", ProxyNames: regexp.MustCompile(`^p[0-9]$`), Lease: 2000,
 		MaxWait: 30000, MaxBases: 16, Routes: []RouteInfo{{"read", tables.Route{Level: tables.Level{Level: 1, Tries: 1},
@@ -35,124 +37,133 @@
 			Routes: []logic.Route{{SLO: 1000, TimeLimit: 3000, Importance: 1, Idempotency: logic.Idempotent}}}}
 }
 
-func newHarness(t *testing.T, svc Service, disk SavedState) *harness {
-	r := &harness{t: t, now: 1e12, store: disk, answers: map[Ticket]Answer{}}
-	if disk.Line == 0 {
-		r.store = SavedState{Line: 42, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}
+// newHarness starts a Core from a saved state, which may be empty.
+func newHarness(t *testing.T, svc Service, saved SavedState) *harness {
+	h := &harness{t: t, now: 1e12, store: saved, answers: map[Ticket]Answer{}}
+	if saved.Line == 0 {
+		h.store = SavedState{Line: 42, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}
 	}
-	r.startCore(svc)
-	return r
+	h.startCore(svc)
+	return h
 }
 
-func (r *harness) startCore(svc Service) {
+// startCore starts a Core and its lot from the stored state.
+func (h *harness) startCore(svc Service) {
 	var out []any
-	r.lot = park.NewLot(0, 1, park.Terms{LongestWait: svc.MaxWait, Lease: svc.Lease, Zones: svc.Zones}, r.now)
-	r.c, out = New(5, r.now, svc, r.store)
-	r.execute(out)
+	h.lot = park.NewLot(0, 1, park.Terms{LongestWait: svc.MaxWait, Lease: svc.Lease, Zones: svc.Zones}, h.now)
+	h.c, out = New(5, h.now, svc, h.store)
+	h.execute(out)
 }
 
-// write is what the store does, through its encoding.
-func (r *harness) writeChange(c Change) {
+// writeChange applies a change to the stored state after a round trip through its JSON encoding, as the store does.
+func (h *harness) writeChange(c Change) {
 	text, err := json.Marshal(c)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	c = Change{}
 	if err := json.Unmarshal(text, &c); err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	if c.Step > 0 && c.Step <= r.store.Step {
-		r.t.Fatalf("step %d is written after %d", c.Step, r.store.Step)
+	if c.Step > 0 && c.Step <= h.store.Step {
+		h.t.Fatalf("step %d is written after %d", c.Step, h.store.Step)
 	}
-	r.store.Apply(c)
+	h.store.Apply(c)
 }
 
-// heard carries on what the lot says.
-func (r *harness) handleLotOutput(said park.Said) {
+// handleLotOutput records the answers of the lot and passes its other output to the core.
+func (h *harness) handleLotOutput(said park.Said) {
 	for _, a := range said.Answers {
-		r.recordAnswer(a)
+		h.recordAnswer(a)
 	}
 	if len(said.Core) > 0 {
-		r.execute(r.c.Handle(r.now, said.Core))
+		h.execute(h.c.Handle(h.now, said.Core))
 	}
 }
 
-func (r *harness) recordAnswer(o Answer) {
-	if _, twice := r.answers[o.Ticket]; twice {
-		r.t.Fatalf("ticket %d is answered twice", o.Ticket)
+// recordAnswer fails the test if a ticket is answered twice, or with a version that is not stored.
+func (h *harness) recordAnswer(o Answer) {
+	if _, twice := h.answers[o.Ticket]; twice {
+		h.t.Fatalf("ticket %d is answered twice", o.Ticket)
 	}
-	if o.Doc != nil && (o.Kind == Full || o.Kind == Delta) && o.Doc.Step > r.store.Step {
-		r.t.Fatalf("step %d is told, but only %d is stored", o.Doc.Step, r.store.Step)
+	if o.Doc != nil && (o.Kind == Full || o.Kind == Delta) && o.Doc.Step > h.store.Step {
+		h.t.Fatalf("step %d is published, but only %d is stored", o.Doc.Step, h.store.Step)
 	}
-	r.answers[o.Ticket] = o
+	h.answers[o.Ticket] = o
 }
 
-func (r *harness) execute(out []any) {
+// execute carries out the outputs of the core.
+func (h *harness) execute(out []any) {
 	for _, o := range out {
 		switch o := o.(type) {
 		case Answer:
-			r.recordAnswer(o)
+			h.recordAnswer(o)
 		case Publish:
-			r.handleLotOutput(r.lot.See(r.now, o.View))
+			h.handleLotOutput(h.lot.See(h.now, o.View))
 			if o.Barrier {
-				r.execute(r.c.Handle(r.now, []any{AnswersFlushed{}}))
+				h.execute(h.c.Handle(h.now, []any{AnswersFlushed{}}))
 			}
 		case park.Tell, park.Turned:
-			r.handleLotOutput(r.lot.Told(r.now, o))
+			h.handleLotOutput(h.lot.Told(h.now, o))
 		case Persist:
-			r.pendingWrites = append(r.pendingWrites, o.Change)
+			h.pendingWrites = append(h.pendingWrites, o.Change)
 		case Probe:
-			r.probes++
+			h.probes++
 		}
 	}
-	for !r.holdWrites && len(r.pendingWrites) > 0 {
-		c := r.pendingWrites[0]
-		r.pendingWrites = r.pendingWrites[1:]
-		if r.writeChange(c); c.Step > 0 {
-			r.execute(r.c.Handle(r.now, []any{Stored{c.Step}}))
+	for !h.holdWrites && len(h.pendingWrites) > 0 {
+		c := h.pendingWrites[0]
+		h.pendingWrites = h.pendingWrites[1:]
+		if h.writeChange(c); c.Step > 0 {
+			h.execute(h.c.Handle(h.now, []any{Stored{c.Step}}))
 		}
 	}
 }
 
-func (r *harness) handle(in ...any) {
-	r.t.Helper()
+// handle passes inputs to the lot or the core at the current time.
+func (h *harness) handle(in ...any) {
+	h.t.Helper()
 	var rest []any
 	for _, i := range in {
 		switch i := i.(type) {
 		case Poll:
-			r.handleLotOutput(r.lot.Poll(r.now, i))
+			h.handleLotOutput(h.lot.Poll(h.now, i))
 		case Disconnected:
-			r.handleLotOutput(r.lot.Broke(r.now, i))
+			h.handleLotOutput(h.lot.Broke(h.now, i))
 		default:
 			rest = append(rest, i)
 		}
 	}
-	r.handleLotOutput(r.lot.Turn(r.now))
-	r.execute(r.c.Handle(r.now, rest))
+	h.handleLotOutput(h.lot.Turn(h.now))
+	h.execute(h.c.Handle(h.now, rest))
 }
 
-func (r *harness) advance(d logic.Millis) {
-	for end := r.now + d; r.now < end; {
-		r.now = min(end, max(r.now+1, r.c.NextWake()), r.now+10)
-		r.handle()
+// advance lets time pass, with a call of the core at least every 10 ms.
+func (h *harness) advance(d logic.Millis) {
+	for end := h.now + d; h.now < end; {
+		h.now = min(end, max(h.now+1, h.c.NextWake()), h.now+10)
+		h.handle()
 	}
 }
 
-func (r *harness) poll(proxy string, wait logic.Millis, held ...tables.Tag) Ticket {
-	r.ticket++
-	r.handle(Poll{Ticket: r.ticket, Proxy: proxy, Zone: "a", Wait: wait, Held: held, WantsDelta: true})
-	return r.ticket
+// poll sends a poll and returns its ticket.
+func (h *harness) poll(proxy string, wait logic.Millis, held ...tables.Tag) Ticket {
+	h.ticket++
+	h.handle(Poll{Ticket: h.ticket, Proxy: proxy, Zone: "a", Wait: wait, Held: held, WantsDelta: true})
+	return h.ticket
 }
 
-func (r *harness) wantAnswer(t Ticket, kind AnswerKind) *tables.Document {
-	r.t.Helper()
-	a, there := r.answers[t]
+// wantAnswer fails the test unless a ticket is answered with the given kind, and returns the document of the answer.
+func (h *harness) wantAnswer(t Ticket, kind AnswerKind) *tables.Document {
+	h.t.Helper()
+	a, there := h.answers[t]
 	if !there || a.Kind != kind {
-		r.t.Fatalf("ticket %d: answered %v with kind %d (%s), wanted %d", t, there, a.Kind, a.Why, kind)
+		h.t.Fatalf("ticket %d: answered: %v, kind %d (%s), want kind %d", t, there, a.Kind, a.Why, kind)
 	}
 	return a.Doc
 }
 
+// upHosts returns a host list of n hosts that are up.
 func upHosts(n int) (out []HostEntry) {
 	for i := range n {
 		out = append(out, HostEntry{ID: fmt.Sprintf("h%d", i), Address: tables.Address(fmt.Sprintf("10.0.0.%d:80", i)), Zone: "a",
@@ -161,39 +172,39 @@
 	return out
 }
 
-// settled gives a rig whose slices all have lines, and a document that a proxy of it holds.
+// settledHarness returns a harness whose slices all have lines, and the document that its proxy p1 holds.
 func settledHarness(t *testing.T, hosts int) (*harness, *tables.Document) {
-	r := newHarness(t, testService(8), SavedState{})
-	r.handle(HostList{upHosts(hosts)})
-	r.advance(1500)
-	d := r.wantAnswer(r.poll("p1", 0), Full)
+	h := newHarness(t, testService(8), SavedState{})
+	h.handle(HostList{upHosts(hosts)})
+	h.advance(1500)
+	d := h.wantAnswer(h.poll("p1", 0), Full)
 	for name, table := range d.Tables {
 		if len(table.Lines) == 0 {
 			t.Fatalf("table %s has no lines", name)
 		}
 	}
-	// Levels are stated to a proxy that joins; from then on all is quiet.
+	// Levels are sent to a proxy that joins; after that, no further versions follow.
 	for range 4 {
-		r.advance(900)
-		if a := r.answers[r.poll("p1", 0, d.Tag())]; a.Doc != nil {
+		h.advance(900)
+		if a := h.answers[h.poll("p1", 0, d.Tag())]; a.Doc != nil {
 			d = a.Doc
 		}
 	}
-	return r, d
+	return h, d
 }
 
 func TestAPollWaitsForAChangeAndGetsTheDifference(t *testing.T) {
-	r, d := settledHarness(t, 4)
-	waits := r.poll("p1", 20000, d.Tag())
-	r.advance(1000)
-	if _, there := r.answers[waits]; there {
-		t.Fatalf("answered though nothing changed: %+v", r.answers[waits])
+	h, d := settledHarness(t, 4)
+	pending := h.poll("p1", 20000, d.Tag())
+	h.advance(1000)
+	if _, there := h.answers[pending]; there {
+		t.Fatalf("answered though nothing changed: %+v", h.answers[pending])
 	}
 	list := upHosts(4)
 	list[0].State = logic.Draining
-	r.handle(HostList{list})
-	r.advance(1500)
-	got := r.wantAnswer(waits, Delta)
+	h.handle(HostList{list})
+	h.advance(1500)
+	got := h.wantAnswer(pending, Delta)
 	if !got.Masked["10.0.0.0:80"] {
 		for _, table := range got.Tables {
 			if table.Lines["10.0.0.0:80"] > 0 {
@@ -201,67 +212,67 @@
 			}
 		}
 	}
-	made, err := tables.Apply(d, r.answers[waits].Patch)
+	made, err := tables.Apply(d, h.answers[pending].Patch)
 	if err != nil || made.Tag() != got.Tag() {
-		t.Fatalf("%v: %v, wanted %v", err, made.Tag(), got.Tag())
+		t.Fatalf("%v: tag %v, want %v", err, made.Tag(), got.Tag())
 	}
 }
 
 func TestAPollThatWaitedLongEnoughIsAnswered(t *testing.T) {
-	r, d := settledHarness(t, 4)
-	waits := r.poll("p1", 1000, d.Tag())
-	r.advance(900)
-	if _, there := r.answers[waits]; there {
-		t.Fatal("answered early")
+	h, d := settledHarness(t, 4)
+	pending := h.poll("p1", 1000, d.Tag())
+	h.advance(900)
+	if _, there := h.answers[pending]; there {
+		t.Fatal("poll answered before its wait was over")
 	}
-	r.advance(200)
-	r.wantAnswer(waits, Unchanged)
+	h.advance(200)
+	h.wantAnswer(pending, Unchanged)
 }
 
 func TestNothingIsToldBeforeItIsStored(t *testing.T) {
-	r, d := settledHarness(t, 4)
-	waits := r.poll("p1", 20000, d.Tag())
-	r.holdWrites = true
+	h, d := settledHarness(t, 4)
+	pending := h.poll("p1", 20000, d.Tag())
+	h.holdWrites = true
 	list := upHosts(4)
 	list[0].State = logic.Draining
-	r.handle(HostList{list})
-	r.advance(1500)
-	if _, there := r.answers[waits]; there {
-		t.Fatal("told what is not stored")
+	h.handle(HostList{list})
+	h.advance(1500)
+	if _, there := h.answers[pending]; there {
+		t.Fatal("poll answered with a version that is not stored")
 	}
-	// One that joins meanwhile gets what is stored, and the rest with the others.
-	joins := r.wantAnswer(r.poll("p2", 0), Full)
-	if joins.Step > r.store.Step {
-		t.Fatalf("joined at %d, stored is %d", joins.Step, r.store.Step)
+	// A proxy that joins in the meantime gets the stored version, and the next ones together with the others.
+	joined := h.wantAnswer(h.poll("p2", 0), Full)
+	if joined.Step > h.store.Step {
+		t.Fatalf("proxy joined at version %d, but only %d is stored", joined.Step, h.store.Step)
 	}
-	later := r.poll("p2", 20000, joins.Tag())
-	r.holdWrites = false
-	r.advance(1500)
-	r.wantAnswer(waits, Delta)
-	if got := r.wantAnswer(later, Delta); got.Step < r.answers[waits].Doc.Step {
-		t.Fatalf("the one that joined meanwhile is at %d, the other at %d", got.Step, r.answers[waits].Doc.Step)
+	later := h.poll("p2", 20000, joined.Tag())
+	h.holdWrites = false
+	h.advance(1500)
+	h.wantAnswer(pending, Delta)
+	if got := h.wantAnswer(later, Delta); got.Step < h.answers[pending].Doc.Step {
+		t.Fatalf("the proxy that joined later is at version %d, the other at %d", got.Step, h.answers[pending].Doc.Step)
 	}
 }
 
-func TestAStartBeforeItsOpeningIsStoredTellsNothing(t *testing.T) {
-	r := &harness{t: t, now: 1e12, holdWrites: true, answers: map[Ticket]Answer{}, store: SavedState{Line: 42,
+func TestNothingIsPublishedBeforeTheFirstStepIsStored(t *testing.T) {
+	h := &harness{t: t, now: 1e12, holdWrites: true, answers: map[Ticket]Answer{}, store: SavedState{Line: 42,
 		Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}}
-	r.startCore(testService(8))
-	early := r.poll("p1", 0)
-	r.advance(300)
-	if _, there := r.answers[early]; there {
-		t.Fatal("told before the opening step is stored")
+	h.startCore(testService(8))
+	early := h.poll("p1", 0)
+	h.advance(300)
+	if _, there := h.answers[early]; there {
+		t.Fatal("poll answered before the first step is stored")
 	}
-	r.holdWrites = false
-	r.advance(300)
-	r.wantAnswer(early, Full)
+	h.holdWrites = false
+	h.advance(300)
+	h.wantAnswer(early, Full)
 }
 
 func TestAStartOverGoesOnFromTheStoredVersion(t *testing.T) {
-	r, d := settledHarness(t, 4)
-	again := newHarness(t, testService(8), r.store)
-	if again.now = r.now + 500; again.c.Stats().Step <= d.Step {
-		t.Fatalf("starts at %d after %d", again.c.Stats().Step, d.Step)
+	h, d := settledHarness(t, 4)
+	again := newHarness(t, testService(8), h.store)
+	if again.now = h.now + 500; again.c.Stats().Step <= d.Step {
+		t.Fatalf("restarted at step %d after step %d", again.c.Stats().Step, d.Step)
 	}
 	got := again.wantAnswer(again.poll("p1", 0, d.Tag()), Delta)
 	if got.Step <= d.Step || len(got.Tables) != 8 {
@@ -270,167 +281,169 @@
 	for name, table := range d.Tables {
 		for a, w := range table.Lines {
 			if got.Tables[name].Lines[a] != w {
-				t.Fatalf("table %s changed at a start", name)
+				t.Fatalf("table %s changed at a restart", name)
 			}
 		}
 	}
-	// One that missed versions which nobody keeps any more gets the whole.
+	// A proxy whose version is no longer kept as a base gets the full document.
 	again.wantAnswer(again.poll("p2", 0, tables.Tag{Line: 42, Step: 1, Digest: 1}), Full)
 }
 
 func TestANewerPollTakesThePlaceOfTheOneThatWaits(t *testing.T) {
-	r, d := settledHarness(t, 4)
-	first := r.poll("p1", 20000, d.Tag())
-	second := r.poll("p1", 20000, d.Tag())
-	r.wantAnswer(first, Replaced)
-	if _, there := r.answers[second]; there {
-		t.Fatal("the newer one was answered")
+	h, d := settledHarness(t, 4)
+	first := h.poll("p1", 20000, d.Tag())
+	second := h.poll("p1", 20000, d.Tag())
+	h.wantAnswer(first, Replaced)
+	if _, there := h.answers[second]; there {
+		t.Fatal("the newer poll was answered")
 	}
-	r.handle(Disconnected{Ticket: first, Proxy: "p1"}) // its connection closes later; that is no leaving
-	if r.c.Stats().Joined != 1 {
-		t.Fatal("left by a poll that was answered already")
+	// The connection of the replaced poll closes later, which does not mean that the proxy has left.
+	h.handle(Disconnected{Ticket: first, Proxy: "p1"})
+	if h.c.Stats().Joined != 1 {
+		t.Fatal("the proxy left when the connection of a replaced poll closed")
 	}
-	r.handle(Disconnected{Ticket: second, Proxy: "p1"})
-	if r.c.Stats().Joined != 0 {
-		t.Fatal("a broken connection is no leaving")
+	h.handle(Disconnected{Ticket: second, Proxy: "p1"})
+	if h.c.Stats().Joined != 0 {
+		t.Fatal("the proxy did not leave when its connection closed")
 	}
 }
 
 func TestAProxyLeavesWhenItPollsNoMore(t *testing.T) {
-	r, _ := settledHarness(t, 4)
-	r.advance(1900)
-	if r.c.Stats().Joined != 1 {
-		t.Fatal("left before its lease was over")
+	h, _ := settledHarness(t, 4)
+	h.advance(1900)
+	if h.c.Stats().Joined != 1 {
+		t.Fatal("the proxy left before its lease expired")
 	}
-	r.advance(300)
-	if r.c.Stats().Joined != 0 {
-		t.Fatal("stayed past its lease")
+	h.advance(300)
+	if h.c.Stats().Joined != 0 {
+		t.Fatal("the proxy stayed after its lease expired")
 	}
 }
 
 func TestRefusals(t *testing.T) {
-	r, _ := settledHarness(t, 4)
-	r.wantAnswer(r.poll("nobody", 0), Unknown)
-	r.ticket++
-	r.handle(Poll{Ticket: r.ticket, Proxy: "p1", Zone: "nowhere"})
-	r.wantAnswer(r.ticket, Invalid)
+	h, _ := settledHarness(t, 4)
+	h.wantAnswer(h.poll("nobody", 0), Unknown)
+	h.ticket++
+	h.handle(Poll{Ticket: h.ticket, Proxy: "p1", Zone: "nowhere"})
+	h.wantAnswer(h.ticket, Invalid)
 	for i := range 4 {
-		r.poll(fmt.Sprintf("p%d", i+1), 0)
+		h.poll(fmt.Sprintf("p%d", i+1), 0)
 	}
-	r.wantAnswer(r.poll("p9", 0), Unknown) // all numbers are taken by joined ones
-	r.advance(2200)
-	r.wantAnswer(r.poll("p9", 0), Full) // and one is free once some have left
+	h.wantAnswer(h.poll("p9", 0), Unknown) // all numbers belong to joined proxies
+	h.advance(2200)
+	h.wantAnswer(h.poll("p9", 0), Full) // numbers are free again once some proxies have left
 	for want, report := range map[AnswerKind]Report{
 		Unknown: {Proxy: "p2"}, Invalid: {Proxy: "p9", Calls: []RouteCalls{{Route: "no", Table: "1", Calls: 1}}},
 		Accepted: {Proxy: "p9", Calls: []RouteCalls{{Route: "read", Table: "1", Calls: 1}}}} {
-		r.ticket++
-		report.Ticket = r.ticket
-		r.handle(report)
-		r.wantAnswer(r.ticket, want)
+		h.ticket++
+		report.Ticket = h.ticket
+		h.handle(report)
+		h.wantAnswer(h.ticket, want)
 	}
-	r.ticket++
-	r.handle(Report{Ticket: r.ticket, Proxy: "p9", Calls: []RouteCalls{{Route: "read", Table: "8", Calls: 1}}})
-	r.wantAnswer(r.ticket, Invalid)
+	h.ticket++
+	h.handle(Report{Ticket: h.ticket, Proxy: "p9", Calls: []RouteCalls{{Route: "read", Table: "8", Calls: 1}}})
+	h.wantAnswer(h.ticket, Invalid)
 }
 
 func TestARepeatedReportCountsOnce(t *testing.T) {
-	r, _ := settledHarness(t, 4)
+	h, _ := settledHarness(t, 4)
 	for range 2 {
-		r.ticket++
-		r.handle(Report{Ticket: r.ticket, Proxy: "p1", Key: "k-1", Calls: []RouteCalls{{Route: "read", Table: "3", Calls: 5}}})
-		r.wantAnswer(r.ticket, Accepted)
+		h.ticket++
+		h.handle(Report{Ticket: h.ticket, Proxy: "p1", Key: "k-1", Calls: []RouteCalls{{Route: "read", Table: "3", Calls: 5}}})
+		h.wantAnswer(h.ticket, Accepted)
 	}
-	if f := r.c.Stats(); f.Reports != 1 || f.RepeatedReports != 1 {
+	if f := h.c.Stats(); f.Reports != 1 || f.RepeatedReports != 1 {
 		t.Fatalf("%+v", f)
 	}
 }
 
-// A message counts as applied when the proxy's next poll shows it, and not before.
+// An update is acknowledged only by a later poll that shows its version, not by the answer that carried it.
 func TestThePollIsTheAcknowledgement(t *testing.T) {
-	r, d := settledHarness(t, 4)
-	waits := r.poll("p1", 20000, d.Tag())
+	h, d := settledHarness(t, 4)
+	pending := h.poll("p1", 20000, d.Tag())
 	list := upHosts(4)
 	list[0].State = logic.Draining
-	r.handle(HostList{list})
-	r.advance(1500)
-	got := r.wantAnswer(waits, Delta)
-	var st *joinedProxy
-	for _, s := range r.c.proxies {
-		st = s
-	}
-	if len(st.unacknowledged) == 0 {
-		t.Fatal("owes nothing before it has polled again")
-	}
-	r.poll("p1", 0, d.Tag()) // it lost the answer
-	if len(st.unacknowledged) == 0 {
-		t.Fatal("an old version was taken for an acknowledgement")
-	}
-	before := len(st.unacknowledged)
-	if a := r.answers[r.poll("p1", 20000, got.Tag())]; len(st.unacknowledged) >= before {
-		t.Fatalf("still owes %d", len(st.unacknowledged))
-	} else if a.Doc != nil { // more had come meanwhile
-		if r.poll("p1", 20000, a.Doc.Tag()); len(st.unacknowledged) != 0 {
-			t.Fatalf("still owes %d", len(st.unacknowledged))
+	h.handle(HostList{list})
+	h.advance(1500)
+	got := h.wantAnswer(pending, Delta)
+	var p *joinedProxy
+	for _, s := range h.c.proxies {
+		p = s
+	}
+	if len(p.unacknowledged) == 0 {
+		t.Fatal("update acknowledged before the next poll")
+	}
+	h.poll("p1", 0, d.Tag()) // the answer was lost
+	if len(p.unacknowledged) == 0 {
+		t.Fatal("update acknowledged by a poll that holds an older version")
+	}
+	before := len(p.unacknowledged)
+	if a := h.answers[h.poll("p1", 20000, got.Tag())]; len(p.unacknowledged) >= before {
+		t.Fatalf("%d updates still unacknowledged", len(p.unacknowledged))
+	} else if a.Doc != nil { // a further version had been published
+		if h.poll("p1", 20000, a.Doc.Tag()); len(p.unacknowledged) != 0 {
+			t.Fatalf("%d updates still unacknowledged", len(p.unacknowledged))
 		}
 	}
 }
 
-// Without slices a proxy is bound to tables, and goes by its old ones over a start until it is bound anew.
+// Without slices, proxies are bound to tables of their own. After a restart a proxy keeps its old tables until it is
+// bound again.
 func TestProxiesWithTablesOfTheirOwn(t *testing.T) {
 	svc := testService(0)
-	r := newHarness(t, svc, SavedState{})
-	r.handle(HostList{upHosts(5)})
-	r.advance(500)
-	first := r.wantAnswer(r.poll("p1", 0), Full)
-	wait := r.poll("p1", 20000, first.Tag())
-	r.advance(2000)
-	d := r.answers[wait].Doc
+	h := newHarness(t, svc, SavedState{})
+	h.handle(HostList{upHosts(5)})
+	h.advance(500)
+	first := h.wantAnswer(h.poll("p1", 0), Full)
+	pending := h.poll("p1", 20000, first.Tag())
+	h.advance(2000)
+	d := h.answers[pending].Doc
 	if d == nil || d.Routes["read"].Table == "" || len(d.Tables[d.Routes["read"].Table].Lines) == 0 {
-		t.Fatalf("not bound: %s", first.Whole())
+		t.Fatalf("proxy not bound to a table: %s", first.Whole())
 	}
-	again := newHarness(t, svc, r.store)
+	again := newHarness(t, svc, h.store)
 	got := again.wantAnswer(again.poll("p1", 0, d.Tag()), Full)
 	if got.Routes["read"].Table != "was-read" || len(got.Tables["was-read"].Lines) == 0 || got.Step <= d.Step {
-		t.Fatalf("lost its table over a start: %s", got.Whole())
+		t.Fatalf("proxy lost its table at a restart: %s", got.Whole())
 	}
-	twice := newHarness(t, svc, again.store) // and over two in a row
+	twice := newHarness(t, svc, again.store) // also after two restarts in a row
 	if got = twice.wantAnswer(twice.poll("p1", 0), Full); len(got.Tables["was-read"].Lines) == 0 {
-		t.Fatalf("lost its table over two starts: %s", got.Whole())
+		t.Fatalf("proxy lost its table after two restarts: %s", got.Whole())
 	}
-	wait = twice.poll("p1", 20000, got.Tag())
+	pending = twice.poll("p1", 20000, got.Tag())
 	twice.handle(HostList{upHosts(5)})
 	twice.advance(2500)
-	if got = twice.answers[wait].Doc; got == nil || got.Routes["read"].Table == "was-read" {
-		t.Fatalf("not bound anew: %v", twice.answers[wait])
+	if got = twice.answers[pending].Doc; got == nil || got.Routes["read"].Table == "was-read" {
+		t.Fatalf("proxy not bound again: %v", twice.answers[pending])
 	}
 }
 
 func TestTheSameInputsGiveTheSameAnswers(t *testing.T) {
 	play := func() string {
-		r, d := settledHarness(t, 5)
+		h, d := settledHarness(t, 5)
 		for i := range 5 {
 			list := upHosts(5)
 			list[i].State = logic.Draining
-			r.poll("p1", 20000, d.Tag())
-			r.handle(HostList{list})
-			r.advance(2000)
+			h.poll("p1", 20000, d.Tag())
+			h.handle(HostList{list})
+			h.advance(2000)
 		}
-		return string(r.c.document(r.c.current, 0).Whole()) + fmt.Sprint(len(r.answers))
+		return string(h.c.document(h.c.current, 0).Whole()) + fmt.Sprint(len(h.answers))
 	}
 	if a, b := play(), play(); a != b {
 		t.Fatalf("%s\n%s", a, b)
 	}
 }
 
-// The channel never holds more than the limit, also where all that was listed drains at once.
+// The channel never queues more lines than its limit, even when many hosts drain at once.
 func TestTheQueueStaysShort(t *testing.T) {
-	r := newHarness(t, testService(8), SavedState{})
-	r.handle(HostList{upHosts(12)})
-	r.advance(1500)
+	h := newHarness(t, testService(8), SavedState{})
+	h.handle(HostList{upHosts(12)})
+	h.advance(1500)
 	tag := map[string]tables.Tag{}
 	for i := range 4 {
 		p := fmt.Sprintf("p%d", i)
-		tag[p] = r.wantAnswer(r.poll(p, 0), Full).Tag()
+		tag[p] = h.wantAnswer(h.poll(p, 0), Full).Tag()
 	}
 	for round := range 10 {
 		list := upHosts(12)
@@ -439,79 +452,79 @@
 		}
 		tickets := map[string]Ticket{}
 		for p, held := range tag {
-			tickets[p] = r.poll(p, 20000, held)
+			tickets[p] = h.poll(p, 20000, held)
 		}
-		r.handle(HostList{list})
-		r.advance(700)
+		h.handle(HostList{list})
+		h.advance(700)
 		for p, ticket := range tickets {
-			if a, there := r.answers[ticket]; there {
+			if a, there := h.answers[ticket]; there {
 				tag[p] = a.Doc.Tag()
 			}
 		}
 	}
-	if f := r.c.Stats(); f.MaxQueuedLines > f.QueueLimit || f.MaxQueuedLines == 0 {
-		t.Fatalf("%v lines waited, of %v", f.MaxQueuedLines, f.QueueLimit)
+	if f := h.c.Stats(); f.MaxQueuedLines > f.QueueLimit || f.MaxQueuedLines == 0 {
+		t.Fatalf("maximum of queued lines is %v, limit %v", f.MaxQueuedLines, f.QueueLimit)
 	}
 }
 
-// roll asks for a rollback to what a version held.
-func (r *harness) rollback(to SavedState, who string, since tables.Step, force bool) Answer {
-	r.ticket++
-	r.handle(Rollback{Ticket: r.ticket, To: to.Step, Content: to.Tables, Since: since, Who: who, Why: "test", Force: force})
-	return r.answers[r.ticket]
+// rollback requests a rollback to the content of a version and returns the answer.
+func (h *harness) rollback(to SavedState, who string, since tables.Step, force bool) Answer {
+	h.ticket++
+	h.handle(Rollback{Ticket: h.ticket, To: to.Step, Content: to.Tables, Since: since, Who: who, Why: "test", Force: force})
+	return h.answers[h.ticket]
 }
 
-// version keeps what is ordered now, as the history does.
-func (r *harness) currentState() SavedState {
-	s := SavedState{Step: r.c.current.step, Tables: map[logic.TableID]*tables.Table{}}
-	for id, t := range r.c.current.tables {
+// currentState returns the ordered step and its tables, as the history of the store has them.
+func (h *harness) currentState() SavedState {
+	s := SavedState{Step: h.c.current.step, Tables: map[logic.TableID]*tables.Table{}}
+	for id, t := range h.c.current.tables {
 		s.Tables[id] = t
 	}
 	return s
 }
 
-// A rollback is a new version with old content, held against the module until it is released; a pinned host that drains
-// goes out within the grace all the same, and nothing is bare.
+// A rollback is a new version with old content. Its tables stay pinned against the decision module until they are
+// released. A host in a pinned table that drains is still removed within the grace period, and no table becomes empty.
 func TestARollbackHoldsWhatTheRulesAllow(t *testing.T) {
-	r, d := settledHarness(t, 4)
-	old := r.currentState()
+	h, d := settledHarness(t, 4)
+	old := h.currentState()
 	list := upHosts(4)
 	list[0].State = logic.Draining
-	r.handle(HostList{list})
-	r.advance(2500)
+	h.handle(HostList{list})
+	h.advance(2500)
 	list[0].State = logic.Up
-	r.handle(HostList{list})
-	r.advance(6000)
-	r.wantAnswer(r.poll("p1", 0), Full)
-	before := r.c.current.step
-	a := r.rollback(old, "ann", before, true)
+	h.handle(HostList{list})
+	h.advance(6000)
+	h.wantAnswer(h.poll("p1", 0), Full)
+	before := h.c.current.step
+	a := h.rollback(old, "ann", before, true)
 	if a.Kind != Done || a.Body.(*Operated).Version <= before || len(a.Body.(*Operated).Tables) != 8 {
 		t.Fatalf("%+v", a)
 	}
-	r.advance(300)
-	got := r.wantAnswer(r.poll("p1", 0), Full)
+	h.advance(300)
+	got := h.wantAnswer(h.poll("p1", 0), Full)
 	for name, table := range got.Tables {
-		for h, w := range d.Tables[name].Lines {
-			if table.Lines[h] != w {
-				t.Fatalf("table %s: %v, wanted as in version %d: %v", name, table.Lines, old.Step, d.Tables[name].Lines)
+		for host, w := range d.Tables[name].Lines {
+			if table.Lines[host] != w {
+				t.Fatalf("table %s: %v, want as in version %d: %v", name, table.Lines, old.Step, d.Tables[name].Lines)
 			}
 		}
 	}
 	list[1].State = logic.Draining
-	r.handle(HostList{list})
-	r.advance(300)
-	got = r.wantAnswer(r.poll("p1", 0), Full)
+	h.handle(HostList{list})
+	h.advance(300)
+	got = h.wantAnswer(h.poll("p1", 0), Full)
 	for name, table := range got.Tables {
 		if table.Lines["10.0.0.1:80"] > 0 || len(table.Lines) == 0 {
-			t.Fatalf("table %s: %v though host 1 drains", name, table.Lines)
+			t.Fatalf("table %s: %v, but host 1 drains", name, table.Lines)
 		}
 	}
-	// A start over holds on to the pins.
-	again := newHarness(t, testService(8), r.store)
+	// Pins survive a restart.
+	again := newHarness(t, testService(8), h.store)
 	again.handle(HostList{list})
 	again.advance(3000)
 	if got := again.wantAnswer(again.poll("p1", 0), Full); len(again.c.pinned) != 8 || got.Tables["0"].Lines["10.0.0.1:80"] > 0 {
-		t.Fatalf("%d are pinned after a start over: %s", len(again.c.pinned), got.Whole())
+		t.Fatalf("%d tables are pinned after a restart: %s", len(again.c.pinned), got.Whole())
 	}
 	again.ticket++
 	again.handle(Release{Ticket: again.ticket, Who: "ann", Why: "test"})
@@ -519,42 +532,42 @@
 	again.handle(HostList{list})
 	again.advance(2000)
 	if len(again.c.pinned) != 0 || again.store.Pinned == nil || len(again.store.Pinned) != 0 {
-		t.Fatal("still pinned after the release")
+		t.Fatal("tables still pinned after the release")
 	}
-	for id, table := range again.c.current.tables { // the module has them again, and moves them
+	for id, table := range again.c.current.tables { // the decision module controls the tables again
 		if table.Lines["10.0.0.2:80"] > 0 && !again.c.current.masked["10.0.0.2:80"] {
-			t.Fatalf("table %d stays on a host that drains: %v", id, table.Lines)
+			t.Fatalf("table %d still has a host that drains: %v", id, table.Lines)
 		}
 	}
 }
 
 func TestRollbacksThatAreRefused(t *testing.T) {
-	r, _ := settledHarness(t, 4)
-	old := r.currentState()
+	h, _ := settledHarness(t, 4)
+	old := h.currentState()
 	moved := SavedState{Step: old.Step, Tables: map[logic.TableID]*tables.Table{}}
 	for id, table := range old.Tables {
 		lines := map[tables.Address]float64{"10.0.0.0:80": 1}
 		moved.Tables[id] = &tables.Table{From: table.From, To: table.To, Lines: lines}
 	}
-	if a := r.rollback(moved, "ann", old.Step, false); a.Kind != Refused || a.Body.(*Operated).Moved <= mostMoved || len(r.c.pinned) > 0 {
-		t.Errorf("moves too much: %+v", a)
+	if a := h.rollback(moved, "ann", old.Step, false); a.Kind != Refused || a.Body.(*Operated).Moved <= mostMoved || len(h.c.pinned) > 0 {
+		t.Errorf("rollback that moves too many slices: %+v", a)
 	}
-	if a := r.rollback(old, "", old.Step, false); a.Kind != Invalid {
-		t.Errorf("nobody asks: %+v", a)
+	if a := h.rollback(old, "", old.Step, false); a.Kind != Invalid {
+		t.Errorf("rollback without an operator: %+v", a)
 	}
-	if a := r.rollback(old, "ann", old.Step, false); a.Kind != Done {
+	if a := h.rollback(old, "ann", old.Step, false); a.Kind != Done {
 		t.Errorf("%+v", a)
 	}
-	if a := r.rollback(moved, "bob", old.Step, true); a.Kind != Conflict {
-		t.Errorf("two at once: %+v", a)
+	if a := h.rollback(moved, "bob", old.Step, true); a.Kind != Conflict {
+		t.Errorf("conflicting rollbacks: %+v", a)
 	}
 	gone := upHosts(4)
 	for i := range gone {
 		gone[i].State = logic.Gone
 	}
-	r.handle(HostList{gone})
-	if a := r.rollback(old, "bob", r.c.current.step, true); a.Kind != Refused {
-		t.Errorf("leaves tables bare: %+v", a)
+	h.handle(HostList{gone})
+	if a := h.rollback(old, "bob", h.c.current.step, true); a.Kind != Refused {
+		t.Errorf("rollback that leaves tables empty: %+v", a)
 	}
 	own := testService(0)
 	if a := newHarness(t, own, SavedState{}).rollback(old, "ann", 9, true); a.Kind != Invalid {
@@ -562,29 +575,29 @@
 	}
 }
 
-// A rollback while a publish is half out: what was ordered before it goes out before it, no proxy sees the old content
-// after the new one, and all end on the rollback.
+// A rollback during the publication of another version: versions that were ordered before the rollback are published
+// before it, no proxy goes back to an older version, and all proxies end on the rollback.
 func TestARollbackAmidAPublish(t *testing.T) {
-	r, d := settledHarness(t, 4)
-	old := r.currentState()
-	waits := r.poll("p1", 20000, d.Tag())
-	r.holdWrites = true // ordered, and not yet stored
+	h, d := settledHarness(t, 4)
+	old := h.currentState()
+	pending := h.poll("p1", 20000, d.Tag())
+	h.holdWrites = true // the next version is ordered but not stored
 	list := upHosts(4)
 	list[0].State = logic.Draining
-	r.handle(HostList{list})
-	r.advance(600)
-	half := r.c.current.step
+	h.handle(HostList{list})
+	h.advance(600)
+	half := h.c.current.step
 	list[0].State = logic.Up
-	r.handle(HostList{list})
-	if a := r.rollback(old, "ann", half, true); a.Kind != Done || a.Body.(*Operated).Version <= half {
+	h.handle(HostList{list})
+	if a := h.rollback(old, "ann", half, true); a.Kind != Done || a.Body.(*Operated).Version <= half {
 		t.Fatalf("%+v", a)
 	}
-	final := r.c.current.step
-	r.holdWrites = false
+	final := h.c.current.step
+	h.holdWrites = false
 	seen, tag := d.Step, d.Tag()
 	for range 20 {
-		r.advance(100)
-		a, there := r.answers[waits]
+		h.advance(100)
+		a, there := h.answers[pending]
 		if !there {
 			continue
 		}
@@ -592,16 +605,16 @@
 			t.Fatalf("version %d after %d", a.Doc.Step, seen)
 		}
 		seen, tag = a.Doc.Step, a.Doc.Tag()
-		waits = r.poll("p1", 20000, tag)
+		pending = h.poll("p1", 20000, tag)
 	}
 	if seen < final {
-		t.Fatalf("ended on %d, the rollback is %d", seen, final)
+		t.Fatalf("proxy ended on version %d, the rollback is version %d", seen, final)
 	}
-	got := r.c.bases[tag]
+	got := h.c.bases[tag]
 	for name, table := range d.Tables {
-		for h, w := range table.Lines {
-			if got.Tables[name].Lines[h] != w {
-				t.Fatalf("table %s: %v, wanted %v", name, got.Tables[name].Lines, table.Lines)
+		for host, w := range table.Lines {
+			if got.Tables[name].Lines[host] != w {
+				t.Fatalf("table %s: %v, want %v", name, got.Tables[name].Lines, table.Lines)
 			}
 		}
 	}
--- a/internal/control/streams.go
+++ b/internal/control/streams.go
@@ -12,9 +12,9 @@
 	"vetchwood/logic"
 )
 
-// joinedProxy is a proxy that polls. Its polls are pending in a lot (package park); the core decides which documents the
-// lot may answer with. Steps that were ordered before the proxy joined send it no messages, so it gets the documents up
-// to catchUpTo as they are stored.
+// joinedProxy is a proxy that polls. Its polls are pending in a lot (package park); the core decides which documents
+// the lot may answer with. Steps that were ordered before the proxy joined send it no messages, so it gets the
+// documents up to catchUpTo as they are stored.
 type joinedProxy struct {
 	name           string
 	zone           string
@@ -23,16 +23,16 @@
 	acknowledged   tables.Step                    // version that the proxy holds by its latest poll; 0: none that is known
 	unacknowledged []*documentUpdate              // updates that have left the channel and are not yet acknowledged
 	lastReportKey  string                         // Key of the latest load report
-	catchUpTo      tables.Step                    // newest version that was ordered when it joined
+	catchUpTo      tables.Step                    // newest version ordered at the time of joining
 	heldStep       versions.Member[logic.ProxyID] // its place in Core.heldSteps
 }
 
 // documentUpdate is the body of a message, shared by all proxies that get the same document.
 type documentUpdate struct {
 	doc       *tables.Document
-	serial    logic.SerialID
-	stamped   bool
-	orderedAt logic.Millis // time of the order
+	serial    logic.SerialID // number that acknowledges the orders, if stamped
+	stamped   bool           // the decision module expects an acknowledgement
+	orderedAt logic.Millis   // time of the order
 }
 
 // join adds a proxy and passes the stored document to its lot.
@@ -41,7 +41,7 @@
 	if !ok {
 		c.stats.Refused++
 		c.out = append(c.out, park.Turned{Proxy: j.Proxy, Visit: j.Visit, Kind: Unknown,
-			Why: "proxy " + strconv.Quote(j.Proxy) + " does not match the settings, or the maximum of proxies has joined"})
+			Why: "proxy " + strconv.Quote(j.Proxy) + " does not match the settings, or the maximum number has joined"})
 		return
 	}
 	if c.proxies[id] != nil {
--- a/internal/control/types.go
+++ b/internal/control/types.go
@@ -134,7 +134,7 @@
 type Change struct {
 	Who, Why    string                `json:",omitempty"`
 	From        tables.Step           `json:",omitempty"` // the version that a rollback restores
-	OldestInUse tables.Step           `json:"-"`          // the oldest version that a joined proxy holds; the history keeps it
+	OldestInUse tables.Step           `json:"-"`          // the oldest version held by a joined proxy; kept in the history
 	Pinned      map[logic.TableID]Pin // all pins, where one has changed
 	Line        tables.Line
 	Step        tables.Step
@@ -221,7 +221,7 @@
 	QueuedLines, MaxQueuedLines, QueueLimit float64
 	MaxMessagesInWindow                     int // most messages to one proxy within Config.MessageWindow
 	Reports, RepeatedReports, Refused       uint64
-	Removals                                uint64      // versions that removed a host from all tables, each behind a barrier
+	Removals                                uint64      // versions that removed a host from all tables; each raises a barrier
 	OldestHeld                              tables.Step // oldest version that a joined proxy holds
 	ProxiesBehind                           int         // proxies that hold a version older than the stored one
 	CheckFailures                           uint64      // faults that checks found before publishing
