--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -27,7 +27,7 @@
 // maxWatchers limits the pending watches. Each costs a comparison per version.
 const maxWatchers = 200
 
-// watch adds a pending watch, and answers it at once if its client holds an older version.
+// watch adds a pending watch, and answers it at once if its client does not hold the stored version.
 func (c *Core) watch(now logic.Millis, w Watch) {
 	switch {
 	case c.svc.Config.Slices == 0:
@@ -47,8 +47,8 @@
 	c.answerWatchers(now)
 }
 
-// answerWatchers answers the watches whose clients hold an older version or whose time is over. It answers nothing
-// before the first step of this start is stored, nor while the lots are closed.
+// answerWatchers answers the watches whose clients do not hold the stored version or whose time is over. It answers
+// nothing before the first step of this start is stored, nor while the lots are closed.
 func (c *Core) answerWatchers(now logic.Millis) {
 	if len(c.watchers) == 0 || c.stored.step < c.firstStep || c.view.closed {
 		return
