--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -15,74 +15,80 @@
 	"vetchwood/logic"
 )
 
-// Core is one director's.
+// Core is the state of one director.
 type Core struct {
-	svc       Service
-	module    *logic.Director
-	names     *names
-	line      tables.Line
-	world     *snapshot   // as ordered
-	stored    *snapshot   // the newest that would outlive a crash
-	opening   tables.Step // the first of this start
-	unsaved   []*step
-	channel   *channel.Channel
-	intake    *sums.Aggregator
-	streams   map[logic.ProxyID]*stream
-	ids       []logic.ProxyID // joined, in order
-	stands    versions.Index[logic.ProxyID]
-	readers   map[logic.ProxyID]bool // that read what was ordered before they joined as it is stored
-	kept      map[tables.Tag]*tables.Document
-	oldest    []tables.Tag
-	shown     shown
-	behind    []*step // stored, and held back until a removal has been shown to all lots
-	timers    []timer
-	routes    map[string]logic.RouteID
-	listed    map[tables.Address]bool
-	swept     logic.Millis
-	last      *tables.Document // the newest that was kept
-	list0     []Listed         // the list as it was told last
-	pinned    map[logic.TableID]Pin
-	operated  tables.Step // the newest version by an operator
-	cause     pinCause
-	onlookers map[Ticket]onlooker
-	custody   *sliceOwnership // nil: all slices are ours
-	known     *localFacts
-	lost      logic.Millis // since when the list does not answer; 0: it does
-	given     logic.Millis // when slices came last
-	asked     logic.Millis // when the others were asked last
-	believed  map[tables.Address]peerHostState
-	expected  map[logic.TableID][]expectedDemand
-	// healthFrom are hosts of which another's health was taken over; once is enough, or it would count again and again.
-	healthFrom map[tables.Address]bool
-	notes      []any
-	out        []any
-	figures    Figures
+	svc              Service
+	module           *logic.Director
+	ids              *idRegistry
+	line             tables.Line
+	current          *snapshot      // state as of the newest ordered step
+	stored           *snapshot      // state as of the newest durable step
+	firstStep        tables.Step    // the first step of this start
+	unsaved          []*pendingStep // ordered steps that are not yet durable, oldest first
+	channel          *channel.Channel
+	aggregator       *sums.Aggregator
+	proxies          map[logic.ProxyID]*joinedProxy
+	joined           []logic.ProxyID                 // numbers of the joined proxies, ascending
+	heldSteps        versions.Index[logic.ProxyID]   // joined proxies by the version that they hold
+	catchingUp       map[logic.ProxyID]bool          // proxies that have not received joinedProxy.catchUpTo yet
+	bases            map[tables.Tag]*tables.Document // documents that deltas may start from
+	baseTags         []tables.Tag                    // tags of bases, oldest first
+	view             lotView
+	heldBack         []*pendingStep // durable steps whose messages are held back until the barrier of a removal ends
+	timers           []timer
+	routeIDs         map[string]logic.RouteID
+	listed           map[tables.Address]bool // addresses of the host list
+	lastRefresh      logic.Millis            // time of the last refreshPeerStates
+	newestBase       *tables.Document        // document of the newest version in bases
+	hostList         []HostEntry             // as last reported by discovery
+	pinned           map[logic.TableID]Pin
+	lastOperatorStep tables.Step // the newest version that an operator ordered
+	changeCause      pinCause
+	watchers         map[Ticket]watcher
+	ownership        *sliceOwnership // nil: this director owns all slices
+	observations     *localFacts
+	listLostAt       logic.Millis                       // time at which discovery stopped answering; 0: it answers
+	slicesAssignedAt logic.Millis                       // time of the last assignment of slices to this director
+	peersQueriedAt   logic.Millis                       // time of the last query to other directors
+	peerStates       map[tables.Address]peerHostState   // host states taken over from other directors
+	expectedDemand   map[logic.TableID][]expectedDemand // demand of slices as their previous holders saw it
+	// healthAdopted holds the hosts whose health figures were taken over from another director. This is done once per
+	// host, since the same tries would otherwise be counted repeatedly.
+	healthAdopted map[tables.Address]bool
+	events        []any // events for the next call of the decision module
+	out           []any // outputs of the current call
+	stats         Stats
 }
 
+// timer is a pending timer of the decision module.
 type timer struct {
 	at logic.Millis
 	id logic.TimerID
 }
 
-// step is a world on its way to the store, with the messages that wait for it.
-type step struct {
-	world    *snapshot
-	messages []channel.Message
-	changed  []logic.TableID
-	removes  bool // a host from all tables
+// pendingStep is a step that is being stored, with the messages to send once it is durable.
+type pendingStep struct {
+	state       *snapshot
+	messages    []channel.Message
+	changed     []logic.TableID // tables that the step changes
+	removesHost bool            // the step removes a host from all tables
 }
 
-// New is a director's start. What it returns first must be carried out before the first Handle.
-func New(seed uint64, now logic.Millis, svc Service, saved Saved) (*Core, []any) {
-	f := svc.Facts
-	c := &Core{svc: svc, module: logic.New(seed, f), names: newNames(svc.Zones, f.Proxies, &saved), line: saved.Line,
-		channel: channel.New(f.LinesPerSecond, f.MessageWindow),
-		intake:  sums.New(f.Slices > 0, f.ReportInterval, f.ReportLinesPerSecond), streams: map[logic.ProxyID]*stream{},
-		readers: map[logic.ProxyID]bool{}, shown: shown{dirty: true, until: logic.Millis(math.Inf(1))}, kept: map[tables.Tag]*tables.Document{}, routes: map[string]logic.RouteID{},
-		listed: map[tables.Address]bool{}, known: newLocalFacts(now), onlookers: map[Ticket]onlooker{}, believed: map[tables.Address]peerHostState{},
-		expected: map[logic.TableID][]expectedDemand{}, healthFrom: map[tables.Address]bool{}}
+// New starts a director from its saved state. The caller carries out the returned outputs before the first call of
+// Handle.
+func New(seed uint64, now logic.Millis, svc Service, saved SavedState) (*Core, []any) {
+	f := svc.Config
+	c := &Core{svc: svc, module: logic.New(seed, f), ids: newIDRegistry(svc.Zones, f.Proxies, &saved), line: saved.Line,
+		channel:    channel.New(f.LinesPerSecond, f.MessageWindow),
+		aggregator: sums.New(f.Slices > 0, f.ReportInterval, f.ReportLinesPerSecond),
+		proxies:    map[logic.ProxyID]*joinedProxy{}, catchingUp: map[logic.ProxyID]bool{},
+		view:  lotView{dirty: true, validUntil: logic.Millis(math.Inf(1))},
+		bases: map[tables.Tag]*tables.Document{}, routeIDs: map[string]logic.RouteID{},
+		listed: map[tables.Address]bool{}, observations: newLocalFacts(now), watchers: map[Ticket]watcher{},
+		peerStates: map[tables.Address]peerHostState{}, expectedDemand: map[logic.TableID][]expectedDemand{},
+		healthAdopted: map[tables.Address]bool{}}
 	for i, r := range svc.Routes {
-		c.routes[r.Name] = logic.RouteID(i)
+		c.routeIDs[r.Name] = logic.RouteID(i)
 	}
 	w := &snapshot{step: saved.Step, at: saved.At, tables: saved.Tables, masked: saved.Masked, levels: saved.Levels,
 		bound: map[logic.ProxyID][]logic.TableID{}, carried: saved.Carried, docs: map[string]*tables.Document{}}
@@ -93,11 +99,11 @@
 		w.levels = append(w.levels, svc.Routes[r].Level)
 	}
 	w.levels = w.levels[:len(svc.Routes)]
-	c.world, c.stored = w, w
-	// Opening state is a step of its own, so that nothing is told that is not stored.
+	c.current, c.stored = w, w
+	// The initial state is a step of its own, so that only stored state is published.
 	d := c.newDraft(float64(now))
 	d.change.Levels = d.next.levels
-	if svc.Leased {
+	if svc.SlicesLeased {
 		d.dropAllSlices()
 	} else if f.Slices > 0 {
 		for t := range logic.TableID(f.Slices) {
@@ -115,35 +121,35 @@
 			}
 		}
 	} else {
-		d.carry(&saved)
+		d.carryOverTables(&saved)
 	}
-	c.notes = append(c.notes, logic.HostList{Kind: logic.HostListFromDisk, Entries: c.entries(saved.List, now)})
-	c.list0, c.pinned = saved.List, map[logic.TableID]Pin{}
+	c.events = append(c.events, logic.HostList{Kind: logic.HostListFromDisk, Entries: c.hostEntries(saved.List, now)})
+	c.hostList, c.pinned = saved.List, map[logic.TableID]Pin{}
 	maps.Copy(c.pinned, saved.Pinned)
 	for t := range logic.TableID(f.Slices) {
-		if _, held := c.pinned[t]; !held && !svc.Leased {
+		if _, held := c.pinned[t]; !held && !svc.SlicesLeased {
 			c.assignToModule(t, d.next)
 		}
 	}
 	for _, a := range slices.Sorted(maps.Keys(d.next.masked)) {
-		if k, known := c.names.hosts[a]; known {
-			c.notes = append(c.notes, logic.InheritedMask{Host: k.Number})
+		if k, known := c.ids.hosts[a]; known {
+			c.events = append(c.events, logic.InheritedMask{Host: k.Number})
 		}
 	}
 	c.out = nil
-	d.change.Known = c.names.hosts
-	if f.Slices > 0 && saved.Step > 0 && !svc.Leased {
-		c.keep(c.document(w, 0)) // most proxies hold it, and need no more than the difference
+	d.change.Known = c.ids.hosts
+	if f.Slices > 0 && saved.Step > 0 && !svc.SlicesLeased {
+		c.keepBase(c.document(w, 0)) // most proxies hold this document, so a delta is enough for them
 	}
-	c.world, c.opening = d.next, d.next.step
-	c.unsaved = append(c.unsaved, &step{world: d.next})
+	c.current, c.firstStep = d.next, d.next.step
+	c.unsaved = append(c.unsaved, &pendingStep{state: d.next})
 	c.out = append(c.out, Persist{d.change})
-	return c, c.take()
+	return c, c.takeOutputs()
 }
 
-// carry keeps what proxies with tables of their own held before the start: the module lays new ones from the
-// same numbers, and a proxy goes by the old until it is bound anew.
-func (d *draft) carry(saved *Saved) {
+// carryOverTables keeps the tables that proxies with their own tables held before the start. The decision module
+// assigns new tables under the same numbers, and a proxy follows its old tables until it is bound again.
+func (d *draft) carryOverTables(saved *SavedState) {
 	d.next.carried = map[logic.ProxyID]map[string]*tables.Table{}
 	for id, old := range saved.Carried {
 		d.next.carried[id] = maps.Clone(old)
@@ -169,42 +175,43 @@
 	d.next.tables = map[logic.TableID]*tables.Table{}
 }
 
-func (c *Core) say(e Event) { c.out = append(c.out, e) }
+// log emits an entry for the log.
+func (c *Core) log(e LogEvent) { c.out = append(c.out, e) }
 
-// take gives what is to be carried out, what all lots see first.
-func (c *Core) take() []any {
+// takeOutputs returns and clears the collected outputs. If the view of the lots has changed, it comes first.
+func (c *Core) takeOutputs() []any {
 	out := c.out
 	c.out = nil
-	if c.shown.dirty {
-		out = append([]any{c.publish()}, out...)
+	if c.view.dirty {
+		out = append([]any{c.publishView()}, out...)
 	}
 	return out
 }
 
-// Handle is all that happened up to a time; what it returns is to be carried out in order.
+// Handle processes the inputs that arrived up to now. The caller carries out the returned outputs in order.
 func (c *Core) Handle(now logic.Millis, in []any) []any {
 	for _, i := range in {
 		switch i := i.(type) {
 		case park.Join:
 			c.join(now, i)
 		case park.Holds:
-			c.acknowledged(now, i)
+			c.acknowledge(now, i)
 		case park.Leaves:
-			c.leaves(i)
+			c.handleLeave(i)
 		case park.Wants:
-			c.wants(i)
-		case Passed:
-			c.passed(now)
-		case Broke:
-			delete(c.onlookers, i.Ticket)
+			c.notifyStored(i)
+		case AnswersFlushed:
+			c.endBarrier(now)
+		case Disconnected:
+			delete(c.watchers, i.Ticket)
 		case Watch:
 			c.watch(now, i)
 		case Report:
 			c.report(now, i)
-		case List:
-			c.list(now, i.Hosts)
+		case HostList:
+			c.updateHosts(now, i.Hosts)
 		case Stored:
-			c.settle(now, i.Step)
+			c.advanceStored(now, i.Step)
 		case Rollback:
 			c.rollback(now, i)
 		case Release:
@@ -218,69 +225,70 @@
 		case PeerFacts:
 			c.applyPeerFacts(now, i)
 		case DiscoveryLost:
-			if c.lost == 0 {
-				c.lost = now
+			if c.listLostAt == 0 {
+				c.listLostAt = now
 			}
 		case LeaseDeadline:
 			c.setLeaseDeadline(now, i)
 		case PinsQuery:
 			c.answerPins(now, i.Ticket)
-		case Probed:
-			if k, known := c.names.hosts[i.Address]; known {
-				c.notes = append(c.notes, logic.ProbeResult{Host: k.Number, Latency: i.Spent, Healthy: i.Good, Load: i.Load})
+		case ProbeResult:
+			if k, known := c.ids.hosts[i.Address]; known {
+				c.events = append(c.events, logic.ProbeResult{Host: k.Number, Latency: i.Latency, Healthy: i.Healthy, Load: i.Load})
 			}
 		}
 	}
-	if named := c.names.fresh; len(named) > 0 { // once a turn: a whole fleet may come in one
-		c.names.fresh = map[logic.ProxyID]string{}
+	if named := c.ids.unstored; len(named) > 0 { // one write per call, as a whole fleet may join in one
+		c.ids.unstored = map[logic.ProxyID]string{}
 		c.out = append(c.out, Persist{Change{Line: c.line, Named: named}})
 	}
 	for _, m := range c.channel.PopDue(now) {
-		c.arrive(now, m)
+		c.deliver(now, m)
 	}
-	c.believe(now)
-	c.notes = append(c.notes, c.intake.Due(now)...)
+	c.refreshPeerStates(now)
+	c.events = append(c.events, c.aggregator.Due(now)...)
 	slices.SortStableFunc(c.timers, func(a, b timer) int { return cmp.Compare(a.at, b.at) })
 	for len(c.timers) > 0 && c.timers[0].at <= now {
-		c.notes = append(c.notes, logic.TimerFired{Timer: c.timers[0].id})
+		c.events = append(c.events, logic.TimerFired{Timer: c.timers[0].id})
 		c.timers = c.timers[1:]
 	}
-	if len(c.notes) > 0 {
-		notes := c.notes
-		c.notes = nil
-		c.carryOut(now, c.module.Handle(now, notes))
+	if len(c.events) > 0 {
+		events := c.events
+		c.events = nil
+		c.execute(now, c.module.Handle(now, events))
 	}
 	c.updatePinned(now)
-	c.look(now)
-	return c.take()
+	c.answerWatchers(now)
+	return c.takeOutputs()
 }
 
-// Wake is when Handle must be called again at the latest.
-func (c *Core) Wake() logic.Millis {
-	at := c.intake.Next()
+// NextWake returns the latest time of the next call of Handle.
+func (c *Core) NextWake() logic.Millis {
+	at := c.aggregator.Next()
 	for _, t := range c.timers {
 		at = min(at, t.at)
 	}
-	if next, waits := c.channel.Next(); waits {
+	if next, pending := c.channel.Next(); pending {
 		at = min(at, next)
 	}
 	return at
 }
 
-func (c *Core) carryOut(now logic.Millis, orders []logic.Order) {
+// execute carries out the orders of the decision module. Those that change published state form one step.
+func (c *Core) execute(now logic.Millis, orders []logic.Order) {
 	d := c.newDraft(float64(now))
 	for _, o := range orders {
 		switch o := o.(type) {
 		case logic.SetTimer:
 			c.timers = append(c.timers, timer{now + o.Delay, o.Timer})
 		case logic.Probe:
-			if a := c.names.address[o.Host]; c.svc.Facts.MayProbe && a != "" {
+			if a := c.ids.addresses[o.Host]; c.svc.Config.MayProbe && a != "" {
 				c.out = append(c.out, Probe{a})
 			}
 		case logic.LogText:
-			c.say(Event{Name: "module.says", Detail: o.Text})
+			c.log(LogEvent{Name: "module.says", Detail: o.Text})
 		case logic.WatchHosts, logic.RequestHosts, logic.SendToPeer:
-			// The list comes by itself, and there is no peer yet.
+			// The host list arrives without a request, and messages to peers are not supported yet.
 		default:
 			d.apply(o)
 		}
@@ -290,146 +298,154 @@
 	}
 }
 
-// commit makes a draft the newest version: on its way to the store, and with its messages from there to the channel.
+// commit makes a draft the newest version and passes it to the store. Its messages are queued for the channel once it
+// is durable.
 func (c *Core) commit(now logic.Millis, d *draft) {
 	d.verify(now)
-	d.change.Least = d.next.step
+	d.change.OldestInUse = d.next.step
 	if d.change.Levels != nil {
-		c.known.levelsAt = now
+		c.observations.levelsAt = now
 	}
-	if oldest, any := c.stands.Oldest(); any {
-		d.change.Least = min(d.change.Least, oldest)
+	if oldest, found := c.heldSteps.Oldest(); found {
+		d.change.OldestInUse = min(d.change.OldestInUse, oldest)
 	}
-	c.world = d.next
-	s := &step{world: d.next, changed: slices.Collect(maps.Keys(d.change.Tables)), removes: d.removesHost()}
-	var same *letter // where all are told the same
-	for _, id := range c.ids {
+	c.current = d.next
+	s := &pendingStep{state: d.next, changed: slices.Collect(maps.Keys(d.change.Tables)), removesHost: d.removesHost()}
+	var shared *documentUpdate // shared by all proxies where there are slices
+	for _, id := range c.joined {
 		lines, concerned := d.linesOfAll, d.linesOfAll > 0
 		if len(d.linesOf) > 0 {
-			own, its := d.linesOf[id]
-			lines, concerned = lines+own, concerned || its
+			own, found := d.linesOf[id]
+			lines, concerned = lines+own, concerned || found
 		}
 		if !concerned && !(d.stamped && d.stampAll) {
 			continue
 		}
-		if lines += c.svc.Facts.MessageOverhead; d.stamped {
+		if lines += c.svc.Config.MessageOverhead; d.stamped {
 			lines++
 		}
-		l := same
-		if l == nil {
-			l = &letter{c.document(d.next, id), d.serial, d.stamped, now}
+		u := shared
+		if u == nil {
+			u = &documentUpdate{c.document(d.next, id), d.serial, d.stamped, now}
 		}
-		if c.svc.Facts.Slices > 0 {
-			same = l
+		if c.svc.Config.Slices > 0 {
+			shared = u
 		}
-		s.messages = append(s.messages, channel.Message{Proxy: id, Lines: lines, Body: l})
+		s.messages = append(s.messages, channel.Message{Proxy: id, Lines: lines, Body: u})
 	}
 	c.unsaved = append(c.unsaved, s)
 	c.out = append(c.out, Persist{d.change})
-	c.say(Event{Name: "step.ordered", Version: strconv.Itoa(int(d.next.step)),
+	c.log(LogEvent{Name: "step.ordered", Version: strconv.Itoa(int(d.next.step)),
 		Detail: strconv.Itoa(len(s.messages)) + " messages"})
 }
 
+// refuse answers a ticket with an error and counts it.
 func (c *Core) refuse(t Ticket, kind AnswerKind, why string) {
-	c.figures.Refused++
+	c.stats.Refused++
 	c.out = append(c.out, Answer{Ticket: t, Kind: kind, Why: why})
 }
 
-// believe lets go of what was learnt long ago, and asks for more.
-func (c *Core) believe(now logic.Millis) {
-	if now < c.swept+50 {
+// peerRefreshInterval is the minimum interval in milliseconds between two calls of refreshPeerStates that take effect.
+const peerRefreshInterval logic.Millis = 50
+
+// refreshPeerStates expires host states that were learnt from other directors and queries the directors when due.
+func (c *Core) refreshPeerStates(now logic.Millis) {
+	if now < c.lastRefresh+peerRefreshInterval {
 		return
 	}
-	c.swept = now
+	c.lastRefresh = now
 	c.expirePeerStates(now)
 	c.askPeers(now)
 }
 
+// report counts a load report and passes it to the aggregator.
 func (c *Core) report(now logic.Millis, r Report) {
-	id, ok := c.find(r.Proxy)
-	st := c.streams[id]
-	if !ok || st == nil {
-		c.refuse(r.Ticket, Unknown, "proxy "+strconv.Quote(r.Proxy)+" has not polled within the lease")
+	id, ok := c.proxyID(r.Proxy)
+	p := c.proxies[id]
+	if !ok || p == nil {
+		c.refuse(r.Ticket, Unknown, "proxy "+strconv.Quote(r.Proxy)+" has not polled within its lease")
 		return
 	}
-	if r.Key != "" && r.Key == st.reports {
-		c.figures.Repeats++
-		c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Taken})
+	if r.Key != "" && r.Key == p.lastReportKey {
+		c.stats.RepeatedReports++
+		c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Accepted})
 		return
 	}
 	var calls []sums.Demand
 	for i, l := range r.Calls {
-		route, known := c.routes[l.Route]
+		route, known := c.routeIDs[l.Route]
 		if !known {
-			c.refuse(r.Ticket, Wrong, "cluster_stats["+strconv.Itoa(i)+"]: the settings know no route "+strconv.Quote(l.Route))
+			c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: the settings define no route "+strconv.Quote(l.Route))
 			return
 		}
-		line := sums.Demand{Proxy: id, Route: route, Calls: l.Calls, Unanswered: l.Lost}
-		if n := c.svc.Facts.Slices; n > 0 {
+		line := sums.Demand{Proxy: id, Route: route, Calls: l.Calls, Unanswered: l.Unanswered}
+		if n := c.svc.Config.Slices; n > 0 {
 			slice, err := strconv.Atoi(l.Table)
 			if err != nil || slice < 0 || slice >= n {
-				c.refuse(r.Ticket, Wrong, "cluster_stats["+strconv.Itoa(i)+"]: "+strconv.Quote(l.Table)+" is no slice")
+				c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: "+strconv.Quote(l.Table)+" is not the number of a slice")
 				return
 			}
 			line.Slice = logic.TableID(slice)
 		}
 		calls = append(calls, line)
 	}
-	st.reports = r.Key
-	c.figures.Reports++
-	zone := c.names.zone(st.zone)
+	p.lastReportKey = r.Key
+	c.stats.Reports++
+	zone := c.ids.zone(p.zone)
 	for _, t := range r.Tries {
-		if k, known := c.names.hosts[t.Address]; known && t.Ended > 0 {
-			met := sums.Tries{Host: k.Number, Zone: zone, Ended: t.Ended, Unanswered: t.Lost, AnsweredMs: t.Spent, Load: t.Load}
-			c.intake.AddTries(now, met)
-			c.known.addTries(now, met)
+		if k, known := c.ids.hosts[t.Address]; known && t.Ended > 0 {
+			tries := sums.Tries{Host: k.Number, Zone: zone, Ended: t.Ended, Unanswered: t.Unanswered, AnsweredMs: t.AnsweredMs, Load: t.Load}
+			c.aggregator.AddTries(now, tries)
+			c.observations.addTries(now, tries)
 		}
 	}
 	for _, l := range calls {
 		if l.Calls > 0 {
-			c.intake.AddDemand(now, l)
-			c.known.addDemand(now, l)
+			c.aggregator.AddDemand(now, l)
+			c.observations.addDemand(now, l)
 		}
 	}
-	c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Taken})
+	c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Accepted})
 }
 
-// list follows the list of hosts.
-func (c *Core) list(now logic.Millis, hosts []Listed) {
-	c.list0, c.lost = slices.Clone(hosts), 0
-	c.known.setHosts(now, hosts)
-	c.notes = append(c.notes, logic.HostList{Kind: logic.HostListFull, Entries: c.entries(c.overlayPeerStates(now, hosts), now)})
-	c.out = append(c.out, Persist{Change{Line: c.line, List: slices.Clone(hosts), Known: maps.Clone(c.names.hosts)}})
-	c.say(Event{Name: "list.told", Detail: strconv.Itoa(len(hosts)) + " hosts"})
+// updateHosts takes over a new host list, stores it and passes it to the decision module.
+func (c *Core) updateHosts(now logic.Millis, hosts []HostEntry) {
+	c.hostList, c.listLostAt = slices.Clone(hosts), 0
+	c.observations.setHosts(now, hosts)
+	c.events = append(c.events, logic.HostList{Kind: logic.HostListFull, Entries: c.hostEntries(c.overlayPeerStates(now, hosts), now)})
+	c.out = append(c.out, Persist{Change{Line: c.line, List: slices.Clone(hosts), Known: maps.Clone(c.ids.hosts)}})
+	c.log(LogEvent{Name: "list.told", Detail: strconv.Itoa(len(hosts)) + " hosts"})
 }
 
-func (c *Core) entries(hosts []Listed, now logic.Millis) (out []logic.HostEntry) {
+// hostEntries converts a host list for the decision module and records the listed addresses.
+func (c *Core) hostEntries(hosts []HostEntry, now logic.Millis) (out []logic.HostEntry) {
 	clear(c.listed)
 	for _, l := range hosts {
 		if c.listed[l.Address] {
-			continue // named twice: the first counts
+			continue // the first of several entries with the same address counts
 		}
 		c.listed[l.Address] = true
-		out = append(out, c.entry(l, now))
+		out = append(out, c.hostEntry(l, now))
 	}
 	return out
 }
 
-func (c *Core) entry(l Listed, now logic.Millis) logic.HostEntry {
-	id, _ := c.names.host(l)
-	return logic.HostEntry{Host: id, State: l.State, Cell: c.names.cell(l.Cell), Zone: c.names.zone(l.Zone), Weight: l.Weight,
+// hostEntry converts a host for the decision module. A start time in the future is taken as now.
+func (c *Core) hostEntry(l HostEntry, now logic.Millis) logic.HostEntry {
+	id, _ := c.ids.host(l)
+	return logic.HostEntry{Host: id, State: l.State, Cell: c.ids.cell(l.Cell), Zone: c.ids.zone(l.Zone), Weight: l.Weight,
 		StartedAt: min(logic.Millis(l.Born), now)}
 }
 
-// Figures are those of now.
-func (c *Core) Figures() Figures {
-	f := c.figures
-	f.Step, f.Stored, f.Joined = c.world.step, c.stored.step, len(c.ids)
-	f.Hosts, f.Masked = len(c.listed), len(c.world.masked)
-	f.Oldest, _ = c.stands.Oldest()
-	f.Behind = c.stands.Behind(c.stored.step)
-	f.Slices = len(c.world.tables)
-	f.Waiting, f.MostWaiting, f.QueueLimit = c.channel.QueuedLines(), c.channel.MaxQueuedLines(), c.svc.Facts.QueueLimit
-	f.MostMessages, f.ReportLinesWaiting = c.channel.MaxMessagesInWindow(), c.intake.Pending()
-	return f
+// Stats returns the current statistics.
+func (c *Core) Stats() Stats {
+	s := c.stats
+	s.Step, s.Stored, s.Joined = c.current.step, c.stored.step, len(c.joined)
+	s.Hosts, s.Masked = len(c.listed), len(c.current.masked)
+	s.OldestHeld, _ = c.heldSteps.Oldest()
+	s.ProxiesBehind = c.heldSteps.Behind(c.stored.step)
+	s.Slices = len(c.current.tables)
+	s.QueuedLines, s.MaxQueuedLines, s.QueueLimit = c.channel.QueuedLines(), c.channel.MaxQueuedLines(), c.svc.Config.QueueLimit
+	s.MaxMessagesInWindow, s.PendingReportLines = c.channel.MaxMessagesInWindow(), c.aggregator.Pending()
+	return s
 }
--- a/internal/control/held.go
+++ b/internal/control/held.go
@@ -49,8 +49,8 @@
 
 // dropAllSlices removes all slices from the opening snapshot, because none is owned yet.
 func (d *draft) dropAllSlices() {
-	d.c.custody = &sliceOwnership{fences: map[logic.TableID]uint64{}, previous: d.next.tables}
-	d.c.shown.until = logic.Millis(math.Inf(-1))
+	d.c.ownership = &sliceOwnership{fences: map[logic.TableID]uint64{}, previous: d.next.tables}
+	d.c.view.validUntil = logic.Millis(math.Inf(-1))
 	d.change.Tables = map[logic.TableID]*tables.Table{}
 	for t := range d.next.tables {
 		d.change.Tables[t] = nil
@@ -59,36 +59,38 @@
 }
 
 // ownsSlice reports whether this director may write a slice's table.
-func (c *Core) ownsSlice(t logic.TableID) bool { return c.custody == nil || c.custody.fences[t] > 0 }
+func (c *Core) ownsSlice(t logic.TableID) bool {
+	return c.ownership == nil || c.ownership.fences[t] > 0
+}
 
 func (c *Core) setLeaseDeadline(now logic.Millis, g LeaseDeadline) {
-	if c.custody != nil {
-		c.shown.until, c.shown.dirty = g.Until, true
+	if c.ownership != nil {
+		c.view.validUntil, c.view.dirty = g.Until, true
 	}
 }
 
 // acquireSlices takes slices over in a version of its own. Proxies get them with the stored document, as when they
 // join, so that the change takes no room in the channel.
 func (c *Core) acquireSlices(now logic.Millis, grants []SliceGrant) {
-	if c.custody == nil {
+	if c.ownership == nil {
 		return
 	}
 	d := c.newDraft(float64(now))
 	hostsChanged := false
 	for _, g := range grants {
-		if g.Fence == 0 || int(g.Slice) >= c.svc.Facts.Slices || c.custody.fences[g.Slice] >= g.Fence {
+		if g.Fence == 0 || int(g.Slice) >= c.svc.Config.Slices || c.ownership.fences[g.Slice] >= g.Fence {
 			continue
 		}
-		alreadyOwned := c.custody.fences[g.Slice] > 0
-		c.custody.fences[g.Slice] = g.Fence
+		alreadyOwned := c.ownership.fences[g.Slice] > 0
+		c.ownership.fences[g.Slice] = g.Fence
 		t := d.writableTable(g.Slice)
 		if !alreadyOwned {
 			lines := map[tables.Address]float64{}
-			switch stored := c.custody.previous[g.Slice]; {
+			switch stored := c.ownership.previous[g.Slice]; {
 			case g.Record != nil:
 				for a, w := range g.Record.Lines {
 					if w > 0 && w <= 1e9 {
-						_, changed := c.names.host(c.hostOfRecord(a, g.Record.Hosts[a]))
+						_, changed := c.ids.host(c.hostOfRecord(a, g.Record.Hosts[a]))
 						lines[a], hostsChanged = w, hostsChanged || changed
 					}
 				}
@@ -103,48 +105,48 @@
 		}
 		if _, pinned := c.pinned[g.Slice]; !pinned && !alreadyOwned {
 			c.assignToModule(g.Slice, d.next)
-			if g.Record != nil && len(c.expected[g.Slice]) == 0 {
+			if g.Record != nil && len(c.expectedDemand[g.Slice]) == 0 {
 				// The age relies on the other director's clock. An inexact age is better than no demand at all.
 				for _, x := range g.Record.Demand {
 					x.Age += max(0, float64(now)-g.Record.At)
-					c.expected[g.Slice] = append(c.expected[g.Slice], expectedDemand{x, now})
+					c.expectedDemand[g.Slice] = append(c.expectedDemand[g.Slice], expectedDemand{x, now})
 				}
 			}
 			c.noteExpectedDemand(now, g.Slice)
-			c.given = now
+			c.slicesAssignedAt = now
 		}
-		c.say(Event{Name: "slice.given", Version: strconv.Itoa(int(d.next.step)), Detail: strconv.Itoa(int(g.Slice)) + " fence " +
+		c.log(LogEvent{Name: "slice.given", Version: strconv.Itoa(int(d.next.step)), Detail: strconv.Itoa(int(g.Slice)) + " fence " +
 			strconv.FormatUint(g.Fence, 10) + map[bool]string{true: "", false: ", no record"}[g.Record != nil]})
 	}
 	if len(d.copied) == 0 {
 		return
 	}
 	if hostsChanged {
-		d.change.Known = maps.Clone(c.names.hosts)
+		d.change.Known = maps.Clone(c.ids.hosts)
 	}
 	c.commitUnsent(now, d)
 }
 
 // hostOfRecord returns the list entry of a host in a record. What this director knows of the host has precedence.
-func (c *Core) hostOfRecord(a tables.Address, h tables.Host) Listed {
-	if k, known := c.names.hosts[a]; known {
+func (c *Core) hostOfRecord(a tables.Address, h tables.Host) HostEntry {
+	if k, known := c.ids.hosts[a]; known {
 		h = k.Host
 	}
-	return Listed{Address: a, ID: h.ID, Zone: h.Zone, Cell: h.Cell}
+	return HostEntry{Address: a, ID: h.ID, Zone: h.Zone, Cell: h.Cell}
 }
 
 func (c *Core) revokeSlice(now logic.Millis, t logic.TableID) {
-	if c.custody == nil || c.custody.fences[t] == 0 {
+	if c.ownership == nil || c.ownership.fences[t] == 0 {
 		return
 	}
 	d := c.newDraft(float64(now))
 	d.writableTable(t)
-	c.custody.previous[t] = c.world.tables[t]
+	c.ownership.previous[t] = c.current.tables[t]
 	delete(d.next.tables, t)
 	d.change.Tables[t] = nil
-	delete(c.custody.fences, t)
-	c.notes = append(c.notes, logic.SliceOwnership{Slice: t, Owned: false})
-	c.say(Event{Name: "slice.withdrawn", Version: strconv.Itoa(int(d.next.step)), Detail: strconv.Itoa(int(t))})
+	delete(c.ownership.fences, t)
+	c.events = append(c.events, logic.SliceOwnership{Slice: t, Owned: false})
+	c.log(LogEvent{Name: "slice.withdrawn", Version: strconv.Itoa(int(d.next.step)), Detail: strconv.Itoa(int(t))})
 	c.commitUnsent(now, d)
 }
 
@@ -152,22 +154,22 @@
 // versions that were ordered before they joined.
 func (c *Core) commitUnsent(now logic.Millis, d *draft) {
 	c.commit(now, d)
-	for id, st := range c.streams {
-		st.reads = max(st.reads, d.next.step)
-		c.readers[id] = true
+	for id, st := range c.proxies {
+		st.catchUpTo = max(st.catchUpTo, d.next.step)
+		c.catchingUp[id] = true
 	}
 }
 
 // setFence gives a table the fence of its lease once it has a line.
 func (d *draft) setFence(id logic.TableID, t *tables.Table) {
-	if c := d.c.custody; c != nil && len(t.Lines) > 0 {
+	if c := d.c.ownership; c != nil && len(t.Lines) > 0 {
 		t.Fence = c.fences[id]
 	}
 }
 
 // publishedTables returns the tables of a snapshot that proxies are sent: where slices are leased, those with a fence.
 func (c *Core) publishedTables(w *snapshot) map[logic.TableID]*tables.Table {
-	if c.custody == nil {
+	if c.ownership == nil {
 		return w.tables
 	}
 	out := make(map[logic.TableID]*tables.Table, len(w.tables))
@@ -182,18 +184,18 @@
 // emitRecords outputs a SliceRecord for each owned slice that a stored version changed. The lease store keeps it for
 // the slice's next owner.
 func (c *Core) emitRecords(w *snapshot, changed []logic.TableID) {
-	if c.custody == nil {
+	if c.ownership == nil {
 		return
 	}
 	slices.Sort(changed)
 	for _, id := range changed {
 		t := w.tables[id]
-		if t == nil || t.Fence == 0 || c.custody.fences[id] != t.Fence {
+		if t == nil || t.Fence == 0 || c.ownership.fences[id] != t.Fence {
 			continue
 		}
 		r := SliceRecord{Slice: id, Fence: t.Fence, Director: c.svc.Name, At: w.at, Demand: c.demandRates(logic.Millis(w.at), id), Lines: t.Lines, Hosts: map[tables.Address]tables.Host{}}
 		for a := range t.Lines {
-			r.Hosts[a] = c.names.hosts[a].Host
+			r.Hosts[a] = c.ids.hosts[a].Host
 		}
 		c.out = append(c.out, r)
 	}
--- a/internal/control/known.go
+++ b/internal/control/known.go
@@ -72,7 +72,7 @@
 	return &localFacts{startedAt: now, levelsAt: now, states: map[tables.Address]hostState{}, tries: map[logic.HostID]*hostTries{}, demand: map[demandKey]*routeDemand{}}
 }
 
-func (k *localFacts) setHosts(now logic.Millis, hosts []Listed) {
+func (k *localFacts) setHosts(now logic.Millis, hosts []HostEntry) {
 	next := make(map[tables.Address]hostState, len(hosts))
 	for _, l := range hosts {
 		current := hostState{l.State, l.Born, now}
@@ -113,12 +113,12 @@
 // demandRates returns the recent demand of a slice, one entry per route.
 func (c *Core) demandRates(now logic.Millis, slice logic.TableID) (out []learn.Demand) {
 	for r, info := range c.svc.Routes {
-		x := c.known.demand[demandKey{slice, logic.RouteID(r)}]
+		x := c.observations.demand[demandKey{slice, logic.RouteID(r)}]
 		if x == nil || now-x.last > 10*factHalfLife {
 			continue
 		}
 		// Shortly after the start the sums cover less than the full span.
-		span := decaySpanMs * (1 - math.Exp(-max(500, float64(now-c.known.startedAt))/decaySpanMs))
+		span := decaySpanMs * (1 - math.Exp(-max(500, float64(now-c.observations.startedAt))/decaySpanMs))
 		out = append(out, learn.Demand{Slice: int(slice), Route: info.Name, Rate: 1000 * x.calls.read(now) / span,
 			Unanswered: 1000 * x.unanswered.read(now) / span, Age: float64(now - x.last)})
 	}
@@ -132,19 +132,19 @@
 // has been none. Blocking queries report each change, so that the last list is current until they fail.
 func (c *Core) hostListAge(now logic.Millis) float64 {
 	switch {
-	case c.known.listedAt == 0:
+	case c.observations.listedAt == 0:
 		return -1
-	case c.lost > 0:
-		return float64(now - c.lost)
+	case c.listLostAt > 0:
+		return float64(now - c.listLostAt)
 	}
 	return 0
 }
 
 func (c *Core) listedHosts(now logic.Millis) (out []learn.Host) {
-	for _, l := range c.list0 {
+	for _, l := range c.hostList {
 		h := learn.Host{Address: l.Address, ID: l.ID, Zone: l.Zone, Cell: l.Cell, State: stateNames[l.State], Weight: l.Weight,
-			StartedAt: l.Born, Masked: c.world.masked[l.Address]}
-		if s, found := c.known.states[l.Address]; found {
+			StartedAt: l.Born, Masked: c.current.masked[l.Address]}
+		if s, found := c.observations.states[l.Address]; found {
 			h.StateAge = float64(now - s.since)
 		}
 		out = append(out, h)
@@ -156,13 +156,13 @@
 type FactsQuery struct{ Ticket Ticket }
 
 func (c *Core) answerFacts(now logic.Millis, q FactsQuery) {
-	k := c.known
-	f := learn.Facts{Director: c.svc.Name, Line: c.line, Uptime: float64(now - k.startedAt), ProxyCount: len(c.ids), ListAge: c.hostListAge(now)}
+	k := c.observations
+	f := learn.Facts{Director: c.svc.Name, Line: c.line, Uptime: float64(now - k.startedAt), ProxyCount: len(c.joined), ListAge: c.hostListAge(now)}
 	if k.listedAt > 0 { // a list from the local store predates the start and is of no use to peers
 		f.Hosts = c.listedHosts(now)
 	}
 	for i, h := range f.Hosts {
-		id := c.names.hosts[h.Address].Number
+		id := c.ids.hosts[h.Address].Number
 		t := k.tries[id]
 		if t == nil || now-t.last > 10*factHalfLife {
 			continue
@@ -179,14 +179,14 @@
 		})
 		f.Hosts[i].Health = x
 	}
-	for _, t := range slices.Sorted(maps.Keys(c.world.tables)) {
+	for _, t := range slices.Sorted(maps.Keys(c.current.tables)) {
 		f.Demand = append(f.Demand, c.demandRates(now, t)...)
-		f.Slices = append(f.Slices, learn.Slice{Slice: int(t), Fence: c.world.tables[t].Fence, Version: c.world.step})
+		f.Slices = append(f.Slices, learn.Slice{Slice: int(t), Fence: c.current.tables[t].Fence, Version: c.current.step})
 	}
-	for r, l := range c.world.levels {
+	for r, l := range c.current.levels {
 		f.Levels = append(f.Levels, learn.Level{Route: c.svc.Routes[r].Name, Level: l.Level, Tries: l.Tries, Age: float64(now - k.levelsAt)})
 	}
-	c.out = append(c.out, Answer{Ticket: q.Ticket, Kind: Told, Body: &f})
+	c.out = append(c.out, Answer{Ticket: q.Ticket, Kind: FactsReply, Body: &f})
 }
 
 // DiscoveryLost tells that host discovery no longer answers. The next List ends that state.
@@ -208,43 +208,43 @@
 
 // applyPeerFacts reconciles the facts of peers with the local ones and passes the conclusions to the decision module.
 func (c *Core) applyPeerFacts(now logic.Millis, in PeerFacts) {
-	local := learn.Local{ListAge: c.hostListAge(now), Hosts: c.listedHosts(now), HasReports: len(c.known.tries) > 0 && now-c.known.startedAt > 2*factHalfLife}
+	local := learn.Local{ListAge: c.hostListAge(now), Hosts: c.listedHosts(now), HasReports: len(c.observations.tries) > 0 && now-c.observations.startedAt > 2*factHalfLife}
 	if local.ListAge > float64(peerStateTTL) {
 		local.ListAge = -1
 	}
 	result := learn.Reconcile(local, in.Peers)
 	for _, d := range result.WeightReductions {
-		c.say(Event{Name: "peer.doubted", Detail: d.Director + ": " + d.Reason})
+		c.log(LogEvent{Name: "peer.doubted", Detail: d.Director + ": " + d.Reason})
 	}
 	var entries []logic.HostEntry
 	for _, h := range result.Hosts {
-		previous, repeated := c.believed[h.Address]
-		c.believed[h.Address] = peerHostState{h, now + peerStateTTL}
+		previous, repeated := c.peerStates[h.Address]
+		c.peerStates[h.Address] = peerHostState{h, now + peerStateTTL}
 		if repeated && previous.State == h.State && previous.StartedAt == h.StartedAt {
 			continue
 		}
-		l := Listed{ID: h.ID, Address: h.Address, Zone: h.Zone, Cell: h.Cell, State: statesByName[h.State], Weight: cmp.Or(h.Weight, 1), Born: h.StartedAt}
-		entries = append(entries, c.entry(l, now))
-		c.say(Event{Name: "host.learnt", Host: string(h.Address), Detail: string(h.State)})
+		l := HostEntry{ID: h.ID, Address: h.Address, Zone: h.Zone, Cell: h.Cell, State: statesByName[h.State], Weight: cmp.Or(h.Weight, 1), Born: h.StartedAt}
+		entries = append(entries, c.hostEntry(l, now))
+		c.log(LogEvent{Name: "host.learnt", Host: string(h.Address), Detail: string(h.State)})
 	}
 	if len(entries) > 0 {
-		c.notes = append(c.notes, logic.HostList{Kind: logic.HostListDelta, Entries: entries})
+		c.events = append(c.events, logic.HostList{Kind: logic.HostListDelta, Entries: entries})
 	}
-	c.figures.Learnt += uint64(len(entries))
+	c.stats.HostsLearnt += uint64(len(entries))
 	for _, h := range result.Health {
-		k, known := c.names.hosts[h.Address]
-		if !known || c.healthFrom[h.Address] {
+		k, known := c.ids.hosts[h.Address]
+		if !known || c.healthAdopted[h.Address] {
 			continue
 		}
-		c.healthFrom[h.Address] = true
-		sample := logic.HostSample{Host: k.Number, Zone: c.names.zone(h.Zone), Period: logic.Millis(h.Health.Period), Finished: int(math.Round(h.Health.Finished)),
+		c.healthAdopted[h.Address] = true
+		sample := logic.HostSample{Host: k.Number, Zone: c.ids.zone(h.Zone), Period: logic.Millis(h.Health.Period), Finished: int(math.Round(h.Health.Finished)),
 			Failed: int(math.Round(h.Health.Failed)), MeanLatency: logic.Millis(h.Health.MeanLatency), Load: orca.Of(h.Health.Load)}
 		if sample.Finished > 0 {
-			c.notes = append(c.notes, sample)
+			c.events = append(c.events, sample)
 		}
 	}
 	for _, d := range result.Demand {
-		c.expected[logic.TableID(d.Slice)] = append(slices.DeleteFunc(c.expected[logic.TableID(d.Slice)], func(o expectedDemand) bool {
+		c.expectedDemand[logic.TableID(d.Slice)] = append(slices.DeleteFunc(c.expectedDemand[logic.TableID(d.Slice)], func(o expectedDemand) bool {
 			return o.Route == d.Route
 		}), expectedDemand{d, now})
 	}
@@ -259,29 +259,29 @@
 // noteExpectedDemand reports the expected demand for a newly granted slice to the decision module, as far as it is
 // known and not older than peerStateTTL.
 func (c *Core) noteExpectedDemand(now logic.Millis, slice logic.TableID) {
-	for _, e := range c.expected[slice] {
-		route, known := c.routes[e.Route]
+	for _, e := range c.expectedDemand[slice] {
+		route, known := c.routeIDs[e.Route]
 		age := float64(now-e.receivedAt) + e.Age
 		if !known || age > float64(peerStateTTL) || e.Rate <= 0 {
 			continue
 		}
 		n := int(math.Round(e.Rate * decaySpanMs / 1000))
 		if n > 0 {
-			c.notes = append(c.notes, logic.SliceDemand{Slice: slice, Route: route, Period: logic.Millis(decaySpanMs), Calls: n, Unanswered: int(e.Unanswered * decaySpanMs / 1000)})
+			c.events = append(c.events, logic.SliceDemand{Slice: slice, Route: route, Period: logic.Millis(decaySpanMs), Calls: n, Unanswered: int(e.Unanswered * decaySpanMs / 1000)})
 		}
 	}
-	delete(c.expected, slice)
+	delete(c.expectedDemand, slice)
 }
 
 // overlayPeerStates returns the host list with the unexpired states that peers reported for hosts which are up by the
 // list. A host that has restarted since keeps its listed state.
-func (c *Core) overlayPeerStates(now logic.Millis, hosts []Listed) []Listed {
-	if len(c.believed) == 0 {
+func (c *Core) overlayPeerStates(now logic.Millis, hosts []HostEntry) []HostEntry {
+	if len(c.peerStates) == 0 {
 		return hosts
 	}
 	hosts = slices.Clone(hosts)
 	for i, l := range hosts {
-		if p, found := c.believed[l.Address]; found && now < p.expiresAt && p.StartedAt == l.Born && l.State == logic.Up && p.State != learn.Up {
+		if p, found := c.peerStates[l.Address]; found && now < p.expiresAt && p.StartedAt == l.Born && l.State == logic.Up && p.State != learn.Up {
 			hosts[i].State = statesByName[p.State]
 		}
 	}
@@ -291,14 +291,14 @@
 // expirePeerStates drops expired states of peers, after which the host list is in force again.
 func (c *Core) expirePeerStates(now logic.Millis) {
 	expired := false
-	for a, p := range c.believed {
+	for a, p := range c.peerStates {
 		if now >= p.expiresAt {
-			delete(c.believed, a)
+			delete(c.peerStates, a)
 			expired = true
 		}
 	}
-	if expired && c.known.listedAt > 0 {
-		c.notes = append(c.notes, logic.HostList{Kind: logic.HostListFull, Entries: c.entries(c.overlayPeerStates(now, c.list0), now)})
+	if expired && c.observations.listedAt > 0 {
+		c.events = append(c.events, logic.HostList{Kind: logic.HostListFull, Entries: c.hostEntries(c.overlayPeerStates(now, c.hostList), now)})
 	}
 }
 
@@ -310,8 +310,8 @@
 		}
 		return float64(now - at)
 	}
-	if c.svc.Learns && learn.QueryDue(float64(now-c.known.startedAt), since(c.lost), since(c.given), since(c.asked)) {
-		c.asked = now
+	if c.svc.QueriesPeers && learn.QueryDue(float64(now-c.observations.startedAt), since(c.listLostAt), since(c.slicesAssignedAt), since(c.peersQueriedAt)) {
+		c.peersQueriedAt = now
 		c.out = append(c.out, AskPeers{})
 	}
 }
--- a/internal/control/operate.go
+++ b/internal/control/operate.go
@@ -66,34 +66,34 @@
 // hostConditions returns what the rules for pinned tables need to know of each listed host.
 func (c *Core) hostConditions(now logic.Millis) map[tables.Address]pins.Host {
 	out := map[tables.Address]pins.Host{}
-	for _, l := range c.list0 {
+	for _, l := range c.hostList {
 		born := min(logic.Millis(l.Born), now)
-		out[l.Address] = pins.Host{Up: l.State == logic.Up, Cold: born > 0 && now < born+c.svc.Facts.WarmAfter,
-			Masked: c.world.masked[l.Address]}
+		out[l.Address] = pins.Host{Up: l.State == logic.Up, Cold: born > 0 && now < born+c.svc.Config.WarmAfter,
+			Masked: c.current.masked[l.Address]}
 	}
 	return out
 }
 
 func (c *Core) rollback(now logic.Millis, r Rollback) {
 	switch {
-	case c.svc.Facts.Slices == 0:
-		c.answerOperator(r.Ticket, Wrong, "rollback is not available: this site has no slices, and only tables of slices can be rolled back", nil)
+	case c.svc.Config.Slices == 0:
+		c.answerOperator(r.Ticket, Invalid, "rollback is not available: this site has no slices, and only tables of slices can be rolled back", nil)
 		return
-	case c.svc.Facts.SingleOwner:
-		c.answerOperator(r.Ticket, Wrong, "rollback is not available: slices have a single owner each, which changes only by a hand-over of the decision module", nil)
+	case c.svc.Config.SingleOwner:
+		c.answerOperator(r.Ticket, Invalid, "rollback is not available: slices have a single owner each, which changes only by a hand-over of the decision module", nil)
 		return
-	case c.operated > r.LastSeen:
-		c.answerOperator(r.Ticket, Conflict, fmt.Sprintf("version %d, an operator's change, is newer than version %d, the last one seen", c.operated, r.LastSeen), nil)
+	case c.lastOperatorStep > r.LastSeen:
+		c.answerOperator(r.Ticket, Conflict, fmt.Sprintf("version %d, an operator's change, is newer than version %d, the last one seen", c.lastOperatorStep, r.LastSeen), nil)
 		return
 	case r.Who == "" || r.Why == "":
-		c.answerOperator(r.Ticket, Wrong, "who and why are required", nil)
+		c.answerOperator(r.Ticket, Invalid, "who and why are required", nil)
 		return
 	}
 	hosts := c.hostConditions(now)
-	result := &OperationResult{Version: c.world.step}
+	result := &OperationResult{Version: c.current.step}
 	var empty []string
 	for _, id := range slices.Sorted(maps.Keys(r.Content)) {
-		if r.Content[id] == nil || int(id) >= c.svc.Facts.Slices || !c.ownsSlice(id) {
+		if r.Content[id] == nil || int(id) >= c.svc.Config.Slices || !c.ownsSlice(id) {
 			continue
 		}
 		m := pins.Mend(int(id), r.Content[id].Lines, hosts)
@@ -101,13 +101,13 @@
 			empty = append(empty, strconv.Itoa(int(id)))
 		}
 		result.Tables = append(result.Tables, PinnedTable{id, r.To, r.Who, m.Faults})
-		if current := c.world.tables[id]; current != nil {
-			result.MovedFraction += pins.Moved(current.Lines, m.Lines) / float64(c.svc.Facts.Slices)
+		if current := c.current.tables[id]; current != nil {
+			result.MovedFraction += pins.Moved(current.Lines, m.Lines) / float64(c.svc.Config.Slices)
 		}
 	}
 	switch {
 	case len(result.Tables) == 0:
-		c.answerOperator(r.Ticket, Wrong, "the version has none of the requested tables that this director owns", nil)
+		c.answerOperator(r.Ticket, Invalid, "the version has none of the requested tables that this director owns", nil)
 	case len(empty) > 0:
 		c.answerOperator(r.Ticket, Refused, "tables "+strings.Join(empty, ", ")+" would be left without a host", result)
 	case result.MovedFraction > maxMovedFraction && !r.Force:
@@ -118,15 +118,15 @@
 		c.pinned = maps.Clone(c.pinned)
 		for _, t := range result.Tables {
 			if _, pinned := c.pinned[t.Table]; !pinned {
-				c.notes = append(c.notes, logic.SliceOwnership{Slice: t.Table, Owned: false})
+				c.events = append(c.events, logic.SliceOwnership{Slice: t.Table, Owned: false})
 			}
 			c.pinned[t.Table] = Pin{Lines: maps.Clone(r.Content[t.Table].Lines), Step: r.To, Who: r.Who}
 		}
-		c.cause = pinCause{who: r.Who, why: r.Why, from: r.To, pinsChanged: true}
+		c.changeCause = pinCause{who: r.Who, why: r.Why, from: r.To, pinsChanged: true}
 		c.updatePinned(now)
-		result.Version, result.Deferred = c.world.step, len(c.outdatedPins(now))
-		c.operated = c.world.step
-		c.say(Event{Name: "operator.rollback", Version: strconv.Itoa(int(c.world.step)),
+		result.Version, result.Deferred = c.current.step, len(c.outdatedPins(now))
+		c.lastOperatorStep = c.current.step
+		c.log(LogEvent{Name: "operator.rollback", Version: strconv.Itoa(int(c.current.step)),
 			Detail: fmt.Sprintf("%s: %d tables to version %d: %s", r.Who, len(result.Tables), r.To, r.Why)})
 		c.answerOperator(r.Ticket, Done, "", result)
 	}
@@ -134,7 +134,7 @@
 
 func (c *Core) release(now logic.Millis, r Release) {
 	if r.Who == "" {
-		c.answerOperator(r.Ticket, Wrong, "who is required", nil)
+		c.answerOperator(r.Ticket, Invalid, "who is required", nil)
 		return
 	}
 	ids := r.Tables
@@ -151,7 +151,7 @@
 		delete(c.pinned, id)
 		result.Tables = append(result.Tables, PinnedTable{Table: id, Step: p.Step, Who: p.Who})
 		if c.ownsSlice(id) {
-			c.assignToModule(id, c.world)
+			c.assignToModule(id, c.current)
 		}
 	}
 	if len(result.Tables) > 0 {
@@ -159,26 +159,26 @@
 		d := c.newDraft(float64(now))
 		d.change.Who, d.change.Why, d.change.Pinned = r.Who, r.Why, c.pinned
 		c.commit(now, d)
-		c.operated = c.world.step
-		c.say(Event{Name: "operator.release", Version: strconv.Itoa(int(c.world.step)), Detail: fmt.Sprintf("%s: %d tables: %s", r.Who, len(result.Tables), r.Why)})
+		c.lastOperatorStep = c.current.step
+		c.log(LogEvent{Name: "operator.release", Version: strconv.Itoa(int(c.current.step)), Detail: fmt.Sprintf("%s: %d tables: %s", r.Who, len(result.Tables), r.Why)})
 	}
-	result.Version = c.world.step
+	result.Version = c.current.step
 	c.answerOperator(r.Ticket, Done, "", result)
 }
 
 // assignToModule hands a slice to the decision module together with the lines of its table.
 func (c *Core) assignToModule(id logic.TableID, w *snapshot) {
-	c.notes = append(c.notes, logic.SliceOwnership{Slice: id, Owned: true})
+	c.events = append(c.events, logic.SliceOwnership{Slice: id, Owned: true})
 	table := w.tables[id]
 	for _, a := range slices.Sorted(maps.Keys(table.Lines)) {
-		if k, known := c.names.hosts[a]; known {
-			c.notes = append(c.notes, logic.StoredLine{Slice: id, Host: k.Number, Weight: table.Lines[a]})
+		if k, known := c.ids.hosts[a]; known {
+			c.events = append(c.events, logic.StoredLine{Slice: id, Host: k.Number, Weight: table.Lines[a]})
 		}
 	}
 }
 
 func (c *Core) answerPins(now logic.Millis, t Ticket) {
-	result := &OperationResult{Version: c.world.step, Deferred: len(c.outdatedPins(now))}
+	result := &OperationResult{Version: c.current.step, Deferred: len(c.outdatedPins(now))}
 	hosts := c.hostConditions(now)
 	for _, id := range slices.Sorted(maps.Keys(c.pinned)) {
 		p := c.pinned[id]
@@ -201,10 +201,10 @@
 	}
 	hosts := c.hostConditions(now)
 	for _, id := range slices.Sorted(maps.Keys(c.pinned)) {
-		if c.world.tables[id] == nil {
+		if c.current.tables[id] == nil {
 			continue // owned by another director
 		}
-		if m := pins.Mend(int(id), c.pinned[id].Lines, hosts); !maps.Equal(m.Lines, c.world.tables[id].Lines) {
+		if m := pins.Mend(int(id), c.pinned[id].Lines, hosts); !maps.Equal(m.Lines, c.current.tables[id].Lines) {
 			out = append(out, id)
 		}
 	}
@@ -215,13 +215,13 @@
 // in later calls.
 func (c *Core) updatePinned(now logic.Millis) {
 	outdated := c.outdatedPins(now)
-	if len(outdated) == 0 && !c.cause.pinsChanged {
+	if len(outdated) == 0 && !c.changeCause.pinsChanged {
 		return
 	}
 	d, hosts := c.newDraft(float64(now)), c.hostConditions(now)
-	joined := float64(len(c.ids))
-	room := operatorQueueFraction*c.svc.Facts.QueueLimit - c.channel.QueuedLines() - joined*c.svc.Facts.MessageOverhead
-	for _, s := range slices.Concat(c.behind, c.unsaved) {
+	joined := float64(len(c.joined))
+	room := operatorQueueFraction*c.svc.Config.QueueLimit - c.channel.QueuedLines() - joined*c.svc.Config.MessageOverhead
+	for _, s := range slices.Concat(c.heldBack, c.unsaved) {
 		for _, m := range s.messages {
 			room -= m.Lines
 		}
@@ -229,7 +229,7 @@
 	// A removal of a draining host must not wait for room: tables with such hosts come first and are written even when
 	// the channel has none.
 	urgent := func(id logic.TableID) bool {
-		for a := range c.world.tables[id].Lines {
+		for a := range c.current.tables[id].Lines {
 			if h, known := hosts[a]; known && !h.Up {
 				return true
 			}
@@ -248,7 +248,7 @@
 	for _, id := range outdated {
 		want := pins.Mend(int(id), c.pinned[id].Lines, hosts).Lines
 		lines := 0.0
-		current := c.world.tables[id].Lines
+		current := c.current.tables[id].Lines
 		for a, w := range want {
 			if current[a] != w {
 				lines++
@@ -267,16 +267,16 @@
 		maps.Copy(t.Lines, want)
 		d.countLines(lines, allProxies)
 	}
-	if d.change.Who, d.change.Why, d.change.From = c.cause.who, c.cause.why, c.cause.from; d.change.Who == "" {
+	if d.change.Who, d.change.Why, d.change.From = c.changeCause.who, c.changeCause.why, c.changeCause.from; d.change.Who == "" {
 		d.change.Who, d.change.Why = "vetchwood", "a pinned table is mended: the rules stand above it"
 	}
-	if c.cause.pinsChanged {
+	if c.changeCause.pinsChanged {
 		d.change.Pinned, d.changed = c.pinned, true
 	}
 	if d.changed {
 		c.commit(now, d)
 	}
-	if c.cause.pinsChanged = false; len(c.outdatedPins(now)) == 0 {
-		c.cause = pinCause{}
+	if c.changeCause.pinsChanged = false; len(c.outdatedPins(now)) == 0 {
+		c.changeCause = pinCause{}
 	}
 }
--- a/internal/control/types.go
+++ b/internal/control/types.go
@@ -1,7 +1,7 @@
-// Package control is one director without its sockets: it feeds the module what happened, and turns the
-// module's orders into versions of what each proxy is told, into messages that wait for the channel, and into
-// answers to polls. No I/O, no clock, nothing global: what comes in at a time decides what goes out. It places
-// nothing and judges nothing; that is package logic's.
+// Package control implements a director without its sockets. It passes events to the decision module (package logic)
+// and turns the orders of the module into versions of the documents of the proxies, into messages that are queued for
+// the channel, and into answers to polls. It does no I/O, reads no clock and has no global state: its outputs depend
+// only on its inputs and their times. Placement and health are decided by package logic, not here.
 package control
 
 import (
@@ -13,56 +13,58 @@
 	"vetchwood/logic"
 )
 
-// RouteInfo is a route by its name, with what proxies are told of it.
+// RouteInfo is a named route with the settings that are published to proxies.
 type RouteInfo struct {
 	Name string
 	tables.Route
 }
 
-// Service is what is directed, in the words of the settings.
+// Service holds the settings of a director and of the service that it directs.
 type Service struct {
-	Name        string // of the director
-	Facts       logic.Config
-	Routes      []RouteInfo
-	Zones       []string
-	Pick        string
-	ProxyNames  *regexp.Regexp
-	Lease       logic.Millis // without a poll for so long, a proxy has left
-	LongestWait logic.Millis
-	Kept        int  // documents kept as bases for differences
-	Learns      bool // it asks the others, where slices are held by lease
-	Leased      bool // slices are held by lease, each by one of several directors
+	Name         string // name of the director
+	Config       logic.Config
+	Routes       []RouteInfo
+	Zones        []string
+	Pick         string         // policy by which proxies pick a line of a table
+	ProxyNames   *regexp.Regexp // pattern of the valid proxy names
+	Lease        logic.Millis   // a proxy that has not polled for this long has left
+	MaxWait      logic.Millis   // maximum time that a poll stays pending
+	MaxBases     int            // maximum number of documents kept as bases of deltas
+	QueriesPeers bool           // queries other directors for their state; only with SlicesLeased
+	SlicesLeased bool           // each slice is held under a lease by one of several directors
 }
 
-// What polls and answers are is package park's, where polls wait.
+// Polls and answers are defined by package park, which keeps the pending polls.
 type (
-	Ticket     = park.Ticket
-	Poll       = park.Poll
-	Broke      = park.Broke
-	Answer     = park.Answer
-	AnswerKind = park.Kind
+	Ticket       = park.Ticket
+	Poll         = park.Poll
+	Disconnected = park.Broke
+	Answer       = park.Answer
+	AnswerKind   = park.Kind
 )
 
+// Kinds of answers; see package park.
 const (
-	Unchanged = park.Unchanged
-	Whole     = park.Whole
-	Delta     = park.Delta
-	Taken     = park.Taken
-	Unknown   = park.Unknown
-	Wrong     = park.Wrong
-	Busy      = park.Busy
-	Done      = park.Done
-	Conflict  = park.Conflict
-	Told      = park.Told
-	Replaced  = park.Replaced
-	Refused   = park.Refused
+	Unchanged  = park.Unchanged
+	Full       = park.Whole
+	Delta      = park.Delta
+	Accepted   = park.Taken
+	Unknown    = park.Unknown
+	Invalid    = park.Wrong
+	Busy       = park.Busy
+	Done       = park.Done
+	Conflict   = park.Conflict
+	FactsReply = park.Told
+	Replaced   = park.Replaced
+	Refused    = park.Refused
 )
 
-// Inputs, beside those of the lots.
+// Inputs of Core.Handle, in addition to those that come from lots (package park).
 type (
-	// Passed says that all that lots had answered when they were closed is written.
-	Passed struct{}
-	// Report is a proxy's sums since its last one. Key tells a repeat from a new one.
+	// AnswersFlushed reports that all answers that lots had given before they were closed are written.
+	AnswersFlushed struct{}
+	// Report is a load report of a proxy: sums since its previous report. A report with the Key of the previous one is a
+	// repetition and is not counted again.
 	Report struct {
 		Ticket Ticket
 		Proxy  string
@@ -70,30 +72,33 @@
 		Tries  []HostTries
 		Calls  []RouteCalls
 	}
+	// HostTries sums the tries of a proxy at a host.
 	HostTries struct {
-		Address     tables.Address
-		Ended, Lost int
-		Spent       float64
-		Load        logic.Load
+		Address           tables.Address
+		Ended, Unanswered int
+		AnsweredMs        float64 // total duration of the answered tries in milliseconds
+		Load              logic.Load
 	}
+	// RouteCalls counts the calls of a proxy by route and table.
 	RouteCalls struct {
-		Route, Table string
-		Calls, Lost  int
+		Route, Table      string
+		Calls, Unanswered int
 	}
-	// List is the whole list of hosts as it was just told.
-	List struct{ Hosts []Listed }
-	// Stored says that all steps up to this one would outlive a crash.
+	// HostList is the complete host list that discovery has just reported.
+	HostList struct{ Hosts []HostEntry }
+	// Stored reports that all steps up to Step are durable.
 	Stored struct{ Step tables.Step }
-	Probed struct {
+	// ProbeResult is the outcome of a Probe. Latency is the duration of the probe.
+	ProbeResult struct {
 		Address tables.Address
-		Spent   logic.Millis
-		Good    bool
+		Latency logic.Millis
+		Healthy bool
 		Load    logic.Load
 	}
 )
 
-// Listed is a host in the list. Born is in Unix milliseconds; 0 is a distant past.
-type Listed struct {
+// HostEntry is a host of the host list. Born is the start time of the host in Unix milliseconds; 0 is a start long ago.
+type HostEntry struct {
 	ID      string          `json:"id"`
 	Address tables.Address  `json:"address"`
 	Zone    string          `json:"zone"`
@@ -103,47 +108,49 @@
 	Born    float64         `json:"born"`
 }
 
-// Outputs.
+// Outputs of New and Core.Handle.
 type (
-	// Publish shows all lots a view, before anything else of the same turn is carried out. With a Barrier, Passed is wanted once
-	// what they had answered by then is written.
+	// Publish passes a view to all lots, before any other output of the same call is carried out. With Barrier, the
+	// caller sends AnswersFlushed once all answers that the lots had given by then are written.
 	Publish struct {
 		View    *park.View
 		Barrier bool
 	}
-	// Persist must outlive a crash before Stored is said.
+	// Persist passes a change to the store. Stored is sent only after the change is durable.
 	Persist struct{ Change Change }
-	Probe   struct{ Address tables.Address }
-	// AskPeers asks for what other directors know; Learnt brings it.
+	// Probe requests a health check of a host.
+	Probe struct{ Address tables.Address }
+	// AskPeers requests the state that other directors know, which comes as Learnt.
 	AskPeers struct{}
-	// Event is one thing that happened, for the log.
-	Event struct {
+	// LogEvent is an entry for the log.
+	LogEvent struct {
 		Name                         string
 		Proxy, Host, Version, Detail string
 	}
 )
 
-// Change is what a step writes; nil parts stay as they were. Who and Why are for the audit: the module's steps have none.
+// Change is the part of the stored state that a step writes; nil fields stay unchanged. Who and Why are for the audit
+// history and are empty in steps of the decision module.
 type Change struct {
-	Who, Why string                `json:",omitempty"`
-	From     tables.Step           `json:",omitempty"` // the version that it goes back to
-	Least    tables.Step           `json:"-"`          // the oldest version that a joined proxy stands on; it is kept
-	Pinned   map[logic.TableID]Pin // all of them, where one changed
-	Line     tables.Line
-	Step     tables.Step
-	At       float64
-	Tables   map[logic.TableID]*tables.Table // nil: gone
-	Masked   map[tables.Address]bool
-	Levels   []tables.Level
-	Bound    map[logic.ProxyID][]logic.TableID
-	Carried  map[logic.ProxyID]map[string]*tables.Table // what proxies held before the start, by route
-	Named    map[logic.ProxyID]string                   // numbers that proxies got
-	Known    map[tables.Address]KnownHost
-	List     []Listed
+	Who, Why    string                `json:",omitempty"`
+	From        tables.Step           `json:",omitempty"` // the version that a rollback restores
+	OldestInUse tables.Step           `json:"-"`          // the oldest version held by a joined proxy; kept in the history
+	Pinned      map[logic.TableID]Pin // all pins, where one has changed
+	Line        tables.Line
+	Step        tables.Step
+	At          float64
+	Tables      map[logic.TableID]*tables.Table // nil: the table is deleted
+	Masked      map[tables.Address]bool
+	Levels      []tables.Level
+	Bound       map[logic.ProxyID][]logic.TableID
+	Carried     map[logic.ProxyID]map[string]*tables.Table // tables of earlier starts that proxies still follow, by route
+	Named       map[logic.ProxyID]string                   // names of newly numbered proxies
+	Known       map[tables.Address]KnownHost
+	List        []HostEntry
 }
 
-// Apply is what a change does to what was stored.
-func (s *Saved) Apply(c Change) {
+// Apply applies a change to the stored state.
+func (s *SavedState) Apply(c Change) {
 	if c.Step > 0 {
 		s.Step, s.At = c.Step, c.At
 	}
@@ -157,9 +164,9 @@
 			delete(s.Bound, id)
 		}
 	}
-	replace(&s.Masked, maps.Clone(c.Masked), c.Masked != nil)
-	replace(&s.Levels, c.Levels, c.Levels != nil)
-	replace(&s.Carried, c.Carried, c.Carried != nil)
+	replaceIf(&s.Masked, maps.Clone(c.Masked), c.Masked != nil)
+	replaceIf(&s.Levels, c.Levels, c.Levels != nil)
+	replaceIf(&s.Carried, c.Carried, c.Carried != nil)
 	for id, name := range c.Named {
 		maps.DeleteFunc(s.Proxies, func(_ string, has logic.ProxyID) bool { return has == id })
 		if s.Proxies == nil {
@@ -167,32 +174,32 @@
 		}
 		s.Proxies[name] = id
 	}
-	replace(&s.Known, c.Known, c.Known != nil)
-	replace(&s.List, c.List, c.List != nil)
-	replace(&s.Pinned, c.Pinned, c.Pinned != nil)
+	replaceIf(&s.Known, c.Known, c.Known != nil)
+	replaceIf(&s.List, c.List, c.List != nil)
+	replaceIf(&s.Pinned, c.Pinned, c.Pinned != nil)
 }
 
-func replace[T any](to *T, by T, set bool) {
+func replaceIf[T any](to *T, by T, set bool) {
 	if set {
 		*to = by
 	}
 }
 
-// Pin is a table that an operator holds as it is.
+// Pin fixes a table at the lines that an operator has chosen.
 type Pin struct {
 	Lines map[tables.Address]float64
-	Step  tables.Step // the version that its lines are from
+	Step  tables.Step // the version that Lines come from
 	Who   string
 }
 
-// KnownHost keeps a host's number over restarts.
+// KnownHost preserves the number of a host across restarts.
 type KnownHost struct {
 	Number logic.HostID `json:"number"`
 	tables.Host
 }
 
-// Saved is all that was stored.
-type Saved struct {
+// SavedState is the complete stored state.
+type SavedState struct {
 	Line    tables.Line
 	Step    tables.Step
 	At      float64
@@ -203,23 +210,23 @@
 	Carried map[logic.ProxyID]map[string]*tables.Table
 	Proxies map[string]logic.ProxyID
 	Known   map[tables.Address]KnownHost
-	List    []Listed
+	List    []HostEntry
 	Pinned  map[logic.TableID]Pin
 }
 
-// Figures are counted for the operator.
-type Figures struct {
-	Step, Stored                     tables.Step
-	Joined                           int
-	Waiting, MostWaiting, QueueLimit float64
-	MostMessages                     int
-	Reports, Repeats, Refused        uint64
-	Removals                         uint64      // versions that took a host out of all tables, each a barrier
-	Oldest                           tables.Step // that a joined proxy stands on
-	Behind                           int         // proxies that stand on something older than what is stored
-	Faults                           uint64      // found by checks before publishing
-	ReportLinesWaiting               int
-	Hosts, Masked                    int
-	Slices                           int    // held
-	Learnt                           uint64 // hosts whose state another director knew first
+// Stats holds the statistics of a director for the operator.
+type Stats struct {
+	Step, Stored                            tables.Step
+	Joined                                  int
+	QueuedLines, MaxQueuedLines, QueueLimit float64
+	MaxMessagesInWindow                     int // most messages to one proxy within Config.MessageWindow
+	Reports, RepeatedReports, Refused       uint64
+	Removals                                uint64      // versions that removed a host from all tables; each raises a barrier
+	OldestHeld                              tables.Step // oldest version that a joined proxy holds
+	ProxiesBehind                           int         // proxies that hold a version older than the stored one
+	CheckFailures                           uint64      // faults that checks found before publishing
+	PendingReportLines                      int
+	Hosts, Masked                           int
+	Slices                                  int    // slices whose tables this director holds
+	HostsLearnt                             uint64 // hosts whose state was first learnt from another director
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -8,8 +8,8 @@
 	"vetchwood/logic"
 )
 
-// Watch asks for what all proxies are told, for one that looks on: the module does not hear of it, nothing waits for it, and
-// it is told of a version once that is stored.
+// Watch polls for the document of all proxies on behalf of a client that is no proxy. It is not passed to the decision
+// module, nothing waits for its acknowledgement, and it is answered with a version as soon as that is stored.
 type Watch struct {
 	Ticket     Ticket
 	Held       []tables.Tag
@@ -17,49 +17,51 @@
 	WantsDelta bool
 }
 
-// onlooker is a Watch that waits.
-type onlooker struct {
-	base  *tables.Document
-	until logic.Millis
-	delta bool
+// watcher is a pending Watch.
+type watcher struct {
+	base  *tables.Document // newest kept document that the client holds; nil: none
+	until logic.Millis     // time of the answer if there is no newer version
+	delta bool             // the client accepts a delta
 }
 
-// mostOnlookers is how many may wait; each costs a comparison a version.
-const mostOnlookers = 200
+// maxWatchers limits the pending watches. Each costs a comparison per version.
+const maxWatchers = 200
 
+// watch adds a pending watch, and answers it at once if its client does not hold the stored version.
 func (c *Core) watch(now logic.Millis, w Watch) {
 	switch {
-	case c.svc.Facts.Slices == 0:
-		c.refuse(w.Ticket, Wrong, "proxies have tables of their own here: there is none that all follow")
+	case c.svc.Config.Slices == 0:
+		c.refuse(w.Ticket, Invalid, "no common document to watch: without slices, each proxy has its own tables")
 		return
-	case len(c.onlookers) >= mostOnlookers:
-		c.refuse(w.Ticket, Busy, "too many look on")
+	case len(c.watchers) >= maxWatchers:
+		c.refuse(w.Ticket, Busy, "too many pending watches")
 		return
 	}
-	o := onlooker{until: now + max(0, min(w.Wait, c.svc.LongestWait)), delta: w.WantsDelta}
+	o := watcher{until: now + max(0, min(w.Wait, c.svc.MaxWait)), delta: w.WantsDelta}
 	for _, tag := range w.Held {
-		if d := c.kept[tag]; d != nil && (o.base == nil || d.Step > o.base.Step) {
+		if d := c.bases[tag]; d != nil && (o.base == nil || d.Step > o.base.Step) {
 			o.base = d
 		}
 	}
-	c.onlookers[w.Ticket] = o
-	c.look(now)
+	c.watchers[w.Ticket] = o
+	c.answerWatchers(now)
 }
 
-// look answers those that look on and have waited long enough, or hold something older.
-func (c *Core) look(now logic.Millis) {
-	if len(c.onlookers) == 0 || c.stored.step < c.opening || c.shown.closed {
+// answerWatchers answers the watches whose clients do not hold the stored version or whose time is over. It answers
+// nothing before the first step of this start is stored, nor while the lots are closed.
+func (c *Core) answerWatchers(now logic.Millis) {
+	if len(c.watchers) == 0 || c.stored.step < c.firstStep || c.view.closed {
 		return
 	}
 	doc := c.document(c.stored, 0)
-	c.keep(doc)
-	for _, t := range slices.Sorted(maps.Keys(c.onlookers)) {
-		o := c.onlookers[t]
+	c.keepBase(doc)
+	for _, t := range slices.Sorted(maps.Keys(c.watchers)) {
+		o := c.watchers[t]
 		if o.base == doc && now < o.until {
 			continue
 		}
-		delete(c.onlookers, t)
-		a := Answer{Ticket: t, Doc: doc, Kind: Whole}
+		delete(c.watchers, t)
+		a := Answer{Ticket: t, Doc: doc, Kind: Full}
 		if o.base == doc {
 			a.Kind = Unchanged
 		} else if o.base != nil && o.delta {
--- a/internal/control/world.go
+++ b/internal/control/world.go
@@ -41,9 +41,9 @@
 }
 
 func (c *Core) newDraft(at float64) *draft {
-	w := *c.world
-	w.step, w.at, w.docs = c.world.step+1, at, map[string]*tables.Document{}
-	return &draft{c: c, previous: c.world, next: &w, copied: map[logic.TableID]bool{}, linesOf: map[logic.ProxyID]float64{},
+	w := *c.current
+	w.step, w.at, w.docs = c.current.step+1, at, map[string]*tables.Document{}
+	return &draft{c: c, previous: c.current, next: &w, copied: map[logic.TableID]bool{}, linesOf: map[logic.ProxyID]float64{},
 		change: Change{Line: c.line, Step: w.step, At: at}}
 }
 
@@ -58,7 +58,7 @@
 		if old := d.next.tables[id]; old != nil {
 			t.From, t.To, t.Levels, t.Fence = old.From, old.To, maps.Clone(old.Levels), old.Fence
 			maps.Copy(t.Lines, old.Lines)
-		} else if n := d.c.svc.Facts.Slices; n > 0 {
+		} else if n := d.c.svc.Config.Slices; n > 0 {
 			from, to := tables.SliceRange(int(id), n)
 			t.From, t.To = &from, &to
 		}
@@ -74,7 +74,7 @@
 		d.linesOfAll += lines
 		return
 	}
-	for _, id := range d.c.ids {
+	for _, id := range d.c.joined {
 		if concerned(id) {
 			d.linesOf[id] += lines
 		}
@@ -86,7 +86,7 @@
 
 // proxiesUsing selects the proxies that are sent a table.
 func (d *draft) proxiesUsing(t logic.TableID) func(logic.ProxyID) bool {
-	if d.c.svc.Facts.Slices > 0 || t == logic.AllTables {
+	if d.c.svc.Config.Slices > 0 || t == logic.AllTables {
 		return allProxies
 	}
 	return func(id logic.ProxyID) bool {
@@ -101,7 +101,7 @@
 
 // proxiesWithLineFor selects the proxies that are sent a table with a line for a host.
 func (d *draft) proxiesWithLineFor(a tables.Address) func(logic.ProxyID) bool {
-	if d.c.svc.Facts.Slices > 0 {
+	if d.c.svc.Config.Slices > 0 {
 		for _, t := range d.next.tables {
 			if _, found := t.Lines[a]; found {
 				return allProxies
@@ -123,18 +123,18 @@
 
 // apply carries out an order of the decision module.
 func (d *draft) apply(o logic.Order) {
-	f := d.c.svc.Facts
+	f := d.c.svc.Config
 	switch o := o.(type) {
 	case logic.SetLine:
 		if f.Slices > 0 && !d.c.ownsSlice(o.Table) {
 			return // revoked before the decision module learnt of it
 		}
-		a := d.c.names.address[o.Host]
+		a := d.c.ids.addresses[o.Host]
 		if a == "" || math.IsNaN(o.Weight) || o.Weight > 1e9 {
 			// No version may contain such a line. The decision module orders none by itself, but a modified store might
 			// hold one.
-			d.c.figures.Faults++
-			d.c.say(Event{Name: "check.line_dropped", Detail: fmt.Sprintf("table %d, host %d, weight %v", o.Table, o.Host, o.Weight)})
+			d.c.stats.CheckFailures++
+			d.c.log(LogEvent{Name: "check.line_dropped", Detail: fmt.Sprintf("table %d, host %d, weight %v", o.Table, o.Host, o.Weight)})
 			return
 		}
 		t := d.writableTable(o.Table)
@@ -157,7 +157,7 @@
 		t.Levels = nil
 		d.countLines(1, d.proxiesUsing(o.Table))
 	case logic.Mask:
-		a := d.c.names.address[o.Host]
+		a := d.c.ids.addresses[o.Host]
 		if d.change.Masked == nil {
 			d.next.masked = maps.Clone(d.next.masked)
 			d.change.Masked = d.next.masked
@@ -168,7 +168,7 @@
 			delete(d.next.masked, a)
 		}
 		d.countLines(1, d.proxiesWithLineFor(a))
-		d.c.say(Event{Name: "host.masked", Host: string(a), Detail: strconv.FormatBool(o.On)})
+		d.c.log(LogEvent{Name: "host.masked", Host: string(a), Detail: strconv.FormatBool(o.On)})
 	case logic.Throttle:
 		to := tables.Level{Level: o.Level, Tries: o.Retries}
 		if o.Table == logic.AllTables {
@@ -196,7 +196,7 @@
 			}
 		}
 		d.countLines(float64(max(1, bits.OnesCount64(uint64(o.Routes)))), d.proxiesUsing(o.Table))
-		d.c.say(Event{Name: "level.set", Detail: strconv.FormatFloat(o.Level, 'g', 4, 64)})
+		d.c.log(LogEvent{Name: "level.set", Detail: strconv.FormatFloat(o.Level, 'g', 4, 64)})
 	case logic.Bind:
 		if d.change.Bound == nil {
 			d.next.bound, d.change.Bound = maps.Clone(d.next.bound), map[logic.ProxyID][]logic.TableID{}
@@ -230,7 +230,7 @@
 // document returns the document that a proxy is sent at a snapshot's step. Proxies with the same tables share one.
 func (c *Core) document(w *snapshot, id logic.ProxyID) *tables.Document {
 	key := ""
-	if c.svc.Facts.Slices == 0 {
+	if c.svc.Config.Slices == 0 {
 		var b strings.Builder
 		for r := range c.svc.Routes {
 			if bound := w.bound[id]; r < len(bound) && bound[r] >= 0 {
@@ -245,7 +245,7 @@
 	if d := w.docs[key]; d != nil {
 		return d
 	}
-	f := c.svc.Facts
+	f := c.svc.Config
 	d := &tables.Document{Pick: c.svc.Pick, Ejects: f.EjectAfterFailures, TryWait: f.TryTimeout, FullIsProof: !f.RejectedMayHaveRun,
 		LevelsBy: map[logic.LevelUnit]string{logic.LevelShare: "share", logic.LevelRate: "rate", logic.NoLevels: "none"}[f.Levels],
 		Routes:   map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{},
@@ -253,7 +253,7 @@
 	addTable := func(name string, t *tables.Table) {
 		d.Tables[name] = t
 		for a := range t.Lines {
-			d.Hosts[a] = c.names.hosts[a].Host
+			d.Hosts[a] = c.ids.hosts[a].Host
 			if w.masked[a] {
 				d.Masked[a] = true
 			}
@@ -322,7 +322,7 @@
 // to hold back a removal because it leaves a table without hosts for a moment would break another rule.
 func (d *draft) verify(now logic.Millis) {
 	in := checks.Step{Was: map[string]*tables.Table{}, Is: map[string]*tables.Table{}, MaskedWas: d.previous.masked, Masked: d.next.masked,
-		Known: func(a tables.Address) bool { _, known := d.c.names.hosts[a]; return known }, Listed: map[tables.Address]checks.Host{}}
+		Known: func(a tables.Address) bool { _, known := d.c.ids.hosts[a]; return known }, Listed: map[tables.Address]checks.Host{}}
 	affected := d.change.Tables
 	if d.change.Masked != nil {
 		affected = d.next.tables
@@ -340,7 +340,7 @@
 		in.Listed[a] = checks.Host{Up: h.Up, Cold: h.Cold}
 	}
 	for _, f := range checks.Look(in) {
-		d.c.figures.Faults++
-		d.c.say(Event{Name: "check.failed", Host: string(f.Host), Version: strconv.Itoa(int(d.next.step)), Detail: f.String()})
+		d.c.stats.CheckFailures++
+		d.c.log(LogEvent{Name: "check.failed", Host: string(f.Host), Version: strconv.Itoa(int(d.next.step)), Detail: f.String()})
 	}
 }
