--- a/cmd/vetchwood/commands.go
+++ b/cmd/vetchwood/commands.go
@@ -82,7 +82,7 @@
 		{"channel", fmt.Sprintf("%v lines a second, %v wait at most: %.1f s", f.LinesPerSecond, f.QueueLimit, f.QueueLimit/f.LinesPerSecond)},
 		{"one line to all proxies costs", fmt.Sprintf("%v lines, %.0f ms of the channel", float64(f.Proxies)*(f.MessageOverhead+2),
 			1000*float64(f.Proxies)*(f.MessageOverhead+2)/f.LinesPerSecond)},
-		{"memory", fmt.Sprintf("%d MiB, for %d connections at most if there are descriptors", s.Memory>>20, budget.Means{Memory: s.Memory, Descriptors: 1 << 30}.Of().Connections)},
+		{"memory", fmt.Sprintf("%d MiB, for %d connections at most if there are descriptors", s.Memory>>20, budget.Resources{Memory: s.Memory, Descriptors: 1 << 30}.Limits().MaxConnections)},
 		{"longest wait of a poll", fmt.Sprintf("%v ms", s.Service.LongestWait)}} {
 		fmt.Fprintf(out, "  %-30s %v\n", l.name, l.v)
 	}
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -6,22 +6,22 @@
 import "sync"
 
 // Means are what the machine gives the process.
-type Means struct {
+type Resources struct {
 	Memory      int64 // bytes
 	Descriptors int
 }
 
 // Unlimited is for where nothing is to be bounded.
-var Unlimited = Means{Memory: 1 << 50, Descriptors: 1 << 40}
+var Unlimited = Resources{Memory: 1 << 50, Descriptors: 1 << 40}
 
 // Client names one that holds something.
-type Client uint64
+type ClientID uint64
 
 // Shares are what follows from the means.
-type Shares struct {
-	Connections int   // of all fronts; past it accepting pauses
-	Bytes       int64 // that all clients hold together
-	Soft, Hard  int64 // live heap at which nobody new comes in; at which those who hold most go
+type Limits struct {
+	MaxConnections     int   // of all fronts; past it accepting pauses
+	MaxHeldBytes       int64 // that all clients hold together
+	SoftHeap, HardHeap int64 // live heap at which nobody new comes in; at which those who hold most go
 }
 
 const (
@@ -34,48 +34,48 @@
 )
 
 // Of gives the shares. Half of the memory is for connections, a fifth for what they hold; the rest is for versions and the module.
-func (m Means) Of() Shares {
-	s := Shares{Connections: max(1, m.Descriptors-max(spareLeast, int(sparePart*float64(m.Descriptors)))), Bytes: m.Memory / 5,
-		Soft: m.Memory / 100 * 75, Hard: m.Memory / 100 * 85}
-	s.Connections = min(s.Connections, int(m.Memory/2/perConnection))
+func (m Resources) Limits() Limits {
+	s := Limits{MaxConnections: max(1, m.Descriptors-max(spareLeast, int(sparePart*float64(m.Descriptors)))), MaxHeldBytes: m.Memory / 5,
+		SoftHeap: m.Memory / 100 * 75, HardHeap: m.Memory / 100 * 85}
+	s.MaxConnections = min(s.MaxConnections, int(m.Memory/2/perConnection))
 	return s
 }
 
 // Ledger is one process's. Any goroutine may ask it.
-type Ledger struct {
+type Budget struct {
 	mu      sync.Mutex
-	shares  Shares
+	shares  Limits
 	open    int
-	held    map[Client]int64
+	held    map[ClientID]int64
 	bytes   int64
 	heap    int64
-	figures Figures
-	cut     func(Client)
+	figures Stats
+	cut     func(ClientID)
 }
 
 // Figures are counted for the operator.
-type Figures struct {
-	Shares
-	Open         int
-	Held         int64
-	Paused       bool
-	Pauses, Cuts uint64
-	Heap         int64
+type Stats struct {
+	Limits
+	Connections             int
+	HeldBytes               int64
+	AcceptPaused            bool
+	AcceptPauses, Evictions uint64
+	LiveHeap                int64
 }
 
-func New(m Means) *Ledger { return &Ledger{shares: m.Of(), held: map[Client]int64{}} }
+func New(m Resources) *Budget { return &Budget{shares: m.Limits(), held: map[ClientID]int64{}} }
 
 // Have says what the machine gives from now on. What is held beyond it goes as it is touched next.
-func (l *Ledger) Have(m Means) {
+func (l *Budget) SetResources(m Resources) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.shares = m.Of()
+	l.shares = m.Limits()
 }
 
 // Cuts says how a client's connection is closed. It is called before anything is held.
-func (l *Ledger) Cuts(by func(Client)) { l.cut = by }
+func (l *Budget) OnEvict(by func(ClientID)) { l.cut = by }
 
-func (l *Ledger) close(all []Client) {
+func (l *Budget) close(all []ClientID) {
 	for _, c := range all {
 		if l.cut != nil {
 			l.cut(c)
@@ -84,29 +84,29 @@
 }
 
 // May says whether one more connection may be accepted; if not, accepting pauses and is tried again. Began says that it pauses now.
-func (l *Ledger) May() (may, began bool) {
+func (l *Budget) CanAccept() (may, began bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if may = l.open < l.shares.Connections && l.heap < l.shares.Soft; may {
-		l.figures.Paused = false
+	if may = l.open < l.shares.MaxConnections && l.heap < l.shares.SoftHeap; may {
+		l.figures.AcceptPaused = false
 		return true, false
 	}
-	if began = !l.figures.Paused; began {
-		l.figures.Paused = true
-		l.figures.Pauses++
+	if began = !l.figures.AcceptPaused; began {
+		l.figures.AcceptPaused = true
+		l.figures.AcceptPauses++
 	}
 	return false, began
 }
 
 // Opened and Closed count connections, each by the front that has it.
-func (l *Ledger) Opened() {
+func (l *Budget) ConnectionOpened() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open++
 }
 
 // Closed forgets what the client held, too.
-func (l *Ledger) Closed(c Client) {
+func (l *Budget) ConnectionClosed(c ClientID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open--
@@ -116,7 +116,7 @@
 
 // Hold says how many bytes are held for a client from now on. Where all hold too much, those that hold most are cut. A client that
 // sends its request whole, or reads its answer, holds nothing and is never among them.
-func (l *Ledger) Hold(c Client, n int64) (cut []Client) {
+func (l *Budget) SetHeldBytes(c ClientID, n int64) (cut []ClientID) {
 	defer func() { l.close(cut) }()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,24 +124,24 @@
 	if l.held[c] = n; n == 0 {
 		delete(l.held, c)
 	}
-	return l.relieve(l.shares.Bytes)
+	return l.relieve(l.shares.MaxHeldBytes)
 }
 
 // Heap tells how much is live, as last seen. Where it is too much, half of what clients hold goes.
-func (l *Ledger) Heap(live int64) (cut []Client) {
+func (l *Budget) SetLiveHeap(live int64) (cut []ClientID) {
 	defer func() { l.close(cut) }()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.heap = live; live >= l.shares.Hard {
+	if l.heap = live; live >= l.shares.HardHeap {
 		return l.relieve(l.bytes / 2)
 	}
 	return nil
 }
 
 // relieve takes those that hold most until no more than so much is held.
-func (l *Ledger) relieve(to int64) (cut []Client) {
+func (l *Budget) relieve(to int64) (cut []ClientID) {
 	for l.bytes > to && len(l.held) > 0 {
-		var worst Client
+		var worst ClientID
 		for c, n := range l.held {
 			if m := l.held[worst]; n > m || n == m && c < worst || m == 0 {
 				worst = c
@@ -150,23 +150,23 @@
 		l.bytes -= l.held[worst]
 		delete(l.held, worst)
 		cut = append(cut, worst)
-		l.figures.Cuts++
+		l.figures.Evictions++
 	}
 	return cut
 }
 
 // Takes says whether a request that can be put off is taken: not while memory is short.
-func (l *Ledger) Takes() bool {
+func (l *Budget) HasHeapRoom() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.heap < l.shares.Soft
+	return l.heap < l.shares.SoftHeap
 }
 
 // Figures are those of now.
-func (l *Ledger) Figures() Figures {
+func (l *Budget) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f := l.figures
-	f.Shares, f.Open, f.Held, f.Heap = l.shares, l.open, l.bytes, l.heap
+	f.Limits, f.Connections, f.HeldBytes, f.LiveHeap = l.shares, l.open, l.bytes, l.heap
 	return f
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -7,36 +7,36 @@
 )
 
 func TestSharesLeaveRoomForTheDirectorItself(t *testing.T) {
-	for _, m := range []Means{{64 << 20, 1024}, {1 << 30, 20000}, {16 << 30, 1 << 20}, {32 << 20, 70}} {
-		s := m.Of()
-		if s.Connections < 1 || s.Connections > m.Descriptors-64 && s.Connections > 1 || int64(s.Connections)*perConnection+s.Bytes > m.Memory*8/10 || s.Soft >= s.Hard {
+	for _, m := range []Resources{{64 << 20, 1024}, {1 << 30, 20000}, {16 << 30, 1 << 20}, {32 << 20, 70}} {
+		s := m.Limits()
+		if s.MaxConnections < 1 || s.MaxConnections > m.Descriptors-64 && s.MaxConnections > 1 || int64(s.MaxConnections)*perConnection+s.MaxHeldBytes > m.Memory*8/10 || s.SoftHeap >= s.HardHeap {
 			t.Errorf("%+v: %+v", m, s)
 		}
 	}
 }
 
 func TestAcceptingPausesAndGoesOn(t *testing.T) {
-	l := New(Means{Memory: 1 << 30, Descriptors: 66})
+	l := New(Resources{Memory: 1 << 30, Descriptors: 66})
 	for range 2 {
-		if may, _ := l.May(); !may {
+		if may, _ := l.CanAccept(); !may {
 			t.Fatal("pauses with room")
 		}
-		l.Opened()
+		l.ConnectionOpened()
 	}
-	if may, began := l.May(); may || !began {
+	if may, began := l.CanAccept(); may || !began {
 		t.Fatal("goes on without room")
 	}
-	if may, began := l.May(); may || began {
+	if may, began := l.CanAccept(); may || began {
 		t.Fatal("begins to pause twice")
 	}
-	l.Closed(1)
-	if may, _ := l.May(); !may || l.Figures().Pauses != 1 {
-		t.Fatalf("%+v", l.Figures())
+	l.ConnectionClosed(1)
+	if may, _ := l.CanAccept(); !may || l.Stats().AcceptPauses != 1 {
+		t.Fatalf("%+v", l.Stats())
 	}
-	if l.Heap(l.shares.Soft); l.Takes() {
+	if l.SetLiveHeap(l.shares.SoftHeap); l.HasHeapRoom() {
 		t.Fatal("takes what can wait though memory is short")
 	}
-	if may, _ := l.May(); may {
+	if may, _ := l.CanAccept(); may {
 		t.Fatal("lets in though memory is short")
 	}
 }
@@ -45,23 +45,23 @@
 // nothing never goes.
 func TestWhoGoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New(Means{Memory: 5000, Descriptors: 1000})
-		plain := map[Client]int64{}
+		l := New(Resources{Memory: 5000, Descriptors: 1000})
+		plain := map[ClientID]int64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			c := Client(rapid.IntRange(1, 8).Draw(t, "client"))
-			var cut []Client
+			c := ClientID(rapid.IntRange(1, 8).Draw(t, "client"))
+			var cut []ClientID
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				l.Closed(c)
+				l.ConnectionClosed(c)
 				delete(plain, c)
 			case 1:
-				cut = l.Heap(int64(rapid.IntRange(0, 5000).Draw(t, "heap")))
+				cut = l.SetLiveHeap(int64(rapid.IntRange(0, 5000).Draw(t, "heap")))
 			default:
 				n := int64(rapid.IntRange(0, 600).Draw(t, "bytes"))
 				if plain[c] = n; n == 0 {
 					delete(plain, c)
 				}
-				cut = l.Hold(c, n)
+				cut = l.SetHeldBytes(c, n)
 			}
 			for _, c := range cut {
 				gone, held := plain[c]
@@ -78,8 +78,8 @@
 			for _, n := range plain {
 				sum += n
 			}
-			if f := l.Figures(); f.Held != sum || sum > l.shares.Bytes {
-				t.Fatalf("%d held, by its count %d, of %d", sum, f.Held, l.shares.Bytes)
+			if f := l.Stats(); f.HeldBytes != sum || sum > l.shares.MaxHeldBytes {
+				t.Fatalf("%d held, by its count %d, of %d", sum, f.HeldBytes, l.shares.MaxHeldBytes)
 			}
 		}
 	})
--- a/internal/carry/mind.go
+++ b/internal/carry/mind.go
@@ -262,7 +262,7 @@
 	}
 	m.find(c, r)
 	if !c.counted && (c.table != nil || len(m.ranges) == 0) {
-		m.Tally(c.from()).Came(c.Route, c.name())
+		m.Tally(c.from()).AddCall(c.Route, c.name())
 		c.counted = true
 	}
 	var gate *admit.Level
@@ -442,7 +442,7 @@
 	m.host(c.host).inHand--
 	took := now - c.sent
 	m.avoid.End(c.host, true, now, 0)
-	m.Tally(c.from()).Tried(c.Route, c.host, true, took, load)
+	m.Tally(c.from()).AddTry(c.Route, c.host, true, took, load)
 	if r := m.routes[c.Route]; r != nil {
 		if r.usual == 0 {
 			r.usual = took
@@ -457,13 +457,13 @@
 	h.inHand--
 	if f == Abandoned {
 		m.avoid.Unended(c.host)
-		m.Tally(c.from()).Tried(c.Route, c.host, false, 0, load)
+		m.Tally(c.from()).AddTry(c.Route, c.host, false, 0, load)
 		return Try{}, again.NotOrdered
 	}
 	if m.avoid.End(c.host, false, now, m.chance()) {
 		m.counts.Shut++
 	}
-	m.Tally(c.from()).Tried(c.Route, c.host, false, 0, load)
+	m.Tally(c.from()).AddTry(c.Route, c.host, false, 0, load)
 	fate := again.MayHaveRun
 	if f == NotSent || f == Busy && m.doc.FullIsProof {
 		fate = again.NeverRan
@@ -490,7 +490,7 @@
 // Done ends a call. Next is a queued call whose turn it is, out those whose clients have given up.
 func (m *Mind) Done(c *Call, answered bool, now float64) (next admit.Ticket, out []admit.Ticket) {
 	if !answered && c.counted && c.gated {
-		m.Tally(c.from()).Unanswered(c.Route, c.name())
+		m.Tally(c.from()).AddUnanswered(c.Route, c.name())
 	}
 	if !c.gated {
 		return 0, nil
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -59,7 +59,7 @@
 	}
 	fronts := []director.Front{front}
 	var second *mqtt.Server
-	ledger.Cuts(func(c budget.Client) {
+	ledger.OnEvict(func(c budget.ClientID) {
 		if front.Cut(c); second != nil {
 			second.Cut(c)
 		}
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -13,7 +13,7 @@
 
 // memory sets up what the process may use: the collector's limit lies under the memory that the settings state, so that it works
 // harder before that is reached, and is let be while there is room.
-func memory(ctx context.Context, s *settings.Running) (*budget.Ledger, error) {
+func memory(ctx context.Context, s *settings.Running) (*budget.Budget, error) {
 	m, err := means(s)
 	if err != nil {
 		return nil, err
@@ -29,11 +29,11 @@
 }
 
 // means are what the settings and the system give, and tell the collector.
-func means(s *settings.Running) (budget.Means, error) {
+func means(s *settings.Running) (budget.Resources, error) {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
-		return budget.Means{}, fmt.Errorf("descriptors: %w", err)
+		return budget.Resources{}, fmt.Errorf("descriptors: %w", err)
 	}
 	debug.SetMemoryLimit(s.Memory / 100 * 90)
-	return budget.Means{Memory: s.Memory, Descriptors: int(min(files.Cur, 1<<30))}, nil
+	return budget.Resources{Memory: s.Memory, Descriptors: int(min(files.Cur, 1<<30))}, nil
 }
--- a/internal/daemon/meters.go
+++ b/internal/daemon/meters.go
@@ -22,7 +22,7 @@
 )
 
 // serveAdmin serves metrics, health and operators.
-func serveAdmin(address string, d *director.Director, front *longpoll.Server, second *mqtt.Server, st *store.Store, holder *lease.Holder, ledger *budget.Ledger) (*http.Server, error) {
+func serveAdmin(address string, d *director.Director, front *longpoll.Server, second *mqtt.Server, st *store.Store, holder *lease.Holder, ledger *budget.Budget) (*http.Server, error) {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	gauge := func(name, help string, of func(control.Figures) float64) {
@@ -104,15 +104,15 @@
 		Help: "The longest that the loop was busy with one batch."}, func() float64 { return d.LongestTurn().Seconds() }))
 	for name, of := range map[string]struct {
 		help string
-		of   func(budget.Figures) float64
-	}{"connections_most": {"Connections that may be open; past it accepting pauses.", func(f budget.Figures) float64 { return float64(f.Connections) }},
-		"accept_paused":      {"1 while no connection is accepted.", func(f budget.Figures) float64 { return map[bool]float64{true: 1}[f.Paused] }},
-		"clients_hold_bytes": {"Requests that are half read and answers that wait behind others.", func(f budget.Figures) float64 { return float64(f.Held) }},
-		"heap_live_bytes":    {"Heap in use as of the last collection.", func(f budget.Figures) float64 { return float64(f.Heap) }}} {
-		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_" + name, Help: of.help}, func() float64 { return of.of(ledger.Figures()) }))
+		of   func(budget.Stats) float64
+	}{"connections_most": {"Connections that may be open; past it accepting pauses.", func(f budget.Stats) float64 { return float64(f.MaxConnections) }},
+		"accept_paused":      {"1 while no connection is accepted.", func(f budget.Stats) float64 { return map[bool]float64{true: 1}[f.AcceptPaused] }},
+		"clients_hold_bytes": {"Requests that are half read and answers that wait behind others.", func(f budget.Stats) float64 { return float64(f.HeldBytes) }},
+		"heap_live_bytes":    {"Heap in use as of the last collection.", func(f budget.Stats) float64 { return float64(f.LiveHeap) }}} {
+		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_" + name, Help: of.help}, func() float64 { return of.of(ledger.Stats()) }))
 	}
-	counter("accept_pauses", "Times that accepting paused.", func(control.Figures) uint64 { return ledger.Figures().Pauses })
-	counter("clients_cut", "Clients whose connection was closed as they held most of what there is.", func(control.Figures) uint64 { return ledger.Figures().Cuts })
+	counter("accept_pauses", "Times that accepting paused.", func(control.Figures) uint64 { return ledger.Stats().AcceptPauses })
+	counter("clients_cut", "Clients whose connection was closed as they held most of what there is.", func(control.Figures) uint64 { return ledger.Stats().Evictions })
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
 	mux.Handle(operate.Path, operate.Handler(d, st))
--- a/internal/daemon/relay.go
+++ b/internal/daemon/relay.go
@@ -20,7 +20,7 @@
 		return err
 	}
 	log = log.With("relay", set.Name)
-	r, err := relay.New(set, relay.Watch{}, log)
+	r, err := relay.New(set, relay.Hooks{}, log)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -24,7 +24,7 @@
 
 // follow reads the file anew at each signal, one after the other: a signal that comes meanwhile is met by one more reading. A file
 // that is wrong changes nothing.
-func (a Again) follow(ctx context.Context, was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger, log *slog.Logger) {
+func (a Again) follow(ctx context.Context, was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Budget, log *slog.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -36,7 +36,7 @@
 }
 
 // once is one reading. The manager is told that it is over, whatever came of it, before anybody else can see that it is.
-func (a Again) once(was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger, log *slog.Logger) {
+func (a Again) once(was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Budget, log *slog.Logger) {
 	tell(log, daemon.SdNotifyReloading+"\n"+monotonic())
 	plan, err := a.apply(was, front, st, ledger, log)
 	tell(log, daemon.SdNotifyReady)
@@ -49,7 +49,7 @@
 
 // apply reads the file and has what changed in it take effect, as far as it can without a restart. A file that is wrong
 // changes nothing; the error names all that is wrong with it, each with its place.
-func (a Again) apply(was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger,
+func (a Again) apply(was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Budget,
 	log *slog.Logger) (plan reload.Plan, err error) {
 	text, err := os.ReadFile(a.File)
 	if err != nil {
@@ -64,7 +64,7 @@
 		return plan, err
 	}
 	plan = reload.Of(was, s.Written)
-	ledger.Have(m)
+	ledger.SetResources(m)
 	st.Keep(s.History)
 	front.Limit(s.Front)
 	for _, c := range plan.Now {
--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -16,27 +16,27 @@
 	Method, Target []byte
 	Status         int
 	Reason         []byte
-	Minor          int // of HTTP/1.x
+	MinorVersion   int // of HTTP/1.x
 	Fields         []Field
-	Length         int64 // of the body; -1: not stated
+	ContentLength  int64 // of the body; -1: not stated
 	Chunked        bool
 	Close          bool // the connection ends with this message
 	KeepAlive      bool // stated, which HTTP/1.0 needs
-	Expects        bool // 100-continue
-	Upgrade        bool
+	HasExpect      bool // 100-continue
+	HasUpgrade     bool
 	Size           int // of the head
 }
 
 // Wrong is what makes a message unreadable.
-type Wrong struct {
-	Status int // for an answer to a request
-	Why    string
+type ParseError struct {
+	Status  int // for an answer to a request
+	Message string
 }
 
-func (w *Wrong) Error() string { return w.Why }
+func (w *ParseError) Error() string { return w.Message }
 
-func wrong(status int, format string, args ...any) *Wrong {
-	return &Wrong{status, fmt.Sprintf(format, args...)}
+func wrong(status int, format string, args ...any) *ParseError {
+	return &ParseError{status, fmt.Sprintf(format, args...)}
 }
 
 const (
@@ -67,7 +67,7 @@
 }
 
 // Ends finds the end of a head in what has come; 0 if it has not come whole. From is where the last look ended.
-func Ends(buf []byte, from int) int {
+func HeadEnd(buf []byte, from int) int {
 	if from > 3 {
 		from -= 3
 	} else {
@@ -80,8 +80,8 @@
 }
 
 // Request reads a request's head. Nothing is read past it; 0 and no error mean that more is to come.
-func (h *Head) Request(buf []byte, most int) (int, *Wrong) {
-	end := Ends(buf[:min(len(buf), most)], 0)
+func (h *Head) ParseRequest(buf []byte, most int) (int, *ParseError) {
+	end := HeadEnd(buf[:min(len(buf), most)], 0)
 	if end == 0 {
 		if len(buf) >= most {
 			return 0, wrong(tooLarge, "the head is longer than %d bytes", most)
@@ -117,19 +117,19 @@
 	if w != nil {
 		return 0, w
 	}
-	if hosts > 1 || hosts == 0 && h.Minor == 1 {
+	if hosts > 1 || hosts == 0 && h.MinorVersion == 1 {
 		return 0, wrong(badRequest, "%d Host fields", hosts)
 	}
-	if h.Minor == 0 && h.Chunked {
+	if h.MinorVersion == 0 && h.Chunked {
 		return 0, wrong(badRequest, "HTTP/1.0 knows no Transfer-Encoding")
 	}
-	h.Close = h.Close || h.Minor == 0 && !h.KeepAlive
+	h.Close = h.Close || h.MinorVersion == 0 && !h.KeepAlive
 	return end, nil
 }
 
 // Answer reads an answer's head, to a request of that method.
-func (h *Head) Answer(buf []byte, most int, method []byte) (int, *Wrong) {
-	end := Ends(buf[:min(len(buf), most)], 0)
+func (h *Head) ParseResponse(buf []byte, most int, method []byte) (int, *ParseError) {
+	end := HeadEnd(buf[:min(len(buf), most)], 0)
 	if end == 0 {
 		if len(buf) >= most {
 			return 0, wrong(0, "the answer's head is longer than %d bytes", most)
@@ -162,26 +162,26 @@
 	if _, w := h.fields(rest); w != nil {
 		return 0, w
 	}
-	h.Close = h.Close || h.Minor == 0 && !h.KeepAlive
+	h.Close = h.Close || h.MinorVersion == 0 && !h.KeepAlive
 	if h.Status < 200 || h.Status == 204 || h.Status == 304 || string(method) == "HEAD" {
-		if h.Status < 200 && (h.Chunked || h.Length > 0) {
+		if h.Status < 200 && (h.Chunked || h.ContentLength > 0) {
 			return 0, wrong(0, "a status of %d bears a body", h.Status)
 		}
-		h.Length, h.Chunked = 0, false
-	} else if h.Length < 0 && !h.Chunked {
+		h.ContentLength, h.Chunked = 0, false
+	} else if h.ContentLength < 0 && !h.Chunked {
 		h.Close = true // its body ends with the connection
 	}
 	return end, nil
 }
 
 func (h *Head) reset(size int) {
-	*h = Head{Fields: h.Fields[:0], Length: -1, Size: size}
+	*h = Head{Fields: h.Fields[:0], ContentLength: -1, Size: size}
 }
 
-func (h *Head) version(v []byte) *Wrong {
+func (h *Head) version(v []byte) *ParseError {
 	switch string(v) {
 	case "HTTP/1.1":
-		h.Minor = 1
+		h.MinorVersion = 1
 	case "HTTP/1.0":
 	default:
 		return wrong(noSuchVersion, "the version %.20q is neither HTTP/1.0 nor HTTP/1.1", v)
@@ -198,7 +198,7 @@
 	return true
 }
 
-func (h *Head) fields(rest []byte) (hosts int, w *Wrong) {
+func (h *Head) fields(rest []byte) (hosts int, w *ParseError) {
 	for len(rest) > 0 {
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, crlf)
@@ -216,46 +216,46 @@
 		h.Fields = append(h.Fields, f)
 		switch len(f.Name) {
 		case 4:
-			if Is(f.Name, "host") {
+			if EqualFold(f.Name, "host") {
 				hosts++
 			}
 		case 6:
-			h.Expects = h.Expects || Is(f.Name, "expect")
+			h.HasExpect = h.HasExpect || EqualFold(f.Name, "expect")
 		case 7:
-			h.Upgrade = h.Upgrade || Is(f.Name, "upgrade")
+			h.HasUpgrade = h.HasUpgrade || EqualFold(f.Name, "upgrade")
 		case 10:
-			if Is(f.Name, "connection") {
-				h.Close = h.Close || Lists(f.Value, "close")
-				h.KeepAlive = h.KeepAlive || Lists(f.Value, "keep-alive")
+			if EqualFold(f.Name, "connection") {
+				h.Close = h.Close || ListContains(f.Value, "close")
+				h.KeepAlive = h.KeepAlive || ListContains(f.Value, "keep-alive")
 			}
 		case 14:
-			if Is(f.Name, "content-length") {
-				if h.Length >= 0 {
+			if EqualFold(f.Name, "content-length") {
+				if h.ContentLength >= 0 {
 					return 0, wrong(badRequest, "two Content-Length fields")
 				}
 				n, err := strconv.ParseUint(string(f.Value), 10, 62)
 				if err != nil || len(f.Value) > 18 || f.Value[0] == '+' {
 					return 0, wrong(badRequest, "the Content-Length %.40q is no length", f.Value)
 				}
-				h.Length = int64(n)
+				h.ContentLength = int64(n)
 			}
 		case 17:
-			if Is(f.Name, "transfer-encoding") {
-				if h.Chunked || !Is(f.Value, "chunked") {
+			if EqualFold(f.Name, "transfer-encoding") {
+				if h.Chunked || !EqualFold(f.Value, "chunked") {
 					return 0, wrong(notImplemented, "the Transfer-Encoding %.40q is not chunked, once", f.Value)
 				}
 				h.Chunked = true
 			}
 		}
 	}
-	if h.Chunked && h.Length >= 0 {
+	if h.Chunked && h.ContentLength >= 0 {
 		return 0, wrong(badRequest, "both Content-Length and Transfer-Encoding")
 	}
 	return hosts, nil
 }
 
 // Is compares a name or a word with one in small letters.
-func Is(b []byte, small string) bool {
+func EqualFold(b []byte, small string) bool {
 	if len(b) != len(small) {
 		return false
 	}
@@ -271,11 +271,11 @@
 }
 
 // Lists says whether a comma-separated value names a word.
-func Lists(value []byte, small string) bool {
+func ListContains(value []byte, small string) bool {
 	for len(value) > 0 {
 		var part []byte
 		part, value, _ = bytes.Cut(value, []byte(","))
-		if Is(bytes.Trim(part, " \t"), small) {
+		if EqualFold(bytes.Trim(part, " \t"), small) {
 			return true
 		}
 	}
@@ -285,7 +285,7 @@
 // Get is the value of the first field of a name in small letters, nil if there is none.
 func (h *Head) Get(small string) []byte {
 	for _, f := range h.Fields {
-		if Is(f.Name, small) {
+		if EqualFold(f.Name, small) {
 			return f.Value
 		}
 	}
@@ -294,10 +294,10 @@
 
 // OneHop says whether a field concerns one connection alone (RFC 9110, 7.6.1) and is not passed on. Names that
 // Connection lists count too.
-func (h *Head) OneHop(f Field) bool {
+func (h *Head) IsHopByHop(f Field) bool {
 	for _, name := range []string{"connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding",
 		"upgrade", "expect", "proxy-authenticate", "proxy-authorization"} {
-		if Is(f.Name, name) {
+		if EqualFold(f.Name, name) {
 			return true
 		}
 	}
@@ -305,15 +305,15 @@
 }
 
 // Listed gives the names that Connection fields list beside close and keep-alive.
-func (h *Head) Listed() (names [][]byte) {
+func (h *Head) ConnectionOptions() (names [][]byte) {
 	for _, f := range h.Fields {
-		if !Is(f.Name, "connection") {
+		if !EqualFold(f.Name, "connection") {
 			continue
 		}
 		for rest := f.Value; len(rest) > 0; {
 			var part []byte
 			part, rest, _ = bytes.Cut(rest, []byte(","))
-			if part = bytes.Trim(part, " \t"); len(part) > 0 && !Is(part, "close") && !Is(part, "keep-alive") {
+			if part = bytes.Trim(part, " \t"); len(part) > 0 && !EqualFold(part, "close") && !EqualFold(part, "keep-alive") {
 				names = append(names, part)
 			}
 		}
@@ -323,7 +323,7 @@
 
 // Chunk reads the line that begins a chunk: its size, and how long the line is. 0, 0 means that more is to come.
 // Extensions are passed over.
-func Chunk(buf []byte) (size int64, line int, w *Wrong) {
+func ParseChunkSize(buf []byte) (size int64, line int, w *ParseError) {
 	end := bytes.Index(buf[:min(len(buf), 256)], crlf)
 	if end < 0 {
 		if len(buf) >= 256 {
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -47,7 +47,7 @@
 		"\r\n\r\n": 400,
 	} {
 		var h Head
-		n, w := h.Request([]byte(in), 1500)
+		n, w := h.ParseRequest([]byte(in), 1500)
 		got := 0
 		if w != nil {
 			got = w.Status
@@ -75,33 +75,33 @@
 		"HTTP/1.1 100 Continue\r\n\r\n":                                      {100, 0, false, false},
 	} {
 		var h Head
-		n, w := h.Answer([]byte(in), 1500, []byte("GET"))
-		if w != nil || n != len(in) || h.Status != want.status || h.Length != want.length || h.Close != want.closes || h.Chunked != want.chunked {
+		n, w := h.ParseResponse([]byte(in), 1500, []byte("GET"))
+		if w != nil || n != len(in) || h.Status != want.status || h.ContentLength != want.length || h.Close != want.closes || h.Chunked != want.chunked {
 			t.Errorf("%q: %v, %+v", in, w, h)
 		}
 	}
 	for _, in := range []string{"HTTP/1.1 2x0 OK\r\n\r\n", "HTTP/1.1 099 OK\r\n\r\n", "HTTP/1.1  200\r\n\r\n", "ICY 200 OK\r\n\r\nxxxx",
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n", "HTTP/1.1 100 Continue\r\nContent-Length: 6\r\n\r\n"} {
 		var h Head
-		if _, w := h.Answer([]byte(in), 1500, []byte("GET")); w == nil {
+		if _, w := h.ParseResponse([]byte(in), 1500, []byte("GET")); w == nil {
 			t.Errorf("%q was read", in)
 		}
 	}
 	var h Head
-	if _, w := h.Answer([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"), 1500, []byte("HEAD")); w != nil || h.Length != 0 {
-		t.Errorf("an answer to HEAD: %v, %d", w, h.Length)
+	if _, w := h.ParseResponse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"), 1500, []byte("HEAD")); w != nil || h.ContentLength != 0 {
+		t.Errorf("an answer to HEAD: %v, %d", w, h.ContentLength)
 	}
 }
 
 func TestChunks(t *testing.T) {
 	for in, want := range map[string][2]int64{"5\r\nhello": {5, 3}, "1F;a=b\r\n": {31, 8}, "0\r\n": {0, 3}, "5": {0, 0}, "a \t;x\r\n": {10, 7}} {
-		size, line, w := Chunk([]byte(in))
+		size, line, w := ParseChunkSize([]byte(in))
 		if w != nil || size != want[0] || int64(line) != want[1] {
 			t.Errorf("%q: %d, %d, %v", in, size, line, w)
 		}
 	}
 	for _, in := range []string{"\r\n", "g\r\n", "-1\r\n", "+1\r\n", "0x1\r\n", " 1\r\n", "1 \r\n", "1;\x00\r\n", "1111111111111111\r\n", "5\n\r\n", strings.Repeat("1", 300)} {
-		if _, _, w := Chunk([]byte(in)); w == nil {
+		if _, _, w := ParseChunkSize([]byte(in)); w == nil {
 			t.Errorf("%q was read", in)
 		}
 	}
@@ -115,7 +115,7 @@
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var h Head
-		n, w := h.Request(in, 4096)
+		n, w := h.ParseRequest(in, 4096)
 		if w != nil || n == 0 {
 			return
 		}
@@ -126,7 +126,7 @@
 			}
 			t.Fatalf("we read %q, the library says %v", in[:n], err)
 		}
-		length := h.Length
+		length := h.ContentLength
 		if length < 0 && !h.Chunked {
 			length = 0
 		}
@@ -142,7 +142,7 @@
 		var h Head
 		b.ReportAllocs()
 		for b.Loop() {
-			h.Request(in, 8192)
+			h.ParseRequest(in, 8192)
 		}
 	})
 	b.Run("library", func(b *testing.B) {
--- a/internal/live/live.go
+++ b/internal/live/live.go
@@ -10,7 +10,7 @@
 )
 
 // Watch does so until the context ends. What is garbage already doesn't count, and reading it stops nothing.
-func Watch(ctx context.Context, ledger *budget.Ledger) {
+func Watch(ctx context.Context, ledger *budget.Budget) {
 	sample := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
@@ -21,6 +21,6 @@
 		case <-tick.C:
 		}
 		metrics.Read(sample)
-		ledger.Heap(int64(sample[0].Value.Uint64()))
+		ledger.SetLiveHeap(int64(sample[0].Value.Uint64()))
 	}
 }
--- a/internal/load/line.go
+++ b/internal/load/line.go
@@ -75,12 +75,12 @@
 		if err != nil {
 			break
 		}
-		n, wrong := head.Answer(text, 1<<16, nil)
-		if wrong != nil || n == 0 || head.Chunked || head.Length < 0 {
+		n, wrong := head.ParseResponse(text, 1<<16, nil)
+		if wrong != nil || n == 0 || head.Chunked || head.ContentLength < 0 {
 			break
 		}
 		f := fate{status: head.Status, etag: string(head.Get("etag"))}
-		closes, length := head.Close, int(head.Length)
+		closes, length := head.Close, int(head.ContentLength)
 		in.Discard(n)
 		if cap(body) < length {
 			body = make([]byte, length)
@@ -139,7 +139,7 @@
 			return nil, err
 		}
 		text, _ := in.Peek(in.Buffered())
-		if end := h1.Ends(text, from); end > 0 {
+		if end := h1.HeadEnd(text, from); end > 0 {
 			return text[:end], nil
 		}
 		if from = len(text); from >= in.Size() {
--- a/internal/longpoll/ask.go
+++ b/internal/longpoll/ask.go
@@ -130,7 +130,7 @@
 	if q.Proxy != "" && q.Proxy != proxy {
 		return bad(http.StatusBadRequest, "load stats: node.id: %.60q is not the proxy of the path", q.Proxy)
 	}
-	if !s.budget.Takes() {
+	if !s.budget.HasHeapRoom() {
 		return later(5 * time.Second)
 	}
 	if wait := s.core.Admit(inflow.Reports, proxy); wait > 0 {
@@ -143,7 +143,7 @@
 
 // look hands on the poll of one that looks on.
 func (s *Server) look(p *peer, r *request) (wrong *problem) {
-	if !s.budget.Takes() {
+	if !s.budget.HasHeapRoom() {
 		return later(5 * time.Second)
 	}
 	if wait := s.core.Admit(inflow.Looks, ""); wait > 0 {
--- a/internal/longpoll/budget_test.go
+++ b/internal/longpoll/budget_test.go
@@ -13,7 +13,7 @@
 	"vetchwood/internal/control"
 )
 
-func bounded(t *testing.T, m budget.Means, most int) (*desk, *budget.Ledger, string) {
+func bounded(t *testing.T, m budget.Resources, most int) (*desk, *budget.Budget, string) {
 	d := &desk{answer: func(in any) *control.Answer {
 		if p, is := in.(control.Poll); is && p.Wait == 0 {
 			return &control.Answer{Ticket: p.Ticket, Kind: control.Unchanged, Doc: document(1, 1)}
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	d.front = s
-	l.Budget.Cuts(s.Cut)
+	l.Budget.OnEvict(s.Cut)
 	go s.Serve()
 	t.Cleanup(func() { s.Close() })
 	return d, l.Budget, s.Addr().String()
@@ -36,7 +36,7 @@
 // Clients send long bodies that never end. Those go that hold most; what is held stays within its share, and a proxy whose poll
 // waits, and one that polls, feel nothing.
 func TestBodiesThatNeverEnd(t *testing.T) {
-	d, ledger, at := bounded(t, budget.Means{Memory: 64 << 20, Descriptors: 1 << 20}, 1<<20)
+	d, ledger, at := bounded(t, budget.Resources{Memory: 64 << 20, Descriptors: 1 << 20}, 1<<20)
 	waits, err := net.Dial("tcp", at)
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +61,7 @@
 		}()
 	}
 	await(t, "those that hold most to go", func() bool { return cut.Load() >= 40 })
-	if f := ledger.Figures(); f.Held > f.Bytes || f.Cuts < 40 {
+	if f := ledger.Stats(); f.HeldBytes > f.MaxHeldBytes || f.Evictions < 40 {
 		t.Errorf("%+v", f)
 	}
 	if out := talk(t, at, get("/v1/proxies/p2/tables")); !strings.Contains(out, "304") {
@@ -74,7 +74,7 @@
 
 // As many connections as may be open are: the next ones wait, nothing spins, and they are taken once there is room.
 func TestAcceptingPauses(t *testing.T) {
-	_, ledger, at := bounded(t, budget.Means{Memory: 64 << 20, Descriptors: 64 + 20}, 4096)
+	_, ledger, at := bounded(t, budget.Resources{Memory: 64 << 20, Descriptors: 64 + 20}, 4096)
 	var open []net.Conn
 	for range 40 {
 		c, err := net.Dial("tcp", at)
@@ -84,8 +84,8 @@
 		defer c.Close()
 		open = append(open, c)
 	}
-	await(t, "accepting to pause", func() bool { return ledger.Figures().Paused })
-	if f := ledger.Figures(); f.Open != 20 || f.Pauses != 1 {
+	await(t, "accepting to pause", func() bool { return ledger.Stats().AcceptPaused })
+	if f := ledger.Stats(); f.Connections != 20 || f.AcceptPauses != 1 {
 		t.Fatalf("%+v", f)
 	}
 	late := open[30]
@@ -101,5 +101,5 @@
 	if n, err := late.Read(make([]byte, 10)); n == 0 {
 		t.Fatal("not answered with room again: ", err)
 	}
-	await(t, "accepting to go on", func() bool { return !ledger.Figures().Paused })
+	await(t, "accepting to go on", func() bool { return !ledger.Stats().AcceptPaused })
 }
--- a/internal/longpoll/server.go
+++ b/internal/longpoll/server.go
@@ -42,14 +42,14 @@
 	Write              time.Duration // for one answer
 	LongestWait        logic.Millis
 	// Budget is what all fronts share; nil: any.
-	Budget *budget.Ledger
+	Budget *budget.Budget
 }
 
 // Server is one listening socket.
 type Server struct {
 	*nets.Socket
 	core   Core
-	budget *budget.Ledger
+	budget *budget.Budget
 	limits atomic.Pointer[Limits]
 	log    *slog.Logger
 	asked  sync.Map // control.Ticket -> *peer, for what is no poll
@@ -62,7 +62,7 @@
 
 // peer is one connection.
 type peer struct {
-	id     budget.Client
+	id     budget.ClientID
 	conn   netpoll.Connection
 	holds  int // bytes that the budget knows of
 	mu     sync.Mutex
@@ -121,14 +121,14 @@
 }
 
 func (s *Server) accept(c netpoll.Connection) context.Context {
-	p := &peer{id: budget.Client(s.serial.Add(1) << 1), conn: c, since: time.Now()}
+	p := &peer{id: budget.ClientID(s.serial.Add(1) << 1), conn: c, since: time.Now()}
 	s.open.Add(1)
-	s.budget.Opened()
+	s.budget.ConnectionOpened()
 	s.peers.Store(p.id, p)
 	c.AddCloseCallback(func(netpoll.Connection) error {
 		s.peers.Delete(p.id)
 		s.open.Add(-1)
-		s.budget.Closed(p.id)
+		s.budget.ConnectionClosed(p.id)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.gone = true
@@ -177,13 +177,13 @@
 	r.Release()
 	if len(p.in) != p.holds && !p.gone {
 		p.holds = len(p.in)
-		s.budget.Hold(p.id, int64(p.holds))
+		s.budget.SetHeldBytes(p.id, int64(p.holds))
 	}
 	return nil
 }
 
 // Cut closes a client's connection, if it is of this front.
-func (s *Server) Cut(c budget.Client) {
+func (s *Server) Cut(c budget.ClientID) {
 	if v, open := s.peers.Load(c); open {
 		s.log.Warn("client.cut", "why", "it holds more of the director's memory than the others, and there is no more")
 		go v.(*peer).conn.Close()
--- a/internal/longpoll/wire.go
+++ b/internal/longpoll/wire.go
@@ -53,9 +53,9 @@
 // next finds the first whole request in what has come so far; false if more is needed. The framing is narrower than RFC
 // 9112: a body has a length, or there is none.
 func (r *request) next(buf []byte, mostHead, mostBody int) (bool, *problem) {
-	end, w := r.Request(buf, mostHead)
+	end, w := r.ParseRequest(buf, mostHead)
 	if w != nil {
-		return false, bad(w.Status, "%s", w.Why).last()
+		return false, bad(w.Status, "%s", w.Message).last()
 	}
 	if end == 0 {
 		return false, nil
@@ -63,11 +63,11 @@
 	if r.Chunked {
 		return false, bad(http.StatusNotImplemented, "a body is taken with a Content-Length alone").last()
 	}
-	length := max(0, r.Length)
+	length := max(0, r.ContentLength)
 	if length > int64(mostBody) {
 		return false, bad(http.StatusRequestEntityTooLarge, "the body has %d bytes, of %d at most", length, mostBody).last()
 	}
-	if r.Expects {
+	if r.HasExpect {
 		return false, bad(http.StatusExpectationFailed, "no expectation is met here").last()
 	}
 	if r.length = end + int(length); len(buf) < r.length {
@@ -82,7 +82,7 @@
 	first := true
 	for _, f := range r.Fields {
 		switch {
-		case len(f.Name) != len(small) || !h1.Is(f.Name, small):
+		case len(f.Name) != len(small) || !h1.EqualFold(f.Name, small):
 		case first:
 			out, first = f.Value, false
 		default:
--- a/internal/mqtt/server.go
+++ b/internal/mqtt/server.go
@@ -43,7 +43,7 @@
 	Write       time.Duration
 	LongestWait logic.Millis
 	// Budget is what all fronts share; nil: any.
-	Budget *budget.Ledger
+	Budget *budget.Budget
 }
 
 // Server is one listening socket.
@@ -128,12 +128,12 @@
 func (s *Server) accept(c netpoll.Connection) context.Context {
 	p := &peer{conn: c, id: subscribe.Conn(s.serial.Add(1)), heard: time.Now(), keepAlive: s.limits.Connect}
 	s.open.Add(1)
-	s.limits.Budget.Opened()
+	s.limits.Budget.ConnectionOpened()
 	s.peers.Store(p.id, p)
 	c.AddCloseCallback(func(netpoll.Connection) error {
 		s.open.Add(-1)
 		s.peers.Delete(p.id)
-		s.limits.Budget.Closed(p.client())
+		s.limits.Budget.ConnectionClosed(p.client())
 		p.writeMu.Lock()
 		p.shut = true
 		p.writeMu.Unlock()
@@ -163,7 +163,7 @@
 	r.Release()
 	defer func() {
 		if was := p.half.Swap(int64(len(p.in))); was != int64(len(p.in)) && !p.gone {
-			s.limits.Budget.Hold(p.client(), p.half.Load()+p.unsent.Load())
+			s.limits.Budget.SetHeldBytes(p.client(), p.half.Load()+p.unsent.Load())
 		}
 	}()
 	for len(p.in) > 0 && !p.gone {
@@ -190,10 +190,10 @@
 }
 
 // client is the peer's name in the budget.
-func (p *peer) client() budget.Client { return budget.Client(p.id)<<1 | 1 }
+func (p *peer) client() budget.ClientID { return budget.ClientID(p.id)<<1 | 1 }
 
 // Cut closes a client's connection, if it is of this front.
-func (s *Server) Cut(c budget.Client) {
+func (s *Server) Cut(c budget.ClientID) {
 	if v, open := s.peers.Load(subscribe.Conn(c >> 1)); open && c&1 == 1 {
 		s.log.Warn("client.cut", "why", "it holds more of the director's memory than the others, and there is no more")
 		go v.(*peer).conn.Close()
@@ -489,7 +489,7 @@
 			waits += int64(len(x))
 		}
 		p.unsent.Store(waits)
-		s.limits.Budget.Hold(p.client(), p.half.Load()+waits)
+		s.limits.Budget.SetHeldBytes(p.client(), p.half.Load()+waits)
 	}
 	if p.closing = p.closing || last; len(p.out) > mostWaiting {
 		p.ended = true
@@ -512,7 +512,7 @@
 			p.ended = p.ended || p.closing
 			p.outMu.Unlock()
 			if p.unsent.Swap(0) > 0 {
-				s.limits.Budget.Hold(p.client(), p.half.Load())
+				s.limits.Budget.SetHeldBytes(p.client(), p.half.Load())
 			}
 			if closing {
 				p.conn.Close()
--- a/internal/nets/socket.go
+++ b/internal/nets/socket.go
@@ -14,7 +14,7 @@
 // AcceptLimiter decides whether one more connection may be accepted.
 type AcceptLimiter interface {
 	// May reports whether a connection may be accepted; began is true on the first refusal after a permission.
-	May() (may, began bool)
+	CanAccept() (may, began bool)
 }
 
 // limitedListener pauses accepting while its limiter refuses connections or the system is out of descriptors. netpoll
@@ -31,7 +31,7 @@
 	if l.closing.Load() {
 		return nil, syscall.EMFILE
 	}
-	if may, began := l.limiter.May(); !may {
+	if may, began := l.limiter.CanAccept(); !may {
 		if began {
 			l.log.Warn("accept.paused", "listen", l.Addr().String(), "why", "connection limit reached or memory is short")
 		}
--- a/internal/platform/collect/collect.go
+++ b/internal/platform/collect/collect.go
@@ -45,7 +45,7 @@
 	*nets.Socket
 	schema         *codec.Schema
 	post           func(...any)
-	ledger         *budget.Ledger
+	ledger         *budget.Budget
 	log            *slog.Logger
 	maxUnjoined    int // limit of connections that have not joined
 	lastID         atomic.Uint64
@@ -55,13 +55,13 @@
 	mu             sync.Mutex
 	unjoined       *list.List // of *connection, the oldest first
 	joined         map[logic.ZoneID][]*connection
-	open           map[budget.Client]*connection
+	open           map[budget.ClientID]*connection
 	closing        bool // connections accepted from now on are closed before anything is read
 }
 
 // connection is an open connection to the director's own address.
 type connection struct {
-	id           budget.Client
+	id           budget.ClientID
 	conn         netpoll.Connection
 	acceptedAt   time.Time
 	unjoinedElem *list.Element // position in Server.unjoined; nil once joined or closed
@@ -83,11 +83,11 @@
 type connectionKey struct{}
 
 // Listen opens the listening socket. Load reports are passed to post as codec.Message.
-func Listen(address string, schema *codec.Schema, ledger *budget.Ledger, post func(...any), log *slog.Logger) (*Server, error) {
+func Listen(address string, schema *codec.Schema, ledger *budget.Budget, post func(...any), log *slog.Logger) (*Server, error) {
 	s := &Server{schema: schema, post: post, ledger: ledger, log: log, done: make(chan struct{}), unjoined: list.New(),
-		joined: map[logic.ZoneID][]*connection{}, open: map[budget.Client]*connection{}}
-	s.maxUnjoined = max(8, ledger.Figures().Connections-maxConnsPerZone*len(schema.Zones)-reservedConns)
-	ledger.Cuts(s.evict)
+		joined: map[logic.ZoneID][]*connection{}, open: map[budget.ClientID]*connection{}}
+	s.maxUnjoined = max(8, ledger.Stats().MaxConnections-maxConnsPerZone*len(schema.Zones)-reservedConns)
+	ledger.OnEvict(s.evict)
 	var err error
 	s.Socket, err = nets.Listen(address, s.read, s.accept, writeTimeout, ledger, log)
 	return s, err
@@ -138,8 +138,8 @@
 
 // accept registers a new connection as unjoined. If there are more than maxUnjoined of them, the oldest is refused.
 func (s *Server) accept(raw netpoll.Connection) context.Context {
-	c := &connection{id: budget.Client(s.lastID.Add(1)), conn: raw, acceptedAt: time.Now()}
-	s.ledger.Opened()
+	c := &connection{id: budget.ClientID(s.lastID.Add(1)), conn: raw, acceptedAt: time.Now()}
+	s.ledger.ConnectionOpened()
 	var oldest *connection
 	s.mu.Lock()
 	closing := s.closing
@@ -157,7 +157,7 @@
 		}
 		delete(s.open, c.id)
 		s.mu.Unlock()
-		s.ledger.Closed(c.id)
+		s.ledger.ConnectionClosed(c.id)
 		return nil
 	})
 	if closing {
@@ -170,7 +170,7 @@
 
 // evict closes the connection of a client that holds more memory than the others. The ledger calls it when memory is
 // exhausted.
-func (s *Server) evict(client budget.Client) {
+func (s *Server) evict(client budget.ClientID) {
 	s.mu.Lock()
 	c := s.open[client]
 	s.mu.Unlock()
@@ -269,7 +269,7 @@
 	r.Release()
 	if len(c.partial) != c.heldBytes && !c.closed.Load() {
 		c.heldBytes = len(c.partial)
-		s.ledger.Hold(c.id, int64(c.heldBytes))
+		s.ledger.SetHeldBytes(c.id, int64(c.heldBytes))
 	}
 	return nil
 }
--- a/internal/platform/collect/collect_test.go
+++ b/internal/platform/collect/collect_test.go
@@ -24,11 +24,11 @@
 // serve starts a server with the number of descriptors. It returns the server and the count of messages posted so far.
 func serve(t *testing.T, descriptors int) (s *Server, messages *atomic.Int64) {
 	t.Helper()
-	return serveWith(t, budget.Means{Memory: 32 << 20, Descriptors: descriptors})
+	return serveWith(t, budget.Resources{Memory: 32 << 20, Descriptors: descriptors})
 }
 
 // serveWith is like serve, with explicit limits of memory and descriptors.
-func serveWith(t *testing.T, m budget.Means) (s *Server, messages *atomic.Int64) {
+func serveWith(t *testing.T, m budget.Resources) (s *Server, messages *atomic.Int64) {
 	t.Helper()
 	schema := codec.NewSchema(logic.Config{Proxies: 4, Slices: 8, Routes: make([]logic.Route, 1)}, wire.Names{Routes: []string{"read"}, Zones: []string{"a", "b"}})
 	messages = &atomic.Int64{}
@@ -127,7 +127,7 @@
 // The two incomplete lines exceed the memory that all connections may hold together. The connection that holds the
 // most is closed, and the other one keeps working.
 func TestLargestBufferIsEvictedWhenMemoryIsShort(t *testing.T) {
-	s, messages := serveWith(t, budget.Means{Memory: 2 << 20, Descriptors: 1024})
+	s, messages := serveWith(t, budget.Resources{Memory: 2 << 20, Descriptors: 1024})
 	small := dial(t, s, `{"t":"collector","locality":"a"}`+"\n"+report[:40])
 	large := dial(t, s, `{"t":"collector","locality":"b"}`+"\n"+strings.Repeat("x", 600_000))
 	readUntilClosed(t, large, time.Second)
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -14,7 +14,7 @@
 
 // applyLimits sets the runtime's CPU and memory limits to those of the configuration, and returns the resources that
 // are available.
-func applyLimits(config *Config) budget.Means {
+func applyLimits(config *Config) budget.Resources {
 	available := budget.Unlimited
 	if config.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Cores))))
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -45,7 +45,7 @@
 	calls      *uplink.Caller // to the relay
 	prober     *prober
 	server     *collect.Server
-	budget     *budget.Ledger
+	budget     *budget.Budget
 	timers     timers
 
 	callInFlight        bool
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -80,7 +80,7 @@
 	}
 	config.Facts, config.Names, config.Resolution = d.config.Facts, d.config.Names, d.config.Resolution
 	d.log.Info("reload.taken", "discovery", config.Discovery, "relay", config.Relay)
-	d.budget.Have(applyLimits(config))
+	d.budget.SetResources(applyLimits(config))
 	d.connect(ctx, config)
 	return nil
 }
--- a/internal/rehearse/play.go
+++ b/internal/rehearse/play.go
@@ -163,7 +163,7 @@
 func (s *stage) version() tables.Step {
 	least := tables.Step(math.MaxUint64)
 	for _, p := range s.proxies {
-		least = min(least, p.Held().Step)
+		least = min(least, p.Document().Step)
 	}
 	return least
 }
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -104,7 +104,7 @@
 func (s *stage) highest() (step tables.Step) {
 	s.book.Counts()
 	for _, r := range s.proxies {
-		if d := r.Held(); d != nil {
+		if d := r.Document(); d != nil {
 			step = max(step, d.Step)
 		}
 	}
@@ -171,7 +171,7 @@
 	eventually(t, "all proxies are on one version", func() bool {
 		step := s.stored()
 		for _, r := range s.proxies {
-			if r.Held().Step != step {
+			if r.Document().Step != step {
 				return false
 			}
 		}
@@ -221,7 +221,7 @@
 		t.Fatalf("version %d is told, %d is stored", told, stored)
 	}
 	for _, p := range s.proxies {
-		if d := p.Held(); d == nil || !full(d) {
+		if d := p.Document(); d == nil || !full(d) {
 			t.Fatal("a proxy has lost its tables")
 		}
 	}
--- a/internal/rehearse/rogue_test.go
+++ b/internal/rehearse/rogue_test.go
@@ -169,14 +169,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.relay, err = relay.New(set, relay.Watch{
-		Sent: func(_, mark, _ string, host tables.Address) {
+	if r.relay, err = relay.New(set, relay.Hooks{
+		OnTry: func(_, mark, _ string, host tables.Address) {
 			r.book.Send(judge.Sent{At: r.now(), Proxy: "p", Call: mark, Host: host})
 		},
-		Seen: func(u follow.Update) {
+		OnUpdate: func(u follow.Update) {
 			r.book.Hold(judge.Held{At: r.now(), Proxy: "p", Doc: u.Doc, Lines: u.Lines, Whole: u.Whole})
 		},
-		Joined: func(_ string, on bool) { r.book.Hold(judge.Held{At: r.now(), Proxy: "p", Joined: on}) },
+		OnJoinChange: func(_ string, on bool) { r.book.Hold(judge.Held{At: r.now(), Proxy: "p", Joined: on}) },
 	}, log); err != nil {
 		t.Fatal(err)
 	}
@@ -192,7 +192,7 @@
 		}
 		r.registry.Close()
 	})
-	eventually(t, "the proxy holds tables", func() bool { return r.relay.Held() != nil })
+	eventually(t, "the proxy holds tables", func() bool { return r.relay.Document() != nil })
 	eventually(t, "the list is told", func() bool { return len(r.told()) == 2 })
 	return r
 }
@@ -250,7 +250,7 @@
 		h.Set(standin.HostFaults{LoseAnswer: 1})
 	}
 	r.tell(r.all(1), 3, 0)
-	eventually(t, "the proxy has it", func() bool { return r.relay.Held().Step == 2 })
+	eventually(t, "the proxy has it", func() bool { return r.relay.Document().Step == 2 })
 	r.calls("note", 5, 100*time.Millisecond, 20)
 	r.broken("no effect twice")
 }
@@ -275,7 +275,7 @@
 		return r.told()[0].Born > 0 || r.told()[1].Born > 0
 	})
 	r.tell(map[tables.Address]float64{r.hosts[0].Address: 1}, 1, 0)
-	eventually(t, "the proxy has it", func() bool { return r.relay.Held().Step == 2 })
+	eventually(t, "the proxy has it", func() bool { return r.relay.Document().Step == 2 })
 	r.calls("read", 80, time.Second, 100) // eight seconds of work in one, for four cores at a fifth
 	r.broken("no cold host pushed over")
 }
@@ -284,7 +284,7 @@
 	r := newRogue(t)
 	for i := range 5 {
 		r.tell(r.all(float64(i+2)), 1, 3000) // ordered three seconds ago, five times over
-		eventually(t, "the proxy has it", func() bool { return r.relay.Held().Step == tables.Step(i+2) })
+		eventually(t, "the proxy has it", func() bool { return r.relay.Document().Step == tables.Step(i+2) })
 	}
 	r.broken("a short queue")
 }
@@ -293,7 +293,7 @@
 	r := newRogue(t)
 	for i := range 10 {
 		r.tell(r.all(float64(i+2)), 1, 0)
-		eventually(t, "the proxy has it", func() bool { return r.relay.Held().Step == tables.Step(i+2) })
+		eventually(t, "the proxy has it", func() bool { return r.relay.Document().Step == tables.Step(i+2) })
 	}
 	r.broken("the message limit")
 }
--- a/internal/rehearse/stage.go
+++ b/internal/rehearse/stage.go
@@ -146,7 +146,7 @@
 	for {
 		ready := 0
 		for _, r := range s.proxies {
-			if d := r.Held(); d != nil && len(d.Tables) >= max(1, s.running.Service.Facts.Slices) && full(d) {
+			if d := r.Document(); d != nil && len(d.Tables) >= max(1, s.running.Service.Facts.Slices) && full(d) {
 				ready++
 			}
 		}
@@ -267,18 +267,18 @@
 func (s *stage) startProxy(p *proxy) (err error) {
 	name := p.set.Name
 	for tries := 0; ; tries++ {
-		p.Relay, err = relay.New(p.set, relay.Watch{
-			Sent: func(_, mark, table string, host tables.Address) {
+		p.Relay, err = relay.New(p.set, relay.Hooks{
+			OnTry: func(_, mark, table string, host tables.Address) {
 				s.book.Send(judge.Sent{At: s.now(), Proxy: name, Call: mark, Table: table, Host: host})
 			},
-			Seen: func(u follow.Update) {
+			OnUpdate: func(u follow.Update) {
 				h := judge.Held{At: s.now(), Proxy: name, Doc: u.Doc, Lines: u.Lines, Whole: u.Whole}
 				if len(s.directors) > 1 {
 					h.Raw, h.Director = u.Raw, s.directors[u.From].name
 				}
 				s.book.Hold(h)
 			},
-			Joined: func(director string, on bool) {
+			OnJoinChange: func(director string, on bool) {
 				s.book.Hold(judge.Held{At: s.now(), Proxy: name, Joined: on, Director: s.named(director)})
 			},
 		}, s.log)
@@ -521,7 +521,7 @@
 		say(fmt.Sprintf("%d proxies lose their director", t.Proxies))
 		s.mu.Lock()
 		for i := range t.Proxies {
-			s.proxies[len(s.proxies)-1-i].Cut(t.Last)
+			s.proxies[len(s.proxies)-1-i].DisconnectFor(t.Last)
 		}
 		s.mu.Unlock()
 		s.sleep(ctx, t.Last)
--- a/internal/rehearse/undo.go
+++ b/internal/rehearse/undo.go
@@ -39,7 +39,7 @@
 	for end := time.Now().Add(10 * time.Second); ; {
 		there := 0
 		for _, p := range s.proxies {
-			if d := p.Held(); d != nil && d.Step >= o.Version {
+			if d := p.Document(); d != nil && d.Step >= o.Version {
 				there++
 			}
 		}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -40,10 +40,10 @@
 	to = append(to, h.Target...)
 	to = append(to, " HTTP/1.1\r\n"...)
 	to = passOn(to, h)
-	if h.Minor == 0 && h.Get("host") == nil {
+	if h.MinorVersion == 0 && h.Get("host") == nil {
 		to = append(to, "Host: \r\n"...)
 	}
-	if body > 0 || h.Length == 0 || h.Chunked {
+	if body > 0 || h.ContentLength == 0 || h.Chunked {
 		to = append(to, "Content-Length: "...)
 		to = strconv.AppendInt(to, int64(body), 10)
 		to = append(to, "\r\n"...)
@@ -54,14 +54,14 @@
 
 // passOn writes the fields that go on to the next hop, without the body's framing.
 func passOn(to []byte, h *h1.Head) []byte {
-	listed := h.Listed()
+	listed := h.ConnectionOptions()
 next:
 	for _, f := range h.Fields {
-		if h.OneHop(f) || h1.Is(f.Name, "content-length") {
+		if h.IsHopByHop(f) || h1.EqualFold(f.Name, "content-length") {
 			continue
 		}
 		for _, name := range listed {
-			if h1.Is(f.Name, string(lower(name))) {
+			if h1.EqualFold(f.Name, string(lower(name))) {
 				continue next
 			}
 		}
@@ -139,7 +139,7 @@
 			return nil, carry.Unclear
 		}
 		a.raw = append(a.raw[:0], raw...)
-		if n, w := a.head.Answer(a.raw, len(a.raw)+1, method); w != nil || n != size || a.head.Status == 101 {
+		if n, w := a.head.ParseResponse(a.raw, len(a.raw)+1, method); w != nil || n != size || a.head.Status == 101 {
 			return nil, carry.Unclear
 		}
 		if a.head.Status >= 200 {
@@ -173,7 +173,7 @@
 			if err != nil {
 				return 0, err
 			}
-			if size := h1.Ends(buf, looked); size > 0 {
+			if size := h1.HeadEnd(buf, looked); size > 0 {
 				return size, nil
 			}
 			if looked = len(buf); looked >= most {
@@ -225,13 +225,13 @@
 				return err
 			}
 		}
-	case a.head.Length >= 0:
-		if a.head.Length > int64(most) {
-			a.rest, a.left = true, a.head.Length
+	case a.head.ContentLength >= 0:
+		if a.head.ContentLength > int64(most) {
+			a.rest, a.left = true, a.head.ContentLength
 			return nil
 		}
 		var err error
-		a.body, err = s.read(a.conn, nil, a.head.Length, until)
+		a.body, err = s.read(a.conn, nil, a.head.ContentLength, until)
 		return err
 	default:
 		for {
@@ -279,7 +279,7 @@
 			if err != nil {
 				return 0, err
 			}
-			size, line, w := h1.Chunk(buf)
+			size, line, w := h1.ParseChunkSize(buf)
 			if w != nil {
 				return 0, w
 			}
--- a/internal/relay/meters.go
+++ b/internal/relay/meters.go
@@ -82,13 +82,13 @@
 	})
 	read("host_connections_idle", "Connections to hosts that stand idle.", func() float64 { return float64(s.hosts.open()) })
 	read("tables_version", "Step of the tables in force.", func() float64 {
-		if d := s.Held(); d != nil {
+		if d := s.Document(); d != nil {
 			return float64(d.Step)
 		}
 		return 0
 	})
 	read("tables_age_seconds", "Since the tables in force were ordered.", func() float64 {
-		if d := s.Held(); d != nil {
+		if d := s.Document(); d != nil {
 			return time.Since(time.UnixMilli(int64(d.At))).Seconds()
 		}
 		return 0
@@ -138,7 +138,7 @@
 	if sp.trace != nil {
 		sp.trace.SetAttributes(attribute.String("table", table), attribute.String("host", host), attribute.Int("status", status),
 			attribute.Int("tries", tries), attribute.String("ended", ended))
-		if d := sp.m.s.Held(); d != nil {
+		if d := sp.m.s.Document(); d != nil {
 			sp.trace.SetAttributes(attribute.String("version", d.Version))
 		}
 		sp.trace.End()
@@ -151,7 +151,7 @@
 	mux.Handle("GET /metrics", promhttp.HandlerFor(s.meters.reg, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("ok\n")) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if s.Held() == nil || s.draining.Load() {
+		if s.Document() == nil || s.draining.Load() {
 			http.Error(w, "no tables yet, or draining", http.StatusServiceUnavailable)
 			return
 		}
--- a/internal/relay/pass.go
+++ b/internal/relay/pass.go
@@ -20,7 +20,7 @@
 	head := statusLine(make([]byte, 0, a.head.Size+128), a.head.Status, a.head.Reason)
 	head = passOn(head, &a.head)
 	head = append(head, via...)
-	if h.Minor == 0 && !closes {
+	if h.MinorVersion == 0 && !closes {
 		head = append(head, "Connection: keep-alive\r\n"...)
 	}
 	if !a.rest {
@@ -61,7 +61,7 @@
 	switch {
 	case !chunks:
 		head = framing(head, int(a.left), closes)
-	case h.Minor == 0:
+	case h.MinorVersion == 0:
 		head = append(head, "Connection: close\r\n\r\n"...)
 		closes = true
 	default:
@@ -72,7 +72,7 @@
 		head = append(head, "\r\n"...)
 	}
 	send := func(piece []byte) bool {
-		if !chunks || h.Minor == 0 {
+		if !chunks || h.MinorVersion == 0 {
 			return s.write(cl, piece, nil)
 		}
 		return s.write(cl, strconv.AppendInt(nil, int64(len(piece)), 16), append(append([]byte("\r\n"), piece...), "\r\n"...))
@@ -116,7 +116,7 @@
 		}
 	}
 	whole = true
-	if chunks && h.Minor == 1 {
+	if chunks && h.MinorVersion == 1 {
 		return s.write(cl, []byte("0\r\n\r\n"), nil)
 	}
 	return !closes
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -29,17 +29,17 @@
 )
 
 // Watch hears of what happens, for tests and rehearsals. Any part may be nil.
-type Watch struct {
-	Sent   func(route, mark, table string, host tables.Address) // a try is about to be written
-	Seen   func(follow.Update)
-	Joined func(director string, on bool)
+type Hooks struct {
+	OnTry        func(route, mark, table string, host tables.Address) // a try is about to be written
+	OnUpdate     func(follow.Update)
+	OnJoinChange func(director string, on bool)
 }
 
 // Relay is a running proxy.
 type Relay struct {
 	force  atomic.Pointer[settings.Relaying] // the settings in force
 	log    *slog.Logger
-	watch  Watch
+	watch  Hooks
 	epoch  time.Time
 	follow *follow.Several
 	hosts  *hosts
@@ -67,7 +67,7 @@
 }
 
 // New makes a proxy that has yet to run; Addr is known from now on.
-func New(set *settings.Relaying, watch Watch, log *slog.Logger) (*Relay, error) {
+func New(set *settings.Relaying, watch Hooks, log *slog.Logger) (*Relay, error) {
 	seed := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	s := &Relay{log: log, watch: watch, epoch: time.Now(), turns: map[admit.Ticket]*waiter{}, fresh: make(chan struct{}),
 		done: make(chan struct{})}
@@ -76,7 +76,7 @@
 	s.hosts = newHosts(set.Hosts, set.Bounds.PerHost)
 	s.meters = newMeters(s)
 	s.follow = follow.NewSeveral(follow.Source{Directors: set.Directors, Proxy: set.Name, Zone: set.Zone, Rate: set.Rate, Wait: set.Wait,
-		Kept: set.Kept, Seen: s.take, Joined: watch.Joined, Log: log}, set.FollowAll)
+		Kept: set.Kept, Seen: s.take, Joined: watch.OnJoinChange, Log: log}, set.FollowAll)
 	ln, err := netpoll.CreateListener("tcp", set.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen %s: %w", set.Listen, err)
@@ -91,10 +91,10 @@
 func (s *Relay) Addr() net.Addr { return s.ln.Addr() }
 
 // Held is the document in force.
-func (s *Relay) Held() *tables.Document { return s.follow.Held() }
+func (s *Relay) Document() *tables.Document { return s.follow.Held() }
 
 // Cut keeps it from its directors for a while.
-func (s *Relay) Cut(long time.Duration) { s.follow.Cut(long) }
+func (s *Relay) DisconnectFor(long time.Duration) { s.follow.Cut(long) }
 
 func (s *Relay) in() *settings.Relaying { return s.force.Load() }
 
@@ -144,8 +144,8 @@
 		s.fresh = make(chan struct{})
 	})
 	s.log.Debug("tables.followed", "version", u.Doc.Version, "lines", u.Lines, "whole", u.Whole)
-	if s.watch.Seen != nil {
-		s.watch.Seen(u)
+	if s.watch.OnUpdate != nil {
+		s.watch.OnUpdate(u)
 	}
 }
 
@@ -237,15 +237,15 @@
 // report posts the sums that a director has yet to count.
 func (s *Relay) report(ctx context.Context, of int, to string) {
 	var b *tally.Batch
-	s.think(func(float64) { b = s.mind.Tally(of).Cut(to) })
+	s.think(func(float64) { b = s.mind.Tally(of).PendingBatch(to) })
 	if b == nil {
 		return
 	}
-	fate := tally.Unclear
-	defer func() { s.think(func(float64) { s.mind.Tally(of).Ended(b.Key, fate) }) }()
+	fate := tally.Unknown
+	defer func() { s.think(func(float64) { s.mind.Tally(of).Resolve(b.Key, fate) }) }()
 	body, err := json.Marshal(b.Request(s.in().Name, s.in().Zone))
 	if err != nil {
-		fate = tally.Refused
+		fate = tally.Rejected
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -256,10 +256,10 @@
 	}
 	switch {
 	case status < 300:
-		fate = tally.Counted
+		fate = tally.Accepted
 	case status == http.StatusNotFound: // it has not heard our poll yet, or forgot us: it counts later
 	case status < 500:
-		fate = tally.Refused
+		fate = tally.Rejected
 		s.log.Warn("report.refused", "status", status, "body", text)
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	set.Bounds.NoBudget = strings.Contains(more, "no budget")
-	s, err := New(set, Watch{}, slog.New(slog.DiscardHandler))
+	s, err := New(set, Hooks{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	done := make(chan struct{})
 	go func() { s.Run(ctx); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
-	for end := time.Now().Add(5 * time.Second); s.Held() == nil; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); s.Document() == nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("holds no tables in time")
 		}
@@ -232,7 +232,7 @@
 			}
 			bad.set(c.read, c.answer, answerOK)
 			now.Store(parsed)
-			for s.Held().Step != step {
+			for s.Document().Step != step {
 				time.Sleep(100 * time.Microsecond)
 			}
 			mark := fmt.Sprintf("%s-%d", repeat, i)
@@ -332,14 +332,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := New(set, Watch{}, slog.New(slog.DiscardHandler))
+	s, err := New(set, Hooks{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { s.Run(ctx); close(done) }()
-	for s.Held() == nil {
+	for s.Document() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	got := make(chan string, 1)
@@ -361,17 +361,17 @@
 	// The next start goes on by what was kept, with no director to ask.
 	now.Store(document(2, 0))
 	set.Directors, set.Listen = []string{"http://127.0.0.1:1"}, "127.0.0.1:0"
-	again, err := New(set, Watch{}, slog.New(slog.DiscardHandler))
+	again, err := New(set, Hooks{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop = context.WithCancel(context.Background())
 	done = make(chan struct{})
 	go func() { again.Run(ctx); close(done) }()
-	for end := time.Now().Add(3 * time.Second); again.Held() == nil && time.Now().Before(end); {
+	for end := time.Now().Add(3 * time.Second); again.Document() == nil && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if d := again.Held(); d == nil || d.Tag() != doc.Tag() {
+	if d := again.Document(); d == nil || d.Tag() != doc.Tag() {
 		t.Errorf("did not go on by what was kept: %v", d)
 	} else if status, body := ask(t, again.Addr().String(), "mutating", "m2"); status != 200 || body != "late" {
 		t.Errorf("%d %q", status, body)
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -103,15 +103,15 @@
 		return false
 	}
 	var h h1.Head
-	if n, w := h.Request(raw, size+1); w != nil || n != size {
+	if n, w := h.ParseRequest(raw, size+1); w != nil || n != size {
 		if w == nil {
-			w = &h1.Wrong{Status: http.StatusBadRequest, Why: "the head can't be read"}
+			w = &h1.ParseError{Status: http.StatusBadRequest, Message: "the head can't be read"}
 		}
 		s.meters.malformed.Add(1)
-		s.refuse(cl, w.Status, w.Why, 0, true)
+		s.refuse(cl, w.Status, w.Message, 0, true)
 		return false
 	}
-	if h.Expects {
+	if h.HasExpect {
 		conn.Writer().WriteString("HTTP/1.1 100 Continue\r\n\r\n")
 		if conn.Writer().Flush() != nil {
 			return false
@@ -135,23 +135,23 @@
 	most := int64(s.in().Front.MostBody)
 	tooLong := fmt.Sprintf("the body is longer than %d bytes", most)
 	fail := func(err error) ([]byte, int, string) {
-		var w *h1.Wrong
+		var w *h1.ParseError
 		switch {
 		case errors.As(err, &w):
-			return nil, http.StatusBadRequest, w.Why
+			return nil, http.StatusBadRequest, w.Message
 		case errors.Is(err, netpoll.ErrReadTimeout):
 			return nil, http.StatusRequestTimeout, "the request took too long to come"
 		}
 		return nil, http.StatusBadRequest, "the body ended early"
 	}
 	if !h.Chunked {
-		if h.Length > most {
+		if h.ContentLength > most {
 			return nil, http.StatusRequestEntityTooLarge, tooLong
 		}
-		if h.Length <= 0 {
+		if h.ContentLength <= 0 {
 			return nil, 0, ""
 		}
-		body, err := s.read(conn, make([]byte, 0, h.Length), h.Length, until)
+		body, err := s.read(conn, make([]byte, 0, h.ContentLength), h.ContentLength, until)
 		if err != nil {
 			return fail(err)
 		}
@@ -197,8 +197,8 @@
 		return s.turnAway(cl, c, o, h.Close)
 	}
 	for {
-		if s.watch.Sent != nil {
-			s.watch.Sent(m.Route, mark, c.Table(), t.Host)
+		if s.watch.OnTry != nil {
+			s.watch.OnTry(m.Route, mark, c.Table(), t.Host)
 		}
 		a, f := s.exchange(cl, t, h.Method, head, body)
 		load, ended := noLoad, 0.0
--- a/internal/relay/storm_test.go
+++ b/internal/relay/storm_test.go
@@ -152,13 +152,13 @@
 		}
 		var s *Relay
 		if err == nil {
-			s, err = New(set, Watch{}, slog.New(slog.DiscardHandler))
+			s, err = New(set, Hooks{}, slog.New(slog.DiscardHandler))
 		}
 		if err != nil {
 			panic(err)
 		}
 		go s.Run(context.Background())
-		for s.Held() == nil {
+		for s.Document() == nil {
 			time.Sleep(time.Millisecond)
 		}
 		fmt.Println(s.Addr())
--- a/internal/tally/tally.go
+++ b/internal/tally/tally.go
@@ -15,14 +15,14 @@
 )
 
 // Tries is what was met at a host.
-type Tries struct {
-	Good, Lost int
-	Spent      float64 // milliseconds of all good answers
-	Load       logic.Load
+type TryStats struct {
+	Succeeded, Failed int
+	TotalMs           float64 // milliseconds of all good answers
+	Load              logic.Load
 }
 
 // Calls is what came for a route and table.
-type Calls struct{ Came, Unanswered int }
+type CallStats struct{ Received, Unanswered int }
 
 type (
 	at struct {
@@ -35,8 +35,8 @@
 // Batch is one report.
 type Batch struct {
 	Key   string
-	Tries map[at]Tries
-	Calls map[of]Calls
+	Tries map[at]TryStats
+	Calls map[of]CallStats
 }
 
 // Tally is one proxy's. Birth tells this life of the proxy from others.
@@ -51,16 +51,16 @@
 
 func New(birth string) *Tally { return &Tally{birth: birth, open: fresh()} }
 
-func fresh() Batch { return Batch{Tries: map[at]Tries{}, Calls: map[of]Calls{}} }
+func fresh() Batch { return Batch{Tries: map[at]TryStats{}, Calls: map[of]CallStats{}} }
 
 // Tried adds a try that ended; a load that came with its answer is the newest of that host.
-func (t *Tally) Tried(route string, host tables.Address, good bool, spent float64, load logic.Load) {
+func (t *Tally) AddTry(route string, host tables.Address, good bool, spent float64, load logic.Load) {
 	k := at{route, host}
 	x := t.open.Tries[k]
 	if good {
-		x.Good, x.Spent = x.Good+1, x.Spent+spent
+		x.Succeeded, x.TotalMs = x.Succeeded+1, x.TotalMs+spent
 	} else {
-		x.Lost++
+		x.Failed++
 	}
 	if load != (logic.Load{}) {
 		x.Load = load
@@ -69,21 +69,21 @@
 }
 
 // Came adds a call that came; Unanswered one that was let in and got no answer.
-func (t *Tally) Came(route, table string) { t.calls(route, table, Calls{1, 0}) }
-func (t *Tally) Unanswered(route, table string) {
-	t.calls(route, table, Calls{0, 1})
+func (t *Tally) AddCall(route, table string) { t.calls(route, table, CallStats{1, 0}) }
+func (t *Tally) AddUnanswered(route, table string) {
+	t.calls(route, table, CallStats{0, 1})
 }
 
-func (t *Tally) calls(route, table string, c Calls) {
+func (t *Tally) calls(route, table string, c CallStats) {
 	k := of{route, table}
 	x := t.open.Calls[k]
-	t.open.Calls[k] = Calls{x.Came + c.Came, x.Unanswered + c.Unanswered}
+	t.open.Calls[k] = CallStats{x.Received + c.Received, x.Unanswered + c.Unanswered}
 }
 
 // Cut gives what is to be sent to a director now, nil if there is nothing. A batch whose fate is not known is sent
 // again, under its key, to the same director, who counts it once. Another director is sent it too: it has not counted
 // it, and what the first one counted went with that one's knowledge.
-func (t *Tally) Cut(to string) *Batch {
+func (t *Tally) PendingBatch(to string) *Batch {
 	if t.sent == nil {
 		if len(t.open.Tries) == 0 && len(t.open.Calls) == 0 {
 			return nil
@@ -98,30 +98,30 @@
 }
 
 // Fate of a batch.
-type Fate int
+type Outcome int
 
 const (
-	Counted Fate = iota
-	Refused      // it will never be counted: dropped, or it would block all that follows
-	Unclear
+	Accepted Outcome = iota
+	Rejected         // it will never be counted: dropped, or it would block all that follows
+	Unknown
 )
 
 // Ended tells what became of the batch that was cut last.
-func (t *Tally) Ended(key string, f Fate) {
+func (t *Tally) Resolve(key string, f Outcome) {
 	if t.sent == nil || t.sent.Key != key {
 		return
 	}
 	switch f {
-	case Refused:
+	case Rejected:
 		t.lost++
 		fallthrough
-	case Counted:
+	case Accepted:
 		t.sent = nil
 	}
 }
 
 // Dropped is how many batches were refused.
-func (t *Tally) Dropped() int { return t.lost }
+func (t *Tally) RejectedBatches() int { return t.lost }
 
 // Request is the batch in the published form.
 func (b *Batch) Request(proxy, zone string) lrs.Request {
@@ -131,7 +131,7 @@
 	}) {
 		c := b.Calls[k]
 		q.ClusterStats = append(q.ClusterStats, lrs.Cluster{Name: k.route, ServiceName: k.table, Localities: []lrs.Upstream{{
-			Metrics: []lrs.Metric{{Name: lrs.Calls, Finished: lrs.Count(c.Came), Total: float64(c.Came)},
+			Metrics: []lrs.Metric{{Name: lrs.Calls, Finished: lrs.Count(c.Received), Total: float64(c.Received)},
 				{Name: lrs.Unanswered, Finished: lrs.Count(c.Unanswered), Total: float64(c.Unanswered)}}}}})
 	}
 	byRoute := map[string]*lrs.Upstream{}
@@ -143,8 +143,8 @@
 		if err != nil {
 			continue
 		}
-		e := lrs.Endpoint{Address: address, Successful: lrs.Count(t.Good), Errors: lrs.Count(t.Lost), Issued: lrs.Count(t.Good + t.Lost),
-			Metrics: []lrs.Metric{{Name: lrs.Spent, Finished: lrs.Count(t.Good), Total: t.Spent}}}
+		e := lrs.Endpoint{Address: address, Successful: lrs.Count(t.Succeeded), Errors: lrs.Count(t.Failed), Issued: lrs.Count(t.Succeeded + t.Failed),
+			Metrics: []lrs.Metric{{Name: lrs.Spent, Finished: lrs.Count(t.Succeeded), Total: t.TotalMs}}}
 		orca.Each(t.Load, func(name string, v float64) {
 			e.Metrics = append(e.Metrics, lrs.Metric{Name: name, Finished: 1, Total: v})
 		})
--- a/internal/tally/tally_test.go
+++ b/internal/tally/tally_test.go
@@ -16,13 +16,13 @@
 		total := map[string]int{}                              // by key, whoever counted it
 		at := "a"
 		send := func(lost bool) {
-			b := tally.Cut(at)
+			b := tally.PendingBatch(at)
 			if b == nil {
 				return
 			}
 			n := 0
 			for _, x := range b.Tries {
-				n += x.Good + x.Lost
+				n += x.Succeeded + x.Failed
 			}
 			if was, again := counted[at][b.Key]; again && was != n {
 				t.Fatalf("key %s stands for %d, then %d", b.Key, was, n)
@@ -32,16 +32,16 @@
 				counted[at][b.Key], total[b.Key] = n, n
 			}
 			if lost {
-				tally.Ended(b.Key, Unclear)
+				tally.Resolve(b.Key, Unknown)
 			} else {
-				tally.Ended(b.Key, Counted)
+				tally.Resolve(b.Key, Accepted)
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				put++
-				tally.Tried("read", "127.0.0.1:1", rapid.Bool().Draw(t, "good"), 5, logic.Load{})
+				tally.AddTry("read", "127.0.0.1:1", rapid.Bool().Draw(t, "good"), 5, logic.Load{})
 			case 2:
 				send(rapid.Bool().Draw(t, "lost"))
 			case 3:
@@ -62,18 +62,18 @@
 
 func TestARefusedBatchBlocksNothing(t *testing.T) {
 	tally := New("b")
-	tally.Came("read", "3")
-	b := tally.Cut("a")
-	tally.Ended("another key", Counted)
-	if again := tally.Cut("a"); again.Key != b.Key {
+	tally.AddCall("read", "3")
+	b := tally.PendingBatch("a")
+	tally.Resolve("another key", Accepted)
+	if again := tally.PendingBatch("a"); again.Key != b.Key {
 		t.Fatal("the fate of another was taken for its own")
 	}
-	tally.Ended(b.Key, Refused)
-	if tally.Cut("a") != nil || tally.Dropped() != 1 {
+	tally.Resolve(b.Key, Rejected)
+	if tally.PendingBatch("a") != nil || tally.RejectedBatches() != 1 {
 		t.Fatal("a refused batch is kept")
 	}
-	tally.Unanswered("read", "3")
-	if q := tally.Cut("a").Request("p", "z"); len(q.ClusterStats) != 1 || q.ClusterStats[0].ServiceName != "3" || q.Node.ID != "p" {
+	tally.AddUnanswered("read", "3")
+	if q := tally.PendingBatch("a").Request("p", "z"); len(q.ClusterStats) != 1 || q.ClusterStats[0].ServiceName != "3" || q.Node.ID != "p" {
 		t.Fatalf("%+v", q)
 	}
 }
