--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -27,30 +27,30 @@
 const (
 	// spare descriptors are for the store, the list, probes, other directors and operators: a director that can't open a socket for a
 	// probe would take healthy hosts for dead.
-	spareLeast = 64
-	sparePart  = 0.05
+	minSpareDescriptors  = 64
+	spareDescriptorShare = 0.05
 	// perConnection is what one that waits may cost, and a little more: 5 KB of it were measured.
-	perConnection = 12 << 10
+	bytesPerConnection = 12 << 10
 )
 
 // Of gives the shares. Half of the memory is for connections, a fifth for what they hold; the rest is for versions and the module.
 func (m Resources) Limits() Limits {
-	s := Limits{MaxConnections: max(1, m.Descriptors-max(spareLeast, int(sparePart*float64(m.Descriptors)))), MaxHeldBytes: m.Memory / 5,
+	s := Limits{MaxConnections: max(1, m.Descriptors-max(minSpareDescriptors, int(spareDescriptorShare*float64(m.Descriptors)))), MaxHeldBytes: m.Memory / 5,
 		SoftHeap: m.Memory / 100 * 75, HardHeap: m.Memory / 100 * 85}
-	s.MaxConnections = min(s.MaxConnections, int(m.Memory/2/perConnection))
+	s.MaxConnections = min(s.MaxConnections, int(m.Memory/2/bytesPerConnection))
 	return s
 }
 
 // Ledger is one process's. Any goroutine may ask it.
 type Budget struct {
-	mu      sync.Mutex
-	shares  Limits
-	open    int
-	held    map[ClientID]int64
-	bytes   int64
-	heap    int64
-	figures Stats
-	cut     func(ClientID)
+	mu           sync.Mutex
+	limits       Limits
+	connections  int
+	heldByClient map[ClientID]int64
+	heldBytes    int64
+	liveHeap     int64
+	stats        Stats
+	onEvict      func(ClientID)
 }
 
 // Figures are counted for the operator.
@@ -63,22 +63,22 @@
 	LiveHeap                int64
 }
 
-func New(m Resources) *Budget { return &Budget{shares: m.Limits(), held: map[ClientID]int64{}} }
+func New(m Resources) *Budget { return &Budget{limits: m.Limits(), heldByClient: map[ClientID]int64{}} }
 
 // Have says what the machine gives from now on. What is held beyond it goes as it is touched next.
 func (l *Budget) SetResources(m Resources) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.shares = m.Limits()
+	l.limits = m.Limits()
 }
 
 // Cuts says how a client's connection is closed. It is called before anything is held.
-func (l *Budget) OnEvict(by func(ClientID)) { l.cut = by }
+func (l *Budget) OnEvict(by func(ClientID)) { l.onEvict = by }
 
-func (l *Budget) close(all []ClientID) {
+func (l *Budget) notifyEvicted(all []ClientID) {
 	for _, c := range all {
-		if l.cut != nil {
-			l.cut(c)
+		if l.onEvict != nil {
+			l.onEvict(c)
 		}
 	}
 }
@@ -87,13 +87,13 @@
 func (l *Budget) CanAccept() (may, began bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if may = l.open < l.shares.MaxConnections && l.heap < l.shares.SoftHeap; may {
-		l.figures.AcceptPaused = false
+	if may = l.connections < l.limits.MaxConnections && l.liveHeap < l.limits.SoftHeap; may {
+		l.stats.AcceptPaused = false
 		return true, false
 	}
-	if began = !l.figures.AcceptPaused; began {
-		l.figures.AcceptPaused = true
-		l.figures.AcceptPauses++
+	if began = !l.stats.AcceptPaused; began {
+		l.stats.AcceptPaused = true
+		l.stats.AcceptPauses++
 	}
 	return false, began
 }
@@ -102,55 +102,55 @@
 func (l *Budget) ConnectionOpened() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open++
+	l.connections++
 }
 
 // Closed forgets what the client held, too.
 func (l *Budget) ConnectionClosed(c ClientID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open--
-	l.bytes -= l.held[c]
-	delete(l.held, c)
+	l.connections--
+	l.heldBytes -= l.heldByClient[c]
+	delete(l.heldByClient, c)
 }
 
 // Hold says how many bytes are held for a client from now on. Where all hold too much, those that hold most are cut. A client that
 // sends its request whole, or reads its answer, holds nothing and is never among them.
 func (l *Budget) SetHeldBytes(c ClientID, n int64) (cut []ClientID) {
-	defer func() { l.close(cut) }()
+	defer func() { l.notifyEvicted(cut) }()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.bytes += n - l.held[c]
-	if l.held[c] = n; n == 0 {
-		delete(l.held, c)
+	l.heldBytes += n - l.heldByClient[c]
+	if l.heldByClient[c] = n; n == 0 {
+		delete(l.heldByClient, c)
 	}
-	return l.relieve(l.shares.MaxHeldBytes)
+	return l.evictDownTo(l.limits.MaxHeldBytes)
 }
 
 // Heap tells how much is live, as last seen. Where it is too much, half of what clients hold goes.
 func (l *Budget) SetLiveHeap(live int64) (cut []ClientID) {
-	defer func() { l.close(cut) }()
+	defer func() { l.notifyEvicted(cut) }()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.heap = live; live >= l.shares.HardHeap {
-		return l.relieve(l.bytes / 2)
+	if l.liveHeap = live; live >= l.limits.HardHeap {
+		return l.evictDownTo(l.heldBytes / 2)
 	}
 	return nil
 }
 
 // relieve takes those that hold most until no more than so much is held.
-func (l *Budget) relieve(to int64) (cut []ClientID) {
-	for l.bytes > to && len(l.held) > 0 {
+func (l *Budget) evictDownTo(to int64) (cut []ClientID) {
+	for l.heldBytes > to && len(l.heldByClient) > 0 {
 		var worst ClientID
-		for c, n := range l.held {
-			if m := l.held[worst]; n > m || n == m && c < worst || m == 0 {
+		for c, n := range l.heldByClient {
+			if m := l.heldByClient[worst]; n > m || n == m && c < worst || m == 0 {
 				worst = c
 			}
 		}
-		l.bytes -= l.held[worst]
-		delete(l.held, worst)
+		l.heldBytes -= l.heldByClient[worst]
+		delete(l.heldByClient, worst)
 		cut = append(cut, worst)
-		l.figures.Evictions++
+		l.stats.Evictions++
 	}
 	return cut
 }
@@ -159,14 +159,14 @@
 func (l *Budget) HasHeapRoom() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.heap < l.shares.SoftHeap
+	return l.liveHeap < l.limits.SoftHeap
 }
 
 // Figures are those of now.
 func (l *Budget) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f := l.figures
-	f.Limits, f.Connections, f.HeldBytes, f.LiveHeap = l.shares, l.open, l.bytes, l.heap
+	f := l.stats
+	f.Limits, f.Connections, f.HeldBytes, f.LiveHeap = l.limits, l.connections, l.heldBytes, l.liveHeap
 	return f
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -6,16 +6,16 @@
 	"pgregory.net/rapid"
 )
 
-func TestSharesLeaveRoomForTheDirectorItself(t *testing.T) {
+func TestLimitsLeaveRoomForTheDirector(t *testing.T) {
 	for _, m := range []Resources{{64 << 20, 1024}, {1 << 30, 20000}, {16 << 30, 1 << 20}, {32 << 20, 70}} {
 		s := m.Limits()
-		if s.MaxConnections < 1 || s.MaxConnections > m.Descriptors-64 && s.MaxConnections > 1 || int64(s.MaxConnections)*perConnection+s.MaxHeldBytes > m.Memory*8/10 || s.SoftHeap >= s.HardHeap {
+		if s.MaxConnections < 1 || s.MaxConnections > m.Descriptors-64 && s.MaxConnections > 1 || int64(s.MaxConnections)*bytesPerConnection+s.MaxHeldBytes > m.Memory*8/10 || s.SoftHeap >= s.HardHeap {
 			t.Errorf("%+v: %+v", m, s)
 		}
 	}
 }
 
-func TestAcceptingPausesAndGoesOn(t *testing.T) {
+func TestAcceptingPausesAndResumes(t *testing.T) {
 	l := New(Resources{Memory: 1 << 30, Descriptors: 66})
 	for range 2 {
 		if may, _ := l.CanAccept(); !may {
@@ -33,7 +33,7 @@
 	if may, _ := l.CanAccept(); !may || l.Stats().AcceptPauses != 1 {
 		t.Fatalf("%+v", l.Stats())
 	}
-	if l.SetLiveHeap(l.shares.SoftHeap); l.HasHeapRoom() {
+	if l.SetLiveHeap(l.limits.SoftHeap); l.HasHeapRoom() {
 		t.Fatal("takes what can wait though memory is short")
 	}
 	if may, _ := l.CanAccept(); may {
@@ -43,7 +43,7 @@
 
 // Whoever holds what: never more than the share is held, whoever goes holds at least as much as any that stays, and one that holds
 // nothing never goes.
-func TestWhoGoes(t *testing.T) {
+func TestEvictsLargestHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Resources{Memory: 5000, Descriptors: 1000})
 		plain := map[ClientID]int64{}
@@ -78,8 +78,8 @@
 			for _, n := range plain {
 				sum += n
 			}
-			if f := l.Stats(); f.HeldBytes != sum || sum > l.shares.MaxHeldBytes {
-				t.Fatalf("%d held, by its count %d, of %d", sum, f.HeldBytes, l.shares.MaxHeldBytes)
+			if f := l.Stats(); f.HeldBytes != sum || sum > l.limits.MaxHeldBytes {
+				t.Fatalf("%d held, by its count %d, of %d", sum, f.HeldBytes, l.limits.MaxHeldBytes)
 			}
 		}
 	})
--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -35,22 +35,22 @@
 
 func (w *ParseError) Error() string { return w.Message }
 
-func wrong(status int, format string, args ...any) *ParseError {
+func parseErrorf(status int, format string, args ...any) *ParseError {
 	return &ParseError{status, fmt.Sprintf(format, args...)}
 }
 
 const (
-	badRequest     = 400
-	notImplemented = 501
-	tooLarge       = 431
-	noSuchVersion  = 505
-	mostFields     = 100
+	statusBadRequest          = 400
+	statusNotImplemented      = 501
+	statusHeadTooLarge        = 431
+	statusVersionNotSupported = 505
+	maxFields                 = 100
 )
 
 var crlf = []byte("\r\n")
 
 // token holds the bytes of methods and names (RFC 9110, 5.6.2).
-var token = func() (t [256]bool) {
+var isTokenByte = func() (t [256]bool) {
 	for _, c := range []byte("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ") {
 		t[c] = true
 	}
@@ -59,7 +59,7 @@
 
 func isToken(b []byte) bool {
 	for _, c := range b {
-		if !token[c] {
+		if !isTokenByte[c] {
 			return false
 		}
 	}
@@ -84,7 +84,7 @@
 	end := HeadEnd(buf[:min(len(buf), most)], 0)
 	if end == 0 {
 		if len(buf) >= most {
-			return 0, wrong(tooLarge, "the head is longer than %d bytes", most)
+			return 0, parseErrorf(statusHeadTooLarge, "the head is longer than %d bytes", most)
 		}
 		return 0, nil
 	}
@@ -93,35 +93,35 @@
 	sp1 := bytes.IndexByte(line, ' ')
 	sp2 := bytes.LastIndexByte(line, ' ')
 	if sp1 <= 0 || sp2 <= sp1 {
-		return 0, wrong(badRequest, "the request line %.60q has not three parts", line)
+		return 0, parseErrorf(statusBadRequest, "the request line %.60q has not three parts", line)
 	}
 	h.Method, h.Target = line[:sp1], line[sp1+1:sp2]
 	if !isToken(h.Method) {
-		return 0, wrong(badRequest, "the method %.40q is no token", h.Method)
+		return 0, parseErrorf(statusBadRequest, "the method %.40q is no token", h.Method)
 	}
 	if len(h.Target) == 0 || h.Target[0] != '/' {
-		return 0, wrong(badRequest, "the target %.60q is no path", h.Target)
+		return 0, parseErrorf(statusBadRequest, "the target %.60q is no path", h.Target)
 	}
 	for _, c := range h.Target {
 		if c <= ' ' || c >= 0x7f {
-			return 0, wrong(badRequest, "the target holds the byte %#x", c)
+			return 0, parseErrorf(statusBadRequest, "the target holds the byte %#x", c)
 		}
 	}
-	if w := h.version(line[sp2+1:]); w != nil {
+	if w := h.parseVersion(line[sp2+1:]); w != nil {
 		return 0, w
 	}
 	if string(h.Method) == "CONNECT" {
-		return 0, wrong(notImplemented, "CONNECT is not taken here")
+		return 0, parseErrorf(statusNotImplemented, "CONNECT is not taken here")
 	}
-	hosts, w := h.fields(rest)
+	hosts, w := h.parseFields(rest)
 	if w != nil {
 		return 0, w
 	}
 	if hosts > 1 || hosts == 0 && h.MinorVersion == 1 {
-		return 0, wrong(badRequest, "%d Host fields", hosts)
+		return 0, parseErrorf(statusBadRequest, "%d Host fields", hosts)
 	}
 	if h.MinorVersion == 0 && h.Chunked {
-		return 0, wrong(badRequest, "HTTP/1.0 knows no Transfer-Encoding")
+		return 0, parseErrorf(statusBadRequest, "HTTP/1.0 knows no Transfer-Encoding")
 	}
 	h.Close = h.Close || h.MinorVersion == 0 && !h.KeepAlive
 	return end, nil
@@ -132,40 +132,40 @@
 	end := HeadEnd(buf[:min(len(buf), most)], 0)
 	if end == 0 {
 		if len(buf) >= most {
-			return 0, wrong(0, "the answer's head is longer than %d bytes", most)
+			return 0, parseErrorf(0, "the answer's head is longer than %d bytes", most)
 		}
 		return 0, nil
 	}
 	h.reset(end)
 	line, rest, _ := bytes.Cut(buf[:end-2], crlf)
 	if len(line) < 12 || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
-		return 0, wrong(0, "the status line %.60q is none", line)
+		return 0, parseErrorf(0, "the status line %.60q is none", line)
 	}
-	if w := h.version(line[:8]); w != nil {
+	if w := h.parseVersion(line[:8]); w != nil {
 		return 0, w
 	}
 	for _, c := range line[9:12] {
 		if c < '0' || c > '9' {
-			return 0, wrong(0, "the status %q is no number", line[9:12])
+			return 0, parseErrorf(0, "the status %q is no number", line[9:12])
 		}
 		h.Status = h.Status*10 + int(c-'0')
 	}
 	if h.Status < 100 || h.Status > 599 {
-		return 0, wrong(0, "the status %d is out of range", h.Status)
+		return 0, parseErrorf(0, "the status %d is out of range", h.Status)
 	}
 	if len(line) > 13 {
 		h.Reason = line[13:]
-		if !isValue(h.Reason) {
-			return 0, wrong(0, "the reason %.40q holds a byte that it may not", h.Reason)
+		if !isFieldValue(h.Reason) {
+			return 0, parseErrorf(0, "the reason %.40q holds a byte that it may not", h.Reason)
 		}
 	}
-	if _, w := h.fields(rest); w != nil {
+	if _, w := h.parseFields(rest); w != nil {
 		return 0, w
 	}
 	h.Close = h.Close || h.MinorVersion == 0 && !h.KeepAlive
 	if h.Status < 200 || h.Status == 204 || h.Status == 304 || string(method) == "HEAD" {
 		if h.Status < 200 && (h.Chunked || h.ContentLength > 0) {
-			return 0, wrong(0, "a status of %d bears a body", h.Status)
+			return 0, parseErrorf(0, "a status of %d bears a body", h.Status)
 		}
 		h.ContentLength, h.Chunked = 0, false
 	} else if h.ContentLength < 0 && !h.Chunked {
@@ -178,18 +178,18 @@
 	*h = Head{Fields: h.Fields[:0], ContentLength: -1, Size: size}
 }
 
-func (h *Head) version(v []byte) *ParseError {
+func (h *Head) parseVersion(v []byte) *ParseError {
 	switch string(v) {
 	case "HTTP/1.1":
 		h.MinorVersion = 1
 	case "HTTP/1.0":
 	default:
-		return wrong(noSuchVersion, "the version %.20q is neither HTTP/1.0 nor HTTP/1.1", v)
+		return parseErrorf(statusVersionNotSupported, "the version %.20q is neither HTTP/1.0 nor HTTP/1.1", v)
 	}
 	return nil
 }
 
-func isValue(v []byte) bool {
+func isFieldValue(v []byte) bool {
 	for _, c := range v {
 		if c < ' ' && c != '\t' || c == 0x7f {
 			return false
@@ -198,20 +198,20 @@
 	return true
 }
 
-func (h *Head) fields(rest []byte) (hosts int, w *ParseError) {
+func (h *Head) parseFields(rest []byte) (hosts int, w *ParseError) {
 	for len(rest) > 0 {
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, crlf)
 		colon := bytes.IndexByte(line, ':')
 		if colon <= 0 || !isToken(line[:colon]) {
-			return 0, wrong(badRequest, "the field %.60q has no name that is a token", line)
+			return 0, parseErrorf(statusBadRequest, "the field %.60q has no name that is a token", line)
 		}
-		if len(h.Fields) >= mostFields {
-			return 0, wrong(tooLarge, "more than %d fields", mostFields)
+		if len(h.Fields) >= maxFields {
+			return 0, parseErrorf(statusHeadTooLarge, "more than %d fields", maxFields)
 		}
 		f := Field{line[:colon], bytes.Trim(line[colon+1:], " \t")}
-		if !isValue(f.Value) {
-			return 0, wrong(badRequest, "the field %.40s holds a byte that it may not", f.Name)
+		if !isFieldValue(f.Value) {
+			return 0, parseErrorf(statusBadRequest, "the field %.40s holds a byte that it may not", f.Name)
 		}
 		h.Fields = append(h.Fields, f)
 		switch len(f.Name) {
@@ -231,25 +231,25 @@
 		case 14:
 			if EqualFold(f.Name, "content-length") {
 				if h.ContentLength >= 0 {
-					return 0, wrong(badRequest, "two Content-Length fields")
+					return 0, parseErrorf(statusBadRequest, "two Content-Length fields")
 				}
 				n, err := strconv.ParseUint(string(f.Value), 10, 62)
 				if err != nil || len(f.Value) > 18 || f.Value[0] == '+' {
-					return 0, wrong(badRequest, "the Content-Length %.40q is no length", f.Value)
+					return 0, parseErrorf(statusBadRequest, "the Content-Length %.40q is no length", f.Value)
 				}
 				h.ContentLength = int64(n)
 			}
 		case 17:
 			if EqualFold(f.Name, "transfer-encoding") {
 				if h.Chunked || !EqualFold(f.Value, "chunked") {
-					return 0, wrong(notImplemented, "the Transfer-Encoding %.40q is not chunked, once", f.Value)
+					return 0, parseErrorf(statusNotImplemented, "the Transfer-Encoding %.40q is not chunked, once", f.Value)
 				}
 				h.Chunked = true
 			}
 		}
 	}
 	if h.Chunked && h.ContentLength >= 0 {
-		return 0, wrong(badRequest, "both Content-Length and Transfer-Encoding")
+		return 0, parseErrorf(statusBadRequest, "both Content-Length and Transfer-Encoding")
 	}
 	return hosts, nil
 }
@@ -327,19 +327,19 @@
 	end := bytes.Index(buf[:min(len(buf), 256)], crlf)
 	if end < 0 {
 		if len(buf) >= 256 {
-			return 0, 0, wrong(badRequest, "the line of a chunk's size has no end")
+			return 0, 0, parseErrorf(statusBadRequest, "the line of a chunk's size has no end")
 		}
 		return 0, 0, nil
 	}
 	text := buf[:end]
 	if i := bytes.IndexByte(text, ';'); i >= 0 {
-		if !isValue(text[i:]) {
-			return 0, 0, wrong(badRequest, "a chunk's extension holds a byte that it may not")
+		if !isFieldValue(text[i:]) {
+			return 0, 0, parseErrorf(statusBadRequest, "a chunk's extension holds a byte that it may not")
 		}
 		text = bytes.TrimRight(text[:i], " \t")
 	}
 	if len(text) == 0 || len(text) > 15 {
-		return 0, 0, wrong(badRequest, "a chunk's size %.30q is none", text)
+		return 0, 0, parseErrorf(statusBadRequest, "a chunk's size %.30q is none", text)
 	}
 	for _, c := range text {
 		switch {
@@ -350,7 +350,7 @@
 		case 'A' <= c && c <= 'F':
 			size = size<<4 | int64(c-'A'+10)
 		default:
-			return 0, 0, wrong(badRequest, "a chunk's size %.30q is none", text)
+			return 0, 0, parseErrorf(statusBadRequest, "a chunk's size %.30q is none", text)
 		}
 	}
 	return size, end + 2, nil
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestWhatHasTwoMeaningsIsRefused(t *testing.T) {
+func TestAmbiguousRequestsAreRejected(t *testing.T) {
 	for in, status := range map[string]int{
 		"GET /a HTTP/1.1\r\nHost: h\r\n\r\n":                                                        0,
 		"GET /a HTTP/1.0\r\n\r\n":                                                                   0,
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestAnswers(t *testing.T) {
+func TestParseResponse(t *testing.T) {
 	for in, want := range map[string]struct {
 		status  int
 		length  int64
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestChunks(t *testing.T) {
+func TestParseChunkSize(t *testing.T) {
 	for in, want := range map[string][2]int64{"5\r\nhello": {5, 3}, "1F;a=b\r\n": {31, 8}, "0\r\n": {0, 3}, "5": {0, 0}, "a \t;x\r\n": {10, 7}} {
 		size, line, w := ParseChunkSize([]byte(in))
 		if w != nil || size != want[0] || int64(line) != want[1] {
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -14,66 +14,68 @@
 	"vetchwood/logic"
 )
 
-// answer is what a host said, as far as it is held. Rest says that more of the body is to come from conn.
-type answer struct {
-	head h1.Head
-	raw  []byte // the head's bytes, which head points into
-	body []byte
-	rest bool
-	from tables.Address
-	conn netpoll.Connection
-	load logic.Load
+// response is a host's response with as much of its body as is buffered.
+type response struct {
+	head    h1.Head
+	raw     []byte // bytes of the head, which head refers to
+	body    []byte
+	hasMore bool // more of the body is to be read from conn
+	host    tables.Address
+	conn    netpoll.Connection
+	load    logic.Load
 	chunked,
-	toEnd bool // the rest ends with the connection
-	left int64 // of a body with a length
+	untilClose bool // the body ends when the connection is closed
+	remaining int64 // unread bytes of the body, or of the current chunk
 }
 
-var errHead = errors.New("the answer can't be read")
+var errMalformed = errors.New("malformed message")
 
-// via is what a message is marked with on its way through.
-const via = "Via: 1.1 vetchwood\r\n"
+// viaHeader is added to each forwarded message.
+const viaHeader = "Via: 1.1 vetchwood\r\n"
 
-// render writes a request's head as it goes to a host.
-func render(to []byte, h *h1.Head, body int) []byte {
-	to = append(to, h.Method...)
-	to = append(to, ' ')
-	to = append(to, h.Target...)
-	to = append(to, " HTTP/1.1\r\n"...)
-	to = passOn(to, h)
+// appendRequestHead appends the head of a request as it is sent to a host, with a body of bodySize bytes.
+func appendRequestHead(buf []byte, h *h1.Head, bodySize int) []byte {
+	buf = append(buf, h.Method...)
+	buf = append(buf, ' ')
+	buf = append(buf, h.Target...)
+	buf = append(buf, " HTTP/1.1\r\n"...)
+	buf = appendForwardedFields(buf, h)
 	if h.MinorVersion == 0 && h.Get("host") == nil {
-		to = append(to, "Host: \r\n"...)
+		buf = append(buf, "Host: \r\n"...)
 	}
-	if body > 0 || h.ContentLength == 0 || h.Chunked {
-		to = append(to, "Content-Length: "...)
-		to = strconv.AppendInt(to, int64(body), 10)
-		to = append(to, "\r\n"...)
+	if bodySize > 0 || h.ContentLength == 0 || h.Chunked {
+		buf = append(buf, "Content-Length: "...)
+		buf = strconv.AppendInt(buf, int64(bodySize), 10)
+		buf = append(buf, "\r\n"...)
 	}
-	to = append(to, via...)
-	return append(to, "\r\n"...)
+	buf = append(buf, viaHeader...)
+	return append(buf, "\r\n"...)
 }
 
-// passOn writes the fields that go on to the next hop, without the body's framing.
-func passOn(to []byte, h *h1.Head) []byte {
-	listed := h.ConnectionOptions()
+// appendForwardedFields appends the fields that are forwarded to the next hop. It leaves out hop-by-hop fields and
+// Content-Length, as the caller frames the body.
+func appendForwardedFields(buf []byte, h *h1.Head) []byte {
+	connectionOptions := h.ConnectionOptions()
 next:
 	for _, f := range h.Fields {
 		if h.IsHopByHop(f) || h1.EqualFold(f.Name, "content-length") {
 			continue
 		}
-		for _, name := range listed {
-			if h1.EqualFold(f.Name, string(lower(name))) {
+		for _, name := range connectionOptions {
+			if h1.EqualFold(f.Name, string(toLower(name))) {
 				continue next
 			}
 		}
-		to = append(to, f.Name...)
-		to = append(to, ": "...)
-		to = append(to, f.Value...)
-		to = append(to, "\r\n"...)
+		buf = append(buf, f.Name...)
+		buf = append(buf, ": "...)
+		buf = append(buf, f.Value...)
+		buf = append(buf, "\r\n"...)
 	}
-	return to
+	return buf
 }
 
-func lower(b []byte) []byte {
+// toLower returns a copy of b with ASCII letters in lower case.
+func toLower(b []byte) []byte {
 	out := make([]byte, len(b))
 	for i, c := range b {
 		if 'A' <= c && c <= 'Z' {
@@ -84,53 +86,56 @@
 	return out
 }
 
-// exchange sends a request to a host and reads its answer, until the time of the try is over or the client is gone.
-func (s *Relay) exchange(cl *client, t carry.Try, method, head, body []byte) (*answer, carry.Failure) {
-	until := s.at(t.Until)
-	conn, err := s.hosts.get(t.Host, s.at(min(t.Until, t.Sent)))
+// exchange sends a request to a host and reads its response, until the deadline of the try passes or the client
+// disconnects. The response is nil unless its head and the buffered part of its body were received.
+func (s *Relay) exchange(cl *client, try carry.Try, method, head, body []byte) (*response, carry.Failure) {
+	deadline := s.timeAt(try.Until)
+	conn, err := s.hostPool.get(try.Host, s.timeAt(min(try.Until, try.Sent)))
 	if err != nil {
 		return nil, carry.NotSent
 	}
-	if !cl.calls(conn) || s.now() >= t.Sent { // the client is gone, or the time in which the host knows an earlier try
-		cl.calls(nil)
-		s.hosts.put(t.Host, conn)
+	if !cl.setHostConn(conn) || s.now() >= try.Sent {
+		// Nothing is sent: the client has disconnected, or the host may no longer recognize an earlier try of the call.
+		cl.setHostConn(nil)
+		s.hostPool.put(try.Host, conn)
 		return nil, carry.NotSent
 	}
-	a, f := s.converse(conn, until, method, head, body)
-	if a != nil {
-		a.from = t.Host
+	res, failure := s.roundTrip(conn, deadline, method, head, body)
+	if res != nil {
+		res.host = try.Host
 	}
-	gone := !cl.calls(nil)
+	disconnected := !cl.setHostConn(nil)
 	switch {
-	case a == nil && gone:
+	case res == nil && disconnected:
 		conn.Close()
 		return nil, carry.Abandoned
-	case a == nil:
+	case res == nil:
 		conn.Close()
-	case !a.rest:
-		if conn.Reader().Release(); a.head.Close {
+	case !res.hasMore:
+		if conn.Reader().Release(); res.head.Close {
 			conn.Close()
 		} else {
-			s.hosts.put(t.Host, conn)
+			s.hostPool.put(try.Host, conn)
 		}
 	}
-	return a, f
+	return res, failure
 }
 
-func (s *Relay) converse(conn netpoll.Connection, until time.Time, method, head, body []byte) (*answer, carry.Failure) {
+// roundTrip writes a request to conn and reads the response, and classifies the outcome by the response's status.
+func (s *Relay) roundTrip(conn netpoll.Connection, deadline time.Time, method, head, body []byte) (*response, carry.Failure) {
 	w := conn.Writer()
-	conn.SetWriteTimeout(max(time.Until(until), time.Millisecond))
+	conn.SetWriteTimeout(max(time.Until(deadline), time.Millisecond))
 	w.WriteBinary(head)
 	if len(body) > 0 {
 		w.WriteBinary(body)
 	}
 	if w.Flush() != nil {
-		return nil, carry.Unclear // some of it may have been written
+		return nil, carry.Unclear // part of the request may have been written
 	}
-	a := &answer{conn: conn}
+	res := &response{conn: conn}
 	r := conn.Reader()
 	for {
-		size, err := headSize(conn, until, s.in().Front.MostHead)
+		size, err := awaitHead(conn, deadline, s.settings().Front.MostHead)
 		if err != nil {
 			return nil, carry.Unclear
 		}
@@ -138,140 +143,141 @@
 		if err != nil {
 			return nil, carry.Unclear
 		}
-		a.raw = append(a.raw[:0], raw...)
-		if n, w := a.head.ParseResponse(a.raw, len(a.raw)+1, method); w != nil || n != size || a.head.Status == 101 {
+		res.raw = append(res.raw[:0], raw...)
+		if n, w := res.head.ParseResponse(res.raw, len(res.raw)+1, method); w != nil || n != size || res.head.Status == 101 {
 			return nil, carry.Unclear
 		}
-		if a.head.Status >= 200 {
+		if res.head.Status >= 200 {
 			break
 		}
 	}
-	if v := a.head.Get(orca.Header); v != nil {
-		a.load, _ = orca.Parse(string(v))
+	if v := res.head.Get(orca.Header); v != nil {
+		res.load, _ = orca.Parse(string(v))
 	}
-	if err := s.hold(a, until); err != nil {
+	if err := s.bufferBody(res, deadline); err != nil {
 		return nil, carry.Unclear
 	}
-	switch a.head.Status {
+	switch res.head.Status {
 	case 503, 429:
-		return a, carry.Busy
+		return res, carry.Busy
 	case 500, 502, 504:
-		return a, carry.Errored
+		return res, carry.Errored
 	}
-	return a, answered
+	return res, noFailure
 }
 
-// answered is no failure.
-const answered carry.Failure = -1
+// noFailure is the outcome of a try that succeeded.
+const noFailure carry.Failure = -1
 
-// headSize waits for a whole head and gives its size. Nothing is taken off.
-func headSize(conn netpoll.Connection, until time.Time, most int) (int, error) {
-	r, looked := conn.Reader(), 0
+// awaitHead waits for a complete message head and returns its size in bytes without consuming it.
+func awaitHead(conn netpoll.Connection, deadline time.Time, maxSize int) (int, error) {
+	r, searched := conn.Reader(), 0
 	for {
-		if n := r.Len(); n > looked {
-			buf, err := r.Peek(min(n, most))
+		if n := r.Len(); n > searched {
+			buf, err := r.Peek(min(n, maxSize))
 			if err != nil {
 				return 0, err
 			}
-			if size := h1.HeadEnd(buf, looked); size > 0 {
+			if size := h1.HeadEnd(buf, searched); size > 0 {
 				return size, nil
 			}
-			if looked = len(buf); looked >= most {
-				return 0, errHead
+			if searched = len(buf); searched >= maxSize {
+				return 0, errMalformed
 			}
 		}
-		if err := more(conn, looked+1, until); err != nil {
+		if err := awaitBytes(conn, searched+1, deadline); err != nil {
 			return 0, err
 		}
 	}
 }
 
-// more waits until so many bytes are there.
-func more(conn netpoll.Connection, n int, until time.Time) error {
+// awaitBytes waits until at least n bytes can be read from conn.
+func awaitBytes(conn netpoll.Connection, n int, deadline time.Time) error {
 	if conn.Reader().Len() >= n {
 		return nil
 	}
-	left := time.Until(until)
-	if left <= 0 {
+	timeout := time.Until(deadline)
+	if timeout <= 0 {
 		return netpoll.ErrReadTimeout
 	}
-	conn.SetReadTimeout(left)
+	conn.SetReadTimeout(timeout)
 	_, err := conn.Reader().Peek(n)
 	return err
 }
 
-// hold reads the body as far as the buffer goes. What is whole can still be replaced by another try's; what is not goes
-// to the client as it comes.
-func (s *Relay) hold(a *answer, until time.Time) error {
-	r, most := a.conn.Reader(), s.in().Hosts.Buffer
+// bufferBody reads the body up to the size of the buffer. A response that is buffered whole can still be replaced by
+// that of a further try; the remainder of a longer one is streamed to the client.
+func (s *Relay) bufferBody(res *response, deadline time.Time) error {
+	r, maxBuffer := res.conn.Reader(), s.settings().Hosts.Buffer
 	switch {
-	case a.head.Chunked:
+	case res.head.Chunked:
 		for {
-			size, err := s.chunk(a.conn, until)
+			size, err := s.readChunkSize(res.conn, deadline)
 			if err != nil {
 				return err
 			}
 			if size == 0 {
 				return nil
 			}
-			if int64(len(a.body))+size > int64(most) {
-				a.rest, a.chunked, a.left = true, true, size
+			if int64(len(res.body))+size > int64(maxBuffer) {
+				res.hasMore, res.chunked, res.remaining = true, true, size
 				return nil
 			}
-			if a.body, err = s.read(a.conn, a.body, size, until); err != nil {
+			if res.body, err = s.readBytes(res.conn, res.body, size, deadline); err != nil {
 				return err
 			}
-			if err := crlf(a.conn, until); err != nil {
+			if err := skipCRLF(res.conn, deadline); err != nil {
 				return err
 			}
 		}
-	case a.head.ContentLength >= 0:
-		if a.head.ContentLength > int64(most) {
-			a.rest, a.left = true, a.head.ContentLength
+	case res.head.ContentLength >= 0:
+		if res.head.ContentLength > int64(maxBuffer) {
+			res.hasMore, res.remaining = true, res.head.ContentLength
 			return nil
 		}
 		var err error
-		a.body, err = s.read(a.conn, nil, a.head.ContentLength, until)
+		res.body, err = s.readBytes(res.conn, nil, res.head.ContentLength, deadline)
 		return err
 	default:
 		for {
-			err := more(a.conn, 1, until)
+			err := awaitBytes(res.conn, 1, deadline)
 			if n := r.Len(); n > 0 {
-				var wrong error
-				if a.body, wrong = s.read(a.conn, a.body, int64(n), until); wrong != nil {
-					return wrong
+				var readErr error
+				if res.body, readErr = s.readBytes(res.conn, res.body, int64(n), deadline); readErr != nil {
+					return readErr
 				}
 			} else if errors.Is(err, netpoll.ErrEOF) || errors.Is(err, netpoll.ErrConnClosed) {
 				return nil
 			} else if err != nil {
 				return err
 			}
-			if len(a.body) > most {
-				a.rest, a.toEnd = true, true
+			if len(res.body) > maxBuffer {
+				res.hasMore, res.untilClose = true, true
 				return nil
 			}
 		}
 	}
 }
 
-// read takes so many bytes of a body.
-func (s *Relay) read(conn netpoll.Connection, to []byte, n int64, until time.Time) ([]byte, error) {
-	for n > 0 {
-		if err := more(conn, 1, until); err != nil && conn.Reader().Len() == 0 {
-			return to, err
+// readBytes reads the remaining bytes of a body and appends them to buf.
+func (s *Relay) readBytes(conn netpoll.Connection, buf []byte, remaining int64, deadline time.Time) ([]byte, error) {
+	for remaining > 0 {
+		if err := awaitBytes(conn, 1, deadline); err != nil && conn.Reader().Len() == 0 {
+			return buf, err
 		}
-		piece, err := conn.Reader().Next(int(min(n, int64(conn.Reader().Len()))))
+		part, err := conn.Reader().Next(int(min(remaining, int64(conn.Reader().Len()))))
 		if err != nil {
-			return to, err
+			return buf, err
 		}
-		to = append(to, piece...)
-		n -= int64(len(piece))
+		buf = append(buf, part...)
+		remaining -= int64(len(part))
 	}
-	return to, nil
+	return buf, nil
 }
 
-// chunk takes the line that begins a chunk; with the last one the trailer too, which is not passed on.
-func (s *Relay) chunk(conn netpoll.Connection, until time.Time) (int64, error) {
+// readChunkSize reads the line that begins a chunk and returns the size of the chunk. After the last chunk, of size 0,
+// it also reads the trailer, which is not forwarded.
+func (s *Relay) readChunkSize(conn netpoll.Connection, deadline time.Time) (int64, error) {
 	r := conn.Reader()
 	for {
 		if n := r.Len(); n > 0 {
@@ -279,50 +285,51 @@
 			if err != nil {
 				return 0, err
 			}
-			size, line, w := h1.ParseChunkSize(buf)
-			if w != nil {
-				return 0, w
+			size, lineSize, parseErr := h1.ParseChunkSize(buf)
+			if parseErr != nil {
+				return 0, parseErr
 			}
-			if line > 0 {
+			if lineSize > 0 {
 				if size > 0 {
-					return size, r.Skip(line)
+					return size, r.Skip(lineSize)
 				}
-				return 0, s.trailer(conn, line, until)
+				return 0, s.skipTrailer(conn, lineSize, deadline)
 			}
 		}
-		if err := more(conn, r.Len()+1, until); err != nil {
+		if err := awaitBytes(conn, r.Len()+1, deadline); err != nil {
 			return 0, err
 		}
 	}
 }
 
-// trailer takes the last chunk's line and what stands behind it, to the empty line.
-func (s *Relay) trailer(conn netpoll.Connection, line int, until time.Time) error {
+// skipTrailer skips the line of the last chunk, of lineSize bytes, and the trailer up to and including the empty line.
+func (s *Relay) skipTrailer(conn netpoll.Connection, lineSize int, deadline time.Time) error {
 	r := conn.Reader()
-	if err := more(conn, line+2, until); err != nil {
+	if err := awaitBytes(conn, lineSize+2, deadline); err != nil {
 		return err
 	}
-	buf, err := r.Peek(line + 2)
+	buf, err := r.Peek(lineSize + 2)
 	if err != nil {
 		return err
 	}
-	if buf[line] == '\r' && buf[line+1] == '\n' {
-		return r.Skip(line + 2)
+	if buf[lineSize] == '\r' && buf[lineSize+1] == '\n' {
+		return r.Skip(lineSize + 2)
 	}
-	size, err := headSize(conn, until, s.in().Front.MostHead)
+	size, err := awaitHead(conn, deadline, s.settings().Front.MostHead)
 	if err != nil {
 		return err
 	}
 	return r.Skip(size)
 }
 
-func crlf(conn netpoll.Connection, until time.Time) error {
-	if err := more(conn, 2, until); err != nil {
+// skipCRLF reads the CRLF that ends the data of a chunk.
+func skipCRLF(conn netpoll.Connection, deadline time.Time) error {
+	if err := awaitBytes(conn, 2, deadline); err != nil {
 		return err
 	}
 	b, err := conn.Reader().Next(2)
 	if err == nil && (b[0] != '\r' || b[1] != '\n') {
-		err = errHead
+		err = errMalformed
 	}
 	return err
 }
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -11,103 +11,107 @@
 	"vetchwood/internal/tables"
 )
 
-// hosts keeps connections to hosts that have ended a call well. The one used last is used first, so that the rest
-// may grow idle and close.
-type hosts struct {
-	set   settings.RelayHosts
-	most  int
-	mu    sync.Mutex
-	idle  map[tables.Address][]idle
-	shut  bool
-	dials func(network, address string, timeout time.Duration) (netpoll.Connection, error)
+// connPool keeps idle connections to hosts for reuse. It reuses the most recently used connection first, so that
+// surplus connections stay idle and are closed.
+type connPool struct {
+	settings settings.RelayHosts
+	maxIdle  int
+	mu       sync.Mutex
+	idle     map[tables.Address][]idleConn
+	isClosed bool
+	dial     func(network, address string, timeout time.Duration) (netpoll.Connection, error)
 }
 
-type idle struct {
+// idleConn is an idle connection and the time since which it is idle.
+type idleConn struct {
 	conn  netpoll.Connection
 	since time.Time
 }
 
-func newHosts(set settings.RelayHosts, most int) *hosts {
-	return &hosts{set: set, most: most, idle: map[tables.Address][]idle{}, dials: netpoll.NewDialer().DialConnection}
+func newConnPool(hostSettings settings.RelayHosts, maxIdle int) *connPool {
+	return &connPool{settings: hostSettings, maxIdle: maxIdle, idle: map[tables.Address][]idleConn{}, dial: netpoll.NewDialer().DialConnection}
 }
 
-// get gives a connection that stands, or a new one. What it says is proof that nothing was sent.
-func (h *hosts) get(a tables.Address, until time.Time) (netpoll.Connection, error) {
+// get returns an idle connection to a host, or a new one. An error means that nothing was sent to the host.
+func (h *connPool) get(host tables.Address, deadline time.Time) (netpoll.Connection, error) {
 	h.mu.Lock()
-	for all := h.idle[a]; len(all) > 0; all = h.idle[a] {
-		c := all[len(all)-1].conn
-		all[len(all)-1] = idle{}
-		h.idle[a] = all[:len(all)-1]
+	for conns := h.idle[host]; len(conns) > 0; conns = h.idle[host] {
+		c := conns[len(conns)-1].conn
+		conns[len(conns)-1] = idleConn{}
+		h.idle[host] = conns[:len(conns)-1]
 		if c.IsActive() && c.Reader().Len() == 0 {
 			h.mu.Unlock()
 			return c, nil
 		}
 		c.Close()
 	}
-	connect := h.set.Connect
+	connect := h.settings.Connect
 	h.mu.Unlock()
-	return h.dials("tcp", string(a), min(connect, max(time.Until(until), time.Millisecond)))
+	return h.dial("tcp", string(host), min(connect, max(time.Until(deadline), time.Millisecond)))
 }
 
-// put takes back a connection on which nothing is owed.
-func (h *hosts) put(a tables.Address, c netpoll.Connection) {
-	if !c.IsActive() || c.Reader().Len() > 0 {
-		c.Close()
+// put returns a connection on which no response is outstanding to the pool. It closes the connection if it is broken,
+// has unread data or exceeds the maximum of idle connections for the host.
+func (h *connPool) put(host tables.Address, conn netpoll.Connection) {
+	if !conn.IsActive() || conn.Reader().Len() > 0 {
+		conn.Close()
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.shut || len(h.idle[a]) >= h.most {
-		go c.Close()
+	if h.isClosed || len(h.idle[host]) >= h.maxIdle {
+		go conn.Close()
 		return
 	}
-	h.idle[a] = append(h.idle[a], idle{c, time.Now()})
+	h.idle[host] = append(h.idle[host], idleConn{conn, time.Now()})
 }
 
-// change puts other settings in force.
-func (h *hosts) change(set settings.RelayHosts, most int) {
+// configure replaces the settings.
+func (h *connPool) configure(hostSettings settings.RelayHosts, maxIdle int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.set, h.most = set, most
+	h.settings, h.maxIdle = hostSettings, maxIdle
 }
 
-func (h *hosts) sweep(now time.Time) {
+// closeIdle closes connections that are broken or have been idle for the time limit.
+func (h *connPool) closeIdle(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for a, all := range h.idle {
-		kept := all[:0]
-		for _, i := range all {
-			if now.Sub(i.since) < h.set.Idle && i.conn.IsActive() {
-				kept = append(kept, i)
+	for host, conns := range h.idle {
+		kept := conns[:0]
+		for _, c := range conns {
+			if now.Sub(c.since) < h.settings.Idle && c.conn.IsActive() {
+				kept = append(kept, c)
 			} else {
-				go i.conn.Close()
+				go c.conn.Close()
 			}
 		}
-		clear(all[len(kept):])
-		if h.idle[a] = kept; len(kept) == 0 {
-			delete(h.idle, a)
+		clear(conns[len(kept):])
+		if h.idle[host] = kept; len(kept) == 0 {
+			delete(h.idle, host)
 		}
 	}
 }
 
-func (h *hosts) close() {
+// close closes all idle connections. Connections that are returned later are closed, too.
+func (h *connPool) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.shut = true
-	for a, all := range h.idle {
-		for _, i := range all {
-			i.conn.Close()
+	h.isClosed = true
+	for host, conns := range h.idle {
+		for _, c := range conns {
+			c.conn.Close()
 		}
-		delete(h.idle, a)
+		delete(h.idle, host)
 	}
 }
 
-// open is how many connections stand idle.
-func (h *hosts) open() (n int) {
+// idleCount returns the number of idle connections.
+func (h *connPool) idleCount() (n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, all := range h.idle {
-		n += len(all)
+	for _, conns := range h.idle {
+		n += len(conns)
 	}
 	return n
 }
--- a/internal/relay/meters.go
+++ b/internal/relay/meters.go
@@ -21,138 +21,141 @@
 	"vetchwood/internal/carry"
 )
 
-// meters count calls, and trace one in so many with the choices made.
-type meters struct {
-	s         *Relay
-	reg       *prometheus.Registry
-	took      *prometheus.HistogramVec
-	malformed atomic.Uint64
-	calls     atomic.Uint64
-	oneIn     uint64
-	tracer    trace.Tracer
-	provider  *sdk.TracerProvider
+// metrics counts and times calls, and traces one call in traceOneIn with the routing decisions made for it.
+type metrics struct {
+	relay           *Relay
+	registry        *prometheus.Registry
+	callSeconds     *prometheus.HistogramVec
+	malformed       atomic.Uint64
+	traceCandidates atomic.Uint64
+	traceOneIn      uint64
+	tracer          trace.Tracer
+	provider        *sdk.TracerProvider
 }
 
-func newMeters(s *Relay) *meters {
-	m := &meters{s: s, reg: prometheus.NewRegistry(), oneIn: uint64(s.in().TraceOneIn)}
-	m.reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	m.took = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "vetchwood_relay_call_seconds",
-		Help: "Time of calls, by route and how they ended.", NativeHistogramBucketFactor: 1.1}, []string{"route", "ended"})
-	m.reg.MustRegister(m.took)
-	read := func(name, help string, of func() float64) {
-		m.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_relay_" + name, Help: help}, of))
+func newMetrics(relay *Relay) *metrics {
+	m := &metrics{relay: relay, registry: prometheus.NewRegistry(), traceOneIn: uint64(relay.settings().TraceOneIn)}
+	m.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	m.callSeconds = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "vetchwood_relay_call_seconds",
+		Help: "Duration of calls in seconds, by route and outcome.", NativeHistogramBucketFactor: 1.1}, []string{"route", "ended"})
+	m.registry.MustRegister(m.callSeconds)
+	gauge := func(name, help string, value func() float64) {
+		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_relay_" + name, Help: help}, value))
 	}
-	counts := func(of func(carry.Counts) uint64) func() float64 {
+	counter := func(value func(carry.Counts) uint64) func() float64 {
 		return func() float64 {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			return float64(of(s.mind.Counts()))
+			relay.mu.Lock()
+			defer relay.mu.Unlock()
+			return float64(value(relay.core.Counts()))
 		}
 	}
-	for name, x := range map[string]struct {
-		help string
-		of   func(carry.Counts) uint64
+	for name, metric := range map[string]struct {
+		help  string
+		value func(carry.Counts) uint64
 	}{
-		"calls_total":         {"Calls that came.", func(c carry.Counts) uint64 { return c.Calls }},
-		"throttled_total":     {"Calls turned away by a level.", func(c carry.Counts) uint64 { return c.Throttled }},
-		"refused_total":       {"Calls turned away as too many were in hand.", func(c carry.Counts) uint64 { return c.Refused }},
-		"bare_total":          {"Calls for which no line came in time.", func(c carry.Counts) uint64 { return c.Bare }},
-		"tries_total":         {"Tries, first and further.", func(c carry.Counts) uint64 { return c.Tries }},
-		"further_total":       {"Further tries.", func(c carry.Counts) uint64 { return c.Further }},
-		"hosts_avoided_total": {"Times that a host was avoided after a run of failures.", func(c carry.Counts) uint64 { return c.Shut }},
+		"calls_total":         {"Calls received.", func(c carry.Counts) uint64 { return c.Calls }},
+		"throttled_total":     {"Calls rejected by an admission level.", func(c carry.Counts) uint64 { return c.Throttled }},
+		"refused_total":       {"Calls rejected because too many calls were in flight.", func(c carry.Counts) uint64 { return c.Refused }},
+		"bare_total":          {"Calls for which the tables listed no host in time.", func(c carry.Counts) uint64 { return c.Bare }},
+		"tries_total":         {"Tries, including retries.", func(c carry.Counts) uint64 { return c.Tries }},
+		"further_total":       {"Retries.", func(c carry.Counts) uint64 { return c.Further }},
+		"hosts_avoided_total": {"Times that a host was ejected after consecutive failures.", func(c carry.Counts) uint64 { return c.Shut }},
 	} {
-		m.reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_relay_" + name, Help: x.help}, counts(x.of)))
+		m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_relay_" + name, Help: metric.help}, counter(metric.value)))
 	}
-	m.reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_relay_malformed_total",
-		Help: "Requests that could not be read."}, func() float64 { return float64(m.malformed.Load()) }))
-	for name, x := range map[string]struct {
-		help string
-		of   func() float64
+	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_relay_malformed_total",
+		Help: "Malformed requests."}, func() float64 { return float64(m.malformed.Load()) }))
+	for name, metric := range map[string]struct {
+		help  string
+		value func() float64
 	}{
-		"stale_answers_total":  {"Answers that came when their director's lease was over, and took no effect.", func() float64 { return float64(s.follow.Stale()) }},
-		"deposed_tables_total": {"Tables offered by directors that hold them no more, and refused.", func() float64 { return float64(s.follow.Refused()) }},
+		"stale_answers_total":  {"Responses of directors that were ignored because the director's lease had expired.", func() float64 { return float64(relay.follower.Stale()) }},
+		"deposed_tables_total": {"Tables rejected because the director that sent them no longer owns them.", func() float64 { return float64(relay.follower.Refused()) }},
 	} {
-		m.reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_relay_" + name, Help: x.help}, x.of))
+		m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_relay_" + name, Help: metric.help}, metric.value))
 	}
-	read("in_hand", "Calls in hand.", func() float64 { return float64(s.inHand.Load()) })
-	read("hosts_avoided", "Hosts avoided now.", func() float64 {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		return float64(s.mind.Avoided(s.now()))
+	gauge("in_hand", "Calls in flight.", func() float64 { return float64(relay.inFlight.Load()) })
+	gauge("hosts_avoided", "Hosts currently ejected.", func() float64 {
+		relay.mu.Lock()
+		defer relay.mu.Unlock()
+		return float64(relay.core.Avoided(relay.now()))
 	})
-	read("host_connections_idle", "Connections to hosts that stand idle.", func() float64 { return float64(s.hosts.open()) })
-	read("tables_version", "Step of the tables in force.", func() float64 {
-		if d := s.Document(); d != nil {
+	gauge("host_connections_idle", "Idle connections to hosts.", func() float64 { return float64(relay.hostPool.idleCount()) })
+	gauge("tables_version", "Step of the tables in force.", func() float64 {
+		if d := relay.Document(); d != nil {
 			return float64(d.Step)
 		}
 		return 0
 	})
-	read("tables_age_seconds", "Since the tables in force were ordered.", func() float64 {
-		if d := s.Document(); d != nil {
+	gauge("tables_age_seconds", "Age of the tables in force in seconds.", func() float64 {
+		if d := relay.Document(); d != nil {
 			return time.Since(time.UnixMilli(int64(d.At))).Seconds()
 		}
 		return 0
 	})
-	if m.oneIn > 0 {
+	if m.traceOneIn > 0 {
 		if out, err := stdouttrace.New(stdouttrace.WithWriter(os.Stdout)); err == nil {
 			m.provider = sdk.NewTracerProvider(sdk.WithBatcher(out), sdk.WithResource(resource.NewSchemaless(
-				attribute.String("service.name", "vetchwood-relay"), attribute.String("service.instance.id", s.in().Name))))
+				attribute.String("service.name", "vetchwood-relay"), attribute.String("service.instance.id", relay.settings().Name))))
 			m.tracer = m.provider.Tracer("vetchwood/relay")
 		}
 	}
 	return m
 }
 
-// span is one call's: always timed, now and then traced.
-type span struct {
-	m     *meters
-	route string
-	began time.Time
-	trace trace.Span
+// callSpan measures one call. Every call is timed; sampled calls are also traced.
+type callSpan struct {
+	metrics *metrics
+	route   string
+	start   time.Time
+	trace   trace.Span // nil unless the call is traced
 }
 
-func (m *meters) begin(route string) span {
-	sp := span{m: m, route: route, began: time.Now()}
-	if m.tracer != nil && m.calls.Add(1)%m.oneIn == 0 {
+// startSpan begins the measurement of a call.
+func (m *metrics) startSpan(route string) callSpan {
+	sp := callSpan{metrics: m, route: route, start: time.Now()}
+	if m.tracer != nil && m.traceCandidates.Add(1)%m.traceOneIn == 0 {
 		_, sp.trace = m.tracer.Start(context.Background(), route)
 	}
 	return sp
 }
 
-func (sp *span) failed(host string, f carry.Failure, why again.Verdict) {
+// tryFailed records a failed try and the decision on a retry in the trace.
+func (sp *callSpan) tryFailed(host string, failure carry.Failure, verdict again.Verdict) {
 	if sp.trace != nil {
-		sp.trace.AddEvent("try failed", trace.WithAttributes(attribute.String("host", host), attribute.String("failure", f.String()),
-			attribute.String("another", string(why))))
+		sp.trace.AddEvent("try failed", trace.WithAttributes(attribute.String("host", host), attribute.String("failure", failure.String()),
+			attribute.String("another", string(verdict))))
 	}
 }
 
-func (sp *span) end(table, host string, status, tries int) {
-	ended := "failed"
+// finish records the outcome of a call. The parameter tries is 0 if the call was not sent to any host.
+func (sp *callSpan) finish(table, host string, status, tries int) {
+	outcome := "failed"
 	switch {
 	case tries == 0:
-		ended = "turned away"
+		outcome = "turned away"
 	case status > 0 && status < 500 && status != 429:
-		ended = "answered"
+		outcome = "answered"
 	}
-	sp.m.took.WithLabelValues(sp.route, ended).Observe(time.Since(sp.began).Seconds())
+	sp.metrics.callSeconds.WithLabelValues(sp.route, outcome).Observe(time.Since(sp.start).Seconds())
 	if sp.trace != nil {
 		sp.trace.SetAttributes(attribute.String("table", table), attribute.String("host", host), attribute.Int("status", status),
-			attribute.Int("tries", tries), attribute.String("ended", ended))
-		if d := sp.m.s.Document(); d != nil {
+			attribute.Int("tries", tries), attribute.String("ended", outcome))
+		if d := sp.metrics.relay.Document(); d != nil {
 			sp.trace.SetAttributes(attribute.String("version", d.Version))
 		}
 		sp.trace.End()
 	}
 }
 
-// ServeAdmin serves metrics and health until the server is closed.
+// ServeAdmin serves metrics and health checks at the address until the returned server is closed.
 func (s *Relay) ServeAdmin(address string) (*http.Server, error) {
 	mux := http.NewServeMux()
-	mux.Handle("GET /metrics", promhttp.HandlerFor(s.meters.reg, promhttp.HandlerOpts{}))
+	mux.Handle("GET /metrics", promhttp.HandlerFor(s.metrics.registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("ok\n")) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
 		if s.Document() == nil || s.draining.Load() {
-			http.Error(w, "no tables yet, or draining", http.StatusServiceUnavailable)
+			http.Error(w, "not ready: no tables received yet, or draining", http.StatusServiceUnavailable)
 			return
 		}
 		w.Write([]byte("ok\n"))
--- a/internal/relay/pass.go
+++ b/internal/relay/pass.go
@@ -9,30 +9,31 @@
 	"vetchwood/logic"
 )
 
-type admitTicket = admit.Ticket
+type ticket = admit.Ticket
 
 var noLoad logic.Load
 
-// pass gives a host's answer to the client: whole, or as it comes. An answer that breaks off on the way closes the
-// client's connection, as nothing else would tell it.
-func (s *Relay) pass(cl *client, a *answer, h *h1.Head) bool {
+// forwardResponse sends a host's response to the client and reports whether the client's connection can be used for
+// another request. If the response breaks off midway, the client's connection is closed, as there is no other way to
+// signal the failure.
+func (s *Relay) forwardResponse(cl *client, res *response, h *h1.Head) bool {
 	closes := h.Close || s.draining.Load()
-	head := statusLine(make([]byte, 0, a.head.Size+128), a.head.Status, a.head.Reason)
-	head = passOn(head, &a.head)
-	head = append(head, via...)
+	head := appendStatusLine(make([]byte, 0, res.head.Size+128), res.head.Status, res.head.Reason)
+	head = appendForwardedFields(head, &res.head)
+	head = append(head, viaHeader...)
 	if h.MinorVersion == 0 && !closes {
 		head = append(head, "Connection: keep-alive\r\n"...)
 	}
-	if !a.rest {
+	if !res.hasMore {
 		switch {
-		case a.head.Status == 204 || a.head.Status == 304:
+		case res.head.Status == 204 || res.head.Status == 304:
 			if closes {
 				head = append(head, "Connection: close\r\n"...)
 			}
 			head = append(head, "\r\n"...)
 		case string(h.Method) == "HEAD":
-			// Its length is that of the body which is not sent.
-			if v := a.head.Get("content-length"); v != nil {
+			// Content-Length is that of the body that a GET would return.
+			if v := res.head.Get("content-length"); v != nil {
 				head = append(append(append(head, "Content-Length: "...), v...), "\r\n"...)
 			}
 			if closes {
@@ -40,27 +41,28 @@
 			}
 			head = append(head, "\r\n"...)
 		default:
-			head = framing(head, len(a.body), closes)
+			head = appendFraming(head, len(res.body), closes)
 		}
-		return s.write(cl, head, a.body) && !closes
+		return s.write(cl, head, res.body) && !closes
 	}
-	return s.stream(cl, a, head, h, closes) && !closes
+	return s.streamBody(cl, res, head, h, closes) && !closes
 }
 
-// stream passes on the rest of a long answer. HTTP/1.0 knows no chunks, so there the connection's end is the body's.
-func (s *Relay) stream(cl *client, a *answer, head []byte, h *h1.Head, closes bool) (stays bool) {
-	whole := false
+// streamBody sends a response that exceeds the buffer, as it is received. HTTP/1.0 has no chunked encoding, so for such a
+// client the end of the connection marks the end of a body of unknown length.
+func (s *Relay) streamBody(cl *client, res *response, head []byte, h *h1.Head, closes bool) (keepOpen bool) {
+	complete := false
 	defer func() {
-		if a.conn.Reader().Release(); !whole || a.head.Close {
-			a.conn.Close()
+		if res.conn.Reader().Release(); !complete || res.head.Close {
+			res.conn.Close()
 		} else {
-			s.hosts.put(a.from, a.conn)
+			s.hostPool.put(res.host, res.conn)
 		}
 	}()
-	chunks := a.left == 0 || a.chunked || a.toEnd
+	chunked := res.remaining == 0 || res.chunked || res.untilClose
 	switch {
-	case !chunks:
-		head = framing(head, int(a.left), closes)
+	case !chunked:
+		head = appendFraming(head, int(res.remaining), closes)
 	case h.MinorVersion == 0:
 		head = append(head, "Connection: close\r\n\r\n"...)
 		closes = true
@@ -71,52 +73,52 @@
 		}
 		head = append(head, "\r\n"...)
 	}
-	send := func(piece []byte) bool {
-		if !chunks || h.MinorVersion == 0 {
-			return s.write(cl, piece, nil)
+	send := func(data []byte) bool {
+		if !chunked || h.MinorVersion == 0 {
+			return s.write(cl, data, nil)
 		}
-		return s.write(cl, strconv.AppendInt(nil, int64(len(piece)), 16), append(append([]byte("\r\n"), piece...), "\r\n"...))
+		return s.write(cl, strconv.AppendInt(nil, int64(len(data)), 16), append(append([]byte("\r\n"), data...), "\r\n"...))
 	}
-	if !s.write(cl, head, nil) || len(a.body) > 0 && !send(a.body) {
+	if !s.write(cl, head, nil) || len(res.body) > 0 && !send(res.body) {
 		return false
 	}
-	slow := func() time.Time { return time.Now().Add(s.in().Front.Slow) }
+	deadline := func() time.Time { return time.Now().Add(s.settings().Front.Slow) }
 	for {
-		for a.left > 0 || a.toEnd {
-			err := more(a.conn, 1, slow())
-			n := a.conn.Reader().Len()
+		for res.remaining > 0 || res.untilClose {
+			err := awaitBytes(res.conn, 1, deadline())
+			n := res.conn.Reader().Len()
 			if n == 0 {
-				if whole = a.toEnd && err != nil && !a.conn.IsActive(); whole {
+				if complete = res.untilClose && err != nil && !res.conn.IsActive(); complete {
 					break
 				}
 				return false
 			}
-			if !a.toEnd {
-				n = int(min(a.left, int64(n)))
+			if !res.untilClose {
+				n = int(min(res.remaining, int64(n)))
 			}
-			piece, err := a.conn.Reader().Next(n)
-			if err != nil || !send(append([]byte(nil), piece...)) {
+			data, err := res.conn.Reader().Next(n)
+			if err != nil || !send(append([]byte(nil), data...)) {
 				return false
 			}
-			a.left -= int64(n)
-			a.conn.Reader().Release()
+			res.remaining -= int64(n)
+			res.conn.Reader().Release()
 		}
-		if !a.chunked {
+		if !res.chunked {
 			break
 		}
-		if crlf(a.conn, slow()) != nil {
+		if skipCRLF(res.conn, deadline()) != nil {
 			return false
 		}
-		size, err := s.chunk(a.conn, slow())
+		size, err := s.readChunkSize(res.conn, deadline())
 		if err != nil {
 			return false
 		}
-		if a.left = size; size == 0 {
+		if res.remaining = size; size == 0 {
 			break
 		}
 	}
-	whole = true
-	if chunks && h.MinorVersion == 1 {
+	complete = true
+	if chunked && h.MinorVersion == 1 {
 		return s.write(cl, []byte("0\r\n\r\n"), nil)
 	}
 	return !closes
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay is a small forwarding proxy: it follows a director's tables and carries calls between sockets. What
-// goes where is decided in package carry; here are the sockets, on netpoll.
+// Package relay implements a small forwarding proxy that routes calls by a director's tables. Package carry makes the
+// routing decisions; this package does the network I/O, on netpoll.
 package relay
 
 import (
@@ -28,141 +28,144 @@
 	"vetchwood/internal/tally"
 )
 
-// Watch hears of what happens, for tests and rehearsals. Any part may be nil.
+// Hooks are callbacks for tests and rehearsals. Any of them may be nil.
 type Hooks struct {
-	OnTry        func(route, mark, table string, host tables.Address) // a try is about to be written
-	OnUpdate     func(follow.Update)
-	OnJoinChange func(director string, on bool)
+	OnTry        func(route, mark, table string, host tables.Address) // called before a try is written to its host
+	OnUpdate     func(follow.Update)                                  // called after an update of the tables took effect
+	OnJoinChange func(director string, on bool)                       // called when the proxy joins or leaves a director
 }
 
 // Relay is a running proxy.
 type Relay struct {
-	force  atomic.Pointer[settings.Relaying] // the settings in force
-	log    *slog.Logger
-	watch  Hooks
-	epoch  time.Time
-	follow *follow.Several
-	hosts  *hosts
-	meters *meters
+	activeSettings atomic.Pointer[settings.Relaying]
+	log            *slog.Logger
+	hooks          Hooks
+	epoch          time.Time
+	follower       *follow.Several
+	hostPool       *connPool
+	metrics        *metrics
 
-	mu      sync.Mutex
-	mind    *carry.Mind
-	turns   map[admit.Ticket]*waiter
-	tickets admit.Ticket
-	fresh   chan struct{} // closed when the tables change
+	mu            sync.Mutex
+	core          *carry.Mind
+	waiting       map[admit.Ticket]*waiter // queued calls
+	lastTicket    admit.Ticket
+	tablesChanged chan struct{} // closed and replaced when the tables change
 
 	ln       netpoll.Listener
 	loop     netpoll.EventLoop
 	clients  sync.Map // netpoll.Connection -> *client
-	inHand   atomic.Int64
+	inFlight atomic.Int64
 	draining atomic.Bool
 	done     chan struct{}
 	traced   atomic.Uint64
 }
 
-// waiter is a call that waits for its turn.
+// waiter is a call that is queued until the number of calls in flight permits it.
 type waiter struct {
-	call *carry.Call
-	turn chan bool // true: go; false: out
+	call     *carry.Call
+	admitted chan bool // receives true when the call is admitted, false when it is dropped from the queue
 }
 
-// New makes a proxy that has yet to run; Addr is known from now on.
-func New(set *settings.Relaying, watch Hooks, log *slog.Logger) (*Relay, error) {
-	seed := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	s := &Relay{log: log, watch: watch, epoch: time.Now(), turns: map[admit.Ticket]*waiter{}, fresh: make(chan struct{}),
+// New returns a proxy that already listens, so that Addr is valid. Run must be called to serve calls.
+func New(set *settings.Relaying, hooks Hooks, log *slog.Logger) (*Relay, error) {
+	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	s := &Relay{log: log, hooks: hooks, epoch: time.Now(), waiting: map[admit.Ticket]*waiter{}, tablesChanged: make(chan struct{}),
 		done: make(chan struct{})}
-	s.force.Store(set)
-	s.mind = carry.New(set.Bounds, strconv.FormatInt(s.epoch.UnixNano(), 36), seed.Float64)
-	s.hosts = newHosts(set.Hosts, set.Bounds.PerHost)
-	s.meters = newMeters(s)
-	s.follow = follow.NewSeveral(follow.Source{Directors: set.Directors, Proxy: set.Name, Zone: set.Zone, Rate: set.Rate, Wait: set.Wait,
-		Kept: set.Kept, Seen: s.take, Joined: watch.OnJoinChange, Log: log}, set.FollowAll)
+	s.activeSettings.Store(set)
+	s.core = carry.New(set.Bounds, strconv.FormatInt(s.epoch.UnixNano(), 36), random.Float64)
+	s.hostPool = newConnPool(set.Hosts, set.Bounds.PerHost)
+	s.metrics = newMetrics(s)
+	s.follower = follow.NewSeveral(follow.Source{Directors: set.Directors, Proxy: set.Name, Zone: set.Zone, Rate: set.Rate, Wait: set.Wait,
+		Kept: set.Kept, Seen: s.onUpdate, Joined: hooks.OnJoinChange, Log: log}, set.FollowAll)
 	ln, err := netpoll.CreateListener("tcp", set.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen %s: %w", set.Listen, err)
 	}
 	s.ln = ln
-	s.loop, err = netpoll.NewEventLoop(s.serve, netpoll.WithOnPrepare(s.accept), netpoll.WithOnDisconnect(s.disconnect),
+	s.loop, err = netpoll.NewEventLoop(s.serve, netpoll.WithOnPrepare(s.onConnect), netpoll.WithOnDisconnect(s.onDisconnect),
 		netpoll.WithWriteTimeout(set.Front.Slow))
 	return s, err
 }
 
-// Addr is where it listens.
+// Addr returns the address that the proxy listens on.
 func (s *Relay) Addr() net.Addr { return s.ln.Addr() }
 
-// Held is the document in force.
-func (s *Relay) Document() *tables.Document { return s.follow.Held() }
+// Document returns the document in force, or nil before the first one.
+func (s *Relay) Document() *tables.Document { return s.follower.Held() }
 
-// Cut keeps it from its directors for a while.
-func (s *Relay) DisconnectFor(long time.Duration) { s.follow.Cut(long) }
+// DisconnectFor keeps the proxy from reaching its directors for the given duration.
+func (s *Relay) DisconnectFor(duration time.Duration) { s.follower.Cut(duration) }
 
-func (s *Relay) in() *settings.Relaying { return s.force.Load() }
+func (s *Relay) settings() *settings.Relaying { return s.activeSettings.Load() }
 
-// Reload puts other settings in force, as one step: calls in hand end by those they began with, as far as they go. What
-// can't change while it runs is named, and then nothing changes.
+// Reload replaces the settings in one step. Calls in flight keep what they have already taken from the previous
+// settings. If set changes a setting that is fixed while the proxy runs, Reload changes nothing and returns an error
+// that names each such setting.
 func (s *Relay) Reload(set *settings.Relaying) error {
-	was := s.in()
+	old := s.settings()
 	var fixed []string
-	for name, same := range map[string]bool{"the relay's name": set.Name == was.Name, "listen": set.Listen == was.Listen,
-		"admin": set.Admin == was.Admin, "zone": set.Zone == was.Zone, "directors": slices.Equal(set.Directors, was.Directors), "follow": set.FollowAll == was.FollowAll,
-		"kept": set.Kept == was.Kept, "trace_one_in": set.TraceOneIn == was.TraceOneIn, "report_every": set.ReportEvery == was.ReportEvery,
-		"rate": set.Rate == was.Rate, "wait": set.Wait == was.Wait} {
+	for name, same := range map[string]bool{"the relay's name": set.Name == old.Name, "listen": set.Listen == old.Listen,
+		"admin": set.Admin == old.Admin, "zone": set.Zone == old.Zone, "directors": slices.Equal(set.Directors, old.Directors), "follow": set.FollowAll == old.FollowAll,
+		"kept": set.Kept == old.Kept, "trace_one_in": set.TraceOneIn == old.TraceOneIn, "report_every": set.ReportEvery == old.ReportEvery,
+		"rate": set.Rate == old.Rate, "wait": set.Wait == old.Wait} {
 		if !same {
 			fixed = append(fixed, name)
 		}
 	}
 	if len(fixed) > 0 {
 		slices.Sort(fixed)
-		return fmt.Errorf("can't change while the proxy runs: %s", strings.Join(fixed, ", "))
+		return fmt.Errorf("settings that cannot change while the proxy runs: %s", strings.Join(fixed, ", "))
 	}
-	s.think(func(float64) { s.mind.Bind(set.Bounds) })
-	s.hosts.change(set.Hosts, set.Bounds.PerHost)
-	s.force.Store(set)
+	s.withCore(func(float64) { s.core.Bind(set.Bounds) })
+	s.hostPool.configure(set.Hosts, set.Bounds.PerHost)
+	s.activeSettings.Store(set)
 	s.log.Info("relay.reloaded", "routes", len(set.Routes))
 	return nil
 }
 
+// now returns the time since the start of the proxy in milliseconds.
 func (s *Relay) now() float64 { return float64(time.Since(s.epoch).Nanoseconds()) / 1e6 }
 
-// at is a time of the relay's clock.
-func (s *Relay) at(ms float64) time.Time {
+// timeAt converts a time as given by now, in milliseconds, to a time.Time.
+func (s *Relay) timeAt(ms float64) time.Time {
 	return s.epoch.Add(time.Duration(min(ms, 1e12) * float64(time.Millisecond)))
 }
 
-// think has the mind to itself. It lets go of it whatever happens: a fault in one call's handling ends that call, and
-// must not stop all others.
-func (s *Relay) think(f func(now float64)) {
+// withCore runs f with exclusive access to the core. The lock is released even if f panics, because a fault in the
+// handling of one call must not block all others.
+func (s *Relay) withCore(f func(now float64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.now())
 }
 
-func (s *Relay) take(u follow.Update) {
-	s.think(func(float64) {
-		s.mind.Follow(u.Doc)
-		close(s.fresh)
-		s.fresh = make(chan struct{})
+// onUpdate puts new tables in force and wakes the calls that wait for them.
+func (s *Relay) onUpdate(u follow.Update) {
+	s.withCore(func(float64) {
+		s.core.Follow(u.Doc)
+		close(s.tablesChanged)
+		s.tablesChanged = make(chan struct{})
 	})
 	s.log.Debug("tables.followed", "version", u.Doc.Version, "lines", u.Lines, "whole", u.Whole)
-	if s.watch.OnUpdate != nil {
-		s.watch.OnUpdate(u)
+	if s.hooks.OnUpdate != nil {
+		s.hooks.OnUpdate(u)
 	}
 }
 
-// Run carries calls until the context ends; then it closes its sockets and lets the calls in hand end, for as long as
-// the settings allow.
+// Run serves calls until the context ends. It then stops listening and waits for calls in flight, at most for the drain
+// time of the settings.
 func (s *Relay) Run(ctx context.Context) error {
 	failed := make(chan error, 1)
 	go func() { failed <- s.loop.Serve(s.ln) }()
-	following, stop := context.WithCancel(context.Background())
+	followCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	followed := make(chan struct{})
-	go func() { s.follow.Run(following); close(followed) }()
-	go s.sweep()
-	reports := time.NewTicker(s.in().ReportEvery)
+	followerDone := make(chan struct{})
+	go func() { s.follower.Run(followCtx); close(followerDone) }()
+	go s.closeIdle()
+	reports := time.NewTicker(s.settings().ReportEvery)
 	defer reports.Stop()
-	reported := make(chan struct{}, 1)
-	reported <- struct{}{}
+	reportDone := make(chan struct{}, 1)
+	reportDone <- struct{}{}
 	var err error
 	for ctx.Err() == nil && err == nil {
 		select {
@@ -170,41 +173,41 @@
 		case err = <-failed:
 		case <-reports.C:
 			select {
-			case <-reported:
-				go func() { s.reports(following); reported <- struct{}{} }()
-			default: // the last one is still on its way; sums add up
+			case <-reportDone:
+				go func() { s.sendReports(followCtx); reportDone <- struct{}{} }()
+			default: // The previous report is still being sent; the sums go into the next one.
 			}
 		}
 	}
 	s.draining.Store(true)
-	// It closes the listening socket and what is idle at once, and waits for the rest.
-	drain, cancel := context.WithTimeout(context.Background(), s.in().Drain)
-	s.loop.Shutdown(drain)
+	// Shutdown closes the listening socket and idle connections at once, and waits for the other connections.
+	drainCtx, cancel := context.WithTimeout(context.Background(), s.settings().Drain)
+	s.loop.Shutdown(drainCtx)
 	cancel()
-	left := s.inHand.Load()
+	unfinished := s.inFlight.Load()
 	s.clients.Range(func(c, _ any) bool { c.(netpoll.Connection).Close(); return true })
-	last, cancel := context.WithTimeout(following, 500*time.Millisecond)
-	s.reports(last)
+	finalCtx, cancel := context.WithTimeout(followCtx, 500*time.Millisecond)
+	s.sendReports(finalCtx)
 	cancel()
 	stop()
 	close(s.done)
-	<-followed
-	s.hosts.close()
-	s.log.Info("relay.stopped", "calls_cut", left)
+	<-followerDone
+	s.hostPool.close()
+	s.log.Info("relay.stopped", "calls_cut", unfinished)
 	return err
 }
 
-// Kill ends it without a word, as a process that dies.
+// Kill stops the proxy without draining, as if its process had been killed. The parameter stop cancels the context of Run.
 func (s *Relay) Kill(stop context.CancelFunc) {
-	now := *s.in()
-	now.Drain = 0
-	s.force.Store(&now)
+	undrained := *s.settings()
+	undrained.Drain = 0
+	s.activeSettings.Store(&undrained)
 	stop()
 	s.clients.Range(func(c, _ any) bool { c.(netpoll.Connection).Close(); return true })
 }
 
-// sweep closes what has been idle for long.
-func (s *Relay) sweep() {
+// closeIdle closes connections of clients and to hosts once a second after they have been idle for their time limit.
+func (s *Relay) closeIdle() {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -212,11 +215,11 @@
 		case <-s.done:
 			return
 		case now := <-tick.C:
-			s.hosts.sweep(now)
-			idleBefore := int64(nets.Monotonic() - s.in().Front.Idle)
+			s.hostPool.closeIdle(now)
+			idleBefore := int64(nets.Monotonic() - s.settings().Front.Idle)
 			s.clients.Range(func(c, v any) bool {
 				cl := v.(*client)
-				if last := cl.last.Load(); last > 0 && last < idleBefore {
+				if last := cl.idleSince.Load(); last > 0 && last < idleBefore {
 					c.(netpoll.Connection).Close()
 				}
 				return true
@@ -225,41 +228,42 @@
 	}
 }
 
-// reports posts to each director what concerns it.
-func (s *Relay) reports(ctx context.Context) {
+// sendReports posts to each director the load report for it.
+func (s *Relay) sendReports(ctx context.Context) {
 	var all sync.WaitGroup
-	for i, to := range s.follow.Directors() {
-		all.Go(func() { s.report(ctx, i, to) })
+	for i, url := range s.follower.Directors() {
+		all.Go(func() { s.sendReport(ctx, i, url) })
 	}
 	all.Wait()
 }
 
-// report posts the sums that a director has yet to count.
-func (s *Relay) report(ctx context.Context, of int, to string) {
+// sendReport posts the sums that the director has not yet acknowledged. The parameter index is the director's place in the
+// list of directors, url its address.
+func (s *Relay) sendReport(ctx context.Context, index int, url string) {
 	var b *tally.Batch
-	s.think(func(float64) { b = s.mind.Tally(of).PendingBatch(to) })
+	s.withCore(func(float64) { b = s.core.Tally(index).PendingBatch(url) })
 	if b == nil {
 		return
 	}
-	fate := tally.Unknown
-	defer func() { s.think(func(float64) { s.mind.Tally(of).Resolve(b.Key, fate) }) }()
-	body, err := json.Marshal(b.Request(s.in().Name, s.in().Zone))
+	outcome := tally.Unknown
+	defer func() { s.withCore(func(float64) { s.core.Tally(index).Resolve(b.Key, outcome) }) }()
+	body, err := json.Marshal(b.Request(s.settings().Name, s.settings().Zone))
 	if err != nil {
-		fate = tally.Rejected
+		outcome = tally.Rejected
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	status, text, err := s.follow.Report(ctx, of, to, b.Key, body)
+	status, text, err := s.follower.Report(ctx, index, url, b.Key, body)
 	if err != nil {
 		return
 	}
 	switch {
 	case status < 300:
-		fate = tally.Accepted
-	case status == http.StatusNotFound: // it has not heard our poll yet, or forgot us: it counts later
+		outcome = tally.Accepted
+	case status == http.StatusNotFound: // The director does not know this proxy yet, or no longer: the batch is sent again later.
 	case status < 500:
-		fate = tally.Rejected
+		outcome = tally.Rejected
 		s.log.Warn("report.refused", "status", status, "body", text)
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -21,7 +21,7 @@
 )
 
 // fixed is a director that tells one document.
-func fixed(t testing.TB, doc *atomic.Pointer[tables.Document]) string {
+func serveDocument(t testing.TB, doc *atomic.Pointer[tables.Document]) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			w.WriteHeader(http.StatusNoContent)
@@ -44,7 +44,7 @@
 }
 
 // three routes, one of each kind; two cells.
-func document(step tables.Step, tries int, hosts ...string) *tables.Document {
+func newDocument(step tables.Step, tries int, hosts ...string) *tables.Document {
 	d := &tables.Document{Pick: "lottery", TryWait: 1, Masked: map[tables.Address]bool{}, Hosts: map[tables.Address]tables.Host{},
 		Routes: map[string]tables.Route{}, Tables: map[string]*tables.Table{"t": {Lines: map[tables.Address]float64{}}}}
 	for i, h := range hosts {
@@ -60,10 +60,10 @@
 	return d
 }
 
-func start(t testing.TB, more string, doc *tables.Document) (*Relay, *atomic.Pointer[tables.Document], string) {
+func startRelay(t testing.TB, more string, doc *tables.Document) (*Relay, *atomic.Pointer[tables.Document], string) {
 	var now atomic.Pointer[tables.Document]
 	now.Store(doc)
-	text := fmt.Sprintf("relay \"p1\" {\n listen = \"127.0.0.1:0\"\n directors = [%q]\n drain = \"1s\"\n report_every = \"50ms\"\n}\n%s\n", fixed(t, &now), more)
+	text := fmt.Sprintf("relay \"p1\" {\n listen = \"127.0.0.1:0\"\n directors = [%q]\n drain = \"1s\"\n report_every = \"50ms\"\n}\n%s\n", serveDocument(t, &now), more)
 	for _, r := range []string{"repeatable", "keyed", "mutating"} {
 		text += fmt.Sprintf("route %q {\n prefix = \"/%s\"\n key = \"query:key\"\n}\n", r, r)
 	}
@@ -88,25 +88,25 @@
 	return s, &now, s.Addr().String()
 }
 
-const answerOK = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
+const responseOK = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 
 // host is a plain one that is under the test's thumb: it reads a request up to a byte, counts it as run once it was
 // whole, and answers up to a byte.
-type faulty struct {
-	ln       net.Listener
-	ran      sync.Map // mark -> *atomic.Int32
-	mu       sync.Mutex
-	readTo   int // bytes; -1: all
-	answerTo int
-	answer   string
+type faultyHost struct {
+	ln            net.Listener
+	runsByMark    sync.Map // mark -> *atomic.Int32
+	mu            sync.Mutex
+	readLimit     int // bytes; -1: all
+	responseLimit int
+	response      string
 }
 
-func newFaulty(t testing.TB) *faulty {
+func newFaultyHost(t testing.TB) *faultyHost {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &faulty{ln: ln, readTo: -1, answerTo: -1, answer: answerOK}
+	f := &faultyHost{ln: ln, readLimit: -1, responseLimit: -1, response: responseOK}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -120,15 +120,15 @@
 	return f
 }
 
-func (f *faulty) at() string { return f.ln.Addr().String() }
+func (f *faultyHost) address() string { return f.ln.Addr().String() }
 
-func (f *faulty) set(readTo, answerTo int, answer string) {
+func (f *faultyHost) configure(readTo, answerTo int, answer string) {
 	f.mu.Lock()
-	f.readTo, f.answerTo, f.answer = readTo, answerTo, answer
+	f.readLimit, f.responseLimit, f.response = readTo, answerTo, answer
 	f.mu.Unlock()
 }
 
-func (f *faulty) serve(c net.Conn) {
+func (f *faultyHost) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -137,7 +137,7 @@
 			return
 		}
 		f.mu.Lock()
-		readTo, answerTo, answer := f.readTo, f.answerTo, f.answer
+		readTo, answerTo, answer := f.readLimit, f.responseLimit, f.response
 		f.mu.Unlock()
 		for !bytes.HasSuffix(text, []byte("\r\n\r\n")) {
 			if readTo >= 0 && len(text) >= readTo {
@@ -161,15 +161,15 @@
 	}
 }
 
-func (f *faulty) count(text []byte) {
+func (f *faultyHost) count(text []byte) {
 	_, mark, _ := strings.Cut(string(text), "X-Call: ")
 	mark, _, _ = strings.Cut(mark, "\r\n")
-	n, _ := f.ran.LoadOrStore(mark, new(atomic.Int32))
+	n, _ := f.runsByMark.LoadOrStore(mark, new(atomic.Int32))
 	n.(*atomic.Int32).Add(1)
 }
 
-func (f *faulty) runs(mark string) int32 {
-	n, ran := f.ran.Load(mark)
+func (f *faultyHost) runs(mark string) int32 {
+	n, ran := f.runsByMark.Load(mark)
 	if !ran {
 		return 0
 	}
@@ -177,7 +177,7 @@
 }
 
 // ask sends one request on a connection of its own and wants exactly one answer.
-func ask(t testing.TB, at, route, mark string) (status int, body string) {
+func sendCall(t testing.TB, at, route, mark string) (status int, body string) {
 	c, err := net.Dial("tcp", at)
 	if err != nil {
 		t.Error(err)
@@ -206,9 +206,9 @@
 
 // A fault at every byte of the request and of the answer: no mutating call runs twice, no keyed one outside its cell,
 // every client gets exactly one answer, and what may be repeated is answered by the other host.
-func TestAFaultAtEveryByte(t *testing.T) {
-	bad, good := newFaulty(t), newFaulty(t)
-	s, now, at := start(t, "# no budget", document(1, 3, bad.at()))
+func TestFaultAtEveryByte(t *testing.T) {
+	bad, good := newFaultyHost(t), newFaultyHost(t)
+	s, now, at := startRelay(t, "# no budget", newDocument(1, 3, bad.address()))
 	step := tables.Step(1)
 	request := 150 // about its length; faults past its end are none
 	type cut struct{ read, answer int }
@@ -216,27 +216,27 @@
 	for i := 0; i < request; i++ {
 		cuts = append(cuts, cut{i, -1})
 	}
-	for i := range len(answerOK) {
+	for i := range len(responseOK) {
 		cuts = append(cuts, cut{-1, i})
 	}
 	for _, repeat := range []string{"mutating", "keyed", "repeatable"} {
 		for i, c := range cuts {
 			// The bad host is the one picked: the other is so light that only a further try comes to it.
 			step++
-			d := document(step, 3, bad.at(), good.at())
-			d.Tables["t"].Lines[tables.Address(good.at())] = 1e-9
+			d := newDocument(step, 3, bad.address(), good.address())
+			d.Tables["t"].Lines[tables.Address(good.address())] = 1e-9
 			d = d.Seal(3, step, float64(step))
-			parsed, err := tables.Parse(mustJSON(d))
+			parsed, err := tables.Parse(documentJSON(d))
 			if err != nil {
 				t.Fatal(err)
 			}
-			bad.set(c.read, c.answer, answerOK)
+			bad.configure(c.read, c.answer, responseOK)
 			now.Store(parsed)
 			for s.Document().Step != step {
 				time.Sleep(100 * time.Microsecond)
 			}
 			mark := fmt.Sprintf("%s-%d", repeat, i)
-			status, body := ask(t, at, repeat, mark)
+			status, body := sendCall(t, at, repeat, mark)
 			a, b := bad.runs(mark), good.runs(mark)
 			if repeat != "repeatable" && a+b > 1 {
 				t.Errorf("%s, cut at %+v: ran %d and %d times", mark, c, a, b)
@@ -254,14 +254,14 @@
 	}
 }
 
-func mustJSON(d *tables.Document) []byte {
+func documentJSON(d *tables.Document) []byte {
 	return append([]byte(nil), d.Whole()...)
 }
 
 // Answers that break the framing end as one clear answer, and the connection is not used again.
-func TestAnswersWithBrokenFraming(t *testing.T) {
-	h := newFaulty(t)
-	_, _, at := start(t, "", document(1, 0, h.at()))
+func TestResponsesWithBrokenFraming(t *testing.T) {
+	h := newFaultyHost(t)
+	_, _, at := startRelay(t, "", newDocument(1, 0, h.address()))
 	for i, answer := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!",
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
@@ -270,29 +270,29 @@
 		"HTTP/1.1 999 No\r\n\r\n", "nonsense\r\n\r\n", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nA b: c\r\n\r\n",
 	} {
-		h.set(-1, -1, answer)
-		if status, body := ask(t, at, "mutating", fmt.Sprint("m", i)); status != 502 && status != 504 {
+		h.configure(-1, -1, answer)
+		if status, body := sendCall(t, at, "mutating", fmt.Sprint("m", i)); status != 502 && status != 504 {
 			t.Errorf("%q became %d %q", answer, status, body)
 		}
 	}
 	for answer, want := range map[string]string{
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nTrailer: t\r\n\r\n":        "hello",
-		"HTTP/1.1 100 Continue\r\n\r\n" + answerOK:                                                                       "hello",
+		"HTTP/1.1 100 Continue\r\n\r\n" + responseOK:                                                                     "hello",
 		"HTTP/1.1 204 No Content\r\n\r\n":                                                                                "",
 		"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + strings.Repeat("x", 100000):                                strings.Repeat("x", 100000),
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n186a0\r\n" + strings.Repeat("y", 100000) + "\r\n0\r\n\r\n": strings.Repeat("y", 100000),
 	} {
-		h.set(-1, -1, answer)
-		if status, body := ask(t, at, "mutating", "g"); status/100 != 2 || body != want {
+		h.configure(-1, -1, answer)
+		if status, body := sendCall(t, at, "mutating", "g"); status/100 != 2 || body != want {
 			t.Errorf("%.60q became %d %.60q", answer, status, body)
 		}
 	}
 }
 
 // What comes from clients that can't be read is refused, and what is left to say is said.
-func TestRequestsThatCantBeRead(t *testing.T) {
-	h := newFaulty(t)
-	_, _, at := start(t, "bounds {\n most_body = \"8B\"\n most_head = \"512B\"\n slow_request = \"300ms\"\n}", document(1, 0, h.at()))
+func TestMalformedRequests(t *testing.T) {
+	h := newFaultyHost(t)
+	_, _, at := startRelay(t, "bounds {\n most_body = \"8B\"\n most_head = \"512B\"\n slow_request = \"300ms\"\n}", newDocument(1, 0, h.address()))
 	for in, want := range map[string]string{
 		"POST /keyed HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab":                               "400",
 		"POST /keyed HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\na":                       "400",
@@ -324,11 +324,11 @@
 	slow := make(chan struct{})
 	h := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { <-slow; io.WriteString(w, "late") }))
 	defer h.Close()
-	doc := document(1, 0, h.Listener.Addr().String())
+	doc := newDocument(1, 0, h.Listener.Addr().String())
 	var now atomic.Pointer[tables.Document]
 	now.Store(doc)
 	set, err := settings.ParseRelay("p.hcl", []byte(fmt.Sprintf("relay \"p\" {\n listen = \"127.0.0.1:0\"\n directors = [%q]\n drain = \"2s\"\n kept = %q\n}\nroute \"mutating\" { prefix = \"/\" }",
-		fixed(t, &now), t.TempDir()+"/kept.json")))
+		serveDocument(t, &now), t.TempDir()+"/kept.json")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -343,8 +343,8 @@
 		time.Sleep(time.Millisecond)
 	}
 	got := make(chan string, 1)
-	go func() { _, body := ask(t, s.Addr().String(), "mutating", "m"); got <- body }()
-	for s.inHand.Load() == 0 {
+	go func() { _, body := sendCall(t, s.Addr().String(), "mutating", "m"); got <- body }()
+	for s.inFlight.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	stop()
@@ -359,7 +359,7 @@
 	}
 	<-done
 	// The next start goes on by what was kept, with no director to ask.
-	now.Store(document(2, 0))
+	now.Store(newDocument(2, 0))
 	set.Directors, set.Listen = []string{"http://127.0.0.1:1"}, "127.0.0.1:0"
 	again, err := New(set, Hooks{}, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -373,7 +373,7 @@
 	}
 	if d := again.Document(); d == nil || d.Tag() != doc.Tag() {
 		t.Errorf("did not go on by what was kept: %v", d)
-	} else if status, body := ask(t, again.Addr().String(), "mutating", "m2"); status != 200 || body != "late" {
+	} else if status, body := sendCall(t, again.Addr().String(), "mutating", "m2"); status != 200 || body != "late" {
 		t.Errorf("%d %q", status, body)
 	}
 	stop()
@@ -382,26 +382,26 @@
 
 // A reload changes routes and bounds as one step, while calls go on; what can't change is named, and nothing changes.
 func TestReload(t *testing.T) {
-	h := newFaulty(t)
-	s, _, at := start(t, "", document(1, 0, h.at()))
-	next := *s.in()
+	h := newFaultyHost(t)
+	s, _, at := startRelay(t, "", newDocument(1, 0, h.address()))
+	next := *s.settings()
 	next.Routes = next.Routes[:1]
 	next.Bounds.InHand, next.Bounds.Queue = 0, 0
 	next.Zone, next.Listen = "elsewhere", "127.0.0.1:1"
 	if err := s.Reload(&next); err == nil || !strings.Contains(err.Error(), "listen, zone") {
 		t.Fatalf("%v", err)
 	}
-	if status, _ := ask(t, at, "mutating", "a"); status != 200 {
+	if status, _ := sendCall(t, at, "mutating", "a"); status != 200 {
 		t.Fatalf("changed by a reload that was refused: %d", status)
 	}
-	next.Zone, next.Listen = s.in().Zone, s.in().Listen
+	next.Zone, next.Listen = s.settings().Zone, s.settings().Listen
 	if err := s.Reload(&next); err != nil {
 		t.Fatal(err)
 	}
-	if status, _ := ask(t, at, "mutating", "b"); status != 404 {
+	if status, _ := sendCall(t, at, "mutating", "b"); status != 404 {
 		t.Fatalf("a route that is gone: %d", status)
 	}
-	if status, _ := ask(t, at, "repeatable", "c"); status != 503 {
+	if status, _ := sendCall(t, at, "repeatable", "c"); status != 503 {
 		t.Fatalf("none may be in hand: %d", status)
 	}
 }
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -21,79 +21,80 @@
 	"vetchwood/internal/nets"
 )
 
-// client is one connection of a client.
+// client is a connection from a client.
 type client struct {
-	conn netpoll.Connection
-	last atomic.Int64 // when it was last answered; 0 while a call is in hand
-	mu   sync.Mutex
-	gone chan struct{} // closed when it is
-	left bool
-	host netpoll.Connection // that its call is at
+	conn      netpoll.Connection
+	idleSince atomic.Int64 // nets.Monotonic of the last response; 0 while a call is in flight
+	mu        sync.Mutex
+	closed    chan struct{} // closed when the connection is closed
+	isClosed  bool
+	hostConn  netpoll.Connection // connection that the current try uses, or nil
 }
 
-type clientKey struct{}
+type clientContextKey struct{}
 
-func (s *Relay) accept(c netpoll.Connection) context.Context {
-	cl := &client{conn: c, gone: make(chan struct{})}
-	cl.last.Store(int64(nets.Monotonic()))
+func (s *Relay) onConnect(c netpoll.Connection) context.Context {
+	cl := &client{conn: c, closed: make(chan struct{})}
+	cl.idleSince.Store(int64(nets.Monotonic()))
 	s.clients.Store(c, cl)
-	c.AddCloseCallback(func(netpoll.Connection) error { cl.leave(); s.clients.Delete(c); return nil })
-	return context.WithValue(context.Background(), clientKey{}, cl)
+	c.AddCloseCallback(func(netpoll.Connection) error { cl.abandon(); s.clients.Delete(c); return nil })
+	return context.WithValue(context.Background(), clientContextKey{}, cl)
 }
 
-func (s *Relay) disconnect(ctx context.Context, _ netpoll.Connection) {
-	ctx.Value(clientKey{}).(*client).leave()
+func (s *Relay) onDisconnect(ctx context.Context, _ netpoll.Connection) {
+	ctx.Value(clientContextKey{}).(*client).abandon()
 }
 
-// leave ends the try that is in hand: nobody waits for it.
-func (c *client) leave() {
+// abandon ends the current try by closing its connection to the host, as the client no longer waits for the response.
+func (c *client) abandon() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.left {
+	if c.isClosed {
 		return
 	}
-	c.left = true
-	close(c.gone)
-	if c.host != nil {
-		c.host.Close()
+	c.isClosed = true
+	close(c.closed)
+	if c.hostConn != nil {
+		c.hostConn.Close()
 	}
 }
 
-// calls says at which host its call is, or that it is at none; false if the client is gone.
-func (c *client) calls(host netpoll.Connection) bool {
+// setHostConn records the connection to a host that the current try uses; nil means none. It reports whether the client
+// is still connected.
+func (c *client) setHostConn(host netpoll.Connection) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.host = host
-	return !c.left
+	c.hostConn = host
+	return !c.isClosed
 }
 
-// serve reads requests as they come, one after the other, and carries each to its end.
+// serve reads the requests of a connection one after the other and answers each before it reads the next.
 func (s *Relay) serve(ctx context.Context, conn netpoll.Connection) error {
-	cl := ctx.Value(clientKey{}).(*client)
+	cl := ctx.Value(clientContextKey{}).(*client)
 	for conn.Reader().Len() > 0 && conn.IsActive() {
-		cl.last.Store(0)
-		s.inHand.Add(1)
-		stays := s.request(cl)
-		s.inHand.Add(-1)
+		cl.idleSince.Store(0)
+		s.inFlight.Add(1)
+		keepOpen := s.serveRequest(cl)
+		s.inFlight.Add(-1)
 		conn.Reader().Release()
-		if cl.last.Store(int64(nets.Monotonic())); !stays || s.draining.Load() {
+		if cl.idleSince.Store(int64(nets.Monotonic())); !keepOpen || s.draining.Load() {
 			return conn.Close()
 		}
 	}
 	return nil
 }
 
-// request reads one and answers it; false if the connection can't go on.
-func (s *Relay) request(cl *client) bool {
+// serveRequest reads a request and answers it. It reports whether the connection can be used for another request.
+func (s *Relay) serveRequest(cl *client) bool {
 	conn := cl.conn
-	until := time.Now().Add(s.in().Front.Slow)
-	size, err := headSize(conn, until, s.in().Front.MostHead)
+	deadline := time.Now().Add(s.settings().Front.Slow)
+	size, err := awaitHead(conn, deadline, s.settings().Front.MostHead)
 	switch {
-	case errors.Is(err, errHead):
-		s.refuse(cl, http.StatusRequestHeaderFieldsTooLarge, "the head is longer than "+strconv.Itoa(s.in().Front.MostHead)+" bytes", 0, true)
+	case errors.Is(err, errMalformed):
+		s.writeProblem(cl, http.StatusRequestHeaderFieldsTooLarge, "the request head is longer than "+strconv.Itoa(s.settings().Front.MostHead)+" bytes", 0, true)
 		return false
 	case errors.Is(err, netpoll.ErrReadTimeout):
-		s.refuse(cl, http.StatusRequestTimeout, "the request took too long to come", 0, true)
+		s.writeProblem(cl, http.StatusRequestTimeout, "the request was not received within the time limit", 0, true)
 		return false
 	case err != nil:
 		return false
@@ -103,12 +104,12 @@
 		return false
 	}
 	var h h1.Head
-	if n, w := h.ParseRequest(raw, size+1); w != nil || n != size {
-		if w == nil {
-			w = &h1.ParseError{Status: http.StatusBadRequest, Message: "the head can't be read"}
+	if n, parseErr := h.ParseRequest(raw, size+1); parseErr != nil || n != size {
+		if parseErr == nil {
+			parseErr = &h1.ParseError{Status: http.StatusBadRequest, Message: "the request head is malformed"}
 		}
-		s.meters.malformed.Add(1)
-		s.refuse(cl, w.Status, w.Message, 0, true)
+		s.metrics.malformed.Add(1)
+		s.writeProblem(cl, parseErr.Status, parseErr.Message, 0, true)
 		return false
 	}
 	if h.HasExpect {
@@ -117,59 +118,60 @@
 			return false
 		}
 	}
-	body, status, why := s.body(conn, &h, until)
+	body, status, detail := s.readBody(conn, &h, deadline)
 	if status != 0 {
-		s.meters.malformed.Add(1)
-		s.refuse(cl, status, why, 0, true)
+		s.metrics.malformed.Add(1)
+		s.writeProblem(cl, status, detail, 0, true)
 		return false
 	}
-	m := choose.Find(s.in().Routes, &h)
-	if m == nil {
-		return s.refuse(cl, http.StatusNotFound, "no route of the settings matches the request", 0, h.Close)
+	match := choose.Find(s.settings().Routes, &h)
+	if match == nil {
+		return s.writeProblem(cl, http.StatusNotFound, "no configured route matches the request", 0, h.Close)
 	}
-	return s.call(cl, &h, m, body)
+	return s.serveCall(cl, &h, match, body)
 }
 
-// body reads a request's. It is held whole, so that it can be sent again.
-func (s *Relay) body(conn netpoll.Connection, h *h1.Head, until time.Time) (body []byte, status int, why string) {
-	most := int64(s.in().Front.MostBody)
-	tooLong := fmt.Sprintf("the body is longer than %d bytes", most)
+// readBody reads the whole body of a request into memory, so that a retry can send it again. If that fails, it returns the
+// status and the detail of the response.
+func (s *Relay) readBody(conn netpoll.Connection, h *h1.Head, deadline time.Time) (body []byte, status int, detail string) {
+	maxBody := int64(s.settings().Front.MostBody)
+	tooLong := fmt.Sprintf("the request body is longer than %d bytes", maxBody)
 	fail := func(err error) ([]byte, int, string) {
-		var w *h1.ParseError
+		var parseErr *h1.ParseError
 		switch {
-		case errors.As(err, &w):
-			return nil, http.StatusBadRequest, w.Message
+		case errors.As(err, &parseErr):
+			return nil, http.StatusBadRequest, parseErr.Message
 		case errors.Is(err, netpoll.ErrReadTimeout):
-			return nil, http.StatusRequestTimeout, "the request took too long to come"
+			return nil, http.StatusRequestTimeout, "the request was not received within the time limit"
 		}
-		return nil, http.StatusBadRequest, "the body ended early"
+		return nil, http.StatusBadRequest, "the request body ended early"
 	}
 	if !h.Chunked {
-		if h.ContentLength > most {
+		if h.ContentLength > maxBody {
 			return nil, http.StatusRequestEntityTooLarge, tooLong
 		}
 		if h.ContentLength <= 0 {
 			return nil, 0, ""
 		}
-		body, err := s.read(conn, make([]byte, 0, h.ContentLength), h.ContentLength, until)
+		body, err := s.readBytes(conn, make([]byte, 0, h.ContentLength), h.ContentLength, deadline)
 		if err != nil {
 			return fail(err)
 		}
 		return body, 0, ""
 	}
 	for {
-		size, err := s.chunk(conn, until)
+		size, err := s.readChunkSize(conn, deadline)
 		if err != nil {
 			return fail(err)
 		}
 		if size == 0 {
 			return body, 0, ""
 		}
-		if int64(len(body))+size > most {
+		if int64(len(body))+size > maxBody {
 			return nil, http.StatusRequestEntityTooLarge, tooLong
 		}
-		if body, err = s.read(conn, body, size, until); err == nil {
-			err = crlf(conn, until)
+		if body, err = s.readBytes(conn, body, size, deadline); err == nil {
+			err = skipCRLF(conn, deadline)
 		}
 		if err != nil {
 			return fail(err)
@@ -177,138 +179,141 @@
 	}
 }
 
-// call carries a call to its end.
-func (s *Relay) call(cl *client, h *h1.Head, m *choose.Match, body []byte) bool {
-	c := &carry.Call{Route: m.Route, Key: m.Key(h), Marked: m.Marked(h)}
-	span := s.meters.begin(m.Route)
-	if o := s.admit(cl, c); o != carry.Go {
-		s.end(c, false)
-		span.end(c.Table(), o.String(), 0, 0)
-		return s.turnAway(cl, c, o, h.Close)
+// serveCall admits a call, tries it at hosts until a try succeeds or no further one is permitted, and answers the client.
+// It reports whether the client's connection can be used for another request.
+func (s *Relay) serveCall(cl *client, h *h1.Head, match *choose.Match, body []byte) bool {
+	c := &carry.Call{Route: match.Route, Key: match.Key(h), Marked: match.Marked(h)}
+	span := s.metrics.startSpan(match.Route)
+	if outcome := s.admit(cl, c); outcome != carry.Go {
+		s.finishCall(c, false)
+		span.finish(c.Table(), outcome.String(), 0, 0)
+		return s.rejectCall(cl, c, outcome, h.Close)
 	}
-	head := render(make([]byte, 0, 512+h.Size), h, len(body))
-	mark := string(h.Get(m.Mark))
-	var t carry.Try
-	var o carry.Outcome
-	s.think(func(now float64) { t, o = s.mind.First(c, now) })
-	if o != carry.Go {
-		s.end(c, false)
-		span.end(c.Table(), o.String(), 0, 0)
-		return s.turnAway(cl, c, o, h.Close)
+	head := appendRequestHead(make([]byte, 0, 512+h.Size), h, len(body))
+	mark := string(h.Get(match.Mark))
+	var try carry.Try
+	var outcome carry.Outcome
+	s.withCore(func(now float64) { try, outcome = s.core.First(c, now) })
+	if outcome != carry.Go {
+		s.finishCall(c, false)
+		span.finish(c.Table(), outcome.String(), 0, 0)
+		return s.rejectCall(cl, c, outcome, h.Close)
 	}
 	for {
-		if s.watch.OnTry != nil {
-			s.watch.OnTry(m.Route, mark, c.Table(), t.Host)
+		if s.hooks.OnTry != nil {
+			s.hooks.OnTry(match.Route, mark, c.Table(), try.Host)
 		}
-		a, f := s.exchange(cl, t, h.Method, head, body)
-		load, ended := noLoad, 0.0
-		if a != nil {
-			load = a.load
+		res, failure := s.exchange(cl, try, h.Method, head, body)
+		load, failedAt := noLoad, 0.0
+		if res != nil {
+			load = res.load
 		}
-		if f == answered {
-			s.think(func(now float64) { s.mind.Answered(c, now, load) })
-			s.end(c, true)
-			span.end(c.Table(), string(t.Host), a.head.Status, t.Nth)
-			return s.pass(cl, a, h)
+		if failure == noFailure {
+			s.withCore(func(now float64) { s.core.Answered(c, now, load) })
+			s.finishCall(c, true)
+			span.finish(c.Table(), string(try.Host), res.head.Status, try.Nth)
+			return s.forwardResponse(cl, res, h)
 		}
 		var next carry.Try
-		var why again.Verdict
-		s.think(func(now float64) {
-			next, why = s.mind.Failed(c, f, now, load)
-			ended = now
+		var verdict again.Verdict
+		s.withCore(func(now float64) {
+			next, verdict = s.core.Failed(c, failure, now, load)
+			failedAt = now
 		})
-		span.failed(string(t.Host), f, why)
-		if why == again.Goes {
-			if a != nil && a.rest {
-				a.conn.Close()
+		span.tryFailed(string(try.Host), failure, verdict)
+		if verdict == again.Goes {
+			if res != nil && res.hasMore {
+				res.conn.Close()
 			}
-			t = next
+			try = next
 			continue
 		}
-		s.end(c, false)
+		s.finishCall(c, false)
 		status := 0
-		if a != nil {
-			status = a.head.Status
+		if res != nil {
+			status = res.head.Status
 		}
-		span.end(c.Table(), string(t.Host), status, t.Nth)
+		span.finish(c.Table(), string(try.Host), status, try.Nth)
 		switch {
-		case f == carry.Abandoned:
+		case failure == carry.Abandoned:
 			return false
-		case a != nil: // the host's own word on why it failed
-			return s.pass(cl, a, h)
-		case ended >= c.Until-1:
-			return s.refuse(cl, http.StatusGatewayTimeout, "no answer came within the time limit", 0, h.Close)
+		case res != nil: // The host's own error response says why the call failed.
+			return s.forwardResponse(cl, res, h)
+		case failedAt >= c.Until-1: // within 1 ms of the time limit
+			return s.writeProblem(cl, http.StatusGatewayTimeout, "no response was received within the time limit", 0, h.Close)
 		}
-		return s.refuse(cl, http.StatusBadGateway, "the host gave no answer; another try: "+string(why), 0, h.Close)
+		return s.writeProblem(cl, http.StatusBadGateway, "the host sent no response; retry decision: "+string(verdict), 0, h.Close)
 	}
 }
 
-// admit waits for tables and for a turn.
+// admit asks for admission of a call. It waits for tables that name a host for the call, and in the queue while too many
+// calls are in flight.
 func (s *Relay) admit(cl *client, c *carry.Call) carry.Outcome {
-	var end <-chan time.Time
+	var giveUp <-chan time.Time
 	for {
-		var o carry.Outcome
-		var fresh chan struct{}
+		var outcome carry.Outcome
+		var tablesChanged chan struct{}
 		var w *waiter
-		s.think(func(now float64) {
-			s.tickets++
-			c.Ticket = s.tickets
-			var out admitTicket
-			o, out = s.mind.Come(c, now)
-			if fresh = s.fresh; o == carry.Queued {
+		s.withCore(func(now float64) {
+			s.lastTicket++
+			c.Ticket = s.lastTicket
+			var dropped ticket
+			outcome, dropped = s.core.Come(c, now)
+			if tablesChanged = s.tablesChanged; outcome == carry.Queued {
 				w = &waiter{c, make(chan bool, 1)}
-				s.turns[c.Ticket] = w
+				s.waiting[c.Ticket] = w
 			}
-			s.out(out)
+			s.rejectWaiting(dropped)
 		})
-		switch o {
+		switch outcome {
 		case carry.Queued:
-			return s.wait(cl, c, w)
+			return s.awaitAdmission(cl, c, w)
 		case carry.NoTable:
-			if end == nil {
-				end = time.After(time.Duration(s.mind.WaitsTables() * float64(time.Millisecond)))
+			if giveUp == nil {
+				giveUp = time.After(time.Duration(s.core.WaitsTables() * float64(time.Millisecond)))
 			}
 			select {
-			case <-fresh:
+			case <-tablesChanged:
 				continue
-			case <-end:
-			case <-cl.gone:
+			case <-giveUp:
+			case <-cl.closed:
 			}
-			s.think(func(float64) { s.mind.Bare() })
+			s.withCore(func(float64) { s.core.Bare() })
 		}
-		return o
+		return outcome
 	}
 }
 
-// out tells a call that waits that it is out.
-func (s *Relay) out(tickets ...admitTicket) {
+// rejectWaiting tells queued calls that they were dropped from the queue. Tickets that are not queued are ignored.
+func (s *Relay) rejectWaiting(tickets ...ticket) {
 	for _, t := range tickets {
-		if w := s.turns[t]; w != nil {
-			delete(s.turns, t)
-			w.turn <- false
+		if w := s.waiting[t]; w != nil {
+			delete(s.waiting, t)
+			w.admitted <- false
 		}
 	}
 }
 
-func (s *Relay) wait(cl *client, c *carry.Call, w *waiter) carry.Outcome {
-	timer := time.NewTimer(time.Until(s.at(c.Until)))
+// awaitAdmission waits until a queued call is admitted or dropped, its time limit passes or its client disconnects.
+func (s *Relay) awaitAdmission(cl *client, c *carry.Call, w *waiter) carry.Outcome {
+	timer := time.NewTimer(time.Until(s.timeAt(c.Until)))
 	defer timer.Stop()
 	select {
-	case goes := <-w.turn:
-		if goes {
+	case admitted := <-w.admitted:
+		if admitted {
 			return carry.Go
 		}
 		return carry.Full
 	case <-timer.C:
-	case <-cl.gone:
+	case <-cl.closed:
 	}
-	waited := false
-	s.think(func(float64) {
-		waited = s.mind.GiveUp(c)
-		delete(s.turns, c.Ticket)
+	wasQueued := false
+	s.withCore(func(float64) {
+		wasQueued = s.core.GiveUp(c)
+		delete(s.waiting, c.Ticket)
 	})
-	if !waited { // its turn came at the same moment, or it is out
-		if <-w.turn {
+	if !wasQueued { // The call was admitted or dropped at the same moment.
+		if <-w.admitted {
 			return carry.Go
 		}
 		return carry.Full
@@ -316,69 +321,74 @@
 	return carry.Over
 }
 
-// end ends a call, and gives its place to one that waits.
-func (s *Relay) end(c *carry.Call, answered bool) {
-	s.think(func(now float64) {
-		next, out := s.mind.Done(c, answered, now)
-		s.out(out...)
-		if w := s.turns[next]; next != 0 && w != nil {
-			delete(s.turns, next)
-			s.mind.Turn(w.call, now)
-			w.turn <- true
+// finishCall ends a call and admits a queued call in its place, if there is one.
+func (s *Relay) finishCall(c *carry.Call, answered bool) {
+	s.withCore(func(now float64) {
+		next, dropped := s.core.Done(c, answered, now)
+		s.rejectWaiting(dropped...)
+		if w := s.waiting[next]; next != 0 && w != nil {
+			delete(s.waiting, next)
+			s.core.Turn(w.call, now)
+			w.admitted <- true
 		}
 	})
 }
 
-// turnAway answers a call that goes nowhere.
-func (s *Relay) turnAway(cl *client, c *carry.Call, o carry.Outcome, closes bool) bool {
-	switch o {
+// rejectCall answers a call that is not sent to any host.
+func (s *Relay) rejectCall(cl *client, c *carry.Call, outcome carry.Outcome, closes bool) bool {
+	switch outcome {
 	case carry.Throttled:
 		wait := 0.0
-		s.think(func(float64) { wait = s.mind.Wait(c) })
-		return s.refuse(cl, http.StatusTooManyRequests, "the route is throttled", wait, closes)
+		s.withCore(func(float64) { wait = s.core.Wait(c) })
+		return s.writeProblem(cl, http.StatusTooManyRequests, "the route is throttled", wait, closes)
 	case carry.Full:
-		return s.refuse(cl, http.StatusServiceUnavailable, "as many calls are in hand as may be", 1000, closes)
+		return s.writeProblem(cl, http.StatusServiceUnavailable, "the limit of calls in flight is reached", 1000, closes)
 	case carry.NoTable:
-		return s.refuse(cl, http.StatusServiceUnavailable, "no host is in the tables for this call", 1000, closes)
+		return s.writeProblem(cl, http.StatusServiceUnavailable, "the tables list no host for this call", 1000, closes)
 	case carry.Over:
-		return s.refuse(cl, http.StatusGatewayTimeout, "the time limit passed while the call waited", 0, closes)
+		return s.writeProblem(cl, http.StatusGatewayTimeout, "the time limit passed while the call was queued", 0, closes)
 	}
-	return s.refuse(cl, http.StatusServiceUnavailable, "the tables know no such route", 1000, closes)
+	return s.writeProblem(cl, http.StatusServiceUnavailable, "the tables have no such route", 1000, closes)
 }
 
-// refuse answers with a problem (RFC 9457); wait is how long the client might stay away, in milliseconds.
-func (s *Relay) refuse(cl *client, status int, why string, wait float64, closes bool) bool {
-	body, _ := json.Marshal(map[string]any{"type": "about:blank", "title": http.StatusText(status), "status": status, "detail": why})
+// writeProblem answers with a problem document (RFC 9457). The parameter wait is the time in milliseconds after which the
+// client may retry, sent as Retry-After in whole seconds; 0 omits it. It reports whether the client's connection can be
+// used for another request.
+func (s *Relay) writeProblem(cl *client, status int, detail string, wait float64, closes bool) bool {
+	body, _ := json.Marshal(map[string]any{"type": "about:blank", "title": http.StatusText(status), "status": status, "detail": detail})
 	head := make([]byte, 0, 256)
-	head = statusLine(head, status, []byte(http.StatusText(status)))
+	head = appendStatusLine(head, status, []byte(http.StatusText(status)))
 	head = append(head, "Content-Type: application/problem+json\r\nCache-Control: no-store\r\n"...)
 	if wait > 0 {
 		head = append(head, "Retry-After: "...)
 		head = strconv.AppendInt(head, int64(math.Ceil(wait/1000)), 10)
 		head = append(head, "\r\n"...)
 	}
-	head = framing(head, len(body), closes || s.draining.Load())
+	head = appendFraming(head, len(body), closes || s.draining.Load())
 	return s.write(cl, append(head, body...), nil) && !closes
 }
 
-func statusLine(to []byte, status int, reason []byte) []byte {
-	to = append(to, "HTTP/1.1 "...)
-	to = strconv.AppendInt(to, int64(status), 10)
-	to = append(to, ' ')
-	to = append(to, reason...)
-	return append(to, "\r\n"...)
+// appendStatusLine appends the status line of a response.
+func appendStatusLine(buf []byte, status int, reason []byte) []byte {
+	buf = append(buf, "HTTP/1.1 "...)
+	buf = strconv.AppendInt(buf, int64(status), 10)
+	buf = append(buf, ' ')
+	buf = append(buf, reason...)
+	return append(buf, "\r\n"...)
 }
 
-func framing(to []byte, length int, closes bool) []byte {
-	to = append(to, "Content-Length: "...)
-	to = strconv.AppendInt(to, int64(length), 10)
-	to = append(to, "\r\n"...)
+// appendFraming appends the fields that frame a body of a known length, and the empty line that ends the head.
+func appendFraming(buf []byte, length int, closes bool) []byte {
+	buf = append(buf, "Content-Length: "...)
+	buf = strconv.AppendInt(buf, int64(length), 10)
+	buf = append(buf, "\r\n"...)
 	if closes {
-		to = append(to, "Connection: close\r\n"...)
+		buf = append(buf, "Connection: close\r\n"...)
 	}
-	return append(to, "\r\n"...)
+	return append(buf, "\r\n"...)
 }
 
+// write sends a head and a body to the client and reports whether that succeeded.
 func (s *Relay) write(cl *client, head, body []byte) bool {
 	w := cl.conn.Writer()
 	w.WriteBinary(head)
--- a/internal/relay/storm_test.go
+++ b/internal/relay/storm_test.go
@@ -28,7 +28,7 @@
 
 // Half of the hosts take calls and answer nothing. What hosts see stays near the first tries, and once they are back
 // all is answered within seconds. Without the budget each call is tried three times: the baseline.
-func TestARetryStorm(t *testing.T) {
+func TestRetryStorm(t *testing.T) {
 	if testing.Short() {
 		t.Skip()
 	}
@@ -51,9 +51,9 @@
 			t.Cleanup(func() { srv.Close() })
 			hosts = append(hosts, ln.Addr().String())
 		}
-		doc := document(1, 3, hosts...)
+		doc := newDocument(1, 3, hosts...)
 		doc.Ejects = 0 // the budget alone, not the avoiding
-		_, _, at := start(t, more, doc.Seal(3, 1, 2))
+		_, _, at := startRelay(t, more, doc.Seal(3, 1, 2))
 		silent.Store(true)
 		calls := func(n int, every time.Duration) (answered int64) {
 			var all sync.WaitGroup
@@ -62,7 +62,7 @@
 				all.Add(1)
 				go func() {
 					defer all.Done()
-					if status, _ := ask(t, at, "repeatable", fmt.Sprint("s", i)); status == 200 {
+					if status, _ := sendCall(t, at, "repeatable", fmt.Sprint("s", i)); status == 200 {
 						good.Add(1)
 					}
 				}()
@@ -93,7 +93,7 @@
 }
 
 // answerAll is a host that answers each call at once, with next to no work.
-func answerAll(ln net.Listener, seen func()) {
+func serveOK(ln net.Listener, seen func()) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -108,7 +108,7 @@
 				}
 				if len(line) == 2 {
 					seen()
-					if _, err := io.WriteString(c, answerOK); err != nil {
+					if _, err := io.WriteString(c, responseOK); err != nil {
 						return
 					}
 				}
@@ -118,12 +118,12 @@
 }
 
 // serveAs is another process: a host that answers at once, the library's reverse proxy, or ours.
-func serveAs(kind string) {
+func serveHelper(kind string) {
 	hosts := strings.Split(os.Getenv("VETCHWOOD_TEST_HOSTS"), ",")
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	switch kind {
 	case "host":
-		go answerAll(ln, func() {})
+		go serveOK(ln, func() {})
 		fmt.Println(ln.Addr())
 	case "library":
 		to, _ := url.Parse("http://" + hosts[0])
@@ -133,13 +133,13 @@
 		fmt.Println(ln.Addr())
 	case "relay":
 		ln.Close()
-		doc := document(1, 1, hosts...)
+		doc := newDocument(1, 1, hosts...)
 		if w := os.Getenv("VETCHWOOD_TEST_WEIGHTS"); w != "" {
 			for i, text := range strings.Split(w, ",") {
 				doc.Tables["t"].Lines[tables.Address(hosts[i])], _ = strconv.ParseFloat(text, 64)
 			}
 			doc.Pick = os.Getenv("VETCHWOOD_TEST_PICK")
-			parsed, err := tables.Parse(mustJSON(fresh(doc)))
+			parsed, err := tables.Parse(documentJSON(resealed(doc)))
 			if err != nil {
 				panic(err)
 			}
@@ -148,7 +148,7 @@
 		set, err := settings.ParseRelay("p.hcl", []byte(fmt.Sprintf("relay \"p\" {\n listen = \"127.0.0.1:0\"\n directors = [\"http://127.0.0.1:1\"]\n kept = %q\n}\nroute \"keyed\" { prefix = \"/\" }",
 			os.Getenv("VETCHWOOD_TEST_KEPT"))))
 		if err == nil {
-			err = os.WriteFile(set.Kept, mustJSON(doc), 0o600)
+			err = os.WriteFile(set.Kept, documentJSON(doc), 0o600)
 		}
 		var s *Relay
 		if err == nil {
@@ -171,17 +171,17 @@
 	}
 }
 
-func fresh(d *tables.Document) *tables.Document {
+func resealed(d *tables.Document) *tables.Document {
 	return d.Copy().Seal(3, 2, 2)
 }
 
-type other struct {
-	in  io.Writer
-	out *bufio.Reader
-	at  string
+type helperProcess struct {
+	in      io.Writer
+	out     *bufio.Reader
+	address string
 }
 
-func process(t testing.TB, kind string, env ...string) *other {
+func startHelper(t testing.TB, kind string, env ...string) *helperProcess {
 	c := exec.Command(os.Args[0])
 	c.Env = append(append(os.Environ(), "VETCHWOOD_TEST_SERVE="+kind, "VETCHWOOD_TEST_KEPT="+t.TempDir()+"/kept.json"), env...)
 	in, _ := c.StdinPipe()
@@ -191,12 +191,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Process.Kill(); c.Wait() })
-	o := &other{in: in, out: bufio.NewReader(out)}
-	o.at = o.line(t)
+	o := &helperProcess{in: in, out: bufio.NewReader(out)}
+	o.address = o.readLine(t)
 	return o
 }
 
-func (o *other) line(t testing.TB) string {
+func (o *helperProcess) readLine(t testing.TB) string {
 	line, err := o.out.ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
@@ -204,24 +204,24 @@
 	return strings.TrimSpace(line)
 }
 
-func (o *other) cpu(t testing.TB) float64 {
+func (o *helperProcess) cpuSeconds(t testing.TB) float64 {
 	io.WriteString(o.in, "cpu\n")
-	n, _ := strconv.ParseFloat(o.line(t), 64)
+	n, _ := strconv.ParseFloat(o.readLine(t), 64)
 	return n / 1e9
 }
 
 func TestMain(m *testing.M) {
 	if kind := os.Getenv("VETCHWOOD_TEST_SERVE"); kind != "" {
-		serveAs(kind)
+		serveHelper(kind)
 		return
 	}
 	os.Exit(m.Run())
 }
 
-const plainCall = "GET /a HTTP/1.1\r\nHost: h\r\nUser-Agent: u\r\nAccept: */*\r\n\r\n"
+const plainRequest = "GET /a HTTP/1.1\r\nHost: h\r\nUser-Agent: u\r\nAccept: */*\r\n\r\n"
 
 // load makes calls on so many connections and gives how long each took, in seconds, sorted.
-func load(t testing.TB, at string, conns, calls int) []float64 {
+func generateLoad(t testing.TB, at string, conns, calls int) []float64 {
 	took := make([][]float64, conns)
 	var all sync.WaitGroup
 	for i := range conns {
@@ -237,7 +237,7 @@
 			in := bufio.NewReader(c)
 			for range calls / conns {
 				began := time.Now()
-				io.WriteString(c, plainCall)
+				io.WriteString(c, plainRequest)
 				length := 0
 				for {
 					line, err := in.ReadSlice('\n')
@@ -269,20 +269,20 @@
 // The proxy beside a direct connection and beside the library's reverse proxy: calls for each second of its CPU, and
 // the time that it adds.
 func BenchmarkProxies(b *testing.B) {
-	host := process(b, "host")
-	direct := load(b, host.at, 16, 40000)
+	host := startHelper(b, "host")
+	direct := generateLoad(b, host.address, 16, 40000)
 	q := func(x []float64, p float64) float64 { return x[min(len(x)-1, int(p*float64(len(x))))] * 1e6 }
 	for _, kind := range []string{"direct", "library", "relay"} {
 		b.Run(kind, func(b *testing.B) {
-			at, cpu := host.at, func() float64 { return 0 }
+			at, cpu := host.address, func() float64 { return 0 }
 			if kind != "direct" {
-				p := process(b, kind, "VETCHWOOD_TEST_HOSTS="+host.at)
-				at, cpu = p.at, func() float64 { return p.cpu(b) }
+				p := startHelper(b, kind, "VETCHWOOD_TEST_HOSTS="+host.address)
+				at, cpu = p.address, func() float64 { return p.cpuSeconds(b) }
 			}
-			load(b, at, 16, 4000)
+			generateLoad(b, at, 16, 4000)
 			for b.Loop() {
 				began, spent := time.Now(), cpu()
-				took := load(b, at, 16, 40000)
+				took := generateLoad(b, at, 16, 40000)
 				if used := cpu() - spent; used > 0 {
 					b.ReportMetric(40000/used, "calls/cpu-s")
 				}
@@ -317,16 +317,16 @@
 				continue
 			}
 			t.Cleanup(func() { ln.Close() })
-			go answerAll(ln, func() { seen[i].Add(1) })
+			go serveOK(ln, func() { seen[i].Add(1) })
 			hosts = append(hosts, ln.Addr().String())
 		}
-		p := process(t, "relay", "VETCHWOOD_TEST_HOSTS="+strings.Join(hosts, ","), "VETCHWOOD_TEST_WEIGHTS=1,2,3,4,0.5", "VETCHWOOD_TEST_PICK="+way)
+		p := startHelper(t, "relay", "VETCHWOOD_TEST_HOSTS="+strings.Join(hosts, ","), "VETCHWOOD_TEST_WEIGHTS=1,2,3,4,0.5", "VETCHWOOD_TEST_PICK="+way)
 		// One call at a time on few connections: a pair has nothing in hand to choose by, and goes by weight alone.
 		conns := 1
 		if way != "pair" {
 			conns = 8
 		}
-		load(t, p.at, conns, calls)
+		generateLoad(t, p.address, conns, calls)
 		total := 0.0
 		for i := range 4 {
 			total += float64(seen[i].Load())
--- a/internal/tally/tally.go
+++ b/internal/tally/tally.go
@@ -25,38 +25,38 @@
 type CallStats struct{ Received, Unanswered int }
 
 type (
-	at struct {
+	tryKey struct {
 		route string
 		host  tables.Address
 	}
-	of struct{ route, table string }
+	callKey struct{ route, table string }
 )
 
 // Batch is one report.
 type Batch struct {
 	Key   string
-	Tries map[at]TryStats
-	Calls map[of]CallStats
+	Tries map[tryKey]TryStats
+	Calls map[callKey]CallStats
 }
 
 // Tally is one proxy's. Birth tells this life of the proxy from others.
 type Tally struct {
-	birth  string
-	serial int
-	open   Batch
-	sent   *Batch // handed out, and its fate not known yet
-	to     string // whom it was sent to
-	lost   int
+	instanceID string
+	serial     int
+	current    Batch
+	pending    *Batch // handed out, and its fate not known yet
+	recipient  string // whom it was sent to
+	rejected   int
 }
 
-func New(birth string) *Tally { return &Tally{birth: birth, open: fresh()} }
+func New(birth string) *Tally { return &Tally{instanceID: birth, current: newBatch()} }
 
-func fresh() Batch { return Batch{Tries: map[at]TryStats{}, Calls: map[of]CallStats{}} }
+func newBatch() Batch { return Batch{Tries: map[tryKey]TryStats{}, Calls: map[callKey]CallStats{}} }
 
 // Tried adds a try that ended; a load that came with its answer is the newest of that host.
 func (t *Tally) AddTry(route string, host tables.Address, good bool, spent float64, load logic.Load) {
-	k := at{route, host}
-	x := t.open.Tries[k]
+	k := tryKey{route, host}
+	x := t.current.Tries[k]
 	if good {
 		x.Succeeded, x.TotalMs = x.Succeeded+1, x.TotalMs+spent
 	} else {
@@ -65,36 +65,36 @@
 	if load != (logic.Load{}) {
 		x.Load = load
 	}
-	t.open.Tries[k] = x
+	t.current.Tries[k] = x
 }
 
 // Came adds a call that came; Unanswered one that was let in and got no answer.
-func (t *Tally) AddCall(route, table string) { t.calls(route, table, CallStats{1, 0}) }
+func (t *Tally) AddCall(route, table string) { t.addCalls(route, table, CallStats{1, 0}) }
 func (t *Tally) AddUnanswered(route, table string) {
-	t.calls(route, table, CallStats{0, 1})
+	t.addCalls(route, table, CallStats{0, 1})
 }
 
-func (t *Tally) calls(route, table string, c CallStats) {
-	k := of{route, table}
-	x := t.open.Calls[k]
-	t.open.Calls[k] = CallStats{x.Received + c.Received, x.Unanswered + c.Unanswered}
+func (t *Tally) addCalls(route, table string, c CallStats) {
+	k := callKey{route, table}
+	x := t.current.Calls[k]
+	t.current.Calls[k] = CallStats{x.Received + c.Received, x.Unanswered + c.Unanswered}
 }
 
 // Cut gives what is to be sent to a director now, nil if there is nothing. A batch whose fate is not known is sent
 // again, under its key, to the same director, who counts it once. Another director is sent it too: it has not counted
 // it, and what the first one counted went with that one's knowledge.
 func (t *Tally) PendingBatch(to string) *Batch {
-	if t.sent == nil {
-		if len(t.open.Tries) == 0 && len(t.open.Calls) == 0 {
+	if t.pending == nil {
+		if len(t.current.Tries) == 0 && len(t.current.Calls) == 0 {
 			return nil
 		}
 		t.serial++
-		b := t.open
-		b.Key = fmt.Sprintf("%s-%d", t.birth, t.serial)
-		t.sent, t.open = &b, fresh()
+		b := t.current
+		b.Key = fmt.Sprintf("%s-%d", t.instanceID, t.serial)
+		t.pending, t.current = &b, newBatch()
 	}
-	t.to = to
-	return t.sent
+	t.recipient = to
+	return t.pending
 }
 
 // Fate of a batch.
@@ -108,25 +108,25 @@
 
 // Ended tells what became of the batch that was cut last.
 func (t *Tally) Resolve(key string, f Outcome) {
-	if t.sent == nil || t.sent.Key != key {
+	if t.pending == nil || t.pending.Key != key {
 		return
 	}
 	switch f {
 	case Rejected:
-		t.lost++
+		t.rejected++
 		fallthrough
 	case Accepted:
-		t.sent = nil
+		t.pending = nil
 	}
 }
 
 // Dropped is how many batches were refused.
-func (t *Tally) RejectedBatches() int { return t.lost }
+func (t *Tally) RejectedBatches() int { return t.rejected }
 
 // Request is the batch in the published form.
 func (b *Batch) Request(proxy, zone string) lrs.Request {
 	q := lrs.Request{Node: lrs.Node{ID: proxy, Locality: lrs.Locality{Zone: zone}}}
-	for _, k := range slices.SortedFunc(maps.Keys(b.Calls), func(x, y of) int {
+	for _, k := range slices.SortedFunc(maps.Keys(b.Calls), func(x, y callKey) int {
 		return cmp.Or(cmp.Compare(x.route, y.route), cmp.Compare(x.table, y.table))
 	}) {
 		c := b.Calls[k]
@@ -135,7 +135,7 @@
 				{Name: lrs.Unanswered, Finished: lrs.Count(c.Unanswered), Total: float64(c.Unanswered)}}}}})
 	}
 	byRoute := map[string]*lrs.Upstream{}
-	for _, k := range slices.SortedFunc(maps.Keys(b.Tries), func(x, y at) int {
+	for _, k := range slices.SortedFunc(maps.Keys(b.Tries), func(x, y tryKey) int {
 		return cmp.Or(cmp.Compare(x.route, y.route), cmp.Compare(x.host, y.host))
 	}) {
 		t := b.Tries[k]
--- a/internal/tally/tally_test.go
+++ b/internal/tally/tally_test.go
@@ -9,7 +9,7 @@
 )
 
 // Whatever answers are lost and whoever directs: each living director counts each batch once, and nothing is left out.
-func TestOnceEach(t *testing.T) {
+func TestEachBatchIsCountedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tally, put := New("b"), 0
 		counted := map[string]map[string]int{"a": {}, "b": {}} // director, key: tries
@@ -60,7 +60,7 @@
 	})
 }
 
-func TestARefusedBatchBlocksNothing(t *testing.T) {
+func TestRejectedBatchDoesNotBlock(t *testing.T) {
 	tally := New("b")
 	tally.AddCall("read", "3")
 	b := tally.PendingBatch("a")
