--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,47 +1,51 @@
-// Package budget decides what a director may hold for its clients, so that it stays within the memory and the descriptors that it
-// has: how many connections, how many bytes of requests that are half read and answers that are half sent, and who goes when there is
-// no more room. No I/O, no clock.
+// Package budget bounds what a director holds for its clients, so that it stays within its memory and file descriptors.
+// It limits the number of connections and the bytes of partly received requests and partly sent responses, and selects
+// the clients to evict when a limit is exceeded. It does no I/O and reads no clock.
 package budget
 
 import "sync"
 
-// Means are what the machine gives the process.
+// Resources are what the process may use of the machine.
 type Resources struct {
-	Memory      int64 // bytes
-	Descriptors int
+	Memory      int64 // in bytes
+	Descriptors int   // file descriptors
 }
 
-// Unlimited is for where nothing is to be bounded.
+// Unlimited stands for resources that impose no bound in practice.
 var Unlimited = Resources{Memory: 1 << 50, Descriptors: 1 << 40}
 
-// Client names one that holds something.
+// ClientID identifies a client for which bytes are held.
 type ClientID uint64
 
-// Shares are what follows from the means.
+// Limits are the bounds that follow from the available resources.
 type Limits struct {
-	MaxConnections     int   // of all fronts; past it accepting pauses
-	MaxHeldBytes       int64 // that all clients hold together
-	SoftHeap, HardHeap int64 // live heap at which nobody new comes in; at which those who hold most go
+	MaxConnections int   // maximum of open connections of all listeners, above which accepting pauses
+	MaxHeldBytes   int64 // maximum of bytes held for all clients together
+	// SoftHeap is the live heap in bytes from which no new connection is accepted, HardHeap the live heap from which the
+	// clients for which most is held are evicted.
+	SoftHeap, HardHeap int64
 }
 
 const (
-	// spare descriptors are for the store, the list, probes, other directors and operators: a director that can't open a socket for a
-	// probe would take healthy hosts for dead.
+	// Spare descriptors are kept for the store, the host list, probes, other directors and operators: a director that
+	// cannot open a socket for a probe would consider healthy hosts dead.
 	minSpareDescriptors  = 64
 	spareDescriptorShare = 0.05
-	// perConnection is what one that waits may cost, and a little more: 5 KB of it were measured.
+	// bytesPerConnection is the memory reserved for a connection with a pending poll. Such a connection uses about 5 KB;
+	// the rest is a margin.
 	bytesPerConnection = 12 << 10
 )
 
-// Of gives the shares. Half of the memory is for connections, a fifth for what they hold; the rest is for versions and the module.
-func (m Resources) Limits() Limits {
-	s := Limits{MaxConnections: max(1, m.Descriptors-max(minSpareDescriptors, int(spareDescriptorShare*float64(m.Descriptors)))), MaxHeldBytes: m.Memory / 5,
-		SoftHeap: m.Memory / 100 * 75, HardHeap: m.Memory / 100 * 85}
-	s.MaxConnections = min(s.MaxConnections, int(m.Memory/2/bytesPerConnection))
-	return s
+// Limits derives the limits from the resources. Half of the memory is for connections and a fifth for the bytes held for
+// clients; the rest is for versions of the tables and the decision module.
+func (r Resources) Limits() Limits {
+	limits := Limits{MaxConnections: max(1, r.Descriptors-max(minSpareDescriptors, int(spareDescriptorShare*float64(r.Descriptors)))), MaxHeldBytes: r.Memory / 5,
+		SoftHeap: r.Memory / 100 * 75, HardHeap: r.Memory / 100 * 85}
+	limits.MaxConnections = min(limits.MaxConnections, int(r.Memory/2/bytesPerConnection))
+	return limits
 }
 
-// Ledger is one process's. Any goroutine may ask it.
+// Budget tracks the use of the resources of a process. It is safe for concurrent use.
 type Budget struct {
 	mu           sync.Mutex
 	limits       Limits
@@ -53,7 +57,7 @@
 	onEvict      func(ClientID)
 }
 
-// Figures are counted for the operator.
+// Stats are the current limits and use, for metrics.
 type Stats struct {
 	Limits
 	Connections             int
@@ -63,110 +67,120 @@
 	LiveHeap                int64
 }
 
-func New(m Resources) *Budget { return &Budget{limits: m.Limits(), heldByClient: map[ClientID]int64{}} }
+// New returns a budget with the limits that follow from the resources.
+func New(resources Resources) *Budget {
+	return &Budget{limits: resources.Limits(), heldByClient: map[ClientID]int64{}}
+}
 
-// Have says what the machine gives from now on. What is held beyond it goes as it is touched next.
-func (l *Budget) SetResources(m Resources) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.limits = m.Limits()
+// SetResources replaces the resources. Clients that hold more than the new limits permit are evicted at the next call of
+// SetHeldBytes or SetLiveHeap.
+func (b *Budget) SetResources(resources Resources) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.limits = resources.Limits()
 }
 
-// Cuts says how a client's connection is closed. It is called before anything is held.
-func (l *Budget) OnEvict(by func(ClientID)) { l.onEvict = by }
+// OnEvict sets the function that closes the connection of an evicted client. It must be called before any bytes are
+// held.
+func (b *Budget) OnEvict(closeClient func(ClientID)) { b.onEvict = closeClient }
 
-func (l *Budget) notifyEvicted(all []ClientID) {
-	for _, c := range all {
-		if l.onEvict != nil {
-			l.onEvict(c)
+// notifyEvicted calls the function set by OnEvict for each evicted client. The caller must not hold the lock.
+func (b *Budget) notifyEvicted(clients []ClientID) {
+	for _, c := range clients {
+		if b.onEvict != nil {
+			b.onEvict(c)
 		}
 	}
 }
 
-// May says whether one more connection may be accepted; if not, accepting pauses and is tried again. Began says that it pauses now.
-func (l *Budget) CanAccept() (may, began bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if may = l.connections < l.limits.MaxConnections && l.liveHeap < l.limits.SoftHeap; may {
-		l.stats.AcceptPaused = false
+// CanAccept reports whether one more connection may be accepted. If not, accepting pauses and the caller asks again
+// later; pauseStarted reports whether the pause begins with this call.
+func (b *Budget) CanAccept() (canAccept, pauseStarted bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if canAccept = b.connections < b.limits.MaxConnections && b.liveHeap < b.limits.SoftHeap; canAccept {
+		b.stats.AcceptPaused = false
 		return true, false
 	}
-	if began = !l.stats.AcceptPaused; began {
-		l.stats.AcceptPaused = true
-		l.stats.AcceptPauses++
+	if pauseStarted = !b.stats.AcceptPaused; pauseStarted {
+		b.stats.AcceptPaused = true
+		b.stats.AcceptPauses++
 	}
-	return false, began
-}
-
-// Opened and Closed count connections, each by the front that has it.
-func (l *Budget) ConnectionOpened() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.connections++
-}
-
-// Closed forgets what the client held, too.
-func (l *Budget) ConnectionClosed(c ClientID) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.connections--
-	l.heldBytes -= l.heldByClient[c]
-	delete(l.heldByClient, c)
-}
-
-// Hold says how many bytes are held for a client from now on. Where all hold too much, those that hold most are cut. A client that
-// sends its request whole, or reads its answer, holds nothing and is never among them.
-func (l *Budget) SetHeldBytes(c ClientID, n int64) (cut []ClientID) {
-	defer func() { l.notifyEvicted(cut) }()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.heldBytes += n - l.heldByClient[c]
-	if l.heldByClient[c] = n; n == 0 {
-		delete(l.heldByClient, c)
+	return false, pauseStarted
+}
+
+// ConnectionOpened counts an open connection. The listener that accepted the connection calls it.
+func (b *Budget) ConnectionOpened() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.connections++
+}
+
+// ConnectionClosed counts a closed connection and releases the bytes held for its client.
+func (b *Budget) ConnectionClosed(c ClientID) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.connections--
+	b.heldBytes -= b.heldByClient[c]
+	delete(b.heldByClient, c)
+}
+
+// SetHeldBytes sets the number of bytes that are held for a client. If the sum for all clients exceeds its limit, the
+// clients for which most is held are evicted and returned. A client that sends its request whole and reads its response
+// holds nothing, and is never evicted.
+func (b *Budget) SetHeldBytes(c ClientID, n int64) (evicted []ClientID) {
+	defer func() { b.notifyEvicted(evicted) }()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.heldBytes += n - b.heldByClient[c]
+	if b.heldByClient[c] = n; n == 0 {
+		delete(b.heldByClient, c)
 	}
-	return l.evictDownTo(l.limits.MaxHeldBytes)
+	return b.evictDownTo(b.limits.MaxHeldBytes)
 }
 
-// Heap tells how much is live, as last seen. Where it is too much, half of what clients hold goes.
-func (l *Budget) SetLiveHeap(live int64) (cut []ClientID) {
-	defer func() { l.notifyEvicted(cut) }()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.liveHeap = live; live >= l.limits.HardHeap {
-		return l.evictDownTo(l.heldBytes / 2)
+// SetLiveHeap sets the size of the live heap in bytes. If it reaches the hard limit, clients are evicted until at most
+// half of the held bytes remain.
+func (b *Budget) SetLiveHeap(live int64) (evicted []ClientID) {
+	defer func() { b.notifyEvicted(evicted) }()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.liveHeap = live; live >= b.limits.HardHeap {
+		return b.evictDownTo(b.heldBytes / 2)
 	}
 	return nil
 }
 
-// relieve takes those that hold most until no more than so much is held.
-func (l *Budget) evictDownTo(to int64) (cut []ClientID) {
-	for l.heldBytes > to && len(l.heldByClient) > 0 {
-		var worst ClientID
-		for c, n := range l.heldByClient {
-			if m := l.heldByClient[worst]; n > m || n == m && c < worst || m == 0 {
-				worst = c
+// evictDownTo evicts the clients for which most is held until at most maxHeld bytes are held. The lock must be held.
+func (b *Budget) evictDownTo(maxHeld int64) (evicted []ClientID) {
+	for b.heldBytes > maxHeld && len(b.heldByClient) > 0 {
+		var largest ClientID
+		for c, n := range b.heldByClient {
+			if m := b.heldByClient[largest]; n > m || n == m && c < largest || m == 0 {
+				largest = c
 			}
 		}
-		l.heldBytes -= l.heldByClient[worst]
-		delete(l.heldByClient, worst)
-		cut = append(cut, worst)
-		l.stats.Evictions++
+		b.heldBytes -= b.heldByClient[largest]
+		delete(b.heldByClient, largest)
+		evicted = append(evicted, largest)
+		b.stats.Evictions++
 	}
-	return cut
+	return evicted
 }
 
-// Takes says whether a request that can be put off is taken: not while memory is short.
-func (l *Budget) HasHeapRoom() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.liveHeap < l.limits.SoftHeap
+// HasHeapRoom reports whether the live heap is below its soft limit. If it is not, requests that can be postponed are
+// to be rejected.
+func (b *Budget) HasHeapRoom() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.liveHeap < b.limits.SoftHeap
 }
 
-// Figures are those of now.
-func (l *Budget) Stats() Stats {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	f := l.stats
-	f.Limits, f.Connections, f.HeldBytes, f.LiveHeap = l.limits, l.connections, l.heldBytes, l.liveHeap
-	return f
+// Stats returns the current limits and use.
+func (b *Budget) Stats() Stats {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	stats := b.stats
+	stats.Limits, stats.Connections, stats.HeldBytes, stats.LiveHeap = b.limits, b.connections, b.heldBytes, b.liveHeap
+	return stats
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -7,10 +7,10 @@
 )
 
 func TestLimitsLeaveRoomForTheDirector(t *testing.T) {
-	for _, m := range []Resources{{64 << 20, 1024}, {1 << 30, 20000}, {16 << 30, 1 << 20}, {32 << 20, 70}} {
-		s := m.Limits()
-		if s.MaxConnections < 1 || s.MaxConnections > m.Descriptors-64 && s.MaxConnections > 1 || int64(s.MaxConnections)*bytesPerConnection+s.MaxHeldBytes > m.Memory*8/10 || s.SoftHeap >= s.HardHeap {
-			t.Errorf("%+v: %+v", m, s)
+	for _, resources := range []Resources{{64 << 20, 1024}, {1 << 30, 20000}, {16 << 30, 1 << 20}, {32 << 20, 70}} {
+		limits := resources.Limits()
+		if limits.MaxConnections < 1 || limits.MaxConnections > resources.Descriptors-64 && limits.MaxConnections > 1 || int64(limits.MaxConnections)*bytesPerConnection+limits.MaxHeldBytes > resources.Memory*8/10 || limits.SoftHeap >= limits.HardHeap {
+			t.Errorf("resources %+v: limits %+v", resources, limits)
 		}
 	}
 }
@@ -18,68 +18,68 @@
 func TestAcceptingPausesAndResumes(t *testing.T) {
 	l := New(Resources{Memory: 1 << 30, Descriptors: 66})
 	for range 2 {
-		if may, _ := l.CanAccept(); !may {
-			t.Fatal("pauses with room")
+		if canAccept, _ := l.CanAccept(); !canAccept {
+			t.Fatal("accepting pauses below the limit")
 		}
 		l.ConnectionOpened()
 	}
-	if may, began := l.CanAccept(); may || !began {
-		t.Fatal("goes on without room")
+	if canAccept, pauseStarted := l.CanAccept(); canAccept || !pauseStarted {
+		t.Fatal("accepting continues at the limit, or the start of the pause is not reported")
 	}
-	if may, began := l.CanAccept(); may || began {
-		t.Fatal("begins to pause twice")
+	if canAccept, pauseStarted := l.CanAccept(); canAccept || pauseStarted {
+		t.Fatal("accepting continues at the limit, or the start of one pause is reported twice")
 	}
 	l.ConnectionClosed(1)
-	if may, _ := l.CanAccept(); !may || l.Stats().AcceptPauses != 1 {
-		t.Fatalf("%+v", l.Stats())
+	if canAccept, _ := l.CanAccept(); !canAccept || l.Stats().AcceptPauses != 1 {
+		t.Fatalf("accepting did not resume after one pause: %+v", l.Stats())
 	}
 	if l.SetLiveHeap(l.limits.SoftHeap); l.HasHeapRoom() {
-		t.Fatal("takes what can wait though memory is short")
+		t.Fatal("room is reported with the live heap at its soft limit")
 	}
-	if may, _ := l.CanAccept(); may {
-		t.Fatal("lets in though memory is short")
+	if canAccept, _ := l.CanAccept(); canAccept {
+		t.Fatal("a connection is accepted with the live heap at its soft limit")
 	}
 }
 
-// Whoever holds what: never more than the share is held, whoever goes holds at least as much as any that stays, and one that holds
-// nothing never goes.
+// For any sequence of operations: the held bytes stay within the limit, an evicted client holds at least as much as any
+// remaining one, and a client that holds nothing is never evicted.
 func TestEvictsLargestHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Resources{Memory: 5000, Descriptors: 1000})
-		plain := map[ClientID]int64{}
+		expected := map[ClientID]int64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			c := ClientID(rapid.IntRange(1, 8).Draw(t, "client"))
-			var cut []ClientID
+			var evicted []ClientID
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				l.ConnectionClosed(c)
-				delete(plain, c)
+				delete(expected, c)
 			case 1:
-				cut = l.SetLiveHeap(int64(rapid.IntRange(0, 5000).Draw(t, "heap")))
+				evicted = l.SetLiveHeap(int64(rapid.IntRange(0, 5000).Draw(t, "heap")))
 			default:
 				n := int64(rapid.IntRange(0, 600).Draw(t, "bytes"))
-				if plain[c] = n; n == 0 {
-					delete(plain, c)
+				if expected[c] = n; n == 0 {
+					delete(expected, c)
 				}
-				cut = l.SetHeldBytes(c, n)
+				evicted = l.SetHeldBytes(c, n)
 			}
-			for _, c := range cut {
-				gone, held := plain[c]
-				if delete(plain, c); !held {
-					t.Fatalf("%d goes and holds nothing", c)
+			for _, c := range evicted {
+				released, held := expected[c]
+				if delete(expected, c); !held {
+					t.Fatalf("client %d is evicted and holds nothing", c)
 				}
-				for other, n := range plain {
-					if n > gone {
-						t.Fatalf("%d goes with %d, %d stays with %d", c, gone, other, n)
+				for other, n := range expected {
+					if n > released {
+						t.Fatalf("client %d is evicted with %d bytes while client %d remains with %d", c, released, other, n)
 					}
 				}
 			}
 			sum := int64(0)
-			for _, n := range plain {
+			for _, n := range expected {
 				sum += n
 			}
 			if f := l.Stats(); f.HeldBytes != sum || sum > l.limits.MaxHeldBytes {
-				t.Fatalf("%d held, by its count %d, of %d", sum, f.HeldBytes, l.limits.MaxHeldBytes)
+				t.Fatalf("%d bytes held, stats report %d, limit %d", sum, f.HeldBytes, l.limits.MaxHeldBytes)
 			}
 		}
 	})
--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -1,5 +1,5 @@
-// Package h1 reads the heads and bodies of HTTP/1.1 messages for a proxy: strictly, in place, and with no more than
-// one meaning. What two readers could take for different messages is refused, as it would be passed on.
+// Package h1 parses HTTP/1.0 and HTTP/1.1 message heads and chunk sizes for a proxy, strictly and without copying. It
+// rejects messages that two parsers could interpret differently, because a proxy would forward the ambiguity.
 package h1
 
 import (
@@ -8,33 +8,34 @@
 	"strconv"
 )
 
-// Field is one of a head; both parts lie in the buffer that was read.
+// Field is a field of a message head. Name and Value refer to the parsed buffer.
 type Field struct{ Name, Value []byte }
 
-// Head is a request's or an answer's.
+// Head is the head of a request or of a response. Its byte slices refer to the parsed buffer.
 type Head struct {
 	Method, Target []byte
 	Status         int
 	Reason         []byte
-	MinorVersion   int // of HTTP/1.x
+	MinorVersion   int // minor version of HTTP/1.x
 	Fields         []Field
-	ContentLength  int64 // of the body; -1: not stated
+	ContentLength  int64 // length of the body in bytes; -1 if not stated
 	Chunked        bool
-	Close          bool // the connection ends with this message
-	KeepAlive      bool // stated, which HTTP/1.0 needs
-	HasExpect      bool // 100-continue
-	HasUpgrade     bool
-	Size           int // of the head
+	Close          bool // the connection closes after this message
+	KeepAlive      bool // keep-alive is stated, as HTTP/1.0 requires for a persistent connection
+	HasExpect      bool // an Expect field is present, as with 100-continue
+	HasUpgrade     bool // an Upgrade field is present
+	Size           int  // size of the head in bytes
 }
 
-// Wrong is what makes a message unreadable.
+// ParseError says why a message was rejected.
 type ParseError struct {
-	Status  int // for an answer to a request
+	Status  int // status of the response to a rejected request
 	Message string
 }
 
-func (w *ParseError) Error() string { return w.Message }
+func (e *ParseError) Error() string { return e.Message }
 
+// parseErrorf returns a ParseError with a formatted message.
 func parseErrorf(status int, format string, args ...any) *ParseError {
 	return &ParseError{status, fmt.Sprintf(format, args...)}
 }
@@ -49,7 +50,7 @@
 
 var crlf = []byte("\r\n")
 
-// token holds the bytes of methods and names (RFC 9110, 5.6.2).
+// isTokenByte holds the bytes that tokens may contain, such as methods and field names (RFC 9110, section 5.6.2).
 var isTokenByte = func() (t [256]bool) {
 	for _, c := range []byte("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ") {
 		t[c] = true
@@ -57,6 +58,7 @@
 	return t
 }()
 
+// isToken reports whether b is a token (RFC 9110, section 5.6.2).
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if !isTokenByte[c] {
@@ -66,7 +68,8 @@
 	return len(b) > 0
 }
 
-// Ends finds the end of a head in what has come; 0 if it has not come whole. From is where the last look ended.
+// HeadEnd returns the index behind the end of a message head in buf, or 0 if the head is incomplete. The parameter from
+// is the length of the part of buf that an earlier call has already searched.
 func HeadEnd(buf []byte, from int) int {
 	if from > 3 {
 		from -= 3
@@ -79,12 +82,13 @@
 	return 0
 }
 
-// Request reads a request's head. Nothing is read past it; 0 and no error mean that more is to come.
-func (h *Head) ParseRequest(buf []byte, most int) (int, *ParseError) {
-	end := HeadEnd(buf[:min(len(buf), most)], 0)
+// ParseRequest parses the head of a request and returns its size. It returns 0 and no error if the head is incomplete. A
+// head that does not end within the first maxSize bytes is an error.
+func (h *Head) ParseRequest(buf []byte, maxSize int) (int, *ParseError) {
+	end := HeadEnd(buf[:min(len(buf), maxSize)], 0)
 	if end == 0 {
-		if len(buf) >= most {
-			return 0, parseErrorf(statusHeadTooLarge, "the head is longer than %d bytes", most)
+		if len(buf) >= maxSize {
+			return 0, parseErrorf(statusHeadTooLarge, "the request head is longer than %d bytes", maxSize)
 		}
 		return 0, nil
 	}
@@ -93,102 +97,105 @@
 	sp1 := bytes.IndexByte(line, ' ')
 	sp2 := bytes.LastIndexByte(line, ' ')
 	if sp1 <= 0 || sp2 <= sp1 {
-		return 0, parseErrorf(statusBadRequest, "the request line %.60q has not three parts", line)
+		return 0, parseErrorf(statusBadRequest, "the request line %.60q does not have three parts", line)
 	}
 	h.Method, h.Target = line[:sp1], line[sp1+1:sp2]
 	if !isToken(h.Method) {
-		return 0, parseErrorf(statusBadRequest, "the method %.40q is no token", h.Method)
+		return 0, parseErrorf(statusBadRequest, "the method %.40q is not a token", h.Method)
 	}
 	if len(h.Target) == 0 || h.Target[0] != '/' {
-		return 0, parseErrorf(statusBadRequest, "the target %.60q is no path", h.Target)
+		return 0, parseErrorf(statusBadRequest, "the target %.60q is not a path", h.Target)
 	}
 	for _, c := range h.Target {
 		if c <= ' ' || c >= 0x7f {
-			return 0, parseErrorf(statusBadRequest, "the target holds the byte %#x", c)
+			return 0, parseErrorf(statusBadRequest, "the target contains the invalid byte %#x", c)
 		}
 	}
-	if w := h.parseVersion(line[sp2+1:]); w != nil {
-		return 0, w
+	if parseErr := h.parseVersion(line[sp2+1:]); parseErr != nil {
+		return 0, parseErr
 	}
 	if string(h.Method) == "CONNECT" {
-		return 0, parseErrorf(statusNotImplemented, "CONNECT is not taken here")
+		return 0, parseErrorf(statusNotImplemented, "the method CONNECT is not supported")
 	}
-	hosts, w := h.parseFields(rest)
-	if w != nil {
-		return 0, w
+	hosts, parseErr := h.parseFields(rest)
+	if parseErr != nil {
+		return 0, parseErr
 	}
 	if hosts > 1 || hosts == 0 && h.MinorVersion == 1 {
-		return 0, parseErrorf(statusBadRequest, "%d Host fields", hosts)
+		return 0, parseErrorf(statusBadRequest, "the request has %d Host fields", hosts)
 	}
 	if h.MinorVersion == 0 && h.Chunked {
-		return 0, parseErrorf(statusBadRequest, "HTTP/1.0 knows no Transfer-Encoding")
+		return 0, parseErrorf(statusBadRequest, "HTTP/1.0 does not support Transfer-Encoding")
 	}
 	h.Close = h.Close || h.MinorVersion == 0 && !h.KeepAlive
 	return end, nil
 }
 
-// Answer reads an answer's head, to a request of that method.
-func (h *Head) ParseResponse(buf []byte, most int, method []byte) (int, *ParseError) {
-	end := HeadEnd(buf[:min(len(buf), most)], 0)
+// ParseResponse parses the head of the response to a request of the given method. Results are as for ParseRequest.
+func (h *Head) ParseResponse(buf []byte, maxSize int, method []byte) (int, *ParseError) {
+	end := HeadEnd(buf[:min(len(buf), maxSize)], 0)
 	if end == 0 {
-		if len(buf) >= most {
-			return 0, parseErrorf(0, "the answer's head is longer than %d bytes", most)
+		if len(buf) >= maxSize {
+			return 0, parseErrorf(0, "the response head is longer than %d bytes", maxSize)
 		}
 		return 0, nil
 	}
 	h.reset(end)
 	line, rest, _ := bytes.Cut(buf[:end-2], crlf)
 	if len(line) < 12 || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
-		return 0, parseErrorf(0, "the status line %.60q is none", line)
+		return 0, parseErrorf(0, "the status line %.60q is malformed", line)
 	}
-	if w := h.parseVersion(line[:8]); w != nil {
-		return 0, w
+	if parseErr := h.parseVersion(line[:8]); parseErr != nil {
+		return 0, parseErr
 	}
 	for _, c := range line[9:12] {
 		if c < '0' || c > '9' {
-			return 0, parseErrorf(0, "the status %q is no number", line[9:12])
+			return 0, parseErrorf(0, "the status %q is not a number", line[9:12])
 		}
 		h.Status = h.Status*10 + int(c-'0')
 	}
 	if h.Status < 100 || h.Status > 599 {
-		return 0, parseErrorf(0, "the status %d is out of range", h.Status)
+		return 0, parseErrorf(0, "the status %d is outside 100 to 599", h.Status)
 	}
 	if len(line) > 13 {
 		h.Reason = line[13:]
 		if !isFieldValue(h.Reason) {
-			return 0, parseErrorf(0, "the reason %.40q holds a byte that it may not", h.Reason)
+			return 0, parseErrorf(0, "the reason phrase %.40q contains an invalid byte", h.Reason)
 		}
 	}
-	if _, w := h.parseFields(rest); w != nil {
-		return 0, w
+	if _, parseErr := h.parseFields(rest); parseErr != nil {
+		return 0, parseErr
 	}
 	h.Close = h.Close || h.MinorVersion == 0 && !h.KeepAlive
 	if h.Status < 200 || h.Status == 204 || h.Status == 304 || string(method) == "HEAD" {
 		if h.Status < 200 && (h.Chunked || h.ContentLength > 0) {
-			return 0, parseErrorf(0, "a status of %d bears a body", h.Status)
+			return 0, parseErrorf(0, "a response of status %d has a body", h.Status)
 		}
 		h.ContentLength, h.Chunked = 0, false
 	} else if h.ContentLength < 0 && !h.Chunked {
-		h.Close = true // its body ends with the connection
+		h.Close = true // the end of the connection marks the end of the body
 	}
 	return end, nil
 }
 
+// reset clears the head for a new message of the given head size and keeps the capacity of Fields.
 func (h *Head) reset(size int) {
 	*h = Head{Fields: h.Fields[:0], ContentLength: -1, Size: size}
 }
 
+// parseVersion sets MinorVersion from the protocol version.
 func (h *Head) parseVersion(v []byte) *ParseError {
 	switch string(v) {
 	case "HTTP/1.1":
 		h.MinorVersion = 1
 	case "HTTP/1.0":
 	default:
-		return parseErrorf(statusVersionNotSupported, "the version %.20q is neither HTTP/1.0 nor HTTP/1.1", v)
+		return parseErrorf(statusVersionNotSupported, "the protocol version %.20q is neither HTTP/1.0 nor HTTP/1.1", v)
 	}
 	return nil
 }
 
+// isFieldValue reports whether v contains only bytes that are permitted in a field value.
 func isFieldValue(v []byte) bool {
 	for _, c := range v {
 		if c < ' ' && c != '\t' || c == 0x7f {
@@ -198,20 +205,21 @@
 	return true
 }
 
-func (h *Head) parseFields(rest []byte) (hosts int, w *ParseError) {
+// parseFields parses the fields of a head and returns the number of Host fields.
+func (h *Head) parseFields(rest []byte) (hosts int, parseErr *ParseError) {
 	for len(rest) > 0 {
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, crlf)
 		colon := bytes.IndexByte(line, ':')
 		if colon <= 0 || !isToken(line[:colon]) {
-			return 0, parseErrorf(statusBadRequest, "the field %.60q has no name that is a token", line)
+			return 0, parseErrorf(statusBadRequest, "the name of the field %.60q is not a token", line)
 		}
 		if len(h.Fields) >= maxFields {
-			return 0, parseErrorf(statusHeadTooLarge, "more than %d fields", maxFields)
+			return 0, parseErrorf(statusHeadTooLarge, "the head has more than %d fields", maxFields)
 		}
 		f := Field{line[:colon], bytes.Trim(line[colon+1:], " \t")}
 		if !isFieldValue(f.Value) {
-			return 0, parseErrorf(statusBadRequest, "the field %.40s holds a byte that it may not", f.Name)
+			return 0, parseErrorf(statusBadRequest, "the value of the field %.40s contains an invalid byte", f.Name)
 		}
 		h.Fields = append(h.Fields, f)
 		switch len(f.Name) {
@@ -231,69 +239,70 @@
 		case 14:
 			if EqualFold(f.Name, "content-length") {
 				if h.ContentLength >= 0 {
-					return 0, parseErrorf(statusBadRequest, "two Content-Length fields")
+					return 0, parseErrorf(statusBadRequest, "the head has more than one Content-Length field")
 				}
 				n, err := strconv.ParseUint(string(f.Value), 10, 62)
 				if err != nil || len(f.Value) > 18 || f.Value[0] == '+' {
-					return 0, parseErrorf(statusBadRequest, "the Content-Length %.40q is no length", f.Value)
+					return 0, parseErrorf(statusBadRequest, "the Content-Length %.40q is not a valid length", f.Value)
 				}
 				h.ContentLength = int64(n)
 			}
 		case 17:
 			if EqualFold(f.Name, "transfer-encoding") {
 				if h.Chunked || !EqualFold(f.Value, "chunked") {
-					return 0, parseErrorf(statusNotImplemented, "the Transfer-Encoding %.40q is not chunked, once", f.Value)
+					return 0, parseErrorf(statusNotImplemented, "the Transfer-Encoding %.40q is not supported: only chunked, stated once", f.Value)
 				}
 				h.Chunked = true
 			}
 		}
 	}
 	if h.Chunked && h.ContentLength >= 0 {
-		return 0, parseErrorf(statusBadRequest, "both Content-Length and Transfer-Encoding")
+		return 0, parseErrorf(statusBadRequest, "the head has both Content-Length and Transfer-Encoding")
 	}
 	return hosts, nil
 }
 
-// Is compares a name or a word with one in small letters.
-func EqualFold(b []byte, small string) bool {
-	if len(b) != len(small) {
+// EqualFold reports whether b equals lower, ignoring the case of ASCII letters in b. The parameter lower must be in
+// lower case.
+func EqualFold(b []byte, lower string) bool {
+	if len(b) != len(lower) {
 		return false
 	}
 	for i, c := range b {
 		if 'A' <= c && c <= 'Z' {
 			c += 'a' - 'A'
 		}
-		if c != small[i] {
+		if c != lower[i] {
 			return false
 		}
 	}
 	return true
 }
 
-// Lists says whether a comma-separated value names a word.
-func ListContains(value []byte, small string) bool {
+// ListContains reports whether a comma-separated list contains the element lower, which must be in lower case.
+func ListContains(value []byte, lower string) bool {
 	for len(value) > 0 {
-		var part []byte
-		part, value, _ = bytes.Cut(value, []byte(","))
-		if EqualFold(bytes.Trim(part, " \t"), small) {
+		var element []byte
+		element, value, _ = bytes.Cut(value, []byte(","))
+		if EqualFold(bytes.Trim(element, " \t"), lower) {
 			return true
 		}
 	}
 	return false
 }
 
-// Get is the value of the first field of a name in small letters, nil if there is none.
-func (h *Head) Get(small string) []byte {
+// Get returns the value of the first field of the given lower-case name, or nil if there is none.
+func (h *Head) Get(lower string) []byte {
 	for _, f := range h.Fields {
-		if EqualFold(f.Name, small) {
+		if EqualFold(f.Name, lower) {
 			return f.Value
 		}
 	}
 	return nil
 }
 
-// OneHop says whether a field concerns one connection alone (RFC 9110, 7.6.1) and is not passed on. Names that
-// Connection lists count too.
+// IsHopByHop reports whether a field applies to a single connection (RFC 9110, section 7.6.1) and must not be forwarded.
+// The fields that Connection fields name are hop-by-hop, too, and are given by ConnectionOptions.
 func (h *Head) IsHopByHop(f Field) bool {
 	for _, name := range []string{"connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding",
 		"upgrade", "expect", "proxy-authenticate", "proxy-authorization"} {
@@ -304,44 +313,44 @@
 	return false
 }
 
-// Listed gives the names that Connection fields list beside close and keep-alive.
+// ConnectionOptions returns the names listed in Connection fields other than close and keep-alive.
 func (h *Head) ConnectionOptions() (names [][]byte) {
 	for _, f := range h.Fields {
 		if !EqualFold(f.Name, "connection") {
 			continue
 		}
 		for rest := f.Value; len(rest) > 0; {
-			var part []byte
-			part, rest, _ = bytes.Cut(rest, []byte(","))
-			if part = bytes.Trim(part, " \t"); len(part) > 0 && !EqualFold(part, "close") && !EqualFold(part, "keep-alive") {
-				names = append(names, part)
+			var option []byte
+			option, rest, _ = bytes.Cut(rest, []byte(","))
+			if option = bytes.Trim(option, " \t"); len(option) > 0 && !EqualFold(option, "close") && !EqualFold(option, "keep-alive") {
+				names = append(names, option)
 			}
 		}
 	}
 	return names
 }
 
-// Chunk reads the line that begins a chunk: its size, and how long the line is. 0, 0 means that more is to come.
-// Extensions are passed over.
-func ParseChunkSize(buf []byte) (size int64, line int, w *ParseError) {
+// ParseChunkSize parses the line that begins a chunk and returns the size of the chunk and the length of the line. It
+// returns 0, 0 and no error if the line is incomplete. Chunk extensions are ignored.
+func ParseChunkSize(buf []byte) (size int64, lineSize int, parseErr *ParseError) {
 	end := bytes.Index(buf[:min(len(buf), 256)], crlf)
 	if end < 0 {
 		if len(buf) >= 256 {
-			return 0, 0, parseErrorf(statusBadRequest, "the line of a chunk's size has no end")
+			return 0, 0, parseErrorf(statusBadRequest, "the chunk size line is longer than 256 bytes")
 		}
 		return 0, 0, nil
 	}
-	text := buf[:end]
-	if i := bytes.IndexByte(text, ';'); i >= 0 {
-		if !isFieldValue(text[i:]) {
-			return 0, 0, parseErrorf(statusBadRequest, "a chunk's extension holds a byte that it may not")
+	digits := buf[:end]
+	if i := bytes.IndexByte(digits, ';'); i >= 0 {
+		if !isFieldValue(digits[i:]) {
+			return 0, 0, parseErrorf(statusBadRequest, "a chunk extension contains an invalid byte")
 		}
-		text = bytes.TrimRight(text[:i], " \t")
+		digits = bytes.TrimRight(digits[:i], " \t")
 	}
-	if len(text) == 0 || len(text) > 15 {
-		return 0, 0, parseErrorf(statusBadRequest, "a chunk's size %.30q is none", text)
+	if len(digits) == 0 || len(digits) > 15 {
+		return 0, 0, parseErrorf(statusBadRequest, "the chunk size %.30q is not a hexadecimal number of at most 15 digits", digits)
 	}
-	for _, c := range text {
+	for _, c := range digits {
 		switch {
 		case '0' <= c && c <= '9':
 			size = size<<4 | int64(c-'0')
@@ -350,7 +359,7 @@
 		case 'A' <= c && c <= 'F':
 			size = size<<4 | int64(c-'A'+10)
 		default:
-			return 0, 0, parseErrorf(statusBadRequest, "a chunk's size %.30q is none", text)
+			return 0, 0, parseErrorf(statusBadRequest, "the chunk size %.30q is not a hexadecimal number of at most 15 digits", digits)
 		}
 	}
 	return size, end + 2, nil
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -47,13 +47,13 @@
 		"\r\n\r\n": 400,
 	} {
 		var h Head
-		n, w := h.ParseRequest([]byte(in), 1500)
+		n, parseErr := h.ParseRequest([]byte(in), 1500)
 		got := 0
-		if w != nil {
-			got = w.Status
+		if parseErr != nil {
+			got = parseErr.Status
 		}
-		if got != status || w == nil && n == 0 {
-			t.Errorf("%.90q: %v, wanted %d", in, w, status)
+		if got != status || parseErr == nil && n == 0 {
+			t.Errorf("%.90q: got error %v, want status %d", in, parseErr, status)
 		}
 	}
 }
@@ -75,39 +75,40 @@
 		"HTTP/1.1 100 Continue\r\n\r\n":                                      {100, 0, false, false},
 	} {
 		var h Head
-		n, w := h.ParseResponse([]byte(in), 1500, []byte("GET"))
-		if w != nil || n != len(in) || h.Status != want.status || h.ContentLength != want.length || h.Close != want.closes || h.Chunked != want.chunked {
-			t.Errorf("%q: %v, %+v", in, w, h)
+		n, parseErr := h.ParseResponse([]byte(in), 1500, []byte("GET"))
+		if parseErr != nil || n != len(in) || h.Status != want.status || h.ContentLength != want.length || h.Close != want.closes || h.Chunked != want.chunked {
+			t.Errorf("%q: error %v, parsed as %+v", in, parseErr, h)
 		}
 	}
 	for _, in := range []string{"HTTP/1.1 2x0 OK\r\n\r\n", "HTTP/1.1 099 OK\r\n\r\n", "HTTP/1.1  200\r\n\r\n", "ICY 200 OK\r\n\r\nxxxx",
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n", "HTTP/1.1 100 Continue\r\nContent-Length: 6\r\n\r\n"} {
 		var h Head
-		if _, w := h.ParseResponse([]byte(in), 1500, []byte("GET")); w == nil {
-			t.Errorf("%q was read", in)
+		if _, parseErr := h.ParseResponse([]byte(in), 1500, []byte("GET")); parseErr == nil {
+			t.Errorf("%q was accepted", in)
 		}
 	}
 	var h Head
-	if _, w := h.ParseResponse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"), 1500, []byte("HEAD")); w != nil || h.ContentLength != 0 {
-		t.Errorf("an answer to HEAD: %v, %d", w, h.ContentLength)
+	if _, parseErr := h.ParseResponse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"), 1500, []byte("HEAD")); parseErr != nil || h.ContentLength != 0 {
+		t.Errorf("response to HEAD: error %v, length %d, want 0", parseErr, h.ContentLength)
 	}
 }
 
 func TestParseChunkSize(t *testing.T) {
 	for in, want := range map[string][2]int64{"5\r\nhello": {5, 3}, "1F;a=b\r\n": {31, 8}, "0\r\n": {0, 3}, "5": {0, 0}, "a \t;x\r\n": {10, 7}} {
-		size, line, w := ParseChunkSize([]byte(in))
-		if w != nil || size != want[0] || int64(line) != want[1] {
-			t.Errorf("%q: %d, %d, %v", in, size, line, w)
+		size, line, parseErr := ParseChunkSize([]byte(in))
+		if parseErr != nil || size != want[0] || int64(line) != want[1] {
+			t.Errorf("%q: size %d, line length %d, error %v", in, size, line, parseErr)
 		}
 	}
 	for _, in := range []string{"\r\n", "g\r\n", "-1\r\n", "+1\r\n", "0x1\r\n", " 1\r\n", "1 \r\n", "1;\x00\r\n", "1111111111111111\r\n", "5\n\r\n", strings.Repeat("1", 300)} {
-		if _, _, w := ParseChunkSize([]byte(in)); w == nil {
-			t.Errorf("%q was read", in)
+		if _, _, parseErr := ParseChunkSize([]byte(in)); parseErr == nil {
+			t.Errorf("%q was accepted", in)
 		}
 	}
 }
 
-// What we take, the standard library takes too, and for the same message. It may take more.
+// Every request that this package accepts, the standard library accepts as well, with the same framing. The library may
+// accept further requests.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{"GET /a?b HTTP/1.1\r\nHost: h\r\nConnection: close, x\r\n\r\n", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc",
 		"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", "GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n"} {
@@ -115,23 +116,23 @@
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var h Head
-		n, w := h.ParseRequest(in, 4096)
-		if w != nil || n == 0 {
+		n, parseErr := h.ParseRequest(in, 4096)
+		if parseErr != nil || n == 0 {
 			return
 		}
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(in)))
 		if err != nil {
 			if strings.Contains(err.Error(), "invalid URL escape") || strings.Contains(err.Error(), "malformed Host") || strings.Contains(err.Error(), "invalid") {
-				return // a path or host that hosts may refuse themselves; the framing is not in doubt
+				return // The path or the host name is invalid, which hosts reject themselves; the framing is unambiguous.
 			}
-			t.Fatalf("we read %q, the library says %v", in[:n], err)
+			t.Fatalf("%q was accepted, but the standard library rejects it: %v", in[:n], err)
 		}
 		length := h.ContentLength
 		if length < 0 && !h.Chunked {
 			length = 0
 		}
 		if r.Method != string(h.Method) || r.RequestURI != string(h.Target) || r.ContentLength != length || (len(r.TransferEncoding) > 0) != h.Chunked || r.Close != h.Close {
-			t.Fatalf("%q: %+v, the library has length %d, encoding %v, close %v", in[:n], h, r.ContentLength, r.TransferEncoding, r.Close)
+			t.Fatalf("%q: parsed as %+v, but the standard library has length %d, encoding %v, close %v", in[:n], h, r.ContentLength, r.TransferEncoding, r.Close)
 		}
 	})
 }
--- a/internal/relay/pass.go
+++ b/internal/relay/pass.go
@@ -9,8 +9,10 @@
 	"vetchwood/logic"
 )
 
+// ticket identifies a queued call.
 type ticket = admit.Ticket
 
+// noLoad is the load of a host whose response reports none.
 var noLoad logic.Load
 
 // forwardResponse sends a host's response to the client and reports whether the client's connection can be used for
@@ -48,8 +50,8 @@
 	return s.streamBody(cl, res, head, h, closes) && !closes
 }
 
-// streamBody sends a response that exceeds the buffer, as it is received. HTTP/1.0 has no chunked encoding, so for such a
-// client the end of the connection marks the end of a body of unknown length.
+// streamBody sends a response that exceeds the buffer as it is received. HTTP/1.0 has no chunked encoding, so for such a
+// client the end of the connection marks the end of a body of unknown length. The result is as for forwardResponse.
 func (s *Relay) streamBody(cl *client, res *response, head []byte, h *h1.Head, closes bool) (keepOpen bool) {
 	complete := false
 	defer func() {
--- a/internal/tally/tally.go
+++ b/internal/tally/tally.go
@@ -1,5 +1,5 @@
-// Package tally adds up what a proxy meets until its director takes it: each batch once, whatever becomes of the
-// answer. No I/O, no clock.
+// Package tally accumulates the counts of a proxy's calls and tries for load reports until its director has counted
+// them. A director counts each batch once, even if its response is lost. The package does no I/O and reads no clock.
 package tally
 
 import (
@@ -14,14 +14,14 @@
 	"vetchwood/logic"
 )
 
-// Tries is what was met at a host.
+// TryStats are the tries of a route at a host.
 type TryStats struct {
 	Succeeded, Failed int
-	TotalMs           float64 // milliseconds of all good answers
+	TotalMs           float64 // sum of the latencies of successful tries in milliseconds
 	Load              logic.Load
 }
 
-// Calls is what came for a route and table.
+// CallStats are the calls of a route and table.
 type CallStats struct{ Received, Unanswered int }
 
 type (
@@ -32,44 +32,47 @@
 	callKey struct{ route, table string }
 )
 
-// Batch is one report.
+// Batch is the content of one load report.
 type Batch struct {
 	Key   string
 	Tries map[tryKey]TryStats
 	Calls map[callKey]CallStats
 }
 
-// Tally is one proxy's. Birth tells this life of the proxy from others.
+// Tally accumulates the counts of a proxy for one director.
 type Tally struct {
-	instanceID string
+	instanceID string // distinguishes this run of the proxy from others
 	serial     int
 	current    Batch
-	pending    *Batch // handed out, and its fate not known yet
-	recipient  string // whom it was sent to
+	pending    *Batch // batch that was handed out and whose outcome is not known yet
+	recipient  string // director that pending was last sent to
 	rejected   int
 }
 
-func New(birth string) *Tally { return &Tally{instanceID: birth, current: newBatch()} }
+// New returns an empty tally. The parameter instanceID distinguishes this run of the proxy from others.
+func New(instanceID string) *Tally { return &Tally{instanceID: instanceID, current: newBatch()} }
 
 func newBatch() Batch { return Batch{Tries: map[tryKey]TryStats{}, Calls: map[callKey]CallStats{}} }
 
-// Tried adds a try that ended; a load that came with its answer is the newest of that host.
-func (t *Tally) AddTry(route string, host tables.Address, good bool, spent float64, load logic.Load) {
-	k := tryKey{route, host}
-	x := t.current.Tries[k]
-	if good {
-		x.Succeeded, x.TotalMs = x.Succeeded+1, x.TotalMs+spent
+// AddTry adds a completed try. A load that its response carried replaces the earlier load of the host.
+func (t *Tally) AddTry(route string, host tables.Address, succeeded bool, latencyMs float64, load logic.Load) {
+	key := tryKey{route, host}
+	stats := t.current.Tries[key]
+	if succeeded {
+		stats.Succeeded, stats.TotalMs = stats.Succeeded+1, stats.TotalMs+latencyMs
 	} else {
-		x.Failed++
+		stats.Failed++
 	}
 	if load != (logic.Load{}) {
-		x.Load = load
+		stats.Load = load
 	}
-	t.current.Tries[k] = x
+	t.current.Tries[key] = stats
 }
 
-// Came adds a call that came; Unanswered one that was let in and got no answer.
+// AddCall adds a received call.
 func (t *Tally) AddCall(route, table string) { t.addCalls(route, table, CallStats{1, 0}) }
+
+// AddUnanswered adds a call that was admitted and not answered.
 func (t *Tally) AddUnanswered(route, table string) {
 	t.addCalls(route, table, CallStats{0, 1})
 }
@@ -80,10 +83,10 @@
 	t.current.Calls[k] = CallStats{x.Received + c.Received, x.Unanswered + c.Unanswered}
 }
 
-// Cut gives what is to be sent to a director now, nil if there is nothing. A batch whose fate is not known is sent
-// again, under its key, to the same director, who counts it once. Another director is sent it too: it has not counted
-// it, and what the first one counted went with that one's knowledge.
-func (t *Tally) PendingBatch(to string) *Batch {
+// PendingBatch returns the batch to send to a director now, or nil if there is none. A batch whose outcome is unknown is
+// returned again with the same key, by which a director counts it once. It is also sent if the director has changed: the
+// new one has not counted it, and what the previous one may have counted was lost with that director's state.
+func (t *Tally) PendingBatch(director string) *Batch {
 	if t.pending == nil {
 		if len(t.current.Tries) == 0 && len(t.current.Calls) == 0 {
 			return nil
@@ -93,25 +96,25 @@
 		b.Key = fmt.Sprintf("%s-%d", t.instanceID, t.serial)
 		t.pending, t.current = &b, newBatch()
 	}
-	t.recipient = to
+	t.recipient = director
 	return t.pending
 }
 
-// Fate of a batch.
+// Outcome says what became of a batch that was sent.
 type Outcome int
 
 const (
-	Accepted Outcome = iota
-	Rejected         // it will never be counted: dropped, or it would block all that follows
-	Unknown
+	Accepted Outcome = iota // the director has counted it
+	Rejected                // the director will never count it; it is dropped, as it would block all later batches
+	Unknown                 // it is not known whether the director counted it; the batch is sent again
 )
 
-// Ended tells what became of the batch that was cut last.
-func (t *Tally) Resolve(key string, f Outcome) {
+// Resolve reports the outcome of the pending batch. Keys of other batches are ignored.
+func (t *Tally) Resolve(key string, outcome Outcome) {
 	if t.pending == nil || t.pending.Key != key {
 		return
 	}
-	switch f {
+	switch outcome {
 	case Rejected:
 		t.rejected++
 		fallthrough
@@ -120,17 +123,17 @@
 	}
 }
 
-// Dropped is how many batches were refused.
+// RejectedBatches returns the number of batches that were dropped because the director rejected them.
 func (t *Tally) RejectedBatches() int { return t.rejected }
 
-// Request is the batch in the published form.
+// Request returns the batch as a load report in the published format.
 func (b *Batch) Request(proxy, zone string) lrs.Request {
-	q := lrs.Request{Node: lrs.Node{ID: proxy, Locality: lrs.Locality{Zone: zone}}}
+	request := lrs.Request{Node: lrs.Node{ID: proxy, Locality: lrs.Locality{Zone: zone}}}
 	for _, k := range slices.SortedFunc(maps.Keys(b.Calls), func(x, y callKey) int {
 		return cmp.Or(cmp.Compare(x.route, y.route), cmp.Compare(x.table, y.table))
 	}) {
 		c := b.Calls[k]
-		q.ClusterStats = append(q.ClusterStats, lrs.Cluster{Name: k.route, ServiceName: k.table, Localities: []lrs.Upstream{{
+		request.ClusterStats = append(request.ClusterStats, lrs.Cluster{Name: k.route, ServiceName: k.table, Localities: []lrs.Upstream{{
 			Metrics: []lrs.Metric{{Name: lrs.Calls, Finished: lrs.Count(c.Received), Total: float64(c.Received)},
 				{Name: lrs.Unanswered, Finished: lrs.Count(c.Unanswered), Total: float64(c.Unanswered)}}}}})
 	}
@@ -143,18 +146,18 @@
 		if err != nil {
 			continue
 		}
-		e := lrs.Endpoint{Address: address, Successful: lrs.Count(t.Succeeded), Errors: lrs.Count(t.Failed), Issued: lrs.Count(t.Succeeded + t.Failed),
+		endpoint := lrs.Endpoint{Address: address, Successful: lrs.Count(t.Succeeded), Errors: lrs.Count(t.Failed), Issued: lrs.Count(t.Succeeded + t.Failed),
 			Metrics: []lrs.Metric{{Name: lrs.Spent, Finished: lrs.Count(t.Succeeded), Total: t.TotalMs}}}
 		orca.Each(t.Load, func(name string, v float64) {
-			e.Metrics = append(e.Metrics, lrs.Metric{Name: name, Finished: 1, Total: v})
+			endpoint.Metrics = append(endpoint.Metrics, lrs.Metric{Name: name, Finished: 1, Total: v})
 		})
 		if byRoute[k.route] == nil {
 			byRoute[k.route] = &lrs.Upstream{Locality: lrs.Locality{Zone: zone}}
 		}
-		byRoute[k.route].Endpoints = append(byRoute[k.route].Endpoints, e)
+		byRoute[k.route].Endpoints = append(byRoute[k.route].Endpoints, endpoint)
 	}
 	for _, route := range slices.Sorted(maps.Keys(byRoute)) {
-		q.ClusterStats = append(q.ClusterStats, lrs.Cluster{Name: route, Localities: []lrs.Upstream{*byRoute[route]}})
+		request.ClusterStats = append(request.ClusterStats, lrs.Cluster{Name: route, Localities: []lrs.Upstream{*byRoute[route]}})
 	}
-	return q
+	return request
 }
--- a/internal/tally/tally_test.go
+++ b/internal/tally/tally_test.go
@@ -8,15 +8,16 @@
 	"vetchwood/logic"
 )
 
-// Whatever answers are lost and whoever directs: each living director counts each batch once, and nothing is left out.
+// Whichever responses are lost and whichever director receives the reports: each director counts each batch once, and all
+// tries are counted by some director.
 func TestEachBatchIsCountedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tally, put := New("b"), 0
-		counted := map[string]map[string]int{"a": {}, "b": {}} // director, key: tries
-		total := map[string]int{}                              // by key, whoever counted it
-		at := "a"
+		tally, added := New("b"), 0
+		counted := map[string]map[string]int{"a": {}, "b": {}} // number of tries by director and key
+		total := map[string]int{}                              // number of tries by key, counted by any director
+		director := "a"
 		send := func(lost bool) {
-			b := tally.PendingBatch(at)
+			b := tally.PendingBatch(director)
 			if b == nil {
 				return
 			}
@@ -24,12 +25,12 @@
 			for _, x := range b.Tries {
 				n += x.Succeeded + x.Failed
 			}
-			if was, again := counted[at][b.Key]; again && was != n {
-				t.Fatalf("key %s stands for %d, then %d", b.Key, was, n)
+			if before, wasCounted := counted[director][b.Key]; wasCounted && before != n {
+				t.Fatalf("batch %s had %d tries, then %d", b.Key, before, n)
 			}
 			reached := !lost || rapid.Bool().Draw(t, "reached")
 			if reached {
-				counted[at][b.Key], total[b.Key] = n, n
+				counted[director][b.Key], total[b.Key] = n, n
 			}
 			if lost {
 				tally.Resolve(b.Key, Unknown)
@@ -40,12 +41,12 @@
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				put++
+				added++
 				tally.AddTry("read", "127.0.0.1:1", rapid.Bool().Draw(t, "good"), 5, logic.Load{})
 			case 2:
 				send(rapid.Bool().Draw(t, "lost"))
 			case 3:
-				at = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "director")
+				director = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "director")
 			}
 		}
 		send(false)
@@ -54,8 +55,8 @@
 		for _, n := range total {
 			got += n
 		}
-		if got != put {
-			t.Fatalf("%d tries, %d counted", put, got)
+		if got != added {
+			t.Fatalf("%d tries added, %d counted", added, got)
 		}
 	})
 }
@@ -66,14 +67,14 @@
 	b := tally.PendingBatch("a")
 	tally.Resolve("another key", Accepted)
 	if again := tally.PendingBatch("a"); again.Key != b.Key {
-		t.Fatal("the fate of another was taken for its own")
+		t.Fatal("the outcome of another key resolved the pending batch")
 	}
 	tally.Resolve(b.Key, Rejected)
 	if tally.PendingBatch("a") != nil || tally.RejectedBatches() != 1 {
-		t.Fatal("a refused batch is kept")
+		t.Fatal("a rejected batch is kept, or not counted as rejected")
 	}
 	tally.AddUnanswered("read", "3")
-	if q := tally.PendingBatch("a").Request("p", "z"); len(q.ClusterStats) != 1 || q.ClusterStats[0].ServiceName != "3" || q.Node.ID != "p" {
-		t.Fatalf("%+v", q)
+	if request := tally.PendingBatch("a").Request("p", "z"); len(request.ClusterStats) != 1 || request.ClusterStats[0].ServiceName != "3" || request.Node.ID != "p" {
+		t.Fatalf("unexpected load report: %+v", request)
 	}
 }
