--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -197,7 +197,8 @@
 	return err
 }
 
-// Kill stops the proxy without draining, as if its process had been killed. The parameter stop cancels the context of Run.
+// Kill stops the proxy without draining, as if its process had been killed. The parameter stop cancels the context of
+// Run.
 func (s *Relay) Kill(stop context.CancelFunc) {
 	undrained := *s.settings()
 	undrained.Drain = 0
@@ -237,8 +238,8 @@
 	all.Wait()
 }
 
-// sendReport posts the sums that the director has not yet acknowledged. The parameter index is the director's place in the
-// list of directors, url its address.
+// sendReport posts the sums that the director has not yet acknowledged. The parameter index is the director's place in
+// the list of directors, url its address.
 func (s *Relay) sendReport(ctx context.Context, index int, url string) {
 	var b *tally.Batch
 	s.withCore(func(float64) { b = s.core.Tally(index).PendingBatch(url) })
@@ -261,7 +262,8 @@
 	switch {
 	case status < 300:
 		outcome = tally.Accepted
-	case status == http.StatusNotFound: // The director does not know this proxy yet, or no longer: the batch is sent again later.
+	case status == http.StatusNotFound:
+		// The director does not know this proxy yet, or no longer: the batch is sent again later.
 	case status < 500:
 		outcome = tally.Rejected
 		s.log.Warn("report.refused", "status", status, "body", text)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -20,7 +20,7 @@
 	"vetchwood/internal/tables"
 )
 
-// fixed is a director that tells one document.
+// serveDocument starts a director that serves the document in doc and accepts all load reports. It returns its URL.
 func serveDocument(t testing.TB, doc *atomic.Pointer[tables.Document]) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
@@ -43,7 +43,8 @@
 	return s.URL
 }
 
-// three routes, one of each kind; two cells.
+// newDocument returns a document with three routes, one for each idempotency, that share one table. Each host is in a
+// cell of its own.
 func newDocument(step tables.Step, tries int, hosts ...string) *tables.Document {
 	d := &tables.Document{Pick: "lottery", TryWait: 1, Masked: map[tables.Address]bool{}, Hosts: map[tables.Address]tables.Host{},
 		Routes: map[string]tables.Route{}, Tables: map[string]*tables.Table{"t": {Lines: map[tables.Address]float64{}}}}
@@ -60,19 +61,21 @@
 	return d
 }
 
-func startRelay(t testing.TB, more string, doc *tables.Document) (*Relay, *atomic.Pointer[tables.Document], string) {
+// startRelay starts a proxy that follows a director with the document doc, and waits until it holds tables. The text
+// extraSettings is added to its settings.
+func startRelay(t testing.TB, extraSettings string, doc *tables.Document) (*Relay, *atomic.Pointer[tables.Document], string) {
 	var now atomic.Pointer[tables.Document]
 	now.Store(doc)
-	text := fmt.Sprintf("relay \"p1\" {\n listen = \"127.0.0.1:0\"\n directors = [%q]\n drain = \"1s\"\n report_every = \"50ms\"\n}\n%s\n", serveDocument(t, &now), more)
+	text := fmt.Sprintf("relay \"p1\" {\n listen = \"127.0.0.1:0\"\n directors = [%q]\n drain = \"1s\"\n report_every = \"50ms\"\n}\n%s\n", serveDocument(t, &now), extraSettings)
 	for _, r := range []string{"repeatable", "keyed", "mutating"} {
 		text += fmt.Sprintf("route %q {\n prefix = \"/%s\"\n key = \"query:key\"\n}\n", r, r)
 	}
-	set, err := settings.ParseRelay("p1.hcl", []byte(text))
+	config, err := settings.ParseRelay("p1.hcl", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Bounds.NoBudget = strings.Contains(more, "no budget")
-	s, err := New(set, Hooks{}, slog.New(slog.DiscardHandler))
+	config.Bounds.NoBudget = strings.Contains(extraSettings, "no budget")
+	s, err := New(config, Hooks{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +85,7 @@
 	t.Cleanup(func() { stop(); <-done })
 	for end := time.Now().Add(5 * time.Second); s.Document() == nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("holds no tables in time")
+			t.Fatal("the proxy holds no tables after 5 s")
 		}
 	}
 	return s, &now, s.Addr().String()
@@ -90,14 +93,14 @@
 
 const responseOK = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 
-// host is a plain one that is under the test's thumb: it reads a request up to a byte, counts it as run once it was
-// whole, and answers up to a byte.
+// faultyHost is a host with configurable faults: it reads a request up to a given byte, counts the request as run once
+// it is complete, and responds up to a given byte.
 type faultyHost struct {
 	ln            net.Listener
-	runsByMark    sync.Map // mark -> *atomic.Int32
+	runsByMark    sync.Map // mark -> *atomic.Int32, the number of runs
 	mu            sync.Mutex
-	readLimit     int // bytes; -1: all
-	responseLimit int
+	readLimit     int // bytes of a request that are read; -1: all
+	responseLimit int // bytes of the response that are sent; -1: all
 	response      string
 }
 
@@ -122,9 +125,9 @@
 
 func (f *faultyHost) address() string { return f.ln.Addr().String() }
 
-func (f *faultyHost) configure(readTo, answerTo int, answer string) {
+func (f *faultyHost) configure(readTo, answerTo int, response string) {
 	f.mu.Lock()
-	f.readLimit, f.responseLimit, f.response = readTo, answerTo, answer
+	f.readLimit, f.responseLimit, f.response = readTo, answerTo, response
 	f.mu.Unlock()
 }
 
@@ -137,7 +140,7 @@
 			return
 		}
 		f.mu.Lock()
-		readTo, answerTo, answer := f.readLimit, f.responseLimit, f.response
+		readTo, answerTo, response := f.readLimit, f.responseLimit, f.response
 		f.mu.Unlock()
 		for !bytes.HasSuffix(text, []byte("\r\n\r\n")) {
 			if readTo >= 0 && len(text) >= readTo {
@@ -152,10 +155,10 @@
 		}
 		f.count(text)
 		if answerTo >= 0 {
-			io.WriteString(c, answer[:answerTo])
+			io.WriteString(c, response[:answerTo])
 			return
 		}
-		if _, err := io.WriteString(c, answer); err != nil {
+		if _, err := io.WriteString(c, response); err != nil {
 			return
 		}
 	}
@@ -176,9 +179,9 @@
 	return n.(*atomic.Int32).Load()
 }
 
-// ask sends one request on a connection of its own and wants exactly one answer.
-func sendCall(t testing.TB, at, route, mark string) (status int, body string) {
-	c, err := net.Dial("tcp", at)
+// sendCall sends one request on a connection of its own and requires exactly one response.
+func sendCall(t testing.TB, address, route, mark string) (status int, body string) {
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Error(err)
 		return 0, ""
@@ -194,26 +197,27 @@
 	r := bufio.NewReader(bytes.NewReader(all))
 	res, err := http.ReadResponse(r, nil)
 	if err != nil {
-		t.Errorf("%s: no answer: %v, %q", mark, err, all)
+		t.Errorf("%s: no response: %v, received %q", mark, err, all)
 		return 0, ""
 	}
 	text, err := io.ReadAll(res.Body)
 	if rest, _ := io.ReadAll(r); err != nil || len(rest) > 0 {
-		t.Errorf("%s: %v; %q behind the answer", mark, err, rest)
+		t.Errorf("%s: error %v, %q after the response", mark, err, rest)
 	}
 	return res.StatusCode, string(text)
 }
 
-// A fault at every byte of the request and of the answer: no mutating call runs twice, no keyed one outside its cell,
-// every client gets exactly one answer, and what may be repeated is answered by the other host.
+// The connection to a host fails at each byte of the request and of the response: no mutating call runs twice, no keyed
+// call runs outside its cell, each client gets exactly one response, and repeatable calls are answered by the other
+// host.
 func TestFaultAtEveryByte(t *testing.T) {
 	bad, good := newFaultyHost(t), newFaultyHost(t)
-	s, now, at := startRelay(t, "# no budget", newDocument(1, 3, bad.address()))
+	s, now, address := startRelay(t, "# no budget", newDocument(1, 3, bad.address()))
 	step := tables.Step(1)
-	request := 150 // about its length; faults past its end are none
+	requestSize := 150 // approximate length of a request; a cut past its end causes no fault
 	type cut struct{ read, answer int }
 	var cuts []cut
-	for i := 0; i < request; i++ {
+	for i := 0; i < requestSize; i++ {
 		cuts = append(cuts, cut{i, -1})
 	}
 	for i := range len(responseOK) {
@@ -221,7 +225,7 @@
 	}
 	for _, repeat := range []string{"mutating", "keyed", "repeatable"} {
 		for i, c := range cuts {
-			// The bad host is the one picked: the other is so light that only a further try comes to it.
+			// The weight of the good host is so small that only a retry reaches it.
 			step++
 			d := newDocument(step, 3, bad.address(), good.address())
 			d.Tables["t"].Lines[tables.Address(good.address())] = 1e-9
@@ -236,19 +240,19 @@
 				time.Sleep(100 * time.Microsecond)
 			}
 			mark := fmt.Sprintf("%s-%d", repeat, i)
-			status, body := sendCall(t, at, repeat, mark)
-			a, b := bad.runs(mark), good.runs(mark)
-			if repeat != "repeatable" && a+b > 1 {
-				t.Errorf("%s, cut at %+v: ran %d and %d times", mark, c, a, b)
+			status, body := sendCall(t, address, repeat, mark)
+			badRuns, goodRuns := bad.runs(mark), good.runs(mark)
+			if repeat != "repeatable" && badRuns+goodRuns > 1 {
+				t.Errorf("%s, cut at %+v: ran %d and %d times", mark, c, badRuns, goodRuns)
 			}
-			if a > 1 || b > 1 {
-				t.Errorf("%s, cut at %+v: ran %d and %d times", mark, c, a, b)
+			if badRuns > 1 || goodRuns > 1 {
+				t.Errorf("%s, cut at %+v: ran %d and %d times", mark, c, badRuns, goodRuns)
 			}
 			if repeat == "repeatable" && (status != 200 || body != "hello") && c.read < 0 {
-				t.Errorf("%s, cut at %+v: answered %d %q", mark, c, status, body)
+				t.Errorf("%s, cut at %+v: got status %d, body %q", mark, c, status, body)
 			}
 			if status != 200 && status != 502 && status != 504 {
-				t.Errorf("%s, cut at %+v: answered %d %q", mark, c, status, body)
+				t.Errorf("%s, cut at %+v: got status %d, body %q", mark, c, status, body)
 			}
 		}
 	}
@@ -258,11 +262,11 @@
 	return append([]byte(nil), d.Whole()...)
 }
 
-// Answers that break the framing end as one clear answer, and the connection is not used again.
+// A response with broken framing becomes one well-formed error response, and the connection is not reused.
 func TestResponsesWithBrokenFraming(t *testing.T) {
-	h := newFaultyHost(t)
-	_, _, at := startRelay(t, "", newDocument(1, 0, h.address()))
-	for i, answer := range []string{
+	host := newFaultyHost(t)
+	_, _, address := startRelay(t, "", newDocument(1, 0, host.address()))
+	for i, response := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!",
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n",
@@ -270,29 +274,29 @@
 		"HTTP/1.1 999 No\r\n\r\n", "nonsense\r\n\r\n", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nA b: c\r\n\r\n",
 	} {
-		h.configure(-1, -1, answer)
-		if status, body := sendCall(t, at, "mutating", fmt.Sprint("m", i)); status != 502 && status != 504 {
-			t.Errorf("%q became %d %q", answer, status, body)
+		host.configure(-1, -1, response)
+		if status, body := sendCall(t, address, "mutating", fmt.Sprint("m", i)); status != 502 && status != 504 {
+			t.Errorf("response %q: client got %d %q, want 502 or 504", response, status, body)
 		}
 	}
-	for answer, want := range map[string]string{
+	for response, want := range map[string]string{
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nTrailer: t\r\n\r\n":        "hello",
 		"HTTP/1.1 100 Continue\r\n\r\n" + responseOK:                                                                     "hello",
 		"HTTP/1.1 204 No Content\r\n\r\n":                                                                                "",
 		"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + strings.Repeat("x", 100000):                                strings.Repeat("x", 100000),
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n186a0\r\n" + strings.Repeat("y", 100000) + "\r\n0\r\n\r\n": strings.Repeat("y", 100000),
 	} {
-		h.configure(-1, -1, answer)
-		if status, body := sendCall(t, at, "mutating", "g"); status/100 != 2 || body != want {
-			t.Errorf("%.60q became %d %.60q", answer, status, body)
+		host.configure(-1, -1, response)
+		if status, body := sendCall(t, address, "mutating", "g"); status/100 != 2 || body != want {
+			t.Errorf("response %.60q: client got %d %.60q", response, status, body)
 		}
 	}
 }
 
-// What comes from clients that can't be read is refused, and what is left to say is said.
+// Malformed and incomplete requests are rejected with the status that states the reason.
 func TestMalformedRequests(t *testing.T) {
-	h := newFaultyHost(t)
-	_, _, at := startRelay(t, "bounds {\n most_body = \"8B\"\n most_head = \"512B\"\n slow_request = \"300ms\"\n}", newDocument(1, 0, h.address()))
+	host := newFaultyHost(t)
+	_, _, address := startRelay(t, "bounds {\n most_body = \"8B\"\n most_head = \"512B\"\n slow_request = \"300ms\"\n}", newDocument(1, 0, host.address()))
 	for in, want := range map[string]string{
 		"POST /keyed HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab":                               "400",
 		"POST /keyed HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\na":                       "400",
@@ -305,7 +309,7 @@
 		"POST /keyed HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nab":                                                    "408",
 		"POST /keyed HTTP/1.1\r\nHost: h\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n": "200",
 	} {
-		c, err := net.Dial("tcp", at)
+		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -314,25 +318,25 @@
 		out, _ := io.ReadAll(c)
 		c.Close()
 		if status, _, _ := strings.Cut(strings.TrimPrefix(string(out), "HTTP/1.1 "), " "); status != want {
-			t.Errorf("%.80q: %.120q, wanted %s", in, out, want)
+			t.Errorf("request %.80q: got %.120q, want status %s", in, out, want)
 		}
 	}
 }
 
-// A stop lets the calls in hand end, and takes no new ones.
+// A proxy that is stopped completes the calls in flight and accepts no new connections.
 func TestDrain(t *testing.T) {
-	slow := make(chan struct{})
-	h := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { <-slow; io.WriteString(w, "late") }))
+	release := make(chan struct{})
+	h := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { <-release; io.WriteString(w, "late") }))
 	defer h.Close()
 	doc := newDocument(1, 0, h.Listener.Addr().String())
 	var now atomic.Pointer[tables.Document]
 	now.Store(doc)
-	set, err := settings.ParseRelay("p.hcl", []byte(fmt.Sprintf("relay \"p\" {\n listen = \"127.0.0.1:0\"\n directors = [%q]\n drain = \"2s\"\n kept = %q\n}\nroute \"mutating\" { prefix = \"/\" }",
+	config, err := settings.ParseRelay("p.hcl", []byte(fmt.Sprintf("relay \"p\" {\n listen = \"127.0.0.1:0\"\n directors = [%q]\n drain = \"2s\"\n kept = %q\n}\nroute \"mutating\" { prefix = \"/\" }",
 		serveDocument(t, &now), t.TempDir()+"/kept.json")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := New(set, Hooks{}, slog.New(slog.DiscardHandler))
+	s, err := New(config, Hooks{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -351,57 +355,58 @@
 	time.Sleep(50 * time.Millisecond)
 	if c, err := net.Dial("tcp", s.Addr().String()); err == nil {
 		c.Close()
-		t.Error("takes new connections while it drains")
+		t.Error("new connections are accepted while the proxy drains")
 	}
-	close(slow)
+	close(release)
 	if body := <-got; body != "late" {
-		t.Errorf("the call in hand got %q", body)
+		t.Errorf("the call in flight got %q", body)
 	}
 	<-done
-	// The next start goes on by what was kept, with no director to ask.
+	// After a restart without a reachable director, the proxy uses the document in its file.
 	now.Store(newDocument(2, 0))
-	set.Directors, set.Listen = []string{"http://127.0.0.1:1"}, "127.0.0.1:0"
-	again, err := New(set, Hooks{}, slog.New(slog.DiscardHandler))
+	config.Directors, config.Listen = []string{"http://127.0.0.1:1"}, "127.0.0.1:0"
+	restarted, err := New(config, Hooks{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop = context.WithCancel(context.Background())
 	done = make(chan struct{})
-	go func() { again.Run(ctx); close(done) }()
-	for end := time.Now().Add(3 * time.Second); again.Document() == nil && time.Now().Before(end); {
+	go func() { restarted.Run(ctx); close(done) }()
+	for end := time.Now().Add(3 * time.Second); restarted.Document() == nil && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if d := again.Document(); d == nil || d.Tag() != doc.Tag() {
-		t.Errorf("did not go on by what was kept: %v", d)
-	} else if status, body := sendCall(t, again.Addr().String(), "mutating", "m2"); status != 200 || body != "late" {
-		t.Errorf("%d %q", status, body)
+	if d := restarted.Document(); d == nil || d.Tag() != doc.Tag() {
+		t.Errorf("the proxy does not use the stored document: %v", d)
+	} else if status, body := sendCall(t, restarted.Addr().String(), "mutating", "m2"); status != 200 || body != "late" {
+		t.Errorf("call by the stored document: got %d %q", status, body)
 	}
 	stop()
 	<-done
 }
 
-// A reload changes routes and bounds as one step, while calls go on; what can't change is named, and nothing changes.
+// A reload replaces routes and bounds in one step while calls are served. If it changes a fixed setting, the error names
+// that setting and nothing changes.
 func TestReload(t *testing.T) {
-	h := newFaultyHost(t)
-	s, _, at := startRelay(t, "", newDocument(1, 0, h.address()))
+	host := newFaultyHost(t)
+	s, _, address := startRelay(t, "", newDocument(1, 0, host.address()))
 	next := *s.settings()
 	next.Routes = next.Routes[:1]
 	next.Bounds.InHand, next.Bounds.Queue = 0, 0
 	next.Zone, next.Listen = "elsewhere", "127.0.0.1:1"
 	if err := s.Reload(&next); err == nil || !strings.Contains(err.Error(), "listen, zone") {
-		t.Fatalf("%v", err)
+		t.Fatalf("reload with a changed listen address and zone: %v", err)
 	}
-	if status, _ := sendCall(t, at, "mutating", "a"); status != 200 {
-		t.Fatalf("changed by a reload that was refused: %d", status)
+	if status, _ := sendCall(t, address, "mutating", "a"); status != 200 {
+		t.Fatalf("a rejected reload changed the routes: status %d", status)
 	}
 	next.Zone, next.Listen = s.settings().Zone, s.settings().Listen
 	if err := s.Reload(&next); err != nil {
 		t.Fatal(err)
 	}
-	if status, _ := sendCall(t, at, "mutating", "b"); status != 404 {
-		t.Fatalf("a route that is gone: %d", status)
+	if status, _ := sendCall(t, address, "mutating", "b"); status != 404 {
+		t.Fatalf("removed route: status %d, want 404", status)
 	}
-	if status, _ := sendCall(t, at, "repeatable", "c"); status != 503 {
-		t.Fatalf("none may be in hand: %d", status)
+	if status, _ := sendCall(t, address, "repeatable", "c"); status != 503 {
+		t.Fatalf("no call may be in flight: status %d, want 503", status)
 	}
 }
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -131,8 +131,8 @@
 	return s.serveCall(cl, &h, match, body)
 }
 
-// readBody reads the whole body of a request into memory, so that a retry can send it again. If that fails, it returns the
-// status and the detail of the response.
+// readBody reads the whole body of a request into memory, so that a retry can send it again. If that fails, it returns
+// the status and the detail of the response.
 func (s *Relay) readBody(conn netpoll.Connection, h *h1.Head, deadline time.Time) (body []byte, status int, detail string) {
 	maxBody := int64(s.settings().Front.MostBody)
 	tooLong := fmt.Sprintf("the request body is longer than %d bytes", maxBody)
@@ -179,8 +179,8 @@
 	}
 }
 
-// serveCall admits a call, tries it at hosts until a try succeeds or no further one is permitted, and answers the client.
-// It reports whether the client's connection can be used for another request.
+// serveCall admits a call, tries it at hosts until a try succeeds or no further one is permitted, and answers the
+// client. It reports whether the client's connection can be used for another request.
 func (s *Relay) serveCall(cl *client, h *h1.Head, match *choose.Match, body []byte) bool {
 	c := &carry.Call{Route: match.Route, Key: match.Key(h), Marked: match.Marked(h)}
 	span := s.metrics.startSpan(match.Route)
@@ -351,9 +351,9 @@
 	return s.writeProblem(cl, http.StatusServiceUnavailable, "the tables have no such route", 1000, closes)
 }
 
-// writeProblem answers with a problem document (RFC 9457). The parameter wait is the time in milliseconds after which the
-// client may retry, sent as Retry-After in whole seconds; 0 omits it. It reports whether the client's connection can be
-// used for another request.
+// writeProblem answers with a problem document (RFC 9457). The parameter wait is the time in milliseconds after which
+// the client may retry, sent as Retry-After in whole seconds; 0 omits it. It reports whether the client's connection can
+// be used for another request.
 func (s *Relay) writeProblem(cl *client, status int, detail string, wait float64, closes bool) bool {
 	body, _ := json.Marshal(map[string]any{"type": "about:blank", "title": http.StatusText(status), "status": status, "detail": detail})
 	head := make([]byte, 0, 256)
--- a/internal/relay/storm_test.go
+++ b/internal/relay/storm_test.go
@@ -26,15 +26,16 @@
 	"vetchwood/internal/tables"
 )
 
-// Half of the hosts take calls and answer nothing. What hosts see stays near the first tries, and once they are back
-// all is answered within seconds. Without the budget each call is tried three times: the baseline.
+// Half of the hosts accept calls and send no response. The retry budget keeps the number of tries near the number of
+// calls, and once the hosts respond again the calls are answered. In the baseline, without a budget, each call is tried up
+// to three times.
 func TestRetryStorm(t *testing.T) {
 	if testing.Short() {
 		t.Skip()
 	}
-	play := func(more string) (multiple, after float64) {
-		var silent atomic.Bool
-		var seen atomic.Int64
+	run := func(extraSettings string) (multiple, after float64) {
+		var isSilent atomic.Bool
+		var tries atomic.Int64
 		var hosts []string
 		for i := range 4 {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,8 +43,8 @@
 				t.Fatal(err)
 			}
 			srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				seen.Add(1)
-				if silent.Load() && i < 2 {
+				tries.Add(1)
+				if isSilent.Load() && i < 2 {
 					<-r.Context().Done()
 				}
 			})}
@@ -52,47 +53,47 @@
 			hosts = append(hosts, ln.Addr().String())
 		}
 		doc := newDocument(1, 3, hosts...)
-		doc.Ejects = 0 // the budget alone, not the avoiding
-		_, _, at := startRelay(t, more, doc.Seal(3, 1, 2))
-		silent.Store(true)
-		calls := func(n int, every time.Duration) (answered int64) {
-			var all sync.WaitGroup
-			var good atomic.Int64
+		doc.Ejects = 0 // only the retry budget is tested: hosts are not ejected
+		_, _, address := startRelay(t, extraSettings, doc.Seal(3, 1, 2))
+		isSilent.Store(true)
+		calls := func(n int, interval time.Duration) (answered int64) {
+			var wg sync.WaitGroup
+			var succeeded atomic.Int64
 			for i := range n {
-				all.Add(1)
+				wg.Add(1)
 				go func() {
-					defer all.Done()
-					if status, _ := sendCall(t, at, "repeatable", fmt.Sprint("s", i)); status == 200 {
-						good.Add(1)
+					defer wg.Done()
+					if status, _ := sendCall(t, address, "repeatable", fmt.Sprint("s", i)); status == 200 {
+						succeeded.Add(1)
 					}
 				}()
-				time.Sleep(every)
+				time.Sleep(interval)
 			}
-			all.Wait()
-			return good.Load()
+			wg.Wait()
+			return succeeded.Load()
 		}
 		const n = 400
 		calls(n, 4*time.Millisecond)
-		multiple = float64(seen.Load()) / n
-		silent.Store(false)
+		multiple = float64(tries.Load()) / n
+		isSilent.Store(false)
 		return multiple, float64(calls(100, 4*time.Millisecond)) / 100
 	}
-	with, after := play("")
-	without, _ := play("# no budget")
-	t.Logf("tries that hosts saw for each call: %.2f with the budget, %.2f without; answered once they are back: %.2f", with, without, after)
-	// A fifth of the calls, twenty stored and one a second.
-	if most := 1 + 0.2 + (20+4)/400.0 + 0.01; with > most {
-		t.Errorf("%.2f tries a call, %.2f at most", with, most)
+	withBudget, after := run("")
+	withoutBudget, _ := run("# no budget")
+	t.Logf("tries per call at the hosts: %.2f with the budget, %.2f without; share answered after recovery: %.2f", withBudget, withoutBudget, after)
+	// The budget permits retries for a fifth of the calls, and 20 stored ones and about one a second besides.
+	if maxTries := 1 + 0.2 + (20+4)/400.0 + 0.01; withBudget > maxTries {
+		t.Errorf("%.2f tries per call, want at most %.2f", withBudget, maxTries)
 	}
-	if without < with+0.15 {
-		t.Errorf("the baseline makes %.2f tries a call: the storm is none", without)
+	if withoutBudget < withBudget+0.15 {
+		t.Errorf("the baseline makes only %.2f tries per call: there is no retry storm to compare with", withoutBudget)
 	}
 	if after < 0.99 {
-		t.Errorf("%.2f answered after the hosts came back", after)
+		t.Errorf("share of calls answered after recovery: %.2f, want at least 0.99", after)
 	}
 }
 
-// answerAll is a host that answers each call at once, with next to no work.
+// serveOK runs a host that responds to each call at once with minimal work, and calls seen for each.
 func serveOK(ln net.Listener, seen func()) {
 	for {
 		c, err := ln.Accept()
@@ -117,7 +118,8 @@
 	}
 }
 
-// serveAs is another process: a host that answers at once, the library's reverse proxy, or ours.
+// serveHelper runs in a helper process as a host that responds at once, as the standard library's reverse proxy or as
+// this package's proxy. It prints its address, then its CPU time in nanoseconds for each line that it reads.
 func serveHelper(kind string) {
 	hosts := strings.Split(os.Getenv("VETCHWOOD_TEST_HOSTS"), ",")
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
@@ -134,8 +136,8 @@
 	case "relay":
 		ln.Close()
 		doc := newDocument(1, 1, hosts...)
-		if w := os.Getenv("VETCHWOOD_TEST_WEIGHTS"); w != "" {
-			for i, text := range strings.Split(w, ",") {
+		if weights := os.Getenv("VETCHWOOD_TEST_WEIGHTS"); weights != "" {
+			for i, text := range strings.Split(weights, ",") {
 				doc.Tables["t"].Lines[tables.Address(hosts[i])], _ = strconv.ParseFloat(text, 64)
 			}
 			doc.Pick = os.Getenv("VETCHWOOD_TEST_PICK")
@@ -145,14 +147,14 @@
 			}
 			doc = parsed
 		}
-		set, err := settings.ParseRelay("p.hcl", []byte(fmt.Sprintf("relay \"p\" {\n listen = \"127.0.0.1:0\"\n directors = [\"http://127.0.0.1:1\"]\n kept = %q\n}\nroute \"keyed\" { prefix = \"/\" }",
+		config, err := settings.ParseRelay("p.hcl", []byte(fmt.Sprintf("relay \"p\" {\n listen = \"127.0.0.1:0\"\n directors = [\"http://127.0.0.1:1\"]\n kept = %q\n}\nroute \"keyed\" { prefix = \"/\" }",
 			os.Getenv("VETCHWOOD_TEST_KEPT"))))
 		if err == nil {
-			err = os.WriteFile(set.Kept, documentJSON(doc), 0o600)
+			err = os.WriteFile(config.Kept, documentJSON(doc), 0o600)
 		}
 		var s *Relay
 		if err == nil {
-			s, err = New(set, Hooks{}, slog.New(slog.DiscardHandler))
+			s, err = New(config, Hooks{}, slog.New(slog.DiscardHandler))
 		}
 		if err != nil {
 			panic(err)
@@ -171,16 +173,19 @@
 	}
 }
 
+// resealed returns a copy of the document under a new step.
 func resealed(d *tables.Document) *tables.Document {
 	return d.Copy().Seal(3, 2, 2)
 }
 
+// helperProcess is a process that runs serveHelper.
 type helperProcess struct {
 	in      io.Writer
 	out     *bufio.Reader
 	address string
 }
 
+// startHelper starts a helper process of the given kind and waits for its address.
 func startHelper(t testing.TB, kind string, env ...string) *helperProcess {
 	c := exec.Command(os.Args[0])
 	c.Env = append(append(os.Environ(), "VETCHWOOD_TEST_SERVE="+kind, "VETCHWOOD_TEST_KEPT="+t.TempDir()+"/kept.json"), env...)
@@ -204,6 +209,7 @@
 	return strings.TrimSpace(line)
 }
 
+// cpuSeconds returns the CPU time that the process has used, in seconds.
 func (o *helperProcess) cpuSeconds(t testing.TB) float64 {
 	io.WriteString(o.in, "cpu\n")
 	n, _ := strconv.ParseFloat(o.readLine(t), 64)
@@ -220,15 +226,15 @@
 
 const plainRequest = "GET /a HTTP/1.1\r\nHost: h\r\nUser-Agent: u\r\nAccept: */*\r\n\r\n"
 
-// load makes calls on so many connections and gives how long each took, in seconds, sorted.
-func generateLoad(t testing.TB, at string, conns, calls int) []float64 {
-	took := make([][]float64, conns)
-	var all sync.WaitGroup
+// generateLoad makes the calls over the given number of connections and returns the sorted latencies in seconds.
+func generateLoad(t testing.TB, address string, conns, calls int) []float64 {
+	latencies := make([][]float64, conns)
+	var wg sync.WaitGroup
 	for i := range conns {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
-			c, err := net.Dial("tcp", at)
+			defer wg.Done()
+			c, err := net.Dial("tcp", address)
 			if err != nil {
 				t.Error(err)
 				return
@@ -236,7 +242,7 @@
 			defer c.Close()
 			in := bufio.NewReader(c)
 			for range calls / conns {
-				began := time.Now()
+				start := time.Now()
 				io.WriteString(c, plainRequest)
 				length := 0
 				for {
@@ -253,57 +259,58 @@
 					}
 				}
 				in.Discard(length)
-				took[i] = append(took[i], time.Since(began).Seconds())
+				latencies[i] = append(latencies[i], time.Since(start).Seconds())
 			}
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 	var out []float64
-	for _, x := range took {
+	for _, x := range latencies {
 		out = append(out, x...)
 	}
 	sort.Float64s(out)
 	return out
 }
 
-// The proxy beside a direct connection and beside the library's reverse proxy: calls for each second of its CPU, and
-// the time that it adds.
+// BenchmarkProxies compares the proxy with a direct connection and with the standard library's reverse proxy: calls per
+// second of CPU time, and the latency added.
 func BenchmarkProxies(b *testing.B) {
 	host := startHelper(b, "host")
 	direct := generateLoad(b, host.address, 16, 40000)
-	q := func(x []float64, p float64) float64 { return x[min(len(x)-1, int(p*float64(len(x))))] * 1e6 }
+	quantileMicros := func(x []float64, p float64) float64 { return x[min(len(x)-1, int(p*float64(len(x))))] * 1e6 }
 	for _, kind := range []string{"direct", "library", "relay"} {
 		b.Run(kind, func(b *testing.B) {
-			at, cpu := host.address, func() float64 { return 0 }
+			address, cpu := host.address, func() float64 { return 0 }
 			if kind != "direct" {
 				p := startHelper(b, kind, "VETCHWOOD_TEST_HOSTS="+host.address)
-				at, cpu = p.address, func() float64 { return p.cpuSeconds(b) }
+				address, cpu = p.address, func() float64 { return p.cpuSeconds(b) }
 			}
-			generateLoad(b, at, 16, 4000)
+			generateLoad(b, address, 16, 4000)
 			for b.Loop() {
-				began, spent := time.Now(), cpu()
-				took := generateLoad(b, at, 16, 40000)
-				if used := cpu() - spent; used > 0 {
+				start, cpuBefore := time.Now(), cpu()
+				latencies := generateLoad(b, address, 16, 40000)
+				if used := cpu() - cpuBefore; used > 0 {
 					b.ReportMetric(40000/used, "calls/cpu-s")
 				}
-				b.ReportMetric(40000/time.Since(began).Seconds(), "calls/s")
+				b.ReportMetric(40000/time.Since(start).Seconds(), "calls/s")
 				for name, p := range map[string]float64{"p50": 0.5, "p99": 0.99, "p99.9": 0.999} {
-					b.ReportMetric(q(took, p)-q(direct, p), "added-us-"+name)
+					b.ReportMetric(quantileMicros(latencies, p)-quantileMicros(direct, p), "added-us-"+name)
 				}
 			}
 		})
 	}
 }
 
-// Over a million calls through sockets, shares match the table within one percent for each way of picking. Run with
-// VETCHWOOD_CALLS=1000000; in CI fewer calls, and a bound of five standard deviations of what chance gives.
+// With a million calls over sockets (VETCHWOOD_CALLS=1000000), the share of each host matches its weight within one
+// percent for each pick policy. By default there are fewer calls, and the bound is five standard deviations of the
+// random variation.
 func TestSharesOverSockets(t *testing.T) {
 	calls := 6000
 	if n, err := strconv.Atoi(os.Getenv("VETCHWOOD_CALLS")); err == nil {
 		calls = n
 	}
 	weights := []float64{1, 2, 3, 4, 0.5}
-	for _, way := range []string{"lottery", "wheel", "pair"} {
+	for _, policy := range []string{"lottery", "wheel", "pair"} {
 		var seen [5]atomic.Int64
 		var hosts []string
 		for i := range weights {
@@ -311,7 +318,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if i == 4 { // listed, and not to be reached: the others have its part between them
+			if i == 4 { // listed but unreachable: the other hosts share its calls
 				hosts = append(hosts, ln.Addr().String())
 				ln.Close()
 				continue
@@ -320,13 +327,14 @@
 			go serveOK(ln, func() { seen[i].Add(1) })
 			hosts = append(hosts, ln.Addr().String())
 		}
-		p := startHelper(t, "relay", "VETCHWOOD_TEST_HOSTS="+strings.Join(hosts, ","), "VETCHWOOD_TEST_WEIGHTS=1,2,3,4,0.5", "VETCHWOOD_TEST_PICK="+way)
-		// One call at a time on few connections: a pair has nothing in hand to choose by, and goes by weight alone.
+		proxy := startHelper(t, "relay", "VETCHWOOD_TEST_HOSTS="+strings.Join(hosts, ","), "VETCHWOOD_TEST_WEIGHTS=1,2,3,4,0.5", "VETCHWOOD_TEST_PICK="+policy)
+		// With one connection there is one call at a time, so the pair policy sees no difference in calls in flight and
+		// chooses by weight alone.
 		conns := 1
-		if way != "pair" {
+		if policy != "pair" {
 			conns = 8
 		}
-		generateLoad(t, p.address, conns, calls)
+		generateLoad(t, proxy.address, conns, calls)
 		total := 0.0
 		for i := range 4 {
 			total += float64(seen[i].Load())
@@ -336,13 +344,13 @@
 			want := weights[i] / 10
 			got := float64(seen[i].Load()) / total
 			worst = max(worst, math.Abs(got/want-1))
-			if far := 5 * math.Sqrt(want*(1-want)/total); math.Abs(got-want) > max(far, 0.002) {
-				t.Errorf("%s: host %d got %.4f of %.0f calls, wanted %.4f", way, i, got, total, want)
+			if tolerance := 5 * math.Sqrt(want*(1-want)/total); math.Abs(got-want) > max(tolerance, 0.002) {
+				t.Errorf("%s: host %d got a share of %.4f of %.0f calls, want %.4f", policy, i, got, total, want)
 			}
 		}
-		t.Logf("%s: %.0f calls, the worst share is off by %.2f%%", way, total, 100*worst)
+		t.Logf("%s: %.0f calls, largest relative deviation of a share %.2f%%", policy, total, 100*worst)
 		if calls >= 1e6 && worst > 0.01 {
-			t.Errorf("%s: off by %.2f%%", way, 100*worst)
+			t.Errorf("%s: largest relative deviation of a share %.2f%%, want at most 1%%", policy, 100*worst)
 		}
 	}
 }
--- a/internal/tally/tally_test.go
+++ b/internal/tally/tally_test.go
@@ -8,8 +8,8 @@
 	"vetchwood/logic"
 )
 
-// Whichever responses are lost and whichever director receives the reports: each director counts each batch once, and all
-// tries are counted by some director.
+// Whichever responses are lost and whichever director receives the reports: each director counts each batch once, and
+// all tries are counted by some director.
 func TestEachBatchIsCountedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tally, added := New("b"), 0
