--- a/internal/carry/dispatcher.go
+++ b/internal/carry/dispatcher.go
@@ -275,7 +275,7 @@
 	}
 	d.findTable(c, r)
 	if !c.counted && (c.table != nil || len(d.ranges) == 0) {
-		d.Tally(c.director()).Came(c.Route, c.tableName())
+		d.Tally(c.director()).AddCall(c.Route, c.tableName())
 		c.counted = true
 	}
 	var level *admit.Level
@@ -461,7 +461,7 @@
 	d.host(c.host).inFlight--
 	latency := now - c.sentAt
 	d.detector.TryEnded(c.host, true, now, 0)
-	d.Tally(c.director()).Tried(c.Route, c.host, true, latency, load)
+	d.Tally(c.director()).AddTry(c.Route, c.host, true, latency, load)
 	if r := d.routes[c.Route]; r != nil {
 		if r.meanLatency == 0 {
 			r.meanLatency = latency
@@ -476,13 +476,13 @@
 	h.inFlight--
 	if f == Canceled {
 		d.detector.TryCanceled(c.host)
-		d.Tally(c.director()).Tried(c.Route, c.host, false, 0, load)
+		d.Tally(c.director()).AddTry(c.Route, c.host, false, 0, load)
 		return Try{}, again.NotAllowed
 	}
 	if d.detector.TryEnded(c.host, false, now, d.random()) {
 		d.counters.Ejections++
 	}
-	d.Tally(c.director()).Tried(c.Route, c.host, false, 0, load)
+	d.Tally(c.director()).AddTry(c.Route, c.host, false, 0, load)
 	execution := again.MayHaveRun
 	if f == NotSent || f == Rejected && d.doc.FullIsProof {
 		execution = again.NeverRan
@@ -510,7 +510,7 @@
 // queued calls whose deadlines have passed.
 func (d *Dispatcher) EndCall(c *Call, answered bool, now float64) (next admit.Ticket, expired []admit.Ticket) {
 	if !answered && c.counted && c.admitted {
-		d.Tally(c.director()).Unanswered(c.Route, c.tableName())
+		d.Tally(c.director()).AddUnanswered(c.Route, c.tableName())
 	}
 	if !c.admitted {
 		return 0, nil
