--- a/cmd/vetchwood/commands.go
+++ b/cmd/vetchwood/commands.go
@@ -36,7 +36,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	return daemon.Run(ctx, s, log, daemon.Again{File: c.File, Signal: hup})
+	return daemon.Run(ctx, s, log, daemon.Reloader{File: c.File, Signal: hup})
 }
 
 type relayCmd struct {
@@ -44,7 +44,7 @@
 }
 
 func (c *relayCmd) Run(ctx context.Context, log *slog.Logger) error {
-	return daemon.Relay(ctx, c.File, log)
+	return daemon.RunRelay(ctx, c.File, log)
 }
 
 type checkCmd struct {
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -185,13 +185,13 @@
 func (c *Core) Handle(now logic.Millis, in []any) []any {
 	for _, i := range in {
 		switch i := i.(type) {
-		case park.Join:
+		case park.JoinRequest:
 			c.join(now, i)
-		case park.Holds:
+		case park.Acknowledgement:
 			c.acknowledged(now, i)
-		case park.Leaves:
+		case park.Left:
 			c.leaves(i)
-		case park.Wants:
+		case park.DocumentRequest:
 			c.wants(i)
 		case Passed:
 			c.passed(now)
@@ -332,7 +332,7 @@
 
 func (c *Core) refuse(t Ticket, kind AnswerKind, why string) {
 	c.figures.Refused++
-	c.out = append(c.out, Answer{Ticket: t, Kind: kind, Why: why})
+	c.out = append(c.out, Answer{Ticket: t, Kind: kind, Reason: why})
 }
 
 // believe lets go of what was learnt long ago, and asks for more.
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -15,7 +15,7 @@
 type rig struct {
 	t       *testing.T
 	c       *Core
-	lot     *park.Lot
+	lot     *park.Shard
 	now     logic.Millis
 	disk    Saved
 	hold    bool
@@ -46,7 +46,7 @@
 
 func (r *rig) raise(svc Service) {
 	var out []any
-	r.lot = park.NewLot(0, 1, park.Terms{LongestWait: svc.LongestWait, Lease: svc.Lease, Zones: svc.Zones}, r.now)
+	r.lot = park.NewShard(0, 1, park.Config{MaxWait: svc.LongestWait, Lease: svc.Lease, Zones: svc.Zones}, r.now)
 	r.c, out = New(5, r.now, svc, r.disk)
 	r.carry(out)
 }
@@ -68,12 +68,12 @@
 }
 
 // heard carries on what the lot says.
-func (r *rig) heard(said park.Said) {
+func (r *rig) heard(said park.Output) {
 	for _, a := range said.Answers {
 		r.answer(a)
 	}
-	if len(said.Core) > 0 {
-		r.carry(r.c.Handle(r.now, said.Core))
+	if len(said.Events) > 0 {
+		r.carry(r.c.Handle(r.now, said.Events))
 	}
 }
 
@@ -93,12 +93,12 @@
 		case Answer:
 			r.answer(o)
 		case Publish:
-			r.heard(r.lot.See(r.now, o.View))
+			r.heard(r.lot.SetView(r.now, o.View))
 			if o.Barrier {
 				r.carry(r.c.Handle(r.now, []any{Passed{}}))
 			}
-		case park.Tell, park.Turned:
-			r.heard(r.lot.Told(r.now, o))
+		case park.SetDocument, park.RejectJoin:
+			r.heard(r.lot.Apply(r.now, o))
 		case Persist:
 			r.held = append(r.held, o.Change)
 		case Probe:
@@ -122,12 +122,12 @@
 		case Poll:
 			r.heard(r.lot.Poll(r.now, i))
 		case Broke:
-			r.heard(r.lot.Broke(r.now, i))
+			r.heard(r.lot.Disconnect(r.now, i))
 		default:
 			rest = append(rest, i)
 		}
 	}
-	r.heard(r.lot.Turn(r.now))
+	r.heard(r.lot.Advance(r.now))
 	r.carry(r.c.Handle(r.now, rest))
 }
 
@@ -148,7 +148,7 @@
 	r.t.Helper()
 	a, there := r.answers[t]
 	if !there || a.Kind != kind {
-		r.t.Fatalf("ticket %d: answered %v with kind %d (%s), wanted %d", t, there, a.Kind, a.Why, kind)
+		r.t.Fatalf("ticket %d: answered %v with kind %d (%s), wanted %d", t, there, a.Kind, a.Reason, kind)
 	}
 	return a.Doc
 }
--- a/internal/control/operate.go
+++ b/internal/control/operate.go
@@ -58,7 +58,7 @@
 const queuePart = 0.4
 
 func (c *Core) operator(t Ticket, kind AnswerKind, why string, o *Operated) {
-	c.out = append(c.out, Answer{Ticket: t, Kind: kind, Why: why, Body: o})
+	c.out = append(c.out, Answer{Ticket: t, Kind: kind, Reason: why, Body: o})
 }
 
 // hosts is what the rules need to know of those that are listed.
--- a/internal/control/streams.go
+++ b/internal/control/streams.go
@@ -16,7 +16,7 @@
 type stream struct {
 	name    string
 	zone    string
-	visit   park.Visit
+	visit   park.SessionID
 	doc     *tables.Document
 	holds   tables.Step // acknowledged; 0: nothing that is known
 	owed    []*letter   // that have left the channel and were not owned up to
@@ -34,18 +34,18 @@
 }
 
 // join takes a proxy in, and tells it what is stored.
-func (c *Core) join(now logic.Millis, j park.Join) {
+func (c *Core) join(now logic.Millis, j park.JoinRequest) {
 	id, ok := c.find(j.Proxy)
 	if !ok {
 		c.figures.Refused++
-		c.out = append(c.out, park.Turned{Proxy: j.Proxy, Visit: j.Visit, Kind: Unknown,
-			Why: "the settings know no proxy " + strconv.Quote(j.Proxy) + ", or hold no more of them"})
+		c.out = append(c.out, park.RejectJoin{Proxy: j.Proxy, Session: j.Session, Kind: Unknown,
+			Reason: "the settings know no proxy " + strconv.Quote(j.Proxy) + ", or hold no more of them"})
 		return
 	}
 	if c.streams[id] != nil {
 		c.leave(id, "joins anew")
 	}
-	st := &stream{name: j.Proxy, zone: j.Zone, visit: j.Visit, reads: c.world.step}
+	st := &stream{name: j.Proxy, zone: j.Zone, visit: j.Session, reads: c.world.step}
 	st.stands.Of = id
 	c.streams[id] = st
 	at, _ := slices.BinarySearch(c.ids, id)
@@ -68,11 +68,11 @@
 	}
 	c.keep(d)
 	st.doc = d
-	c.out = append(c.out, park.Tell{Proxy: st.name, Visit: st.visit, Doc: d})
+	c.out = append(c.out, park.SetDocument{Proxy: st.name, Session: st.visit, Doc: d})
 }
 
 // of gives a proxy's stream, if it is of that visit.
-func (c *Core) of(proxy string, visit park.Visit) (logic.ProxyID, *stream) {
+func (c *Core) of(proxy string, visit park.SessionID) (logic.ProxyID, *stream) {
 	id, known := c.names.proxies[proxy]
 	if st := c.streams[id]; known && st != nil && st.visit == visit {
 		return id, st
@@ -81,8 +81,8 @@
 }
 
 // acknowledged takes an acknowledgement.
-func (c *Core) acknowledged(now logic.Millis, h park.Holds) {
-	id, st := c.of(h.Proxy, h.Visit)
+func (c *Core) acknowledged(now logic.Millis, h park.Acknowledgement) {
+	id, st := c.of(h.Proxy, h.Session)
 	if st == nil {
 		return
 	}
@@ -103,9 +103,9 @@
 	return true
 }
 
-func (c *Core) leaves(l park.Leaves) {
-	if id, st := c.of(l.Proxy, l.Visit); st != nil {
-		c.leave(id, l.Why)
+func (c *Core) leaves(l park.Left) {
+	if id, st := c.of(l.Proxy, l.Session); st != nil {
+		c.leave(id, l.Reason)
 	}
 }
 
@@ -123,8 +123,8 @@
 }
 
 // wants tells a proxy of what is stored, where what it was to be told is older than a removal.
-func (c *Core) wants(w park.Wants) {
-	if id, st := c.of(w.Proxy, w.Visit); st != nil {
+func (c *Core) wants(w park.DocumentRequest) {
+	if id, st := c.of(w.Proxy, w.Session); st != nil {
 		c.tell(st, c.document(c.stored, id)) // if it is no news, the word of it is on its way to the lot
 	}
 }
@@ -221,8 +221,8 @@
 
 // publish shows the lots how things stand.
 func (c *Core) publish() Publish {
-	p := Publish{View: &park.View{Kept: maps.Clone(c.kept), Floor: c.shown.floor, Doc: c.shown.doc, Closed: c.shown.closed,
-		Until: c.shown.until}, Barrier: c.shown.wanted}
+	p := Publish{View: &park.View{Bases: maps.Clone(c.kept), MinStep: c.shown.floor, Shared: c.shown.doc, Closed: c.shown.closed,
+		LeaseEnd: c.shown.until}, Barrier: c.shown.wanted}
 	c.shown.dirty, c.shown.wanted = false, false
 	return p
 }
--- a/internal/control/types.go
+++ b/internal/control/types.go
@@ -38,22 +38,22 @@
 type (
 	Ticket     = park.Ticket
 	Poll       = park.Poll
-	Broke      = park.Broke
+	Broke      = park.Disconnected
 	Answer     = park.Answer
 	AnswerKind = park.Kind
 )
 
 const (
 	Unchanged = park.Unchanged
-	Whole     = park.Whole
+	Whole     = park.Full
 	Delta     = park.Delta
-	Taken     = park.Taken
+	Taken     = park.Accepted
 	Unknown   = park.Unknown
-	Wrong     = park.Wrong
+	Wrong     = park.Invalid
 	Busy      = park.Busy
 	Done      = park.Done
 	Conflict  = park.Conflict
-	Told      = park.Told
+	Told      = park.PeerFacts
 	Replaced  = park.Replaced
 	Refused   = park.Refused
 )
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -28,7 +28,7 @@
 )
 
 // Run is a director's life: until the context ends, or something that it can't do without fails.
-func Run(ctx context.Context, s *settings.Running, log *slog.Logger, again ...Again) error {
+func Run(ctx context.Context, s *settings.Running, log *slog.Logger, again ...Reloader) error {
 	log = log.With("director", s.Name)
 	st, err := store.Open(s.StorePath, s.History)
 	if err != nil {
@@ -46,14 +46,14 @@
 		if holder, err = lease.New(s.Name, d.Line(), terms, d.Now, d.Post, log); err != nil {
 			return err
 		}
-		d.Record(holder.Record)
-		d.Peers(peers(holder, d, log))
+		d.OnRecord(holder.Record)
+		d.OnAskPeers(peers(holder, d, log))
 	}
 	ledger, err := memory(ctx, s)
 	if err != nil {
 		return err
 	}
-	front, err := longpoll.Listen(s.Listen, d.Entrance(0), s.Front, log)
+	front, err := longpoll.Listen(s.Listen, d.ForFront(0), s.Front, log)
 	if err != nil {
 		return fmt.Errorf("listen %s: %w", s.Listen, err)
 	}
@@ -65,7 +65,7 @@
 		}
 	})
 	if s.MQTT != nil {
-		if second, err = mqtt.Listen(s.MQTT.Listen, d.Entrance(1), s.MQTT.Limits, log); err != nil {
+		if second, err = mqtt.Listen(s.MQTT.Listen, d.ForFront(1), s.MQTT.Limits, log); err != nil {
 			front.Close()
 			return fmt.Errorf("mqtt listen %s: %w", s.MQTT.Listen, err)
 		}
@@ -138,7 +138,7 @@
 		second.Close()
 	}
 	err = errors.Join(err, <-ran)
-	log.Info("director.stopped", "step", uint64(d.Figures().Stored))
+	log.Info("director.stopped", "step", uint64(d.Stats().Stored))
 	return err
 }
 
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -177,7 +177,7 @@
 	log, hup := &journal{}, make(chan os.Signal, 1)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, s, slog.New(slog.NewTextHandler(log, nil)), Again{path, hup}) }()
+	go func() { ended <- Run(ctx, s, slog.New(slog.NewTextHandler(log, nil)), Reloader{path, hup}) }()
 	await := func(what string, n int) {
 		t.Helper()
 		for end := time.Now().Add(5 * time.Second); log.count(what) < n; time.Sleep(5 * time.Millisecond) {
--- a/internal/daemon/meters.go
+++ b/internal/daemon/meters.go
@@ -27,30 +27,30 @@
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	gauge := func(name, help string, of func(control.Figures) float64) {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_" + name, Help: help},
-			func() float64 { return of(d.Figures()) }))
+			func() float64 { return of(d.Stats()) }))
 	}
 	counter := func(name, help string, of func(control.Figures) uint64) {
 		reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_" + name + "_total", Help: help},
-			func() float64 { return float64(of(d.Figures())) }))
+			func() float64 { return float64(of(d.Stats())) }))
 	}
 	gauge("version_ordered", "Newest version ordered, stored or not.", func(f control.Figures) float64 { return float64(f.Step) })
 	gauge("version_stored", "Newest version that would outlive a crash.", func(f control.Figures) float64 { return float64(f.Stored) })
 	gauge("proxies_joined", "Proxies that poll.", func(f control.Figures) float64 { return float64(f.Joined) })
-	lots := func(name, help string, of func(director.LotFigures) float64) {
+	lots := func(name, help string, of func(director.ShardStats) float64) {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_" + name, Help: help},
-			func() float64 { return of(d.Lots()) }))
+			func() float64 { return of(d.ShardStats()) }))
 	}
-	polls := func(name, help string, of func(director.LotFigures) uint64) {
+	polls := func(name, help string, of func(director.ShardStats) uint64) {
 		reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_" + name + "_total", Help: help},
-			func() float64 { return float64(of(d.Lots())) }))
+			func() float64 { return float64(of(d.ShardStats())) }))
 	}
-	lots("polls_parked", "Polls that wait.", func(f director.LotFigures) float64 { return float64(f.Parked) })
-	lots("lots", "Lots that proxies are dealt to, each with a lock of its own.", func(f director.LotFigures) float64 { return float64(f.Lots) })
+	lots("polls_parked", "Polls that wait.", func(f director.ShardStats) float64 { return float64(f.Pending) })
+	lots("lots", "Lots that proxies are dealt to, each with a lock of its own.", func(f director.ShardStats) float64 { return float64(f.Shards) })
 	lots("barrier_longest_seconds", "The longest that a removal waited for answers given before it.",
-		func(f director.LotFigures) float64 { return f.LongestBarrier.Seconds() })
-	polls("barrier_overdue", "Answers that a removal did not wait for any longer.", func(f director.LotFigures) uint64 { return f.Overdue })
+		func(f director.ShardStats) float64 { return f.MaxBarrier.Seconds() })
+	polls("barrier_overdue", "Answers that a removal did not wait for any longer.", func(f director.ShardStats) uint64 { return f.Overdue })
 	polls("answers_held", "Answers that waited until a removal was shown to all lots, or for a lease.",
-		func(f director.LotFigures) uint64 { return f.Held })
+		func(f director.ShardStats) uint64 { return f.Deferred })
 	counter("removals", "Versions that took a host out of all tables, each a barrier.", func(f control.Figures) uint64 { return f.Removals })
 	gauge("version_oldest_held", "Oldest version that a joined proxy stands on.", func(f control.Figures) float64 { return float64(f.Oldest) })
 	gauge("proxies_behind", "Joined proxies that stand on something older than what is stored.", func(f control.Figures) float64 { return float64(f.Behind) })
@@ -78,30 +78,30 @@
 		counter("slices_moved", "Slices that came to this director or went from it.", func(control.Figures) uint64 { return holder.Moves() })
 	}
 	gauge("inflow_pressure", "How far the door is closed: 0 all come in, 1 those that look on are out, 2 reports too, 3 new polls too.",
-		func(control.Figures) float64 { return d.Inflow().Press })
+		func(control.Figures) float64 { return d.AdmissionStats().Press })
 	counter("inflow_shed", "Requests sent away as the director had more to do than it can.", func(control.Figures) (n uint64) {
-		for _, x := range d.Inflow().Shed {
+		for _, x := range d.AdmissionStats().Shed {
 			n += x
 		}
 		return n
 	})
-	polls("inflow_limited", "Requests sent away as their client asked too often.", func(f director.LotFigures) uint64 { return f.Limited })
-	polls("polls", "Polls taken.", func(f director.LotFigures) uint64 { return f.Polls })
-	polls("answers_delta", "Polls answered with a difference.", func(f director.LotFigures) uint64 { return f.Deltas })
-	polls("answers_whole", "Polls answered with a whole document.", func(f director.LotFigures) uint64 { return f.Wholes })
-	polls("answers_unchanged", "Polls answered with 304.", func(f director.LotFigures) uint64 { return f.Unchangeds })
+	polls("inflow_limited", "Requests sent away as their client asked too often.", func(f director.ShardStats) uint64 { return f.Limited })
+	polls("polls", "Polls taken.", func(f director.ShardStats) uint64 { return f.Polls })
+	polls("answers_delta", "Polls answered with a difference.", func(f director.ShardStats) uint64 { return f.Deltas })
+	polls("answers_whole", "Polls answered with a whole document.", func(f director.ShardStats) uint64 { return f.Full })
+	polls("answers_unchanged", "Polls answered with 304.", func(f director.ShardStats) uint64 { return f.Unchanged })
 	counter("reports", "Reports counted.", func(f control.Figures) uint64 { return f.Reports })
 	counter("reports_repeated", "Reports that came again and were not counted.", func(f control.Figures) uint64 { return f.Repeats })
 	counter("refused", "Polls and reports refused by the director.", func(f control.Figures) uint64 { return f.Refused })
 	counter("check_faults", "What checks before publishing found.", func(f control.Figures) uint64 { return f.Faults })
-	polls("leases_expired", "Proxies that left without a word.", func(f director.LotFigures) uint64 { return f.Expired })
+	polls("leases_expired", "Proxies that left without a word.", func(f director.ShardStats) uint64 { return f.Expired })
 	counter("requests_malformed", "Requests refused for their form.", func(control.Figures) uint64 { return front.Failed() })
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_connections", Help: "Open connections."},
 		func() float64 { return float64(front.Open()) }))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_beat_latest_seconds",
-		Help: "The latest that the decisions were called after their own time."}, func() float64 { return d.LatestBeat().Seconds() }))
+		Help: "The latest that the decisions were called after their own time."}, func() float64 { return d.MaxTimerDelay().Seconds() }))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_turn_longest_seconds",
-		Help: "The longest that the loop was busy with one batch."}, func() float64 { return d.LongestTurn().Seconds() }))
+		Help: "The longest that the loop was busy with one batch."}, func() float64 { return d.MaxTurn().Seconds() }))
 	for name, of := range map[string]struct {
 		help string
 		of   func(budget.Figures) float64
--- a/internal/daemon/relay.go
+++ b/internal/daemon/relay.go
@@ -14,7 +14,7 @@
 )
 
 // Relay is a proxy's life: until the context ends.
-func Relay(ctx context.Context, file string, log *slog.Logger) error {
+func RunRelay(ctx context.Context, file string, log *slog.Logger) error {
 	set, err := settings.LoadRelay(file)
 	if err != nil {
 		return err
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -17,14 +17,14 @@
 )
 
 // Again is a file of settings that is read anew whenever something comes on a channel.
-type Again struct {
+type Reloader struct {
 	File   string
 	Signal <-chan os.Signal
 }
 
 // follow reads the file anew at each signal, one after the other: a signal that comes meanwhile is met by one more reading. A file
 // that is wrong changes nothing.
-func (a Again) follow(ctx context.Context, was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger, log *slog.Logger) {
+func (a Reloader) follow(ctx context.Context, was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger, log *slog.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -36,7 +36,7 @@
 }
 
 // once is one reading. The manager is told that it is over, whatever came of it, before anybody else can see that it is.
-func (a Again) once(was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger, log *slog.Logger) {
+func (a Reloader) once(was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger, log *slog.Logger) {
 	tell(log, daemon.SdNotifyReloading+"\n"+monotonic())
 	plan, err := a.apply(was, front, st, ledger, log)
 	tell(log, daemon.SdNotifyReady)
@@ -44,12 +44,12 @@
 		log.Error("reload.refused", "error", err)
 		return
 	}
-	log.Info("reload.done", "changed", len(plan.Now), "take_restart", len(plan.Restart))
+	log.Info("reload.done", "changed", len(plan.Live), "take_restart", len(plan.Restart))
 }
 
 // apply reads the file and has what changed in it take effect, as far as it can without a restart. A file that is wrong
 // changes nothing; the error names all that is wrong with it, each with its place.
-func (a Again) apply(was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger,
+func (a Reloader) apply(was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger,
 	log *slog.Logger) (plan reload.Plan, err error) {
 	text, err := os.ReadFile(a.File)
 	if err != nil {
@@ -63,13 +63,13 @@
 	if err != nil {
 		return plan, err
 	}
-	plan = reload.Of(was, s.Written)
+	plan = reload.Compare(was, s.Written)
 	ledger.Have(m)
 	st.Keep(s.History)
 	front.Limit(s.Front)
-	for _, c := range plan.Now {
+	for _, c := range plan.Live {
 		log.Info("reload.changed", "what", c.String())
-		was[c.Name] = c.Is // what waits for a start over is named again at the next signal
+		was[c.Name] = c.New // what waits for a start over is named again at the next signal
 	}
 	for _, c := range plan.Restart {
 		log.Warn("reload.takes_restart", "what", c.String())
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -90,19 +90,19 @@
 func (d *Director) Line() tables.Line { return d.line }
 
 // Record says who puts on record what a slice's next holder starts from. It is called before Run.
-func (d *Director) Record(to func(control.Record)) { d.record = to }
+func (d *Director) OnRecord(to func(control.Record)) { d.record = to }
 
 // Peers says how other directors are asked for what they know. It is called before Run.
-func (d *Director) Peers(ask func(context.Context)) { d.peers = ask }
+func (d *Director) OnAskPeers(ask func(context.Context)) { d.peers = ask }
 
 // Entrance is what a front sees of a director: its tickets bear the front's place among those that Run is given.
-type Entrance struct {
+type FrontHandle struct {
 	*Director
 	front int
 }
 
 // Entrance gives that of a front, the first being 0.
-func (d *Director) Entrance(front int) Entrance { return Entrance{d, front} }
+func (d *Director) ForFront(front int) FrontHandle { return FrontHandle{d, front} }
 
 // frontBits of a ticket say which front asked, or that the director itself did.
 const (
@@ -111,7 +111,7 @@
 )
 
 // Ticket names a new poll or question.
-func (e Entrance) Ticket() control.Ticket {
+func (e FrontHandle) Ticket() control.Ticket {
 	return control.Ticket(e.Director.tickets.Add(1)<<frontBits | uint64(e.front))
 }
 
@@ -128,7 +128,7 @@
 			d.post(in)
 			return
 		}
-		d.in(d.bay(in.Proxy), 0, func(l *park.Lot) park.Said { return l.Broke(d.Now(), in) })
+		d.in(d.bay(in.Proxy), 0, func(l *park.Shard) park.Output { return l.Disconnect(d.Now(), in) })
 	default:
 		d.post(in)
 	}
@@ -179,7 +179,7 @@
 }
 
 // Inflow are the door's figures.
-func (d *Director) Inflow() inflow.Figures {
+func (d *Director) AdmissionStats() inflow.Figures {
 	d.doorMu.Lock()
 	defer d.doorMu.Unlock()
 	return d.door.Figures()
@@ -187,7 +187,7 @@
 
 // Ask puts a question into the inbox and waits for its answer; for operators, of whom there are few.
 func (d *Director) Ask(ctx context.Context, in func(control.Ticket) any) (control.Answer, error) {
-	t, waits := d.Entrance(ourselves).Ticket(), make(chan control.Answer, 1)
+	t, waits := d.ForFront(ourselves).Ticket(), make(chan control.Answer, 1)
 	d.askers.Store(t, waits)
 	defer d.askers.Delete(t)
 	d.Post(in(t))
@@ -203,15 +203,17 @@
 func (d *Director) Ready() bool { return d.seen.Load().Stored >= d.opens }
 
 // Figures are those of the last turn.
-func (d *Director) Figures() control.Figures { return *d.seen.Load() }
+func (d *Director) Stats() control.Figures { return *d.seen.Load() }
 
 // LongestTurn is the longest that the loop has been busy with one batch.
-func (d *Director) LongestTurn() time.Duration {
+func (d *Director) MaxTurn() time.Duration {
 	return time.Duration(d.slow.Load()) * time.Microsecond
 }
 
 // LatestBeat is the latest that the core was called after its own time.
-func (d *Director) LatestBeat() time.Duration { return time.Duration(d.late.Load()) * time.Microsecond }
+func (d *Director) MaxTimerDelay() time.Duration {
+	return time.Duration(d.late.Load()) * time.Microsecond
+}
 
 // Run turns until the context ends. What was ordered by then is stored.
 func (d *Director) Run(ctx context.Context, fronts ...Front) error {
@@ -277,7 +279,7 @@
 			d.deliver(o)
 		case control.Publish:
 			d.show(o)
-		case park.Tell, park.Turned:
+		case park.SetDocument, park.RejectJoin:
 			tells = append(tells, o)
 		case control.Persist:
 			d.writes <- o.Change
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -68,7 +68,7 @@
 	}
 	f.told = max(f.told, a.Doc.Step)
 	f.mu.Unlock()
-	go f.d.Post(control.Poll{Ticket: f.d.Entrance(0).Ticket(), Proxy: "p1", Zone: "a", Held: []tables.Tag{a.Doc.Tag()}, Wait: 5000, WantsDelta: true})
+	go f.d.Post(control.Poll{Ticket: f.d.ForFront(0).Ticket(), Proxy: "p1", Zone: "a", Held: []tables.Tag{a.Doc.Tag()}, Wait: 5000, WantsDelta: true})
 }
 
 func service() control.Service {
@@ -102,7 +102,7 @@
 					ctx, stop := context.WithCancel(context.Background())
 					done := make(chan error, 1)
 					go func() { done <- d.Run(ctx, f) }()
-					d.Post(control.Poll{Ticket: d.Entrance(0).Ticket(), Proxy: "p1", Zone: "a"})
+					d.Post(control.Poll{Ticket: d.ForFront(0).Ticket(), Proxy: "p1", Zone: "a"})
 					var last tables.Step
 					for i := range 8 {
 						var hosts []control.Listed
@@ -177,7 +177,7 @@
 	f := &nowhere{}
 	go func() { d.Run(ctx, f); close(ran) }()
 	d.Post(control.List{Hosts: []control.Listed{{ID: "h", Address: "10.0.0.1:80", Zone: "a", Weight: 1}}})
-	e := d.Entrance(0)
+	e := d.ForFront(0)
 	var in, away, acknowledged, kept int
 	for end, i := time.Now().Add(2*time.Second), 0; time.Now().Before(end); i++ {
 		name := "p" + strconv.Itoa(i%20000)
@@ -195,7 +195,7 @@
 			}
 		}
 	}
-	t.Logf("%d came in, %d were sent away; longest turn %v; pressure %.2f", in, away, d.LongestTurn(), d.Inflow().Press)
+	t.Logf("%d came in, %d were sent away; longest turn %v; pressure %.2f", in, away, d.MaxTurn(), d.AdmissionStats().Press)
 	stop()
 	<-ran
 	if kept != acknowledged || away == 0 {
--- a/internal/director/lots.go
+++ b/internal/director/lots.go
@@ -19,7 +19,7 @@
 // bay is a lot with its lock. Polls are taken on whatever core their bytes came to, and answered there where they need not wait.
 type bay struct {
 	mu      sync.Mutex
-	lot     *park.Lot
+	lot     *park.Shard
 	allow   *inflow.Allowances
 	flights [2]flights // answers that are not written yet, by the epoch they were given in
 	epoch   int
@@ -29,7 +29,7 @@
 type flights struct{ n atomic.Int64 }
 
 // Landed says that one is written, or never will be.
-func (f *flights) Landed() { f.n.Add(-1) }
+func (f *flights) WriteFinished() { f.n.Add(-1) }
 
 // perCore is how many lots there are for each core: with few, cores would wait for each other's locks.
 const perCore = 8
@@ -43,9 +43,9 @@
 		n *= 2
 	}
 	out := make([]*bay, n)
-	terms := park.Terms{LongestWait: svc.LongestWait, Lease: svc.Lease, Zones: svc.Zones}
+	terms := park.Config{MaxWait: svc.LongestWait, Lease: svc.Lease, Zones: svc.Zones}
 	for i := range out {
-		out[i] = &bay{lot: park.NewLot(i, n, terms, now), allow: inflow.NewAllowances(rand.Float64, mostClients/n)}
+		out[i] = &bay{lot: park.NewShard(i, n, terms, now), allow: inflow.NewAllowances(rand.Float64, mostClients/n)}
 	}
 	return out
 }
@@ -57,29 +57,29 @@
 
 // in lets a lot do something, with its lock held, and carries on what it says. An answer to the ticket that is given is
 // returned and not carried out.
-func (d *Director) in(b *bay, own control.Ticket, do func(*park.Lot) park.Said) (a control.Answer, answered bool) {
+func (d *Director) in(b *bay, own control.Ticket, do func(*park.Shard) park.Output) (a control.Answer, answered bool) {
 	var others []control.Answer
-	hear := func(said park.Said) {
+	hear := func(said park.Output) {
 		for i := range said.Answers {
 			f := &b.flights[b.epoch]
 			f.n.Add(1)
-			said.Answers[i].Flight = f
+			said.Answers[i].Tracker = f
 			if said.Answers[i].Ticket == own {
 				a, answered = said.Answers[i], true
 			} else {
 				others = append(others, said.Answers[i])
 			}
 		}
-		if len(said.Core) > 0 { // in the order in which the lot said it, so with the lock held
-			d.post(said.Core...)
+		if len(said.Events) > 0 { // in the order in which the lot said it, so with the lock held
+			d.post(said.Events...)
 		}
 		clear(said.Answers) // the lot uses their memory anew
-		clear(said.Core)
+		clear(said.Events)
 	}
 	b.mu.Lock()
 	if v := d.view.Load(); v != b.saw && v != nil {
 		b.saw = v
-		hear(b.lot.See(d.Now(), v))
+		hear(b.lot.SetView(d.Now(), v))
 	}
 	hear(do(b.lot))
 	b.mu.Unlock()
@@ -97,7 +97,7 @@
 	b := d.bay(p.Proxy)
 	b.mu.Lock()
 	in, later := b.allow.Admit(d.Elapsed(), p.Proxy)
-	joined := b.lot.Knows(p.Proxy)
+	joined := b.lot.HasJoined(p.Proxy)
 	b.mu.Unlock()
 	if !in && !openDoor {
 		return a, false, later
@@ -112,7 +112,7 @@
 }
 
 func (d *Director) poll(p control.Poll) (control.Answer, bool) {
-	return d.in(d.bay(p.Proxy), p.Ticket, func(l *park.Lot) park.Said { return l.Poll(d.Now(), p) })
+	return d.in(d.bay(p.Proxy), p.Ticket, func(l *park.Shard) park.Output { return l.Poll(d.Now(), p) })
 }
 
 // tell hands what the core says of single proxies to their lots, on all cores where it is much: a proxy is told of versions that only
@@ -125,16 +125,16 @@
 	for _, o := range all {
 		b := (*bay)(nil)
 		switch o := o.(type) {
-		case park.Tell:
+		case park.SetDocument:
 			b = d.bay(o.Proxy)
-		case park.Turned:
+		case park.RejectJoin:
 			b = d.bay(o.Proxy)
 		}
 		by[b] = append(by[b], o)
 	}
 	for b, its := range by {
 		hand := func() {
-			d.in(b, 0, func(l *park.Lot) park.Said { return l.Told(d.Now(), its...) })
+			d.in(b, 0, func(l *park.Shard) park.Output { return l.Apply(d.Now(), its...) })
 		}
 		if len(all) < 256 {
 			hand()
@@ -148,11 +148,11 @@
 // and as they open again, all are made to look now; with a barrier, what they had answered by then is counted apart.
 func (d *Director) show(p control.Publish) {
 	was := d.view.Swap(p.View)
-	if !p.Barrier && was != nil && was.Closed == p.View.Closed && was.Until == p.View.Until {
+	if !p.Barrier && was != nil && was.Closed == p.View.Closed && was.LeaseEnd == p.View.LeaseEnd {
 		return
 	}
 	for _, b := range d.bays {
-		d.in(b, 0, func(*park.Lot) (none park.Said) {
+		d.in(b, 0, func(*park.Shard) (none park.Output) {
 			if p.Barrier {
 				b.epoch ^= 1
 			}
@@ -209,36 +209,36 @@
 		case <-tick.C:
 		}
 		for _, b := range d.bays {
-			d.in(b, 0, func(l *park.Lot) park.Said { return l.Turn(d.Now()) })
+			d.in(b, 0, func(l *park.Shard) park.Output { return l.Advance(d.Now()) })
 		}
 	}
 }
 
 // LotFigures are those of all lots, with how long the longest barrier took and how many answers outlasted one.
-type LotFigures struct {
-	park.Figures
-	Lots           int
-	Limited        uint64
-	LongestBarrier time.Duration
-	Overdue        uint64
+type ShardStats struct {
+	park.Stats
+	Shards     int
+	Limited    uint64
+	MaxBarrier time.Duration
+	Overdue    uint64
 }
 
 // Lots are the lots' figures.
-func (d *Director) Lots() LotFigures {
-	f := LotFigures{Lots: len(d.bays), LongestBarrier: time.Duration(d.barrier.Load()) * time.Microsecond, Overdue: d.overdue.Load()}
+func (d *Director) ShardStats() ShardStats {
+	f := ShardStats{Shards: len(d.bays), MaxBarrier: time.Duration(d.barrier.Load()) * time.Microsecond, Overdue: d.overdue.Load()}
 	for _, b := range d.bays {
 		b.mu.Lock()
-		x := b.lot.Figures()
+		x := b.lot.Stats()
 		f.Limited += b.allow.Limited()
 		b.mu.Unlock()
-		f.Seats += x.Seats
-		f.Parked += x.Parked
+		f.Sessions += x.Sessions
+		f.Pending += x.Pending
 		f.Polls += x.Polls
 		f.Deltas += x.Deltas
-		f.Wholes += x.Wholes
-		f.Unchangeds += x.Unchangeds
+		f.Full += x.Full
+		f.Unchanged += x.Unchanged
 		f.Expired += x.Expired
-		f.Held += x.Held
+		f.Deferred += x.Deferred
 	}
 	return f
 }
--- a/internal/director/lots_test.go
+++ b/internal/director/lots_test.go
@@ -34,7 +34,7 @@
 	time.Sleep(time.Duration(rand.IntN(8000)) * time.Microsecond)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	defer a.Land()
+	defer a.WriteFinished()
 	if a.Doc == nil || a.Kind == control.Replaced {
 		return
 	}
@@ -53,7 +53,7 @@
 			w.without[h] = max(s, a.Doc.Step)
 		}
 	}
-	w.held[a.To.(string)] = a.Doc
+	w.held[a.Origin.(string)] = a.Doc
 }
 
 func address(i int) tables.Address { return tables.Address(fmt.Sprintf("10.0.0.%d:80", i)) }
@@ -73,12 +73,12 @@
 	ran := make(chan struct{})
 	go func() { d.Run(ctx, w); close(ran) }()
 	var all sync.WaitGroup
-	polls, end := d.Entrance(0), time.Now().Add(2500*time.Millisecond)
+	polls, end := d.ForFront(0), time.Now().Add(2500*time.Millisecond)
 	for worker := range 24 {
 		all.Go(func() {
 			for n := 0; time.Now().Before(end); n++ {
 				name := fmt.Sprintf("p%d", worker*10+n%10)
-				p := control.Poll{Ticket: polls.Ticket(), From: name, Proxy: name, Zone: "a", Wait: logic.Millis(max(0, rand.IntN(200)-150)), WantsDelta: true}
+				p := control.Poll{Ticket: polls.Ticket(), Origin: name, Proxy: name, Zone: "a", Wait: logic.Millis(max(0, rand.IntN(200)-150)), WantsDelta: true}
 				w.mu.Lock()
 				if doc := w.held[name]; doc != nil {
 					p.Held = []tables.Tag{doc.Tag()}
@@ -107,17 +107,17 @@
 		time.Sleep(120 * time.Millisecond)
 	}
 	all.Wait()
-	lots := d.Lots()
+	lots := d.ShardStats()
 	stop()
 	<-ran
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	t.Logf("%d writes, %d removals, longest barrier %v, %d answers held, %d overdue", w.writes, d.Figures().Removals, lots.LongestBarrier, lots.Held, lots.Overdue)
+	t.Logf("%d writes, %d removals, longest barrier %v, %d answers held, %d overdue", w.writes, d.Stats().Removals, lots.MaxBarrier, lots.Deferred, lots.Overdue)
 	if w.late != "" && lots.Overdue == 0 {
 		t.Error(w.late)
 	}
-	if d.Figures().Removals < 3 || w.writes < 500 {
-		t.Errorf("%d removals, %d writes", d.Figures().Removals, w.writes)
+	if d.Stats().Removals < 3 || w.writes < 500 {
+		t.Errorf("%d removals, %d writes", d.Stats().Removals, w.writes)
 	}
 }
 
@@ -130,7 +130,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go d.Run(ctx, &nowhere{})
-	e := d.Entrance(0)
+	e := d.ForFront(0)
 	away := 0
 	for range 2000 {
 		if _, _, later := d.Poll(control.Poll{Ticket: e.Ticket(), Proxy: "p1", Zone: "a"}); later > 0 {
@@ -143,7 +143,7 @@
 	if _, _, later := d.Poll(control.Poll{Ticket: e.Ticket(), Proxy: "p2", Zone: "a"}); later > 0 {
 		t.Error("another proxy is sent away")
 	}
-	if away < 1500 || d.Lots().Limited < 3000 {
-		t.Errorf("%d of 2000 were sent away, %d in all", away, d.Lots().Limited)
+	if away < 1500 || d.ShardStats().Limited < 3000 {
+		t.Errorf("%d of 2000 were sent away, %d in all", away, d.ShardStats().Limited)
 	}
 }
--- a/internal/longpoll/ask.go
+++ b/internal/longpoll/ask.go
@@ -84,7 +84,7 @@
 
 // poll hands on a proxy's poll, and answers it where that is possible at once.
 func (s *Server) poll(p *peer, r *request, proxy string, query []byte) (wrong *problem) {
-	q := control.Poll{Ticket: s.core.Ticket(), From: p, Proxy: proxy, WantsDelta: takes(r.value("a-im"))}
+	q := control.Poll{Ticket: s.core.Ticket(), Origin: p, Proxy: proxy, WantsDelta: takes(r.value("a-im"))}
 	if q.Held, p.any, wrong = entityTags(r.value("if-none-match")); wrong != nil {
 		return wrong
 	}
@@ -164,11 +164,11 @@
 // Answer carries the core's answers out, each beside the core's own loop: a client that reads slowly holds up
 // nobody else.
 func (s *Server) Answer(a control.Answer) {
-	p, polled := a.To.(*peer)
+	p, polled := a.Origin.(*peer)
 	if !polled {
 		v, waits := s.asked.LoadAndDelete(a.Ticket)
 		if !waits {
-			a.Land()
+			a.WriteFinished()
 			return
 		}
 		p = v.(*peer)
@@ -177,7 +177,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if p.ticket != a.Ticket {
-			a.Land()
+			a.WriteFinished()
 			return
 		}
 		s.tell(p, a)
@@ -187,8 +187,8 @@
 
 // tell writes an answer. The peer's lock is held.
 func (s *Server) tell(p *peer, a control.Answer) {
-	if a.Flight != nil {
-		p.sent = append(p.sent, a.Flight)
+	if a.Tracker != nil {
+		p.sent = append(p.sent, a.Tracker)
 	}
 	tag, base := "", ""
 	if a.Doc != nil {
@@ -205,11 +205,11 @@
 	var h *head
 	switch kind {
 	case control.Unknown:
-		s.refuseAsked(p, bad(http.StatusNotFound, "%s", a.Why))
+		s.refuseAsked(p, bad(http.StatusNotFound, "%s", a.Reason))
 	case control.Wrong:
-		s.refuseAsked(p, bad(http.StatusBadRequest, "%s", a.Why))
+		s.refuseAsked(p, bad(http.StatusBadRequest, "%s", a.Reason))
 	case control.Busy:
-		s.refuseAsked(p, bad(http.StatusServiceUnavailable, "%s", a.Why))
+		s.refuseAsked(p, bad(http.StatusServiceUnavailable, "%s", a.Reason))
 	case control.Told:
 		body, err := json.Marshal(a.Body)
 		if err != nil {
--- a/internal/longpoll/bench_test.go
+++ b/internal/longpoll/bench_test.go
@@ -96,12 +96,12 @@
 func (s *shelf) Post(any)                                {}
 
 func (s *shelf) answer(p control.Poll) (control.Answer, bool) {
-	a := control.Answer{Ticket: p.Ticket, To: p.From, Kind: control.Unchanged, Doc: s.doc}
+	a := control.Answer{Ticket: p.Ticket, Origin: p.Origin, Kind: control.Unchanged, Doc: s.doc}
 	switch {
 	case len(p.Held) == 0 || p.Held[0] != s.doc.Tag():
 		a.Kind = control.Whole
 	case p.Wait > 0:
-		s.waits[p.Ticket] = p.From
+		s.waits[p.Ticket] = p.Origin
 		return a, false
 	}
 	return a, true
@@ -112,7 +112,7 @@
 	defer s.mu.Unlock()
 	s.doc = d
 	for t, from := range s.waits {
-		s.front.Answer(control.Answer{Ticket: t, To: from, Kind: control.Whole, Doc: d})
+		s.front.Answer(control.Answer{Ticket: t, Origin: from, Kind: control.Whole, Doc: d})
 	}
 	clear(s.waits)
 }
--- a/internal/longpoll/cores_test.go
+++ b/internal/longpoll/cores_test.go
@@ -66,7 +66,7 @@
 	}
 	l := limits
 	l.LongestWait = 600000
-	s, err := Listen("127.0.0.1:0", d.Entrance(0), l, slog.New(slog.DiscardHandler))
+	s, err := Listen("127.0.0.1:0", d.ForFront(0), l, slog.New(slog.DiscardHandler))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 		hosts = append(hosts, control.Listed{ID: fmt.Sprint(i), Address: tables.Address(fmt.Sprintf("10.0.0.%d:80", i)), Zone: "a", Cell: fmt.Sprint(i / 3), Weight: 1})
 	}
 	d.Post(control.List{Hosts: hosts})
-	for d.Figures().Hosts == 0 || !d.Ready() {
+	for d.Stats().Hosts == 0 || !d.Ready() {
 		time.Sleep(5 * time.Millisecond)
 	}
 	for i := range proxies {
@@ -95,16 +95,16 @@
 			}
 		}
 	}
-	for d.Figures().Joined < proxies {
+	for d.Stats().Joined < proxies {
 		time.Sleep(5 * time.Millisecond)
 	}
 	time.Sleep(1500 * time.Millisecond) // the module's first versions
-	e := d.Entrance(0)
+	e := d.ForFront(0)
 	return d, s, latest(b, d, e)
 }
 
 // latest is the tag of what is told now.
-func latest(b testing.TB, d *director.Director, e director.Entrance) string {
+func latest(b testing.TB, d *director.Director, e director.FrontHandle) string {
 	a, err := d.Ask(context.Background(), func(t control.Ticket) any { return control.Watch{Ticket: t} })
 	if err != nil || a.Doc == nil {
 		b.Fatal(err, a)
@@ -146,7 +146,7 @@
 			})
 			b.StopTimer()
 			b.ReportMetric(float64(b.N*each)/b.Elapsed().Seconds(), "polls/s")
-			if f := d.Lots(); b.N > 100 && (f.Unchangeds < uint64(b.N)*each*9/10 || f.Limited > uint64(b.N)) {
+			if f := d.ShardStats(); b.N > 100 && (f.Unchanged < uint64(b.N)*each*9/10 || f.Limited > uint64(b.N)) {
 				b.Fatalf("%+v of %d", f, b.N*each)
 			}
 		})
--- a/internal/longpoll/longpoll_test.go
+++ b/internal/longpoll/longpoll_test.go
@@ -52,7 +52,7 @@
 	if answer != nil {
 		if a := answer(in); a != nil {
 			if poll, is := in.(control.Poll); is {
-				a.To = poll.From
+				a.Origin = poll.Origin
 			}
 			go d.front.Answer(*a)
 		}
@@ -157,9 +157,9 @@
 			control.Answer{Kind: control.Delta, Doc: next, Base: base, Patch: patch}, "226 IM Used",
 			[]string{"IM: json-patch", "Delta-Base: " + base.Tag().ETag(), "ETag: " + next.Tag().ETag(), "Preference-Applied: wait=20", string(patch)}},
 		{"any", []string{"If-None-Match: *"}, control.Answer{Kind: control.Whole, Doc: next}, "304 Not Modified", nil},
-		{"unknown", nil, control.Answer{Kind: control.Unknown, Why: "no such proxy"}, "404 Not Found",
+		{"unknown", nil, control.Answer{Kind: control.Unknown, Reason: "no such proxy"}, "404 Not Found",
 			[]string{"application/problem+json", `"detail":"no such proxy"`}},
-		{"busy", nil, control.Answer{Kind: control.Busy, Why: "too much"}, "503 Service Unavailable", []string{"Retry-After: "}},
+		{"busy", nil, control.Answer{Kind: control.Busy, Reason: "too much"}, "503 Service Unavailable", []string{"Retry-After: "}},
 	} {
 		d.mu.Lock()
 		d.answer = func(in any) *control.Answer {
--- a/internal/longpoll/server.go
+++ b/internal/longpoll/server.go
@@ -76,8 +76,8 @@
 	closes bool
 	since  time.Time // of the first byte of what is not yet whole, or of the last answer
 	gone   bool
-	out    bool          // something is written and yet to be flushed
-	sent   []park.Flight // of what is
+	out    bool                // something is written and yet to be flushed
+	sent   []park.WriteTracker // of what is
 }
 
 // Listen opens the socket.
@@ -267,7 +267,7 @@
 		}
 	}
 	for _, f := range p.sent {
-		f.Landed()
+		f.WriteFinished()
 	}
 	p.sent = p.sent[:0]
 }
--- a/internal/mqtt/mqtt_test.go
+++ b/internal/mqtt/mqtt_test.go
@@ -79,7 +79,7 @@
 	if change != nil {
 		change(&limits)
 	}
-	s, err := Listen("127.0.0.1:0", d.Entrance(1), limits, log)
+	s, err := Listen("127.0.0.1:0", d.ForFront(1), limits, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -236,10 +236,10 @@
 		}
 		return true
 	})
-	if !all[0].Whole || !<-joined || r.d.Figures().Reports != 1 {
-		t.Fatalf("%+v, %d reports", all[0], r.d.Figures().Reports)
+	if !all[0].Whole || !<-joined || r.d.Stats().Reports != 1 {
+		t.Fatalf("%+v, %d reports", all[0], r.d.Stats().Reports)
 	}
-	eventually(t, "the proxy has left", func() bool { return r.d.Figures().Joined == 0 })
+	eventually(t, "the proxy has left", func() bool { return r.d.Stats().Joined == 0 })
 }
 
 // Clauses of the specification, each with what a client sends and what must come back. The client is a bare socket.
@@ -319,7 +319,7 @@
 		c.Write(whole[:cut])
 		c.Close()
 	}
-	eventually(t, "all are gone", func() bool { return r.s.Open() == 0 && r.d.Figures().Joined == 0 })
+	eventually(t, "all are gone", func() bool { return r.s.Open() == 0 && r.d.Stats().Joined == 0 })
 }
 
 // tell sends bytes and gives the first answer of a kind, or the last that came.
@@ -385,7 +385,7 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	d := newDirector(t, n+1, 5000)
-	s, err := Listen("127.0.0.1:0", d.Entrance(1), Limits{Limits: subscribe.Limits{Sessions: n + 1, Expiry: 60000, Unanswered: 60000, Connects: float64(n) / 3, Watchers: 5},
+	s, err := Listen("127.0.0.1:0", d.ForFront(1), Limits{Limits: subscribe.Limits{Sessions: n + 1, Expiry: 60000, Unanswered: 60000, Connects: float64(n) / 3, Watchers: 5},
 		MostPacket: 1 << 20, Connect: time.Minute, KeepAlive: time.Hour, Write: time.Second, LongestWait: 5000}, log)
 	if err != nil {
 		t.Fatal(err)
@@ -404,7 +404,7 @@
 	mute.Write(pack(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "mute", CleanStart: true, Properties: &packets.Properties{}}))
 	mute.Write(pack(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
 		Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesOf(fmt.Sprint("p", n)), QoS: 1}}}))
-	eventually(t, "the mute one has joined", func() bool { return d.Figures().Joined == 1 })
+	eventually(t, "the mute one has joined", func() bool { return d.Stats().Joined == 1 })
 	began := time.Now()
 	var all sync.WaitGroup
 	var busy, told atomic.Int64
@@ -467,7 +467,7 @@
 	c.Write(pack(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "p9", CleanStart: true, Properties: &packets.Properties{}}))
 	c.Write(pack(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
 		Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesOf("p9"), QoS: 1}}}))
-	other, quiet := r.d.Entrance(0), false
+	other, quiet := r.d.ForFront(0), false
 	for {
 		p, err := packets.ReadPacket(c)
 		if err != nil {
@@ -486,7 +486,7 @@
 			if x.ReasonCode != byte(subscribe.TakenOver) {
 				t.Fatalf("code 0x%02x", x.ReasonCode)
 			}
-			if f := r.d.Figures(); f.Joined != 1 {
+			if f := r.d.Stats(); f.Joined != 1 {
 				t.Fatalf("%d proxies have joined", f.Joined)
 			}
 			return
--- a/internal/mqtt/server.go
+++ b/internal/mqtt/server.go
@@ -396,7 +396,7 @@
 		}
 		for _, i := range in {
 			if told, is := i.(subscribe.Told); is {
-				told.Answer.Land() // what came of it stands in its connection's queue, in order
+				told.Answer.WriteFinished() // what came of it stands in its connection's queue, in order
 			}
 		}
 		f := desk.Figures()
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -201,7 +201,7 @@
 			Type, Title, Detail string
 			Status              int
 			Operated            *control.Operated `json:"operated,omitempty"`
-		}{"about:blank", http.StatusText(status), a.Why, status, operated})
+		}{"about:blank", http.StatusText(status), a.Reason, status, operated})
 	}
 }
 
--- a/internal/park/lot.go
+++ b/internal/park/lot.go
@@ -11,16 +11,16 @@
 )
 
 // Terms hold for all polls.
-type Terms struct {
-	LongestWait logic.Millis
-	Lease       logic.Millis // without a poll for so long, a proxy has left
-	Zones       []string     // that a proxy may name
+type Config struct {
+	MaxWait logic.Millis
+	Lease   logic.Millis // without a poll for so long, a proxy has left
+	Zones   []string     // that a proxy may name
 }
 
 // seat is a proxy's that polls.
 type seat struct {
 	proxy  string
-	visit  Visit
+	visit  SessionID
 	doc    *tables.Document // what it may be told by now; nil: it is not let in yet
 	base   *tables.Document // what it holds, where that is known
 	holds  tables.Step      // as the core was told
@@ -35,82 +35,82 @@
 }
 
 // Figures are counted for the operator.
-type Figures struct {
-	Seats, Parked                              int
-	Polls, Deltas, Wholes, Unchangeds, Expired uint64
-	Held                                       uint64 // answers that waited for a removal to be let out
+type Stats struct {
+	Sessions, Pending                       int
+	Polls, Deltas, Full, Unchanged, Expired uint64
+	Deferred                                uint64 // answers that waited for a removal to be let out
 }
 
 // Lot is one of a director's.
-type Lot struct {
-	terms   Terms
+type Shard struct {
+	terms   Config
 	view    *View
 	seats   map[string]*seat
 	wheel   *wheel.Wheel[*seat]
-	visits  Visit
-	stride  Visit
+	visits  SessionID
+	stride  SessionID
 	waiting []*seat // whose answers are due, and may not be given yet
 	parked  int
-	said    Said
-	figures Figures
+	said    Output
+	figures Stats
 }
 
 // Said is what a lot has to say. It may be read until the lot is asked again.
-type Said struct {
+type Output struct {
 	Answers []Answer
-	Core    []any
+	Events  []any
 }
 
 // tick is how late a poll's end may be.
 const tick logic.Millis = 10
 
 // NewLot makes the i-th of n.
-func NewLot(i, n int, terms Terms, now logic.Millis) *Lot {
-	return &Lot{terms: terms, view: &View{Closed: true, Until: logic.Millis(math.Inf(1))}, seats: map[string]*seat{},
-		wheel: wheel.New[*seat](tick, now), visits: Visit(i), stride: Visit(n)}
+func NewShard(i, n int, terms Config, now logic.Millis) *Shard {
+	return &Shard{terms: terms, view: &View{Closed: true, LeaseEnd: logic.Millis(math.Inf(1))}, seats: map[string]*seat{},
+		wheel: wheel.New[*seat](tick, now), visits: SessionID(i), stride: SessionID(n)}
 }
 
 // take gives what there is to say; its memory is used anew for what is said next, where it is little.
-func (l *Lot) take() Said {
+func (l *Shard) take() Output {
 	out := l.said
-	if l.said = (Said{}); cap(out.Answers)+cap(out.Core) <= 32 {
-		l.said = Said{out.Answers[:0], out.Core[:0]}
+	if l.said = (Output{}); cap(out.Answers)+cap(out.Events) <= 32 {
+		l.said = Output{out.Answers[:0], out.Events[:0]}
 	}
 	return out
 }
 
-func (l *Lot) say(o any) { l.said.Core = append(l.said.Core, o) }
+func (l *Shard) say(o any) { l.said.Events = append(l.said.Events, o) }
 
 // Knows says whether a proxy has joined: its poll is answered here, and does not cost the core anything.
-func (l *Lot) Knows(proxy string) bool {
+func (l *Shard) HasJoined(proxy string) bool {
 	s := l.seats[proxy]
 	return s != nil && s.doc != nil
 }
 
 // Poll takes a poll.
-func (l *Lot) Poll(now logic.Millis, p Poll) Said {
+func (l *Shard) Poll(now logic.Millis, p Poll) Output {
 	l.figures.Polls++
 	if p.Zone != "" && !slices.Contains(l.terms.Zones, p.Zone) {
-		l.said.Answers = append(l.said.Answers, Answer{Ticket: p.Ticket, To: p.From, Kind: Wrong,
-			Why: "zone " + strconv.Quote(p.Zone) + " is not one of the settings"})
+		l.said.Answers = append(l.said.Answers, Answer{Ticket: p.Ticket, Origin: p.Origin, Kind: Invalid,
+			Reason: "zone " + strconv.Quote(p.Zone) + " is not one of the settings"})
 		return l.take()
 	}
 	s := l.seats[p.Proxy]
 	if s == nil {
 		l.visits += l.stride
 		s = &seat{proxy: p.Proxy, visit: l.visits}
-		s.timer.Of = s
+		s.timer.Value = s
 		l.seats[p.Proxy] = s
-		l.say(Join{p, s.visit})
+		l.say(JoinRequest{p, s.visit})
 	} else if s.ticket != 0 {
 		// Its newer poll takes the place of the one that waits.
 		l.answer(s, Answer{Kind: Replaced, Doc: s.base})
 	}
-	s.ticket, s.from, s.delta, s.base, s.held = p.Ticket, p.From, p.WantsDelta, nil, false
-	s.until = now + max(0, min(p.Wait, l.terms.LongestWait))
+	s.ticket, s.from, s.delta, s.base, s.held = p.Ticket, p.Origin, p.WantsDelta, nil, false
+	s.until = now + max(0, min(p.Wait, l.terms.MaxWait))
 	l.parked++
 	for _, tag := range p.Held {
-		if d := l.view.Kept[tag]; d != nil && (s.base == nil || d.Step > s.base.Step) {
+		if d := l.view.Bases[tag]; d != nil && (s.base == nil || d.Step > s.base.Step) {
 			s.base = d
 		}
 	}
@@ -120,7 +120,7 @@
 	}
 	if holds != s.holds {
 		s.holds = holds
-		l.say(Holds{s.proxy, s.visit, holds})
+		l.say(Acknowledgement{s.proxy, s.visit, holds})
 	}
 	l.wheel.Set(&s.timer, s.until)
 	l.open(now, s)
@@ -128,7 +128,7 @@
 }
 
 // Broke takes it that a poll's connection is gone: the proxy has left.
-func (l *Lot) Broke(now logic.Millis, b Broke) Said {
+func (l *Shard) Disconnect(now logic.Millis, b Disconnected) Output {
 	if s := l.seats[b.Proxy]; s != nil && s.ticket == b.Ticket && b.Ticket != 0 {
 		l.leave(s, "broken")
 	}
@@ -136,21 +136,21 @@
 }
 
 // Told takes what the core says for single proxies.
-func (l *Lot) Told(now logic.Millis, in ...any) Said {
+func (l *Shard) Apply(now logic.Millis, in ...any) Output {
 	for _, i := range in {
 		switch i := i.(type) {
-		case Tell:
-			if s := l.seats[i.Proxy]; s != nil && s.visit == i.Visit {
+		case SetDocument:
+			if s := l.seats[i.Proxy]; s != nil && s.visit == i.Session {
 				s.wants = false
 				if s.doc == nil || i.Doc.Step > s.doc.Step {
 					s.doc = i.Doc
 				}
 				l.open(now, s)
 			}
-		case Turned:
-			if s := l.seats[i.Proxy]; s != nil && s.visit == i.Visit {
+		case RejectJoin:
+			if s := l.seats[i.Proxy]; s != nil && s.visit == i.Session {
 				if s.ticket != 0 {
-					l.answer(s, Answer{Kind: i.Kind, Why: i.Why})
+					l.answer(s, Answer{Kind: i.Kind, Reason: i.Reason})
 				}
 				l.drop(s)
 			}
@@ -160,12 +160,12 @@
 }
 
 // See takes what all lots see from now on.
-func (l *Lot) See(now logic.Millis, v *View) Said {
+func (l *Shard) SetView(now logic.Millis, v *View) Output {
 	was := l.view
-	if l.view = v; v.Closed || now >= v.Until {
+	if l.view = v; v.Closed || now >= v.LeaseEnd {
 		return l.take()
 	}
-	if now >= was.Until || was.Closed { // what was held back
+	if now >= was.LeaseEnd || was.Closed { // what was held back
 		all := l.waiting
 		l.waiting = nil
 		for _, s := range all {
@@ -179,11 +179,11 @@
 }
 
 // Turn ends polls that have waited as long as they asked for, and stays of proxies that poll no more.
-func (l *Lot) Turn(now logic.Millis) Said {
+func (l *Shard) Advance(now logic.Millis) Output {
 	l.wheel.Advance(now, func(t *wheel.Timer[*seat]) {
-		switch s := t.Of; {
+		switch s := t.Value; {
 		case s.ticket != 0 && now >= s.until+l.terms.Lease && (s.held || s.doc == nil):
-			l.answer(s, Answer{Kind: Busy, Why: "this director can't tell yet, or its leases are over"})
+			l.answer(s, Answer{Kind: Busy, Reason: "this director can't tell yet, or its leases are over"})
 			s.held, s.last = false, now
 			if s.doc == nil {
 				l.leave(s, "not let in")
@@ -204,37 +204,37 @@
 }
 
 // open decides what a poll gets now: what stands, or a place to wait.
-func (l *Lot) open(now logic.Millis, s *seat) {
+func (l *Shard) open(now logic.Millis, s *seat) {
 	if s.ticket == 0 || s.doc == nil || s.held {
 		return
 	}
 	if s.base == s.doc && now < s.until {
 		return
 	}
-	if l.view.Closed || now >= l.view.Until {
+	if l.view.Closed || now >= l.view.LeaseEnd {
 		s.held = true
 		l.waiting = append(l.waiting, s)
-		l.figures.Held++
+		l.figures.Deferred++
 		return
 	}
-	if s.doc.Step < l.view.Floor {
-		if l.view.Doc == nil {
+	if s.doc.Step < l.view.MinStep {
+		if l.view.Shared == nil {
 			if !s.wants {
 				s.wants = true
-				l.say(Wants{s.proxy, s.visit})
+				l.say(DocumentRequest{s.proxy, s.visit})
 			}
 			return
 		}
-		s.doc = l.view.Doc
+		s.doc = l.view.Shared
 	}
-	a := Answer{Kind: Whole, Doc: s.doc}
-	if until := float64(l.view.Until); !math.IsInf(until, 1) {
-		a.Lease = max(1, l.view.Until-now)
+	a := Answer{Kind: Full, Doc: s.doc}
+	if until := float64(l.view.LeaseEnd); !math.IsInf(until, 1) {
+		a.Lease = max(1, l.view.LeaseEnd-now)
 	}
 	switch {
 	case s.base == s.doc:
 		a.Kind = Unchanged
-		l.figures.Unchangeds++
+		l.figures.Unchanged++
 	case s.base != nil && s.delta:
 		if patch := s.doc.Delta(s.base); patch != nil {
 			a.Kind, a.Base, a.Patch = Delta, s.base, patch
@@ -243,26 +243,26 @@
 		}
 		fallthrough
 	default:
-		l.figures.Wholes++
+		l.figures.Full++
 	}
 	l.answer(s, a)
 	s.last = now
 	l.wheel.Set(&s.timer, now+l.terms.Lease)
 }
 
-func (l *Lot) answer(s *seat, a Answer) {
-	a.Ticket, a.To = s.ticket, s.from
+func (l *Shard) answer(s *seat, a Answer) {
+	a.Ticket, a.Origin = s.ticket, s.from
 	s.ticket, s.from = 0, nil
 	l.parked--
 	l.said.Answers = append(l.said.Answers, a)
 }
 
-func (l *Lot) leave(s *seat, why string) {
-	l.say(Leaves{s.proxy, s.visit, why})
+func (l *Shard) leave(s *seat, why string) {
+	l.say(Left{s.proxy, s.visit, why})
 	l.drop(s)
 }
 
-func (l *Lot) drop(s *seat) {
+func (l *Shard) drop(s *seat) {
 	if s.ticket != 0 {
 		l.parked--
 	}
@@ -271,8 +271,8 @@
 }
 
 // Figures are those of now.
-func (l *Lot) Figures() Figures {
+func (l *Shard) Stats() Stats {
 	f := l.figures
-	f.Seats, f.Parked = len(l.seats), l.parked
+	f.Sessions, f.Pending = len(l.seats), l.parked
 	return f
 }
--- a/internal/park/types.go
+++ b/internal/park/types.go
@@ -16,12 +16,12 @@
 type Ticket uint64
 
 // Visit names the stay of a proxy, from its first poll until it has left.
-type Visit uint64
+type SessionID uint64
 
 // Poll asks for what a proxy is told. Held is what it says it holds, if anything. From is the front's own.
 type Poll struct {
 	Ticket     Ticket
-	From       any
+	Origin     any
 	Proxy      string
 	Zone       string
 	Rate       float64
@@ -31,7 +31,7 @@
 }
 
 // Broke says that the connection of a waiting poll is gone. Proxy is empty for one that looks on.
-type Broke struct {
+type Disconnected struct {
 	Ticket Ticket
 	Proxy  string
 }
@@ -41,90 +41,90 @@
 
 const (
 	Unchanged Kind = iota
-	Whole
+	Full
 	Delta
-	Taken   // a report was counted
-	Unknown // no such proxy, or more than the settings allow
-	Wrong   // it names what is not there
+	Accepted // a report was counted
+	Unknown  // no such proxy, or more than the settings allow
+	Invalid  // it names what is not there
 	Busy
-	Done     // an operator's change is ordered, or told
-	Conflict // another operator was faster
-	Told     // facts
-	Replaced // the proxy's newer poll waits in its place
-	Refused  // it would break a rule, or move too much
+	Done      // an operator's change is ordered, or told
+	Conflict  // another operator was faster
+	PeerFacts // facts
+	Replaced  // the proxy's newer poll waits in its place
+	Refused   // it would break a rule, or move too much
 )
 
 // Flight is told when an answer has been written, or never will be.
-type Flight interface{ Landed() }
+type WriteTracker interface{ WriteFinished() }
 
 // Answer ends a poll or another question. Doc is what the proxy is told from now on; with a Base it is told the difference.
 type Answer struct {
-	Ticket Ticket
-	To     any // what the poll was from
-	Kind   Kind
-	Doc    *tables.Document
-	Base   *tables.Document
-	Patch  []byte // the difference, encoded
-	Why    string
-	Lease  logic.Millis // from the sending of the poll: what is told may not take effect later; 0: no end
-	Body   any          // of other questions' answers
-	Flight Flight
+	Ticket  Ticket
+	Origin  any // what the poll was from
+	Kind    Kind
+	Doc     *tables.Document
+	Base    *tables.Document
+	Patch   []byte // the difference, encoded
+	Reason  string
+	Lease   logic.Millis // from the sending of the poll: what is told may not take effect later; 0: no end
+	Body    any          // of other questions' answers
+	Tracker WriteTracker
 }
 
 // Land says that the answer is written.
-func (a *Answer) Land() {
-	if a.Flight != nil {
-		a.Flight.Landed()
+func (a *Answer) WriteFinished() {
+	if a.Tracker != nil {
+		a.Tracker.WriteFinished()
 	}
 }
 
 // View is what all lots see of the core. It is never written again.
 type View struct {
-	Kept   map[tables.Tag]*tables.Document // bases that differences may start from
-	Floor  tables.Step                     // nothing older is told
-	Doc    *tables.Document                // the newest that is stored, where all are told the same
-	Closed bool                            // a removal is about to be told: nothing is answered
-	Until  logic.Millis                    // when this director's leases are over; infinite where it has none
+	Bases    map[tables.Tag]*tables.Document // bases that differences may start from
+	MinStep  tables.Step                     // nothing older is told
+	Shared   *tables.Document                // the newest that is stored, where all are told the same
+	Closed   bool                            // a removal is about to be told: nothing is answered
+	LeaseEnd logic.Millis                    // when this director's leases are over; infinite where it has none
 }
 
 // What lots tell the core.
 type (
 	// Join is the first poll of a proxy that its lot does not know.
-	Join struct {
+	JoinRequest struct {
 		Poll
-		Visit Visit
+		Session SessionID
 	}
 	// Holds acknowledges: the proxy polled with this version in hand. 0: none that is known.
-	Holds struct {
-		Proxy string
-		Visit Visit
-		Step  tables.Step
+	Acknowledgement struct {
+		Proxy   string
+		Session SessionID
+		Step    tables.Step
 	}
-	Leaves struct {
-		Proxy string
-		Visit Visit
-		Why   string
+	Left struct {
+		Proxy   string
+		Session SessionID
+		Reason  string
 	}
 	// Wants asks for what is stored, for a proxy that may not be told what it was to be told.
-	Wants struct {
-		Proxy string
-		Visit Visit
+	DocumentRequest struct {
+		Proxy   string
+		Session SessionID
 	}
 )
 
 // What the core tells lots.
 type (
 	// Tell is what a proxy may be told by now. The first one lets it in.
-	Tell struct {
-		Proxy string
-		Visit Visit
-		Doc   *tables.Document
+	SetDocument struct {
+		Proxy   string
+		Session SessionID
+		Doc     *tables.Document
 	}
 	// Turned refuses a proxy that wanted to join.
-	Turned struct {
-		Proxy string
-		Visit Visit
-		Kind  Kind
-		Why   string
+	RejectJoin struct {
+		Proxy   string
+		Session SessionID
+		Kind    Kind
+		Reason  string
 	}
 )
--- a/internal/rehearse/rogue_test.go
+++ b/internal/rehearse/rogue_test.go
@@ -69,7 +69,7 @@
 }
 
 func (r *rogue) answer(p control.Poll) {
-	a := control.Answer{Ticket: p.Ticket, To: p.From, Kind: control.Whole, Doc: r.doc}
+	a := control.Answer{Ticket: p.Ticket, Origin: p.Origin, Kind: control.Whole, Doc: r.doc}
 	if len(p.Held) > 0 {
 		if base := r.kept[p.Held[0]]; base != nil {
 			if patch := r.doc.Delta(base); patch != nil {
--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -10,10 +10,10 @@
 
 // Change is an attribute of the file that is another than before. An empty text stands for one that is not there.
 type Change struct {
-	Name, Was, Is string
+	Name, Old, New string
 }
 
-func (c Change) String() string { return c.Name + ": " + text(c.Was) + " to " + text(c.Is) }
+func (c Change) String() string { return c.Name + ": " + text(c.Old) + " to " + text(c.New) }
 
 func text(v string) string {
 	if v == "" {
@@ -24,7 +24,7 @@
 
 // Plan is what a reload does.
 type Plan struct {
-	Now, Restart []Change
+	Live, Restart []Change
 }
 
 // atOnce are the attributes that take effect while the director runs.
@@ -32,7 +32,7 @@
 	"poll.most_head": true, "poll.most_body": true, "poll.slow_request": true, "poll.idle": true}
 
 // Of compares two files, each attribute by its path. The label of the director's block is no part of it.
-func Of(was, is map[string]string) (p Plan) {
+func Compare(was, is map[string]string) (p Plan) {
 	names := map[string]bool{}
 	for n := range was {
 		names[n] = true
@@ -45,7 +45,7 @@
 			continue
 		}
 		if c := (Change{n, was[n], is[n]}); atOnce[plain(n)] || plain(n) == "poll" || plain(n) == "history" {
-			p.Now = append(p.Now, c)
+			p.Live = append(p.Live, c)
 		} else {
 			p.Restart = append(p.Restart, c)
 		}
--- a/internal/reload/reload_test.go
+++ b/internal/reload/reload_test.go
@@ -19,7 +19,7 @@
 		{map[string]string{"director[d2].memory": `"1GiB"`, "director[d2].listen": `"a"`, "poll.idle": `"2m"`},
 			`{[director[d1].memory: "1GiB" to (not stated) director[d2].memory: (not stated) to "1GiB"] [director[d1].listen: "a" to (not stated) director[d2].listen: (not stated) to "a" service.route[read].slo: "1s" to (not stated)]}`},
 	} {
-		if got := fmt.Sprint(Of(was, c.is)); got != c.want {
+		if got := fmt.Sprint(Compare(was, c.is)); got != c.want {
 			t.Errorf("%v\nwanted %v", got, c.want)
 		}
 	}
--- a/internal/subscribe/desk.go
+++ b/internal/subscribe/desk.go
@@ -321,9 +321,9 @@
 		d.figures.TakenOver++
 		d.leave(now, s, TakenOver, "the proxy polls by another front")
 	case control.Unknown:
-		d.leave(now, s, NotAuthorized, a.Why)
+		d.leave(now, s, NotAuthorized, a.Reason)
 	default:
-		d.leave(now, s, Implementation, a.Why)
+		d.leave(now, s, Implementation, a.Reason)
 	}
 }
 
@@ -397,7 +397,7 @@
 	}
 	code := map[control.AnswerKind]Code{control.Taken: Success, control.Unknown: NotAuthorized, control.Wrong: PayloadInvalid,
 		control.Busy: QuotaExceeded}[a.Kind]
-	d.say(Acked{of.conn, of.id, code, a.Why})
+	d.say(Acked{of.conn, of.id, code, a.Reason})
 }
 
 // sweep ends sessions that are over, connections that acknowledge nothing, and asks again where the core was busy.
--- a/internal/wheel/wheel.go
+++ b/internal/wheel/wheel.go
@@ -18,7 +18,7 @@
 
 // Timer is one, within what it is of. The zero value is stopped.
 type Timer[T any] struct {
-	Of         T
+	Value      T
 	at         uint64 // tick
 	level      int8
 	slot       int8
--- a/internal/wheel/wheel_test.go
+++ b/internal/wheel/wheel_test.go
@@ -20,7 +20,7 @@
 		w := New[int](tick, now)
 		timers, at := make([]Timer[int], 20), map[int]logic.Millis{}
 		for i := range timers {
-			timers[i].Of = i
+			timers[i].Value = i
 		}
 		span := rapid.SampledFrom([]float64{50, 3000, 4e5, 3e8, 1e12})
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -35,14 +35,14 @@
 			default:
 				now += logic.Millis(rapid.Float64Range(0, span.Draw(t, "jump")).Draw(t, "by"))
 				w.Advance(now, func(x *Timer[int]) {
-					when, set := at[x.Of]
+					when, set := at[x.Value]
 					if !set {
-						t.Fatalf("timer %d comes at %v though it is not set", x.Of, now)
+						t.Fatalf("timer %d comes at %v though it is not set", x.Value, now)
 					}
 					if when > now+0.001 {
-						t.Fatalf("timer %d comes at %v, %v early", x.Of, now, when-now)
+						t.Fatalf("timer %d comes at %v, %v early", x.Value, now, when-now)
 					}
-					delete(at, x.Of)
+					delete(at, x.Value)
 				})
 				for i, when := range at {
 					if when+2*tick < now {
