--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -35,7 +35,7 @@
 		return err
 	}
 	defer st.Close()
-	d, err := director.New(s.Service, st, prober(s), log)
+	d, err := director.New(s.Service, st, newProber(s), log)
 	if err != nil {
 		return err
 	}
@@ -47,9 +47,9 @@
 			return err
 		}
 		d.OnRecord(holder.Record)
-		d.OnAskPeers(peers(holder, d, log))
+		d.OnAskPeers(peerQuery(holder, d, log))
 	}
-	ledger, err := memory(ctx, s)
+	ledger, err := setUpMemory(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -110,16 +110,16 @@
 			case <-tick.C:
 			}
 		}
-		tell(log, daemon.SdNotifyReady)
+		notifyManager(log, daemon.SdNotifyReady)
 		for _, a := range again { // a signal that came before is met now
-			go a.follow(ctx, maps.Clone(s.Written), front, st, ledger, log)
+			go a.run(ctx, maps.Clone(s.Written), front, st, ledger, log)
 		}
 	}()
 	log.Info("director.started", "listen", front.Addr().String(), "admin", s.Admin)
 	select {
 	case <-asked.Done():
 		log.Info("director.stopping")
-		tell(log, daemon.SdNotifyStopping)
+		notifyManager(log, daemon.SdNotifyStopping)
 		err = nil
 		if holder != nil { // all goes on while others take over
 			begun := time.Now()
@@ -142,7 +142,7 @@
 	return err
 }
 
-func prober(s *settings.Running) director.Prober {
+func newProber(s *settings.Running) director.Prober {
 	client := &http.Client{Timeout: s.ProbeTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: (&net.Dialer{Timeout: s.ProbeTimeout}).DialContext}}
 	return func(ctx context.Context, host tables.Address) (bool, logic.Load) {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -23,7 +23,7 @@
 	"vetchwood/internal/store"
 )
 
-func port(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 	return ln.Addr().String()
 }
 
-const file = `
+const settingsTemplate = `
 director "d1" {
   listen = %[1]q
   store  = %[2]q
@@ -78,8 +78,8 @@
 		t.Fatal(err)
 	}
 	defer registry.Close()
-	listen, path := port(t), filepath.Join(t.TempDir(), "d.db")
-	s, err := settings.Parse("d.hcl", fmt.Appendf(nil, file, listen, path, registry.URL(), "128MiB", "16KiB"))
+	listen, path := freeAddress(t), filepath.Join(t.TempDir(), "d.db")
+	s, err := settings.Parse("d.hcl", fmt.Appendf(nil, settingsTemplate, listen, path, registry.URL(), "128MiB", "16KiB"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,17 +131,17 @@
 }
 
 // journal keeps what was logged.
-type journal struct {
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *journal) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
-func (l *journal) count(what string) int {
+func (l *logBuffer) count(what string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.buf.String(), what)
@@ -155,10 +155,10 @@
 		t.Fatal(err)
 	}
 	defer registry.Close()
-	dir, listen := t.TempDir(), port(t)
+	dir, listen := t.TempDir(), freeAddress(t)
 	path := filepath.Join(dir, "d.hcl")
 	write := func(slo, memory, head string) {
-		text := strings.Replace(fmt.Sprintf(file, listen, "d.db", registry.URL(), memory, head), `slo        = "1s"`, `slo        = "`+slo+`"`, 1)
+		text := strings.Replace(fmt.Sprintf(settingsTemplate, listen, "d.db", registry.URL(), memory, head), `slo        = "1s"`, `slo        = "`+slo+`"`, 1)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -174,7 +174,7 @@
 	}
 	defer manager.Close()
 	t.Setenv("NOTIFY_SOCKET", filepath.Join(dir, "notify"))
-	log, hup := &journal{}, make(chan os.Signal, 1)
+	log, hup := &logBuffer{}, make(chan os.Signal, 1)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- Run(ctx, s, slog.New(slog.NewTextHandler(log, nil)), Reloader{path, hup}) }()
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -13,8 +13,8 @@
 
 // memory sets up what the process may use: the collector's limit lies under the memory that the settings state, so that it works
 // harder before that is reached, and is let be while there is room.
-func memory(ctx context.Context, s *settings.Running) (*budget.Ledger, error) {
-	m, err := means(s)
+func setUpMemory(ctx context.Context, s *settings.Running) (*budget.Ledger, error) {
+	m, err := applyMemoryLimit(s)
 	if err != nil {
 		return nil, err
 	}
@@ -29,7 +29,7 @@
 }
 
 // means are what the settings and the system give, and tell the collector.
-func means(s *settings.Running) (budget.Means, error) {
+func applyMemoryLimit(s *settings.Running) (budget.Means, error) {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
 		return budget.Means{}, fmt.Errorf("descriptors: %w", err)
--- a/internal/daemon/notify.go
+++ b/internal/daemon/notify.go
@@ -7,7 +7,7 @@
 )
 
 // tell tells a service manager how things stand, by its published protocol, where it has named a socket for that.
-func tell(log *slog.Logger, state string) {
+func notifyManager(log *slog.Logger, state string) {
 	if _, err := daemon.SdNotify(false, state); err != nil {
 		log.Warn("notify.failed", "error", err)
 	}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -19,15 +19,15 @@
 )
 
 // mostFacts is what another director's facts may be long.
-const mostFacts = 16 << 20
+const maxFactsBytes = 16 << 20
 
 // peerPatience is for one answer: facts that take longer are not worth waiting for at a start.
-const peerPatience = 700 * time.Millisecond
+const peerTimeout = 700 * time.Millisecond
 
 // peers asks all other directors at once for what they know, and passes on what comes, each by itself.
-func peers(holder *lease.Holder, d *director.Director, log *slog.Logger) func(context.Context) {
-	client := &http.Client{Timeout: peerPatience, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second,
-		DialContext: (&net.Dialer{Timeout: peerPatience / 2}).DialContext}}
+func peerQuery(holder *lease.Holder, d *director.Director, log *slog.Logger) func(context.Context) {
+	client := &http.Client{Timeout: peerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second,
+		DialContext: (&net.Dialer{Timeout: peerTimeout / 2}).DialContext}}
 	return func(ctx context.Context) {
 		var mu sync.Mutex
 		var all []learn.Heard
@@ -35,7 +35,7 @@
 		for _, p := range holder.Peers() {
 			asked.Go(func() {
 				began := time.Now()
-				f, err := ask(ctx, client, p)
+				f, err := fetchFacts(ctx, client, p)
 				if err != nil {
 					log.Warn("peer.not_heard", "peer", p.Name, "error", err)
 					return
@@ -52,7 +52,7 @@
 	}
 }
 
-func ask(ctx context.Context, client *http.Client, p lease.Peer) (f learn.Facts, err error) {
+func fetchFacts(ctx context.Context, client *http.Client, p lease.Peer) (f learn.Facts, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, strings.TrimRight(p.URL, "/")+"/v1/peers/facts", nil)
 	if err != nil {
 		return f, err
@@ -62,7 +62,7 @@
 		return f, err
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, mostFacts))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxFactsBytes))
 	if err != nil {
 		return f, err
 	}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -24,22 +24,22 @@
 
 // follow reads the file anew at each signal, one after the other: a signal that comes meanwhile is met by one more reading. A file
 // that is wrong changes nothing.
-func (a Reloader) follow(ctx context.Context, was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger, log *slog.Logger) {
+func (a Reloader) run(ctx context.Context, was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger, log *slog.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-a.Signal:
 		}
-		a.once(was, front, st, ledger, log)
+		a.reload(was, front, st, ledger, log)
 	}
 }
 
 // once is one reading. The manager is told that it is over, whatever came of it, before anybody else can see that it is.
-func (a Reloader) once(was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger, log *slog.Logger) {
-	tell(log, daemon.SdNotifyReloading+"\n"+monotonic())
+func (a Reloader) reload(was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger, log *slog.Logger) {
+	notifyManager(log, daemon.SdNotifyReloading+"\n"+monotonicUsec())
 	plan, err := a.apply(was, front, st, ledger, log)
-	tell(log, daemon.SdNotifyReady)
+	notifyManager(log, daemon.SdNotifyReady)
 	if err != nil {
 		log.Error("reload.refused", "error", err)
 		return
@@ -59,7 +59,7 @@
 	if err != nil {
 		return plan, err
 	}
-	m, err := means(s)
+	m, err := applyMemoryLimit(s)
 	if err != nil {
 		return plan, err
 	}
@@ -78,7 +78,7 @@
 }
 
 // monotonic is the time of a reload as the protocol wants it.
-func monotonic() string {
+func monotonicUsec() string {
 	var t unix.Timespec
 	unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
 	return "MONOTONIC_USEC=" + strconv.FormatInt(t.Nano()/1000, 10)
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -35,38 +35,38 @@
 type Director struct {
 	turns.Clock
 	*turns.Inbox
-	core    *control.Core
-	store   Store
-	probe   Prober
-	log     *slog.Logger
-	fronts  []Front
-	running chan struct{} // closed once fronts are there
-	bays    []*bay
-	view    atomic.Pointer[park.View] // that lots are to see
-	barrier atomic.Int64              // the longest, in microseconds
-	overdue atomic.Uint64
-	tickets atomic.Uint64
-	askers  sync.Map // control.Ticket -> chan control.Answer
-
-	door   *inflow.Door
-	doorMu sync.Mutex
-	opens  tables.Step // the version that this start begins with
-	seen   atomic.Pointer[control.Figures]
-	slow   atomic.Int64 // longest turn of the loop, in microseconds
-	late   atomic.Int64 // latest that the core's own time came, in microseconds
-
-	line   tables.Line
-	record func(control.Record)
-	peers  func(context.Context)
-	writes chan control.Change
-	first  []any
+	core           *control.Core
+	store          Store
+	probe          Prober
+	log            *slog.Logger
+	fronts         []Front
+	started        chan struct{} // closed once fronts are there
+	shards         []*lockedShard
+	view           atomic.Pointer[park.View] // that lots are to see
+	maxBarrierUs   atomic.Int64              // the longest, in microseconds
+	overdueAnswers atomic.Uint64
+	lastTicket     atomic.Uint64
+	waiters        sync.Map // control.Ticket -> chan control.Answer
+
+	admission       *inflow.Door
+	admissionMu     sync.Mutex
+	initialStep     tables.Step // the version that this start begins with
+	stats           atomic.Pointer[control.Figures]
+	maxTurnUs       atomic.Int64 // longest turn of the loop, in microseconds
+	maxTimerDelayUs atomic.Int64 // latest that the core's own time came, in microseconds
+
+	line          tables.Line
+	record        func(control.Record)
+	askPeers      func(context.Context)
+	writes        chan control.Change
+	initialOutput []any
 }
 
 // mostTurn is how much of what happened one turn takes: some milliseconds' worth.
-const mostTurn = 2048
+const maxTurnItems = 2048
 
 // batchFor is how long what happens is gathered before the module hears of it.
-const batchFor = 2 * time.Millisecond
+const batchDelay = 2 * time.Millisecond
 
 // New loads the state and makes a director that has yet to run.
 func New(svc control.Service, store Store, probe Prober, log *slog.Logger) (*Director, error) {
@@ -75,12 +75,12 @@
 		return nil, err
 	}
 	d := &Director{store: store, probe: probe, log: log, Clock: turns.NewClock(), Inbox: turns.NewInbox(),
-		line: saved.Line, door: inflow.NewDoor(rand.Float64), writes: make(chan control.Change, 4096), running: make(chan struct{})}
-	d.bays = newBays(svc, d.Now())
-	d.core, d.first = control.New(rand.Uint64(), d.Now(), svc, saved)
+		line: saved.Line, admission: inflow.NewDoor(rand.Float64), writes: make(chan control.Change, 4096), started: make(chan struct{})}
+	d.shards = newShards(svc, d.Now())
+	d.core, d.initialOutput = control.New(rand.Uint64(), d.Now(), svc, saved)
 	f := d.core.Figures()
-	d.seen.Store(&f)
-	d.opens = f.Step
+	d.stats.Store(&f)
+	d.initialStep = f.Step
 	log.Info("director.loaded", "line", uint64(saved.Line), "step", uint64(saved.Step), "hosts", len(saved.List),
 		"tables", len(saved.Tables))
 	return d, nil
@@ -93,7 +93,7 @@
 func (d *Director) OnRecord(to func(control.Record)) { d.record = to }
 
 // Peers says how other directors are asked for what they know. It is called before Run.
-func (d *Director) OnAskPeers(ask func(context.Context)) { d.peers = ask }
+func (d *Director) OnAskPeers(ask func(context.Context)) { d.askPeers = ask }
 
 // Entrance is what a front sees of a director: its tickets bear the front's place among those that Run is given.
 type FrontHandle struct {
@@ -106,53 +106,53 @@
 
 // frontBits of a ticket say which front asked, or that the director itself did.
 const (
-	frontBits = 4
-	ourselves = 1<<frontBits - 1
+	frontBits     = 4
+	internalFront = 1<<frontBits - 1
 )
 
 // Ticket names a new poll or question.
 func (e FrontHandle) Ticket() control.Ticket {
-	return control.Ticket(e.Director.tickets.Add(1)<<frontBits | uint64(e.front))
+	return control.Ticket(e.Director.lastTicket.Add(1)<<frontBits | uint64(e.front))
 }
 
 // Post takes something that happened: a poll or its end goes to the proxy's lot, all else into the loop's inbox.
 func (d *Director) Post(in any) {
 	switch in := in.(type) {
 	case control.Poll:
-		<-d.running
+		<-d.started
 		if a, answered := d.poll(in); answered {
 			d.deliver(a)
 		}
 	case control.Broke:
 		if in.Proxy == "" {
-			d.post(in)
+			d.postToCore(in)
 			return
 		}
-		d.in(d.bay(in.Proxy), 0, func(l *park.Shard) park.Output { return l.Disconnect(d.Now(), in) })
+		d.update(d.shardOf(in.Proxy), 0, func(l *park.Shard) park.Output { return l.Disconnect(d.Now(), in) })
 	default:
-		d.post(in)
+		d.postToCore(in)
 	}
 }
 
-func (d *Director) post(in ...any) { d.Inbox.Post(in...) }
+func (d *Director) postToCore(in ...any) { d.Inbox.Post(in...) }
 
 // turned tells the door how long what came had to wait for its turn.
-func (d *Director) turned(in []any, waited time.Duration) {
+func (d *Director) recordTurn(in []any, waited time.Duration) {
 	if len(in) == 0 {
 		waited = 0
 	}
-	d.doorMu.Lock()
-	defer d.doorMu.Unlock()
-	d.door.Turn(d.Elapsed(), waited, len(in))
+	d.admissionMu.Lock()
+	defer d.admissionMu.Unlock()
+	d.admission.Turn(d.Elapsed(), waited, len(in))
 }
 
 // Admit says after how long a request that is no poll may come again, where its client asks too often or the director has more to do
 // than it can; 0: it comes in.
 func (d *Director) Admit(k inflow.Kind, client string) time.Duration {
 	if client != "" {
-		b := d.bay(client)
+		b := d.shardOf(client)
 		b.mu.Lock()
-		in, later := b.allow.Admit(d.Elapsed(), client)
+		in, later := b.allowances.Admit(d.Elapsed(), client)
 		b.mu.Unlock()
 		if !in {
 			return later
@@ -162,17 +162,17 @@
 }
 
 func (d *Director) shed(k inflow.Kind) time.Duration {
-	if k >= inflow.Polls || openDoor {
+	if k >= inflow.Polls || admissionDisabled {
 		return 0
 	}
 	length, since := d.Queue()
 	q := inflow.Queue{Length: length}
 	if length > 0 {
-		q.Standing = time.Since(since) - batchFor
+		q.Standing = time.Since(since) - batchDelay
 	}
-	d.doorMu.Lock()
-	defer d.doorMu.Unlock()
-	if in, later := d.door.Admit(d.Elapsed(), k, q); !in {
+	d.admissionMu.Lock()
+	defer d.admissionMu.Unlock()
+	if in, later := d.admission.Admit(d.Elapsed(), k, q); !in {
 		return later
 	}
 	return 0
@@ -180,16 +180,16 @@
 
 // Inflow are the door's figures.
 func (d *Director) AdmissionStats() inflow.Figures {
-	d.doorMu.Lock()
-	defer d.doorMu.Unlock()
-	return d.door.Figures()
+	d.admissionMu.Lock()
+	defer d.admissionMu.Unlock()
+	return d.admission.Figures()
 }
 
 // Ask puts a question into the inbox and waits for its answer; for operators, of whom there are few.
 func (d *Director) Ask(ctx context.Context, in func(control.Ticket) any) (control.Answer, error) {
-	t, waits := d.ForFront(ourselves).Ticket(), make(chan control.Answer, 1)
-	d.askers.Store(t, waits)
-	defer d.askers.Delete(t)
+	t, waits := d.ForFront(internalFront).Ticket(), make(chan control.Answer, 1)
+	d.waiters.Store(t, waits)
+	defer d.waiters.Delete(t)
 	d.Post(in(t))
 	select {
 	case a := <-waits:
@@ -200,30 +200,30 @@
 }
 
 // Ready says whether the opening state is stored, so that polls are answered.
-func (d *Director) Ready() bool { return d.seen.Load().Stored >= d.opens }
+func (d *Director) Ready() bool { return d.stats.Load().Stored >= d.initialStep }
 
 // Figures are those of the last turn.
-func (d *Director) Stats() control.Figures { return *d.seen.Load() }
+func (d *Director) Stats() control.Figures { return *d.stats.Load() }
 
 // LongestTurn is the longest that the loop has been busy with one batch.
 func (d *Director) MaxTurn() time.Duration {
-	return time.Duration(d.slow.Load()) * time.Microsecond
+	return time.Duration(d.maxTurnUs.Load()) * time.Microsecond
 }
 
 // LatestBeat is the latest that the core was called after its own time.
 func (d *Director) MaxTimerDelay() time.Duration {
-	return time.Duration(d.late.Load()) * time.Microsecond
+	return time.Duration(d.maxTimerDelayUs.Load()) * time.Microsecond
 }
 
 // Run turns until the context ends. What was ordered by then is stored.
 func (d *Director) Run(ctx context.Context, fronts ...Front) error {
 	d.fronts = fronts
-	close(d.running)
+	close(d.started)
 	stored := make(chan error, 1)
-	go func() { stored <- d.write() }()
-	go d.turnLots(ctx.Done())
-	d.carryOut(ctx, d.first)
-	d.first = nil
+	go func() { stored <- d.writeLoop() }()
+	go d.advanceShards(ctx.Done())
+	d.execute(ctx, d.initialOutput)
+	d.initialOutput = nil
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	more := false          // something stayed from the last turn
@@ -234,26 +234,26 @@
 		case <-timer.C:
 		case <-d.Wake():
 			if !more {
-				time.Sleep(batchFor)
+				time.Sleep(batchDelay)
 			}
 		case err := <-stored:
 			return err
 		}
 		var in []any
 		var since time.Time
-		in, since, more = d.Take(mostTurn) // the module's beat must not wait for a whole fleet
+		in, since, more = d.Take(maxTurnItems) // the module's beat must not wait for a whole fleet
 		began := time.Now()
-		d.turned(in, began.Sub(since)-batchFor)
+		d.recordTurn(in, began.Sub(since)-batchDelay)
 		now := d.Now()
-		if late := int64(1000 * float64(now-due)); due > 0 && late > d.late.Load() {
-			d.late.Store(late)
+		if late := int64(1000 * float64(now-due)); due > 0 && late > d.maxTimerDelayUs.Load() {
+			d.maxTimerDelayUs.Store(late)
 		}
-		d.carryOut(ctx, d.core.Handle(now, in))
+		d.execute(ctx, d.core.Handle(now, in))
 		due = d.core.Wake()
 		f := d.core.Figures()
-		d.seen.Store(&f)
-		if took := time.Since(began).Microseconds(); took > d.slow.Load() {
-			d.slow.Store(took)
+		d.stats.Store(&f)
+		if took := time.Since(began).Microseconds(); took > d.maxTurnUs.Load() {
+			d.maxTurnUs.Store(took)
 		}
 		timer.Reset(d.Until(d.core.Wake()))
 	}
@@ -263,22 +263,22 @@
 
 // deliver gives an answer to whoever asked.
 func (d *Director) deliver(a control.Answer) {
-	if front := a.Ticket & ourselves; front != ourselves {
+	if front := a.Ticket & internalFront; front != internalFront {
 		d.fronts[front].Answer(a)
-	} else if waits, asked := d.askers.LoadAndDelete(a.Ticket); asked {
+	} else if waits, asked := d.waiters.LoadAndDelete(a.Ticket); asked {
 		waits.(chan control.Answer) <- a
 	}
 }
 
-func (d *Director) carryOut(ctx context.Context, out []any) {
+func (d *Director) execute(ctx context.Context, out []any) {
 	var tells []any
-	defer func() { d.tell(tells) }()
+	defer func() { d.dispatch(tells) }()
 	for _, o := range out {
 		switch o := o.(type) {
 		case control.Answer:
 			d.deliver(o)
 		case control.Publish:
-			d.show(o)
+			d.publishView(o)
 		case park.SetDocument, park.RejectJoin:
 			tells = append(tells, o)
 		case control.Persist:
@@ -288,22 +288,22 @@
 				d.record(o)
 			}
 		case control.AskPeers:
-			if d.peers != nil {
-				go d.peers(ctx)
+			if d.askPeers != nil {
+				go d.askPeers(ctx)
 			}
 		case control.Probe:
-			go d.ask(ctx, o.Address)
+			go d.probeHost(ctx, o.Address)
 		case control.Event:
 			level := slog.LevelInfo
 			if o.Name == "step.ordered" {
 				level = slog.LevelDebug
 			}
-			d.log.LogAttrs(ctx, level, o.Name, attrs(o)...)
+			d.log.LogAttrs(ctx, level, o.Name, logAttrs(o)...)
 		}
 	}
 }
 
-func attrs(e control.Event) (out []slog.Attr) {
+func logAttrs(e control.Event) (out []slog.Attr) {
 	for _, a := range []slog.Attr{slog.String("proxy", e.Proxy), slog.String("host", e.Host),
 		slog.String("version", e.Version), slog.String("detail", e.Detail)} {
 		if a.Value.String() != "" {
@@ -313,7 +313,7 @@
 	return out
 }
 
-func (d *Director) ask(ctx context.Context, host tables.Address) {
+func (d *Director) probeHost(ctx context.Context, host tables.Address) {
 	began := time.Now()
 	good, load := d.probe(ctx, host)
 	spent := logic.Millis(float64(time.Since(began).Microseconds()) / 1000)
@@ -325,7 +325,7 @@
 
 // write makes changes durable, as many at once as wait, and tells the core. A failed write is tried again; it
 // is the same change, so that nothing is told out of turn.
-func (d *Director) write() error {
+func (d *Director) writeLoop() error {
 	for c := range d.writes {
 		batch := []control.Change{c}
 	gather:
@@ -356,7 +356,7 @@
 			step = max(step, c.Step)
 		}
 		if step > 0 {
-			d.post(control.Stored{Step: step})
+			d.postToCore(control.Stored{Step: step})
 		}
 	}
 	return nil
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -19,22 +19,22 @@
 )
 
 // memory is a store that fails as it is told, before or after it has written.
-type memory struct {
+type memoryStore struct {
 	mu     sync.Mutex
 	writes int
 	step   tables.Step
-	fails  func(write int) (before, after bool)
+	failAt func(write int) (before, after bool)
 }
 
-func (m *memory) Load() (control.Saved, error) {
+func (m *memoryStore) Load() (control.Saved, error) {
 	return control.Saved{Line: 7, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
 }
 
-func (m *memory) Write(all []control.Change) error {
+func (m *memoryStore) Write(all []control.Change) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.writes++
-	before, after := m.fails(m.writes)
+	before, after := m.failAt(m.writes)
 	if before {
 		return errors.New("no space left")
 	}
@@ -47,26 +47,26 @@
 	return nil
 }
 
-func (m *memory) stored() tables.Step { m.mu.Lock(); defer m.mu.Unlock(); return m.step }
+func (m *memoryStore) stored() tables.Step { m.mu.Lock(); defer m.mu.Unlock(); return m.step }
 
 // front polls for one proxy without end and keeps what it was told.
-type front struct {
-	d    *Director
-	m    *memory
-	mu   sync.Mutex
-	told tables.Step
-	bad  string
+type pollingFront struct {
+	d         *Director
+	store     *memoryStore
+	mu        sync.Mutex
+	newest    tables.Step
+	violation string
 }
 
-func (f *front) Answer(a control.Answer) {
+func (f *pollingFront) Answer(a control.Answer) {
 	if a.Doc == nil {
 		return
 	}
 	f.mu.Lock()
-	if stored := f.m.stored(); a.Doc.Step > stored {
-		f.bad = fmt.Sprintf("version %d is told, %d is stored", a.Doc.Step, stored)
+	if stored := f.store.stored(); a.Doc.Step > stored {
+		f.violation = fmt.Sprintf("version %d is told, %d is stored", a.Doc.Step, stored)
 	}
-	f.told = max(f.told, a.Doc.Step)
+	f.newest = max(f.newest, a.Doc.Step)
 	f.mu.Unlock()
 	go f.d.Post(control.Poll{Ticket: f.d.ForFront(0).Ticket(), Proxy: "p1", Zone: "a", Held: []tables.Tag{a.Doc.Tag()}, Wait: 5000, WantsDelta: true})
 }
@@ -89,7 +89,7 @@
 				all.Add(1)
 				go func() {
 					defer all.Done()
-					m := &memory{fails: func(n int) (bool, bool) {
+					m := &memoryStore{failAt: func(n int) (bool, bool) {
 						failing := n >= at && n < at+long
 						return failing && !late, failing && late
 					}}
@@ -98,7 +98,7 @@
 						t.Error(err)
 						return
 					}
-					f := &front{d: d, m: m}
+					f := &pollingFront{d: d, store: m}
 					ctx, stop := context.WithCancel(context.Background())
 					done := make(chan error, 1)
 					go func() { done <- d.Run(ctx, f) }()
@@ -118,7 +118,7 @@
 					}
 					for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 						f.mu.Lock()
-						last = f.told
+						last = f.newest
 						f.mu.Unlock()
 						if last > 3 && last == m.stored() {
 							break
@@ -130,8 +130,8 @@
 					}
 					f.mu.Lock()
 					defer f.mu.Unlock()
-					if f.bad != "" || f.told < 3 {
-						t.Errorf("failing at write %d for %d: told %d; %s", at, long, f.told, f.bad)
+					if f.violation != "" || f.newest < 3 {
+						t.Errorf("failing at write %d for %d: told %d; %s", at, long, f.newest, f.violation)
 					}
 				}()
 			}
@@ -145,36 +145,36 @@
 	if testing.Short() {
 		t.Skip()
 	}
-	m := &memory{fails: func(int) (bool, bool) { return true, false }}
+	m := &memoryStore{failAt: func(int) (bool, bool) { return true, false }}
 	d, err := New(service(), m, nil, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
 	defer stop()
-	if err := d.Run(ctx, &front{d: d, m: m}); !errors.Is(err, ErrStore) || d.Ready() {
+	if err := d.Run(ctx, &pollingFront{d: d, store: m}); !errors.Is(err, ErrStore) || d.Ready() {
 		t.Fatalf("%v, ready %v", err, d.Ready())
 	}
 }
 
 // nowhere is a front whose clients have all gone.
-type nowhere struct{ n atomic.Int64 }
+type discardFront struct{ answers atomic.Int64 }
 
-func (f *nowhere) Answer(control.Answer) { f.n.Add(1) }
+func (f *discardFront) Answer(control.Answer) { f.answers.Add(1) }
 
 // New polls come from more clients than the loop can answer, as when a whole fleet has lost its tables. The door sends the
 // rest away with a time of their own; what acknowledges is let in, and the loop goes on turning.
-func TestAStormAtTheDoor(t *testing.T) {
+func TestNewPollsAreShedUnderOverload(t *testing.T) {
 	svc := service()
 	svc.ProxyNames = regexp.MustCompile(`^p[0-9]+$`)
 	svc.Facts.Proxies, svc.Facts.QueueLimit = 20000, 1e7
-	d, err := New(svc, &memory{fails: func(int) (bool, bool) { return false, false }}, nil, slog.New(slog.DiscardHandler))
+	d, err := New(svc, &memoryStore{failAt: func(int) (bool, bool) { return false, false }}, nil, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	ran := make(chan struct{})
-	f := &nowhere{}
+	f := &discardFront{}
 	go func() { d.Run(ctx, f); close(ran) }()
 	d.Post(control.List{Hosts: []control.Listed{{ID: "h", Address: "10.0.0.1:80", Zone: "a", Weight: 1}}})
 	e := d.ForFront(0)
--- a/internal/director/door.go
+++ b/internal/director/door.go
@@ -3,4 +3,4 @@
 package director
 
 // openDoor is set by the build tag of that name alone: a director without admission, to measure against.
-const openDoor = false
+const admissionDisabled = false
--- a/internal/director/door_open.go
+++ b/internal/director/door_open.go
@@ -2,4 +2,4 @@
 
 package director
 
-const openDoor = true
+const admissionDisabled = true
--- a/internal/director/lots.go
+++ b/internal/director/lots.go
@@ -17,51 +17,51 @@
 )
 
 // bay is a lot with its lock. Polls are taken on whatever core their bytes came to, and answered there where they need not wait.
-type bay struct {
-	mu      sync.Mutex
-	lot     *park.Shard
-	allow   *inflow.Allowances
-	flights [2]flights // answers that are not written yet, by the epoch they were given in
-	epoch   int
-	saw     *park.View
+type lockedShard struct {
+	mu         sync.Mutex
+	shard      *park.Shard
+	allowances *inflow.Allowances
+	unwritten  [2]answerCounter // answers that are not written yet, by the epoch they were given in
+	epoch      int
+	lastView   *park.View
 }
 
-type flights struct{ n atomic.Int64 }
+type answerCounter struct{ n atomic.Int64 }
 
 // Landed says that one is written, or never will be.
-func (f *flights) WriteFinished() { f.n.Add(-1) }
+func (f *answerCounter) WriteFinished() { f.n.Add(-1) }
 
 // perCore is how many lots there are for each core: with few, cores would wait for each other's locks.
-const perCore = 8
+const shardsPerCore = 8
 
 // mostClients is how many clients' allowances are remembered in all.
-const mostClients = 65536
+const maxClients = 65536
 
-func newBays(svc control.Service, now logic.Millis) []*bay {
+func newShards(svc control.Service, now logic.Millis) []*lockedShard {
 	n := 1
-	for n < perCore*runtime.GOMAXPROCS(0) {
+	for n < shardsPerCore*runtime.GOMAXPROCS(0) {
 		n *= 2
 	}
-	out := make([]*bay, n)
+	out := make([]*lockedShard, n)
 	terms := park.Config{MaxWait: svc.LongestWait, Lease: svc.Lease, Zones: svc.Zones}
 	for i := range out {
-		out[i] = &bay{lot: park.NewShard(i, n, terms, now), allow: inflow.NewAllowances(rand.Float64, mostClients/n)}
+		out[i] = &lockedShard{shard: park.NewShard(i, n, terms, now), allowances: inflow.NewAllowances(rand.Float64, maxClients/n)}
 	}
 	return out
 }
 
 // bay is the one of a proxy: the same whatever connection or core its poll comes by, so that none is in two.
-func (d *Director) bay(proxy string) *bay {
-	return d.bays[xxhash.Sum64String(proxy)&uint64(len(d.bays)-1)]
+func (d *Director) shardOf(proxy string) *lockedShard {
+	return d.shards[xxhash.Sum64String(proxy)&uint64(len(d.shards)-1)]
 }
 
 // in lets a lot do something, with its lock held, and carries on what it says. An answer to the ticket that is given is
 // returned and not carried out.
-func (d *Director) in(b *bay, own control.Ticket, do func(*park.Shard) park.Output) (a control.Answer, answered bool) {
+func (d *Director) update(b *lockedShard, own control.Ticket, do func(*park.Shard) park.Output) (a control.Answer, answered bool) {
 	var others []control.Answer
 	hear := func(said park.Output) {
 		for i := range said.Answers {
-			f := &b.flights[b.epoch]
+			f := &b.unwritten[b.epoch]
 			f.n.Add(1)
 			said.Answers[i].Tracker = f
 			if said.Answers[i].Ticket == own {
@@ -71,17 +71,17 @@
 			}
 		}
 		if len(said.Events) > 0 { // in the order in which the lot said it, so with the lock held
-			d.post(said.Events...)
+			d.postToCore(said.Events...)
 		}
 		clear(said.Answers) // the lot uses their memory anew
 		clear(said.Events)
 	}
 	b.mu.Lock()
-	if v := d.view.Load(); v != b.saw && v != nil {
-		b.saw = v
-		hear(b.lot.SetView(d.Now(), v))
+	if v := d.view.Load(); v != b.lastView && v != nil {
+		b.lastView = v
+		hear(b.shard.SetView(d.Now(), v))
 	}
-	hear(do(b.lot))
+	hear(do(b.shard))
 	b.mu.Unlock()
 	for _, x := range others {
 		d.deliver(x)
@@ -93,13 +93,13 @@
 // how long to come again; and so is one that would have to join, while there is too much to do. To answer a proxy that has joined
 // costs no more than to send it away.
 func (d *Director) Poll(p control.Poll) (a control.Answer, answered bool, later time.Duration) {
-	<-d.running
-	b := d.bay(p.Proxy)
+	<-d.started
+	b := d.shardOf(p.Proxy)
 	b.mu.Lock()
-	in, later := b.allow.Admit(d.Elapsed(), p.Proxy)
-	joined := b.lot.HasJoined(p.Proxy)
+	in, later := b.allowances.Admit(d.Elapsed(), p.Proxy)
+	joined := b.shard.HasJoined(p.Proxy)
 	b.mu.Unlock()
-	if !in && !openDoor {
+	if !in && !admissionDisabled {
 		return a, false, later
 	}
 	if !joined {
@@ -112,29 +112,29 @@
 }
 
 func (d *Director) poll(p control.Poll) (control.Answer, bool) {
-	return d.in(d.bay(p.Proxy), p.Ticket, func(l *park.Shard) park.Output { return l.Poll(d.Now(), p) })
+	return d.update(d.shardOf(p.Proxy), p.Ticket, func(l *park.Shard) park.Output { return l.Poll(d.Now(), p) })
 }
 
 // tell hands what the core says of single proxies to their lots, on all cores where it is much: a proxy is told of versions that only
 // go up, so it does not matter which of two comes first.
-func (d *Director) tell(all []any) {
+func (d *Director) dispatch(all []any) {
 	if len(all) == 0 {
 		return
 	}
-	by := make(map[*bay][]any, len(d.bays))
+	by := make(map[*lockedShard][]any, len(d.shards))
 	for _, o := range all {
-		b := (*bay)(nil)
+		b := (*lockedShard)(nil)
 		switch o := o.(type) {
 		case park.SetDocument:
-			b = d.bay(o.Proxy)
+			b = d.shardOf(o.Proxy)
 		case park.RejectJoin:
-			b = d.bay(o.Proxy)
+			b = d.shardOf(o.Proxy)
 		}
 		by[b] = append(by[b], o)
 	}
 	for b, its := range by {
 		hand := func() {
-			d.in(b, 0, func(l *park.Shard) park.Output { return l.Apply(d.Now(), its...) })
+			d.update(b, 0, func(l *park.Shard) park.Output { return l.Apply(d.Now(), its...) })
 		}
 		if len(all) < 256 {
 			hand()
@@ -146,13 +146,13 @@
 
 // show lets all lots see how things stand: each looks before it does anything. Where that matters at once, as a removal closes them
 // and as they open again, all are made to look now; with a barrier, what they had answered by then is counted apart.
-func (d *Director) show(p control.Publish) {
+func (d *Director) publishView(p control.Publish) {
 	was := d.view.Swap(p.View)
 	if !p.Barrier && was != nil && was.Closed == p.View.Closed && was.LeaseEnd == p.View.LeaseEnd {
 		return
 	}
-	for _, b := range d.bays {
-		d.in(b, 0, func(*park.Shard) (none park.Output) {
+	for _, b := range d.shards {
+		d.update(b, 0, func(*park.Shard) (none park.Output) {
 			if p.Barrier {
 				b.epoch ^= 1
 			}
@@ -160,34 +160,34 @@
 		})
 	}
 	if p.Barrier {
-		go d.await()
+		go d.awaitWrites()
 	}
 }
 
 // patience is how long a removal waits for answers that were given before it: they are on their way to a socket, some microseconds.
 // One that is still not written has begun to be: its proxy reads slowly, and others don't wait for it.
-const patience = 50 * time.Millisecond
+const barrierTimeout = 50 * time.Millisecond
 
 // await says when all that lots answered before the last barrier is written.
-func (d *Director) await() {
+func (d *Director) awaitWrites() {
 	began := time.Now()
 	for {
 		var left int64
-		for _, b := range d.bays {
+		for _, b := range d.shards {
 			b.mu.Lock()
 			before := b.epoch ^ 1
 			b.mu.Unlock()
-			left += max(0, b.flights[before].n.Load())
+			left += max(0, b.unwritten[before].n.Load())
 		}
 		took := time.Since(began)
-		if left == 0 || took > patience {
+		if left == 0 || took > barrierTimeout {
 			if left > 0 {
-				d.overdue.Add(uint64(left))
+				d.overdueAnswers.Add(uint64(left))
 			}
-			if us := took.Microseconds(); us > d.barrier.Load() {
-				d.barrier.Store(us)
+			if us := took.Microseconds(); us > d.maxBarrierUs.Load() {
+				d.maxBarrierUs.Store(us)
 			}
-			d.post(control.Passed{})
+			d.postToCore(control.Passed{})
 			return
 		}
 		if took < time.Millisecond {
@@ -199,7 +199,7 @@
 }
 
 // turnLots ends waits that are over.
-func (d *Director) turnLots(done <-chan struct{}) {
+func (d *Director) advanceShards(done <-chan struct{}) {
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -208,8 +208,8 @@
 			return
 		case <-tick.C:
 		}
-		for _, b := range d.bays {
-			d.in(b, 0, func(l *park.Shard) park.Output { return l.Advance(d.Now()) })
+		for _, b := range d.shards {
+			d.update(b, 0, func(l *park.Shard) park.Output { return l.Advance(d.Now()) })
 		}
 	}
 }
@@ -225,11 +225,11 @@
 
 // Lots are the lots' figures.
 func (d *Director) ShardStats() ShardStats {
-	f := ShardStats{Shards: len(d.bays), MaxBarrier: time.Duration(d.barrier.Load()) * time.Microsecond, Overdue: d.overdue.Load()}
-	for _, b := range d.bays {
+	f := ShardStats{Shards: len(d.shards), MaxBarrier: time.Duration(d.maxBarrierUs.Load()) * time.Microsecond, Overdue: d.overdueAnswers.Load()}
+	for _, b := range d.shards {
 		b.mu.Lock()
-		x := b.lot.Stats()
-		f.Limited += b.allow.Limited()
+		x := b.shard.Stats()
+		f.Limited += b.allowances.Limited()
 		b.mu.Unlock()
 		f.Sessions += x.Sessions
 		f.Pending += x.Pending
--- a/internal/director/lots_test.go
+++ b/internal/director/lots_test.go
@@ -17,20 +17,20 @@
 )
 
 // wire writes answers some time after they are given, as sockets do, and remembers what was written with which host in it.
-type wire struct {
-	t    *testing.T
-	d    *Director
-	mu   sync.Mutex
-	held map[string]*tables.Document
+type slowFront struct {
+	t       *testing.T
+	d       *Director
+	mu      sync.Mutex
+	lastDoc map[string]*tables.Document
 	// without is the newest version that was written without a host that was there before.
-	without map[tables.Address]tables.Step
-	writes  int
-	late    string // the first that was written out of turn
+	removedAt map[tables.Address]tables.Step
+	writes    int
+	violation string // the first that was written out of turn
 }
 
-func (w *wire) Answer(a control.Answer) { go w.write(a) }
+func (w *slowFront) Answer(a control.Answer) { go w.write(a) }
 
-func (w *wire) write(a control.Answer) {
+func (w *slowFront) write(a control.Answer) {
 	time.Sleep(time.Duration(rand.IntN(8000)) * time.Microsecond)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -47,13 +47,13 @@
 	}
 	for i := range 6 {
 		h := address(i)
-		if s := w.without[h]; offered[h] && a.Doc.Step < s && w.late == "" {
-			w.late = fmt.Sprintf("version %d offers %s, and is written after version %d, which does not", a.Doc.Step, h, s)
+		if s := w.removedAt[h]; offered[h] && a.Doc.Step < s && w.violation == "" {
+			w.violation = fmt.Sprintf("version %d offers %s, and is written after version %d, which does not", a.Doc.Step, h, s)
 		} else if !offered[h] {
-			w.without[h] = max(s, a.Doc.Step)
+			w.removedAt[h] = max(s, a.Doc.Step)
 		}
 	}
-	w.held[a.Origin.(string)] = a.Doc
+	w.lastDoc[a.Origin.(string)] = a.Doc
 }
 
 func address(i int) tables.Address { return tables.Address(fmt.Sprintf("10.0.0.%d:80", i)) }
@@ -64,11 +64,11 @@
 	svc := service()
 	svc.ProxyNames = regexp.MustCompile(`^p[0-9]+$`)
 	svc.Facts.Proxies, svc.Facts.QueueLimit, svc.Facts.LinesPerSecond = 300, 1e7, 200000
-	d, err := New(svc, &memory{fails: func(int) (bool, bool) { return false, false }}, nil, slog.New(slog.DiscardHandler))
+	d, err := New(svc, &memoryStore{failAt: func(int) (bool, bool) { return false, false }}, nil, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &wire{t: t, d: d, held: map[string]*tables.Document{}, without: map[tables.Address]tables.Step{}}
+	w := &slowFront{t: t, d: d, lastDoc: map[string]*tables.Document{}, removedAt: map[tables.Address]tables.Step{}}
 	ctx, stop := context.WithCancel(t.Context())
 	ran := make(chan struct{})
 	go func() { d.Run(ctx, w); close(ran) }()
@@ -80,7 +80,7 @@
 				name := fmt.Sprintf("p%d", worker*10+n%10)
 				p := control.Poll{Ticket: polls.Ticket(), Origin: name, Proxy: name, Zone: "a", Wait: logic.Millis(max(0, rand.IntN(200)-150)), WantsDelta: true}
 				w.mu.Lock()
-				if doc := w.held[name]; doc != nil {
+				if doc := w.lastDoc[name]; doc != nil {
 					p.Held = []tables.Tag{doc.Tag()}
 				}
 				w.mu.Unlock()
@@ -113,8 +113,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	t.Logf("%d writes, %d removals, longest barrier %v, %d answers held, %d overdue", w.writes, d.Stats().Removals, lots.MaxBarrier, lots.Deferred, lots.Overdue)
-	if w.late != "" && lots.Overdue == 0 {
-		t.Error(w.late)
+	if w.violation != "" && lots.Overdue == 0 {
+		t.Error(w.violation)
 	}
 	if d.Stats().Removals < 3 || w.writes < 500 {
 		t.Errorf("%d removals, %d writes", d.Stats().Removals, w.writes)
@@ -123,13 +123,13 @@
 
 // A client that asks without end is limited by its own allowance, and a proxy that polls as it should does not feel it.
 func TestOneBrokenClient(t *testing.T) {
-	d, err := New(service(), &memory{fails: func(int) (bool, bool) { return false, false }}, nil, slog.New(slog.DiscardHandler))
+	d, err := New(service(), &memoryStore{failAt: func(int) (bool, bool) { return false, false }}, nil, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go d.Run(ctx, &nowhere{})
+	go d.Run(ctx, &discardFront{})
 	e := d.ForFront(0)
 	away := 0
 	for range 2000 {
--- a/internal/park/lot_test.go
+++ b/internal/park/lot_test.go
@@ -20,7 +20,7 @@
 	return d.Seal(1, step, float64(step))
 }
 
-func view(floor tables.Step, docs ...*tables.Document) *View {
+func newView(floor tables.Step, docs ...*tables.Document) *View {
 	v := &View{Bases: map[tables.Tag]*tables.Document{}, MinStep: floor, LeaseEnd: logic.Millis(math.Inf(1))}
 	for _, d := range docs {
 		v.Bases[d.Tag()] = d
@@ -31,11 +31,11 @@
 	return v
 }
 
-var terms = Config{MaxWait: 30000, Lease: 2000, Zones: []string{"a"}}
+var testConfig = Config{MaxWait: 30000, Lease: 2000, Zones: []string{"a"}}
 
 // joined gives a lot in which a proxy has joined and holds a document.
-func joined(t *testing.T, v *View, d *tables.Document) (*Shard, SessionID) {
-	l := NewShard(0, 1, terms, 0)
+func newJoinedShard(t *testing.T, v *View, d *tables.Document) (*Shard, SessionID) {
+	l := NewShard(0, 1, testConfig, 0)
 	l.SetView(0, v)
 	said := l.Poll(0, Poll{Ticket: 1, Proxy: "p", Zone: "a"})
 	j, is := said.Events[0].(JoinRequest)
@@ -48,44 +48,44 @@
 	return l, j.Session
 }
 
-func poll(ticket Ticket, wait logic.Millis, held *tables.Document) Poll {
+func newPoll(ticket Ticket, wait logic.Millis, held *tables.Document) Poll {
 	return Poll{Ticket: ticket, Proxy: "p", Zone: "a", Wait: wait, Held: []tables.Tag{held.Tag()}, WantsDelta: true}
 }
 
 // While the lots are closed for a removal nothing is answered: neither a poll that comes, nor one that waits, nor what the core
 // still says of older versions. Once they are open all of it is answered, with nothing older than the removal.
-func TestAClosedLotAnswersNothing(t *testing.T) {
+func TestClosedShardAnswersNothing(t *testing.T) {
 	one, two, three := document(1), document(2), document(3)
-	l, visit := joined(t, view(0, one), one)
-	if said := l.Poll(10, poll(2, 20000, one)); len(said.Answers) > 0 || len(said.Events) != 1 || said.Events[0].(Acknowledgement).Step != 1 {
+	l, visit := newJoinedShard(t, newView(0, one), one)
+	if said := l.Poll(10, newPoll(2, 20000, one)); len(said.Answers) > 0 || len(said.Events) != 1 || said.Events[0].(Acknowledgement).Step != 1 {
 		t.Fatalf("%+v", said)
 	}
-	closed := view(3, one, two, three)
+	closed := newView(3, one, two, three)
 	closed.Closed = true
 	l.SetView(20, closed)
 	if said := l.Apply(21, SetDocument{"p", visit, two}); len(said.Answers) > 0 {
 		t.Fatalf("version 2 is told with version 3's removal on its way: %+v", said)
 	}
-	if said := l.Poll(22, poll(3, 0, one)); len(said.Answers) != 1 || said.Answers[0].Kind != Replaced {
+	if said := l.Poll(22, newPoll(3, 0, one)); len(said.Answers) != 1 || said.Answers[0].Kind != Replaced {
 		t.Fatalf("%+v", said)
 	}
-	said := l.SetView(30, view(3, one, two, three))
+	said := l.SetView(30, newView(3, one, two, three))
 	if len(said.Answers) != 1 || said.Answers[0].Ticket != 3 || said.Answers[0].Doc != three || said.Answers[0].Kind != Delta || said.Answers[0].Base != one {
 		t.Fatalf("%+v", said)
 	}
 	if said = l.Apply(31, SetDocument{"p", visit, two}); len(said.Answers) > 0 { // it comes late, on another core
 		t.Fatalf("%+v", said)
 	}
-	if said = l.Poll(32, poll(4, 0, two)); len(said.Answers) != 1 || said.Answers[0].Doc != three {
+	if said = l.Poll(32, newPoll(4, 0, two)); len(said.Answers) != 1 || said.Answers[0].Doc != three {
 		t.Fatalf("%+v", said)
 	}
 }
 
 // Where proxies have tables of their own the core alone can make the newer document: it is asked for, and the poll waits for it.
-func TestATableOlderThanARemovalIsMadeAnew(t *testing.T) {
+func TestOutdatedDocumentIsRequestedAgain(t *testing.T) {
 	one, four := document(1), document(4)
-	l, visit := joined(t, view(0, one), one)
-	v := view(3, one)
+	l, visit := newJoinedShard(t, newView(0, one), one)
+	v := newView(3, one)
 	l.SetView(10, v)
 	said := l.Poll(11, Poll{Ticket: 2, Proxy: "p", Zone: "a"})
 	if len(said.Answers) > 0 || !slices.Contains(said.Events, any(DocumentRequest{"p", visit})) {
@@ -96,14 +96,14 @@
 	}
 }
 
-func TestWhatALotRefusesAndForgets(t *testing.T) {
+func TestShardRejectionsAndDepartures(t *testing.T) {
 	one := document(1)
-	l, visit := joined(t, view(0, one), one)
+	l, visit := newJoinedShard(t, newView(0, one), one)
 	if said := l.Poll(5, Poll{Ticket: 9, Proxy: "p", Zone: "nowhere"}); said.Answers[0].Kind != Invalid || len(said.Events) > 0 {
 		t.Fatalf("%+v", said)
 	}
 	// A word for an earlier stay is not for this one.
-	l.Poll(10, poll(2, 20000, one))
+	l.Poll(10, newPoll(2, 20000, one))
 	if said := l.Disconnect(20, Disconnected{Ticket: 2, Proxy: "p"}); said.Events[0] != any(Left{"p", visit, "broken"}) {
 		t.Fatalf("%+v", said)
 	}
@@ -130,15 +130,15 @@
 // Whatever polls, breaks, is told, is closed, opened, cut from its leases or waits: each ticket is answered once at most, and in the
 // end all are; none is given anything older than the floor or than it was given before in its stay; nobody who polls within the
 // lease is taken for gone; what waits its time and could be answered is.
-func TestDrawnDays(t *testing.T) {
+func TestRandomOperations(t *testing.T) {
 	docs := make([]*tables.Document, 12)
 	for i := range docs {
 		docs[i] = document(tables.Step(i + 1))
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		l := NewShard(0, 1, terms, 0)
+		l := NewShard(0, 1, testConfig, 0)
 		now, stored, ticket := logic.Millis(0), 1, Ticket(0)
-		v := view(0, docs...)
+		v := newView(0, docs...)
 		l.SetView(now, v)
 		type asked struct {
 			proxy string
@@ -239,15 +239,15 @@
 				}
 			}
 		}
-		v = view(tables.Step(stored), docs[:stored]...)
+		v = newView(tables.Step(stored), docs[:stored]...)
 		heard(l.SetView(now, v))
 		for _, j := range joins {
 			heard(l.Apply(now, SetDocument{j.Proxy, j.Session, docs[stored-1]}))
 		}
-		for end := now + terms.MaxWait + 3*terms.Lease; now < end; now += 50 {
+		for end := now + testConfig.MaxWait + 3*testConfig.Lease; now < end; now += 50 {
 			heard(l.Advance(now))
 			for k, a := range open {
-				if now > a.until+2*tick+100 {
+				if now > a.until+2*timerTick+100 {
 					t.Fatalf("ticket %d of %s waits at %v, and should have been answered at %v", k, a.proxy, now, a.until)
 				}
 			}
--- a/internal/park/model_test.go
+++ b/internal/park/model_test.go
@@ -5,21 +5,21 @@
 // The barrier at small size, every interleaving: a core that brings two removals, one after the other; lots that answer polls whenever
 // they may; answers that are written any time after they were given. What the core does to each lot, and each look at what is
 // not yet written, is a step of its own, as other cores go on meanwhile. Version 1 stands at the start; 2 and 3 are removals.
-const modelLots = 3
+const modelShards = 3
 
-type modelLot struct {
-	floor  uint8
-	closed bool
-	epoch  uint8
-	flying [2][4]uint8 // by the epoch it was given in, and version
+type modelShard struct {
+	floor     uint8
+	closed    bool
+	epoch     uint8
+	unwritten [2][4]uint8 // by the epoch it was given in, and version
 }
 
 type modelState struct {
-	lots    [modelLots]modelLot
-	version uint8 // that the core brings, or brought last
-	phase   uint8 // closing, awaiting, opening
-	lot     uint8 // that the core is at
-	written uint8 // the newest that any lot wrote
+	shards        [modelShards]modelShard
+	version       uint8 // that the core brings, or brought last
+	phase         uint8 // closing, awaiting, opening
+	shard         uint8 // that the core is at
+	newestWritten uint8 // the newest that any lot wrote
 }
 
 const (
@@ -33,23 +33,23 @@
 
 // next gives all states that may follow, and whether one of the steps wrote something older than a removal that was written before.
 func (s modelState) next(f fault) (out []modelState, broken bool) {
-	for i, l := range s.lots {
+	for i, l := range s.shards {
 		flying := 0
-		for e := range l.flying {
+		for e := range l.unwritten {
 			for v := uint8(1); v < 4; v++ {
-				flying += int(l.flying[e][v])
-				if l.flying[e][v] > 0 { // it is written
+				flying += int(l.unwritten[e][v])
+				if l.unwritten[e][v] > 0 { // it is written
 					n := s
-					n.lots[i].flying[e][v]--
-					broken = broken || v < s.written
-					n.written = max(s.written, v)
+					n.shards[i].unwritten[e][v]--
+					broken = broken || v < s.newestWritten
+					n.newestWritten = max(s.newestWritten, v)
 					out = append(out, n)
 				}
 			}
 		}
 		if !l.closed && flying < 3 { // a poll is answered
 			n := s
-			n.lots[i].flying[l.epoch][l.floor]++
+			n.shards[i].unwritten[l.epoch][l.floor]++
 			out = append(out, n)
 		}
 	}
@@ -57,26 +57,26 @@
 		return out, broken
 	}
 	n := s
-	l := &n.lots[s.lot]
+	l := &n.shards[s.shard]
 	switch s.phase {
 	case closing:
 		l.floor, l.closed = s.version, !f.noClosing
 		l.epoch ^= 1
-		n.lot++
+		n.shard++
 	case awaiting:
-		if n.lot++; !f.noAwaiting {
-			for _, left := range l.flying[l.epoch^1] {
+		if n.shard++; !f.noAwaiting {
+			for _, left := range l.unwritten[l.epoch^1] {
 				if left > 0 {
-					n.lot = 0 // it looks at all again
+					n.shard = 0 // it looks at all again
 				}
 			}
 		}
 	case opening:
 		l.closed = false
-		n.lot++
+		n.shard++
 	}
-	if n.lot == modelLots {
-		if n.lot, n.phase = 0, n.phase+1; n.phase > opening {
+	if n.shard == modelShards {
+		if n.shard, n.phase = 0, n.phase+1; n.phase > opening {
 			n.phase, n.version = closing, n.version+1
 		}
 	}
@@ -84,9 +84,9 @@
 }
 
 func explore(f fault) (states int, broken bool) {
-	first := modelState{version: 2, written: 1}
-	for i := range first.lots {
-		first.lots[i].floor = 1
+	first := modelState{version: 2, newestWritten: 1}
+	for i := range first.shards {
+		first.shards[i].floor = 1
 	}
 	seen, todo := map[modelState]bool{first: true}, []modelState{first}
 	for len(todo) > 0 {
--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -13,9 +13,9 @@
 	Name, Old, New string
 }
 
-func (c Change) String() string { return c.Name + ": " + text(c.Old) + " to " + text(c.New) }
+func (c Change) String() string { return c.Name + ": " + display(c.Old) + " to " + display(c.New) }
 
-func text(v string) string {
+func display(v string) string {
 	if v == "" {
 		return "(not stated)"
 	}
@@ -28,7 +28,7 @@
 }
 
 // atOnce are the attributes that take effect while the director runs.
-var atOnce = map[string]bool{"director.memory": true, "history.versions": true, "history.age": true,
+var appliesLive = map[string]bool{"director.memory": true, "history.versions": true, "history.age": true,
 	"poll.most_head": true, "poll.most_body": true, "poll.slow_request": true, "poll.idle": true}
 
 // Of compares two files, each attribute by its path. The label of the director's block is no part of it.
@@ -44,7 +44,7 @@
 		if was[n] == is[n] {
 			continue
 		}
-		if c := (Change{n, was[n], is[n]}); atOnce[plain(n)] || plain(n) == "poll" || plain(n) == "history" {
+		if c := (Change{n, was[n], is[n]}); appliesLive[stripLabels(n)] || stripLabels(n) == "poll" || stripLabels(n) == "history" {
 			p.Live = append(p.Live, c)
 		} else {
 			p.Restart = append(p.Restart, c)
@@ -54,7 +54,7 @@
 }
 
 // plain leaves out a block's labels: "director[d1].memory" is "director.memory".
-func plain(name string) string {
+func stripLabels(name string) string {
 	for {
 		from := strings.IndexByte(name, '[')
 		to := strings.IndexByte(name, ']')
--- a/internal/wheel/wheel_test.go
+++ b/internal/wheel/wheel_test.go
@@ -75,17 +75,17 @@
 }
 
 // beat is the plain one: a heap.
-type beat struct {
+type heapTimer struct {
 	at    logic.Millis
-	place int
+	index int
 }
-type beats []*beat
+type timerHeap []*heapTimer
 
-func (b beats) Len() int           { return len(b) }
-func (b beats) Less(i, j int) bool { return b[i].at < b[j].at }
-func (b beats) Swap(i, j int)      { b[i], b[j] = b[j], b[i]; b[i].place, b[j].place = i, j }
-func (b *beats) Push(x any)        { y := x.(*beat); y.place = len(*b); *b = append(*b, y) }
-func (b *beats) Pop() any          { o := *b; x := o[len(o)-1]; *b = o[:len(o)-1]; return x }
+func (b timerHeap) Len() int           { return len(b) }
+func (b timerHeap) Less(i, j int) bool { return b[i].at < b[j].at }
+func (b timerHeap) Swap(i, j int)      { b[i], b[j] = b[j], b[i]; b[i].index, b[j].index = i, j }
+func (b *timerHeap) Push(x any)        { y := x.(*heapTimer); y.index = len(*b); *b = append(*b, y) }
+func (b *timerHeap) Pop() any          { o := *b; x := o[len(o)-1]; *b = o[:len(o)-1]; return x }
 
 // What parked polls do: a poll comes back and its end is moved on by its wait; now and then time goes on.
 func BenchmarkMove(b *testing.B) {
@@ -93,10 +93,10 @@
 		draw := rand.New(rand.NewPCG(1, 2))
 		wait := func() logic.Millis { return logic.Millis(20000 + 10000*draw.Float64()) }
 		b.Run(fmt.Sprintf("heap/%d", n), func(b *testing.B) {
-			var h beats
-			all := make([]*beat, n)
+			var h timerHeap
+			all := make([]*heapTimer, n)
 			for i := range all {
-				all[i] = &beat{at: wait()}
+				all[i] = &heapTimer{at: wait()}
 				heap.Push(&h, all[i])
 			}
 			now := logic.Millis(0)
@@ -104,7 +104,7 @@
 				now += 30000 / logic.Millis(n)
 				x := all[i%n]
 				x.at = now + wait()
-				heap.Fix(&h, x.place)
+				heap.Fix(&h, x.index)
 				for h[0].at <= now {
 					h[0].at = now + wait()
 					heap.Fix(&h, 0)
