--- a/internal/park/lot.go
+++ b/internal/park/lot.go
@@ -10,38 +10,38 @@
 	"vetchwood/logic"
 )
 
-// Terms hold for all polls.
+// Config applies to all polls.
 type Config struct {
-	MaxWait logic.Millis
-	Lease   logic.Millis // without a poll for so long, a proxy has left
-	Zones   []string     // that a proxy may name
+	MaxWait logic.Millis // the longest that a poll may stay pending
+	Lease   logic.Millis // a proxy that has not polled for this long has left
+	Zones   []string     // zones that a proxy may name
 }
 
-// seat is a proxy's that polls.
+// session is the state of a proxy that polls.
 type session struct {
 	proxy      string
 	id         SessionID
-	doc        *tables.Document // what it may be told by now; nil: it is not let in yet
-	base       *tables.Document // what it holds, where that is known
-	ackedStep  tables.Step      // as the core was told
-	ticket     Ticket           // of the poll that waits; 0: none
+	doc        *tables.Document // the document that it may get; nil: it has not joined yet
+	base       *tables.Document // the document that it holds, if known
+	ackedStep  tables.Step      // the version last reported to the core
+	ticket     Ticket           // of the pending poll; 0: none
 	origin     any
-	deadline   logic.Millis
-	lastAnswer logic.Millis // when it was answered last
+	deadline   logic.Millis // when the pending poll is answered even if nothing changed
+	lastAnswer logic.Millis // when its last poll was answered
 	wantsDelta bool
-	deferred   bool // its answer is due, and may not be given yet
-	requested  bool // the core is asked for something newer
+	deferred   bool // its answer is due but may not be given yet
+	requested  bool // a newer document has been requested from the core
 	timer      wheel.Timer[*session]
 }
 
-// Figures are counted for the operator.
+// Stats are counters of a shard for its operator.
 type Stats struct {
 	Sessions, Pending                       int
 	Polls, Deltas, Full, Unchanged, Expired uint64
-	Deferred                                uint64 // answers that waited for a removal to be let out
+	Deferred                                uint64 // answers delayed by a removal or an ended lease
 }
 
-// Lot is one of a director's.
+// Shard holds the sessions of a part of a director's proxies. It is not safe for concurrent use.
 type Shard struct {
 	config   Config
 	view     *View
@@ -49,230 +49,236 @@
 	timers   *wheel.Wheel[*session]
 	lastID   SessionID
 	stride   SessionID
-	deferred []*session // whose answers are due, and may not be given yet
+	deferred []*session // sessions whose answers are due but may not be given yet
 	pending  int
 	output   Output
 	stats    Stats
 }
 
-// Said is what a lot has to say. It may be read until the lot is asked again.
+// Output is what one call to a shard produced: answers to requests and events for the core. It is valid until the next
+// call to the shard.
 type Output struct {
 	Answers []Answer
 	Events  []any
 }
 
-// tick is how late a poll's end may be.
+// timerTick is the resolution of the timers, and so the longest delay past a poll's deadline, in milliseconds.
 const timerTick logic.Millis = 10
 
-// NewLot makes the i-th of n.
-func NewShard(i, n int, terms Config, now logic.Millis) *Shard {
-	return &Shard{config: terms, view: &View{Closed: true, LeaseEnd: logic.Millis(math.Inf(1))}, sessions: map[string]*session{},
+// NewShard returns the i-th of n shards. Its view is closed until the core publishes the first one.
+func NewShard(i, n int, config Config, now logic.Millis) *Shard {
+	return &Shard{config: config, view: &View{Closed: true, LeaseEnd: logic.Millis(math.Inf(1))}, sessions: map[string]*session{},
 		timers: wheel.New[*session](timerTick, now), lastID: SessionID(i), stride: SessionID(n)}
 }
 
-// take gives what there is to say; its memory is used anew for what is said next, where it is little.
-func (l *Shard) takeOutput() Output {
-	out := l.output
-	if l.output = (Output{}); cap(out.Answers)+cap(out.Events) <= 32 {
-		l.output = Output{out.Answers[:0], out.Events[:0]}
+// takeOutput returns the collected output. Its memory is reused for the next output if it is small.
+func (sh *Shard) takeOutput() Output {
+	out := sh.output
+	if sh.output = (Output{}); cap(out.Answers)+cap(out.Events) <= 32 {
+		sh.output = Output{out.Answers[:0], out.Events[:0]}
 	}
 	return out
 }
 
-func (l *Shard) emit(o any) { l.output.Events = append(l.output.Events, o) }
+// emit adds an event for the core.
+func (sh *Shard) emit(o any) { sh.output.Events = append(sh.output.Events, o) }
 
-// Knows says whether a proxy has joined: its poll is answered here, and does not cost the core anything.
-func (l *Shard) HasJoined(proxy string) bool {
-	s := l.sessions[proxy]
+// HasJoined reports whether a proxy has joined. If so, its polls are answered by the shard without work for the core.
+func (sh *Shard) HasJoined(proxy string) bool {
+	s := sh.sessions[proxy]
 	return s != nil && s.doc != nil
 }
 
-// Poll takes a poll.
-func (l *Shard) Poll(now logic.Millis, p Poll) Output {
-	l.stats.Polls++
-	if p.Zone != "" && !slices.Contains(l.config.Zones, p.Zone) {
-		l.output.Answers = append(l.output.Answers, Answer{Ticket: p.Ticket, Origin: p.Origin, Kind: Invalid,
-			Reason: "zone " + strconv.Quote(p.Zone) + " is not one of the settings"})
-		return l.takeOutput()
+// Poll accepts a poll. It is answered at once if possible and stays pending otherwise.
+func (sh *Shard) Poll(now logic.Millis, p Poll) Output {
+	sh.stats.Polls++
+	if p.Zone != "" && !slices.Contains(sh.config.Zones, p.Zone) {
+		sh.output.Answers = append(sh.output.Answers, Answer{Ticket: p.Ticket, Origin: p.Origin, Kind: Invalid,
+			Reason: "zone " + strconv.Quote(p.Zone) + " is not configured"})
+		return sh.takeOutput()
 	}
-	s := l.sessions[p.Proxy]
+	s := sh.sessions[p.Proxy]
 	if s == nil {
-		l.lastID += l.stride
-		s = &session{proxy: p.Proxy, id: l.lastID}
+		sh.lastID += sh.stride
+		s = &session{proxy: p.Proxy, id: sh.lastID}
 		s.timer.Value = s
-		l.sessions[p.Proxy] = s
-		l.emit(JoinRequest{p, s.id})
+		sh.sessions[p.Proxy] = s
+		sh.emit(JoinRequest{p, s.id})
 	} else if s.ticket != 0 {
-		// Its newer poll takes the place of the one that waits.
-		l.answer(s, Answer{Kind: Replaced, Doc: s.base})
+		// The newer poll replaces the pending one.
+		sh.answer(s, Answer{Kind: Replaced, Doc: s.base})
 	}
 	s.ticket, s.origin, s.wantsDelta, s.base, s.deferred = p.Ticket, p.Origin, p.WantsDelta, nil, false
-	s.deadline = now + max(0, min(p.Wait, l.config.MaxWait))
-	l.pending++
+	s.deadline = now + max(0, min(p.Wait, sh.config.MaxWait))
+	sh.pending++
 	for _, tag := range p.Held {
-		if d := l.view.Bases[tag]; d != nil && (s.base == nil || d.Step > s.base.Step) {
+		if d := sh.view.Bases[tag]; d != nil && (s.base == nil || d.Step > s.base.Step) {
 			s.base = d
 		}
 	}
-	holds := tables.Step(0)
+	held := tables.Step(0)
 	if s.base != nil {
-		holds = s.base.Step
+		held = s.base.Step
 	}
-	if holds != s.ackedStep {
-		s.ackedStep = holds
-		l.emit(Acknowledgement{s.proxy, s.id, holds})
+	if held != s.ackedStep {
+		s.ackedStep = held
+		sh.emit(Acknowledgement{s.proxy, s.id, held})
 	}
-	l.timers.Set(&s.timer, s.deadline)
-	l.tryAnswer(now, s)
-	return l.takeOutput()
+	sh.timers.Set(&s.timer, s.deadline)
+	sh.tryAnswer(now, s)
+	return sh.takeOutput()
 }
 
-// Broke takes it that a poll's connection is gone: the proxy has left.
-func (l *Shard) Disconnect(now logic.Millis, b Disconnected) Output {
-	if s := l.sessions[b.Proxy]; s != nil && s.ticket == b.Ticket && b.Ticket != 0 {
-		l.end(s, "broken")
+// Disconnect handles a closed connection: the proxy whose poll was pending on it has left.
+func (sh *Shard) Disconnect(now logic.Millis, b Disconnected) Output {
+	if s := sh.sessions[b.Proxy]; s != nil && s.ticket == b.Ticket && b.Ticket != 0 {
+		sh.end(s, "broken")
 	}
-	return l.takeOutput()
+	return sh.takeOutput()
 }
 
-// Told takes what the core says for single proxies.
-func (l *Shard) Apply(now logic.Millis, in ...any) Output {
+// Apply executes the core's commands for single proxies. Commands for sessions that have ended are ignored.
+func (sh *Shard) Apply(now logic.Millis, in ...any) Output {
 	for _, i := range in {
 		switch i := i.(type) {
 		case SetDocument:
-			if s := l.sessions[i.Proxy]; s != nil && s.id == i.Session {
+			if s := sh.sessions[i.Proxy]; s != nil && s.id == i.Session {
 				s.requested = false
 				if s.doc == nil || i.Doc.Step > s.doc.Step {
 					s.doc = i.Doc
 				}
-				l.tryAnswer(now, s)
+				sh.tryAnswer(now, s)
 			}
 		case RejectJoin:
-			if s := l.sessions[i.Proxy]; s != nil && s.id == i.Session {
+			if s := sh.sessions[i.Proxy]; s != nil && s.id == i.Session {
 				if s.ticket != 0 {
-					l.answer(s, Answer{Kind: i.Kind, Reason: i.Reason})
+					sh.answer(s, Answer{Kind: i.Kind, Reason: i.Reason})
 				}
-				l.remove(s)
+				sh.remove(s)
 			}
 		}
 	}
-	return l.takeOutput()
+	return sh.takeOutput()
 }
 
-// See takes what all lots see from now on.
-func (l *Shard) SetView(now logic.Millis, v *View) Output {
-	was := l.view
-	if l.view = v; v.Closed || now >= v.LeaseEnd {
-		return l.takeOutput()
+// SetView replaces the shared view and gives the answers that the previous view had deferred.
+func (sh *Shard) SetView(now logic.Millis, v *View) Output {
+	previous := sh.view
+	if sh.view = v; v.Closed || now >= v.LeaseEnd {
+		return sh.takeOutput()
 	}
-	if now >= was.LeaseEnd || was.Closed { // what was held back
-		all := l.deferred
-		l.deferred = nil
-		for _, s := range all {
-			if s.deferred && l.sessions[s.proxy] == s {
+	if now >= previous.LeaseEnd || previous.Closed {
+		deferred := sh.deferred
+		sh.deferred = nil
+		for _, s := range deferred {
+			if s.deferred && sh.sessions[s.proxy] == s {
 				s.deferred = false
-				l.tryAnswer(now, s)
+				sh.tryAnswer(now, s)
 			}
 		}
 	}
-	return l.takeOutput()
+	return sh.takeOutput()
 }
 
-// Turn ends polls that have waited as long as they asked for, and stays of proxies that poll no more.
-func (l *Shard) Advance(now logic.Millis) Output {
-	l.timers.Advance(now, func(t *wheel.Timer[*session]) {
+// Advance answers polls whose deadline has passed and ends the sessions of proxies that have stopped polling.
+func (sh *Shard) Advance(now logic.Millis) Output {
+	sh.timers.Advance(now, func(t *wheel.Timer[*session]) {
 		switch s := t.Value; {
-		case s.ticket != 0 && now >= s.deadline+l.config.Lease && (s.deferred || s.doc == nil):
-			l.answer(s, Answer{Kind: Busy, Reason: "this director can't tell yet, or its leases are over"})
+		case s.ticket != 0 && now >= s.deadline+sh.config.Lease && (s.deferred || s.doc == nil):
+			sh.answer(s, Answer{Kind: Busy, Reason: "the director cannot answer yet, or its leases have ended"})
 			s.deferred, s.lastAnswer = false, now
 			if s.doc == nil {
-				l.end(s, "not let in")
+				sh.end(s, "join not answered in time")
 				return
 			}
-			l.timers.Set(&s.timer, now+l.config.Lease)
+			sh.timers.Set(&s.timer, now+sh.config.Lease)
 		case s.ticket != 0:
-			l.tryAnswer(now, s)
+			sh.tryAnswer(now, s)
 			if s.ticket != 0 { // it may not be answered yet
-				l.timers.Set(&s.timer, max(now+timerTick, s.deadline+l.config.Lease))
+				sh.timers.Set(&s.timer, max(now+timerTick, s.deadline+sh.config.Lease))
 			}
 		default:
-			l.stats.Expired++
-			l.end(s, "no poll within the lease")
+			sh.stats.Expired++
+			sh.end(s, "no poll within the lease")
 		}
 	})
-	return l.takeOutput()
+	return sh.takeOutput()
 }
 
-// open decides what a poll gets now: what stands, or a place to wait.
-func (l *Shard) tryAnswer(now logic.Millis, s *session) {
+// tryAnswer answers a session's pending poll if it is due and allowed. Otherwise the poll stays pending, or is deferred
+// until the next view.
+func (sh *Shard) tryAnswer(now logic.Millis, s *session) {
 	if s.ticket == 0 || s.doc == nil || s.deferred {
 		return
 	}
 	if s.base == s.doc && now < s.deadline {
 		return
 	}
-	if l.view.Closed || now >= l.view.LeaseEnd {
+	if sh.view.Closed || now >= sh.view.LeaseEnd {
 		s.deferred = true
-		l.deferred = append(l.deferred, s)
-		l.stats.Deferred++
+		sh.deferred = append(sh.deferred, s)
+		sh.stats.Deferred++
 		return
 	}
-	if s.doc.Step < l.view.MinStep {
-		if l.view.Shared == nil {
+	if s.doc.Step < sh.view.MinStep {
+		if sh.view.Shared == nil {
 			if !s.requested {
 				s.requested = true
-				l.emit(DocumentRequest{s.proxy, s.id})
+				sh.emit(DocumentRequest{s.proxy, s.id})
 			}
 			return
 		}
-		s.doc = l.view.Shared
+		s.doc = sh.view.Shared
 	}
 	a := Answer{Kind: Full, Doc: s.doc}
-	if until := float64(l.view.LeaseEnd); !math.IsInf(until, 1) {
-		a.Lease = max(1, l.view.LeaseEnd-now)
+	if until := float64(sh.view.LeaseEnd); !math.IsInf(until, 1) {
+		a.Lease = max(1, sh.view.LeaseEnd-now)
 	}
 	switch {
 	case s.base == s.doc:
 		a.Kind = Unchanged
-		l.stats.Unchanged++
+		sh.stats.Unchanged++
 	case s.base != nil && s.wantsDelta:
 		if patch := s.doc.Delta(s.base); patch != nil {
 			a.Kind, a.Base, a.Patch = Delta, s.base, patch
-			l.stats.Deltas++
+			sh.stats.Deltas++
 			break
 		}
 		fallthrough
 	default:
-		l.stats.Full++
+		sh.stats.Full++
 	}
-	l.answer(s, a)
+	sh.answer(s, a)
 	s.lastAnswer = now
-	l.timers.Set(&s.timer, now+l.config.Lease)
+	sh.timers.Set(&s.timer, now+sh.config.Lease)
 }
 
-func (l *Shard) answer(s *session, a Answer) {
+// answer completes the pending poll of a session.
+func (sh *Shard) answer(s *session, a Answer) {
 	a.Ticket, a.Origin = s.ticket, s.origin
 	s.ticket, s.origin = 0, nil
-	l.pending--
-	l.output.Answers = append(l.output.Answers, a)
+	sh.pending--
+	sh.output.Answers = append(sh.output.Answers, a)
 }
 
-func (l *Shard) end(s *session, why string) {
-	l.emit(Left{s.proxy, s.id, why})
-	l.remove(s)
+// end ends a session and reports that the proxy has left.
+func (sh *Shard) end(s *session, reason string) {
+	sh.emit(Left{s.proxy, s.id, reason})
+	sh.remove(s)
 }
 
-func (l *Shard) remove(s *session) {
+// remove deletes a session without an event for the core.
+func (sh *Shard) remove(s *session) {
 	if s.ticket != 0 {
-		l.pending--
+		sh.pending--
 	}
-	l.timers.Stop(&s.timer)
-	delete(l.sessions, s.proxy)
+	sh.timers.Stop(&s.timer)
+	delete(sh.sessions, s.proxy)
 }
 
-// Figures are those of now.
-func (l *Shard) Stats() Stats {
-	f := l.stats
-	f.Sessions, f.Pending = len(l.sessions), l.pending
+// Stats returns the present counters.
+func (sh *Shard) Stats() Stats {
+	f := sh.stats
+	f.Sessions, f.Pending = len(sh.sessions), sh.pending
 	return f
 }
--- a/internal/park/model_test.go
+++ b/internal/park/model_test.go
@@ -2,24 +2,26 @@
 
 import "testing"
 
-// The barrier at small size, every interleaving: a core that brings two removals, one after the other; lots that answer polls whenever
-// they may; answers that are written any time after they were given. What the core does to each lot, and each look at what is
-// not yet written, is a step of its own, as other cores go on meanwhile. Version 1 stands at the start; 2 and 3 are removals.
+// modelShards is the number of shards in a model of the removal barrier that is explored in every interleaving. The
+// core publishes two removals, one after the other; shards answer polls whenever they may; an answer is written at any
+// time after it was given. Each of the core's actions on a shard, and each check of a shard's unwritten answers, is a
+// step of its own, because other processors proceed in between. Version 1 is current at the start; 2 and 3 are
+// removals.
 const modelShards = 3
 
 type modelShard struct {
 	floor     uint8
 	closed    bool
 	epoch     uint8
-	unwritten [2][4]uint8 // by the epoch it was given in, and version
+	unwritten [2][4]uint8 // number of answers, by the epoch they were given in and by version
 }
 
 type modelState struct {
 	shards        [modelShards]modelShard
-	version       uint8 // that the core brings, or brought last
-	phase         uint8 // closing, awaiting, opening
-	shard         uint8 // that the core is at
-	newestWritten uint8 // the newest that any lot wrote
+	version       uint8 // that the core publishes, or published last
+	phase         uint8 // closing, awaiting or opening
+	shard         uint8 // that the core handles next
+	newestWritten uint8 // the newest version that any shard wrote
 }
 
 const (
@@ -28,17 +30,17 @@
 	opening
 )
 
-// fault is what the model leaves out, to see that it would be found.
+// fault selects steps that the model omits, to prove that the exploration detects their absence.
 type fault struct{ noClosing, noAwaiting bool }
 
-// next gives all states that may follow, and whether one of the steps wrote something older than a removal that was written before.
+// next returns all states that may follow, and whether a step wrote a version older than a removal written before.
 func (s modelState) next(f fault) (out []modelState, broken bool) {
 	for i, l := range s.shards {
-		flying := 0
+		unwritten := 0
 		for e := range l.unwritten {
 			for v := uint8(1); v < 4; v++ {
-				flying += int(l.unwritten[e][v])
-				if l.unwritten[e][v] > 0 { // it is written
+				unwritten += int(l.unwritten[e][v])
+				if l.unwritten[e][v] > 0 { // an answer is written
 					n := s
 					n.shards[i].unwritten[e][v]--
 					broken = broken || v < s.newestWritten
@@ -47,7 +49,7 @@
 				}
 			}
 		}
-		if !l.closed && flying < 3 { // a poll is answered
+		if !l.closed && unwritten < 3 { // a poll is answered
 			n := s
 			n.shards[i].unwritten[l.epoch][l.floor]++
 			out = append(out, n)
@@ -67,7 +69,7 @@
 		if n.shard++; !f.noAwaiting {
 			for _, left := range l.unwritten[l.epoch^1] {
 				if left > 0 {
-					n.shard = 0 // it looks at all again
+					n.shard = 0 // checks all shards again
 				}
 			}
 		}
@@ -83,17 +85,18 @@
 	return append(out, n), broken
 }
 
+// explore visits all states that are reachable from the start. It stops at the first violation.
 func explore(f fault) (states int, broken bool) {
-	first := modelState{version: 2, newestWritten: 1}
-	for i := range first.shards {
-		first.shards[i].floor = 1
+	initial := modelState{version: 2, newestWritten: 1}
+	for i := range initial.shards {
+		initial.shards[i].floor = 1
 	}
-	seen, todo := map[modelState]bool{first: true}, []modelState{first}
+	seen, todo := map[modelState]bool{initial: true}, []modelState{initial}
 	for len(todo) > 0 {
 		s := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		all, wrong := s.next(f)
-		if broken = broken || wrong; broken {
+		all, violated := s.next(f)
+		if broken = broken || violated; broken {
 			return len(seen), true
 		}
 		for _, n := range all {
@@ -106,18 +109,20 @@
 	return len(seen), false
 }
 
+// No processor writes a version older than a removal that has been written, and the model without one of the barrier's
+// steps is found faulty.
 func TestNoCoreWritesWhatIsOlderThanAWrittenRemoval(t *testing.T) {
 	states, broken := explore(fault{})
 	if broken {
-		t.Fatalf("an older table is written after a removal (found in %d states)", states)
+		t.Fatalf("an older version is written after a removal (after %d states)", states)
 	}
-	t.Logf("%d states, none with an older table after a removal", states)
+	t.Logf("%d states, none with an older version after a removal", states)
 	if states < 1000 {
-		t.Errorf("only %d states: the model does not move", states)
+		t.Errorf("only %d states, want at least 1000: the model makes no progress", states)
 	}
 	for name, f := range map[string]fault{"no closing": {noClosing: true}, "no awaiting": {noAwaiting: true}} {
 		if _, broken := explore(f); !broken {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: violation not found", name)
 		}
 	}
 }
--- a/internal/park/types.go
+++ b/internal/park/types.go
@@ -1,10 +1,11 @@
-// Package park decides about polls that wait. A director's proxies are dealt to lots, each with a lock of its own, so that polls are
-// taken and answered on all cores; what a proxy may be told, and when, is said by the one core that owns the module. A lot takes
-// what came and says what to answer. No I/O, no clock, nothing global.
+// Package park holds pending polls. A director's proxies are distributed over shards, each with its own lock, so that
+// polls are accepted and answered on all processors. Which document a proxy may get, and when, is decided by the single
+// core that owns the decision module. A shard takes inputs and returns the answers to give. The package does no I/O,
+// reads no clock and has no global state.
 //
-// A removal (a host that tables offer no more) is a barrier. The core shows all lots a closed view, in which they answer nothing;
-// it waits until what they had answered before is written; then it opens them, and from then on none answers with anything
-// older than the removal, whatever was said for a single proxy.
+// A removal (a host that is no longer in any table) is a barrier. The core publishes a closed view to all shards, in
+// which they answer nothing; it waits until all earlier answers are written; then it publishes an open view. From then
+// on no shard answers with a document older than the removal, even if the core had set one for a single proxy.
 package park
 
 import (
@@ -12,13 +13,14 @@
 	"vetchwood/logic"
 )
 
-// Ticket names a question that waits for its answer; the front gives it out.
+// Ticket identifies a pending request. The front that received the request assigns it.
 type Ticket uint64
 
-// Visit names the stay of a proxy, from its first poll until it has left.
+// SessionID identifies a proxy's session, which lasts from its first poll until the proxy has left.
 type SessionID uint64
 
-// Poll asks for what a proxy is told. Held is what it says it holds, if anything. From is the front's own.
+// Poll requests the present document of a proxy. Held lists the versions that the proxy says it holds, if any. Origin
+// is opaque data of the front, returned in the answer.
 type Poll struct {
 	Ticket     Ticket
 	Origin     any
@@ -30,97 +32,100 @@
 	WantsDelta bool
 }
 
-// Broke says that the connection of a waiting poll is gone. Proxy is empty for one that looks on.
+// Disconnected reports that the connection of a pending poll is closed. Proxy is empty for a client that only watches.
 type Disconnected struct {
 	Ticket Ticket
 	Proxy  string
 }
 
-// Kind of answer.
+// Kind is the kind of an answer.
 type Kind int
 
+// Kinds of answers.
 const (
 	Unchanged Kind = iota
 	Full
 	Delta
 	Accepted // a report was counted
-	Unknown  // no such proxy, or more than the settings allow
-	Invalid  // it names what is not there
+	Unknown  // the proxy is not configured, or more have joined than the settings allow
+	Invalid  // the request names something that does not exist
 	Busy
-	Done      // an operator's change is ordered, or told
-	Conflict  // another operator was faster
-	PeerFacts // facts
-	Replaced  // the proxy's newer poll waits in its place
-	Refused   // it would break a rule, or move too much
+	Done      // an operator's change is ordered, or an operator's query is answered
+	Conflict  // another operator's change came first
+	PeerFacts // facts for another director
+	Replaced  // a newer poll of the proxy took the place of this one
+	Refused   // the change would break a rule or move too much
 )
 
-// Flight is told when an answer has been written, or never will be.
+// WriteTracker is notified when an answer has been written or will never be written.
 type WriteTracker interface{ WriteFinished() }
 
-// Answer ends a poll or another question. Doc is what the proxy is told from now on; with a Base it is told the difference.
+// Answer completes a poll or another request. Doc is the document that the proxy holds from now on; if Base is set,
+// only the difference from Base to Doc is sent.
 type Answer struct {
 	Ticket  Ticket
-	Origin  any // what the poll was from
+	Origin  any // as in the poll
 	Kind    Kind
 	Doc     *tables.Document
 	Base    *tables.Document
-	Patch   []byte // the difference, encoded
+	Patch   []byte // the encoded difference
 	Reason  string
-	Lease   logic.Millis // from the sending of the poll: what is told may not take effect later; 0: no end
-	Body    any          // of other questions' answers
+	Lease   logic.Millis // counted from the sending of the poll: the answer may not take effect later; 0: unlimited
+	Body    any          // of answers to requests other than polls
 	Tracker WriteTracker
 }
 
-// Land says that the answer is written.
+// WriteFinished notifies the answer's tracker, if any, that the answer has been written or will never be written.
 func (a *Answer) WriteFinished() {
 	if a.Tracker != nil {
 		a.Tracker.WriteFinished()
 	}
 }
 
-// View is what all lots see of the core. It is never written again.
+// View is the state of the core that all shards share. It is immutable once published.
 type View struct {
-	Bases    map[tables.Tag]*tables.Document // bases that differences may start from
-	MinStep  tables.Step                     // nothing older is told
-	Shared   *tables.Document                // the newest that is stored, where all are told the same
-	Closed   bool                            // a removal is about to be told: nothing is answered
-	LeaseEnd logic.Millis                    // when this director's leases are over; infinite where it has none
+	Bases    map[tables.Tag]*tables.Document // documents that differences may start from
+	MinStep  tables.Step                     // no older document is sent
+	Shared   *tables.Document                // the newest stored document, if all proxies get the same one
+	Closed   bool                            // a removal is being published: no poll is answered
+	LeaseEnd logic.Millis                    // when this director's leases end; infinite if it has none
 }
 
-// What lots tell the core.
+// Events from shards to the core.
 type (
-	// Join is the first poll of a proxy that its lot does not know.
+	// JoinRequest is the first poll of a proxy that its shard does not know.
 	JoinRequest struct {
 		Poll
 		Session SessionID
 	}
-	// Holds acknowledges: the proxy polled with this version in hand. 0: none that is known.
+	// Acknowledgement reports the version that the proxy named in its poll; Step is 0 if the shard knows none of them.
 	Acknowledgement struct {
 		Proxy   string
 		Session SessionID
 		Step    tables.Step
 	}
+	// Left reports the end of a session.
 	Left struct {
 		Proxy   string
 		Session SessionID
 		Reason  string
 	}
-	// Wants asks for what is stored, for a proxy that may not be told what it was to be told.
+	// DocumentRequest asks for the stored document of a proxy whose present one is older than a removal.
 	DocumentRequest struct {
 		Proxy   string
 		Session SessionID
 	}
 )
 
-// What the core tells lots.
+// Commands from the core to shards.
 type (
-	// Tell is what a proxy may be told by now. The first one lets it in.
+	// SetDocument sets the document that a proxy may get. The first one completes the proxy's join.
 	SetDocument struct {
 		Proxy   string
 		Session SessionID
 		Doc     *tables.Document
 	}
-	// Turned refuses a proxy that wanted to join.
+	// RejectJoin refuses a proxy's join request.
 	RejectJoin struct {
 		Proxy   string
 		Session SessionID
--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -1,5 +1,6 @@
-// Package reload decides what a changed file of settings comes to for a director that runs: what takes effect now, all in one step, and
-// what only a start over can bring, by name. Facts that the decisions were begun with are of the second kind. No I/O, no clock.
+// Package reload compares two versions of a settings file and decides which changes take effect in a running director,
+// all in one step, and which need a restart. The configuration that the decision module was started with needs a
+// restart. The package does no I/O and reads no clock.
 package reload
 
 import (
@@ -8,11 +9,12 @@
 	"strings"
 )
 
-// Change is an attribute of the file that is another than before. An empty text stands for one that is not there.
+// Change is an attribute of the file whose value has changed. An empty value means that the attribute is absent.
 type Change struct {
 	Name, Old, New string
 }
 
+// String returns the change as "name: old to new".
 func (c Change) String() string { return c.Name + ": " + display(c.Old) + " to " + display(c.New) }
 
 func display(v string) string {
@@ -22,29 +24,31 @@
 	return v
 }
 
-// Plan is what a reload does.
+// Plan is the outcome of a comparison: changes that take effect in the running director, and changes that need a
+// restart.
 type Plan struct {
 	Live, Restart []Change
 }
 
-// atOnce are the attributes that take effect while the director runs.
+// appliesLive holds the attributes that take effect while the director runs.
 var appliesLive = map[string]bool{"director.memory": true, "history.versions": true, "history.age": true,
 	"poll.most_head": true, "poll.most_body": true, "poll.slow_request": true, "poll.idle": true}
 
-// Of compares two files, each attribute by its path. The label of the director's block is no part of it.
-func Compare(was, is map[string]string) (p Plan) {
+// Compare compares the attributes of two files by their paths. Block labels, such as the director's, don't matter to
+// whether a change takes effect live.
+func Compare(before, after map[string]string) (p Plan) {
 	names := map[string]bool{}
-	for n := range was {
+	for n := range before {
 		names[n] = true
 	}
-	for n := range is {
+	for n := range after {
 		names[n] = true
 	}
 	for _, n := range slices.Sorted(maps.Keys(names)) {
-		if was[n] == is[n] {
+		if before[n] == after[n] {
 			continue
 		}
-		if c := (Change{n, was[n], is[n]}); appliesLive[stripLabels(n)] || stripLabels(n) == "poll" || stripLabels(n) == "history" {
+		if c := (Change{n, before[n], after[n]}); appliesLive[stripLabels(n)] || stripLabels(n) == "poll" || stripLabels(n) == "history" {
 			p.Live = append(p.Live, c)
 		} else {
 			p.Restart = append(p.Restart, c)
@@ -53,14 +57,14 @@
 	return p
 }
 
-// plain leaves out a block's labels: "director[d1].memory" is "director.memory".
+// stripLabels removes the labels of blocks: "director[d1].memory" becomes "director.memory".
 func stripLabels(name string) string {
 	for {
-		from := strings.IndexByte(name, '[')
-		to := strings.IndexByte(name, ']')
-		if from < 0 || to < from {
+		start := strings.IndexByte(name, '[')
+		end := strings.IndexByte(name, ']')
+		if start < 0 || end < start {
 			return name
 		}
-		name = name[:from] + name[to+1:]
+		name = name[:start] + name[end+1:]
 	}
 }
--- a/internal/reload/reload_test.go
+++ b/internal/reload/reload_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
+// Only the listed attributes take effect live; all others are listed for a restart, each by its full path.
 func TestWhatTakesEffectNow(t *testing.T) {
-	was := map[string]string{"director[d1].memory": `"1GiB"`, "director[d1].listen": `"a"`, "poll.idle": `"2m"`, "service.route[read].slo": `"1s"`}
+	before := map[string]string{"director[d1].memory": `"1GiB"`, "director[d1].listen": `"a"`, "poll.idle": `"2m"`, "service.route[read].slo": `"1s"`}
 	for _, c := range []struct {
-		is   map[string]string
-		want string
+		after map[string]string
+		want  string
 	}{
-		{was, "{[] []}"},
+		{before, "{[] []}"},
 		{map[string]string{"director[d1].memory": `"2GiB"`, "director[d1].listen": `"a"`, "poll.idle": `"1m"`, "service.route[read].slo": `"1s"`},
 			`{[director[d1].memory: "1GiB" to "2GiB" poll.idle: "2m" to "1m"] []}`},
 		{map[string]string{"director[d1].memory": `"1GiB"`, "director[d1].listen": `"b"`, "service.route[read].slo": `"1s"`, "history.age": `"1h"`},
@@ -19,8 +20,8 @@
 		{map[string]string{"director[d2].memory": `"1GiB"`, "director[d2].listen": `"a"`, "poll.idle": `"2m"`},
 			`{[director[d1].memory: "1GiB" to (not stated) director[d2].memory: (not stated) to "1GiB"] [director[d1].listen: "a" to (not stated) director[d2].listen: (not stated) to "a" service.route[read].slo: "1s" to (not stated)]}`},
 	} {
-		if got := fmt.Sprint(Compare(was, c.is)); got != c.want {
-			t.Errorf("%v\nwanted %v", got, c.want)
+		if got := fmt.Sprint(Compare(before, c.after)); got != c.want {
+			t.Errorf("got  %v\nwant %v", got, c.want)
 		}
 	}
 }
--- a/internal/wheel/wheel.go
+++ b/internal/wheel/wheel.go
@@ -1,6 +1,6 @@
-// Package wheel keeps many timers that are mostly moved on or stopped before they are due: a hierarchical timer wheel. To set,
-// move and stop one costs the same however many there are, and nothing is allocated; a heap pays the logarithm and a map's scan
-// the whole each time. No clock: its owner says what time it is.
+// Package wheel implements a hierarchical timer wheel, for many timers of which most are moved or stopped before they
+// are due. To set, move or stop a timer takes constant time and allocates nothing, while a heap takes logarithmic time
+// and a scan of a map linear time. The package reads no clock: the owner passes the time.
 package wheel
 
 import (
@@ -9,44 +9,48 @@
 	"vetchwood/logic"
 )
 
-// Seven levels of 64 slots; a slot of one level is as long as all of the level below. No process lives to see the last one full.
+// The wheel has seven levels of 64 slots; a slot of one level spans all of the level below. The last level covers more
+// time than a process runs.
 const (
 	levels   = 7
-	slotBits = 6 // bits
+	slotBits = 6 // bits of a tick number per level
 	slots    = 1 << slotBits
 )
 
-// Timer is one, within what it is of. The zero value is stopped.
+// Timer is a timer that its owner embeds in the object it belongs to. The zero value is stopped.
 type Timer[T any] struct {
-	Value      T
-	dueTick    uint64 // tick
+	Value      T      // for the owner's use
+	dueTick    uint64 // the tick at which it is due
 	level      int8
 	slot       int8
 	next, prev *Timer[T]
 	isSet      bool
 }
 
-// Wheel is one owner's. It is told a time that never goes back.
+// Wheel is a set of timers. The times that it is given must not decrease. It is not safe for concurrent use.
 type Wheel[T any] struct {
 	tickLength logic.Millis
 	origin     logic.Millis
-	now        uint64
+	now        uint64 // present tick
 	count      int
-	occupied   [levels]uint64 // slots that hold something
+	occupied   [levels]uint64 // bit masks of the slots that hold timers
 	heads      [levels][slots]*Timer[T]
 }
 
-// New begins one; no timer is due earlier than set, and none more than a tick late by the wheel's own doing.
-func New[T any](tick, now logic.Millis) *Wheel[T] { return &Wheel[T]{tickLength: tick, origin: now} }
+// New returns a wheel that starts at now. No timer is due before its time, and the wheel adds at most one tick of
+// delay.
+func New[T any](tickLength, now logic.Millis) *Wheel[T] {
+	return &Wheel[T]{tickLength: tickLength, origin: now}
+}
 
-// Len is how many are set.
+// Len returns the number of set timers.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Set sets a timer, or moves it.
+// Set sets a timer to the given time, or moves it there if it is set.
 func (w *Wheel[T]) Set(t *Timer[T], at logic.Millis) {
 	w.Stop(t)
 	ticks := float64((at - w.origin) / w.tickLength)
-	t.dueTick = w.now + 1 // what is due already is due at the next tick
+	t.dueTick = w.now + 1 // a timer whose time has passed is due at the next tick
 	if ticks > float64(w.now) {
 		t.dueTick = max(t.dueTick, uint64(min(ticks, 1<<41))+1)
 	}
@@ -55,7 +59,7 @@
 	w.count++
 }
 
-// Stop stops a timer, if it is set.
+// Stop stops a timer. It does nothing if the timer is not set.
 func (w *Wheel[T]) Stop(t *Timer[T]) {
 	if !t.isSet {
 		return
@@ -65,7 +69,7 @@
 	w.count--
 }
 
-// put places a timer by the highest digit in which its tick differs from now.
+// insert adds a timer to the level of the highest base-64 digit in which its tick differs from the present one.
 func (w *Wheel[T]) insert(t *Timer[T]) {
 	level := 0
 	if differs := t.dueTick ^ w.now; differs != 0 {
@@ -81,6 +85,7 @@
 	w.occupied[level] |= 1 << slot
 }
 
+// remove unlinks a timer from its slot.
 func (w *Wheel[T]) remove(t *Timer[T]) {
 	if t.prev != nil {
 		t.prev.next = t.next
@@ -96,12 +101,12 @@
 	t.next, t.prev = nil, nil
 }
 
-// soonest is the first slot that holds something, and the tick at which it begins.
-func (w *Wheel[T]) firstOccupied() (level int, begins uint64, any bool) {
+// firstOccupied returns the level of the first slot that holds timers and the tick at which the slot begins.
+func (w *Wheel[T]) firstOccupied() (level int, begins uint64, found bool) {
 	for level = range levels {
-		at := (w.now >> (slotBits * level)) & (slots - 1)
-		// What a level holds lies past its present slot, or it would be on a level below.
-		if ahead := w.occupied[level] &^ (1<<at - 1); ahead != 0 {
+		current := (w.now >> (slotBits * level)) & (slots - 1)
+		// Timers of a level are past its present slot; otherwise they would be on a lower level.
+		if ahead := w.occupied[level] &^ (1<<current - 1); ahead != 0 {
 			slot := uint64(bits.TrailingZeros64(ahead))
 			above := w.now >> (slotBits * (level + 1)) << (slotBits * (level + 1))
 			return level, above | slot<<(slotBits*level), true
@@ -110,22 +115,23 @@
 	return 0, 0, false
 }
 
-// Next is a time before which nothing is due; false if nothing is set.
+// Next returns a time before which no timer is due, or false if none is set.
 func (w *Wheel[T]) Next() (logic.Millis, bool) {
-	_, begins, any := w.firstOccupied()
-	return w.origin + logic.Millis(begins)*w.tickLength, any
+	_, begins, found := w.firstOccupied()
+	return w.origin + logic.Millis(begins)*w.tickLength, found
 }
 
-// Advance goes on to a time and hands over what is due by then, tick by tick. What is handed over is stopped, and may be set again.
+// Advance moves the wheel to the given time and calls due for each timer that is due by then, in order of ticks. Such a
+// timer is stopped before the call and may be set again in it.
 func (w *Wheel[T]) Advance(now logic.Millis, due func(*Timer[T])) {
-	to := w.now
-	if ticks := float64((now - w.origin) / w.tickLength); ticks > float64(to) {
-		to = uint64(ticks)
+	target := w.now
+	if ticks := float64((now - w.origin) / w.tickLength); ticks > float64(target) {
+		target = uint64(ticks)
 	}
 	for {
-		level, begins, any := w.firstOccupied()
-		if !any || begins > to {
-			w.now = to
+		level, begins, found := w.firstOccupied()
+		if !found || begins > target {
+			w.now = target
 			return
 		}
 		w.now = max(w.now, begins)
--- a/internal/wheel/wheel_test.go
+++ b/internal/wheel/wheel_test.go
@@ -11,8 +11,8 @@
 	"vetchwood/logic"
 )
 
-// Whatever is set, moved and stopped: each timer comes once, not early, and at most a tick after its time once the wheel has
-// been told of it; the naive list says what is due.
+// For random sequences of Set, Stop and Advance, each timer fires once, not early, and by the first Advance that is
+// more than two ticks past its time, as compared with a plain map of times.
 func TestAgainstAPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tick = 8
@@ -28,7 +28,7 @@
 			case 0, 1:
 				when := now + logic.Millis(rapid.Float64Range(-20, span.Draw(t, "span")).Draw(t, "in"))
 				w.Set(&timers[i], when)
-				at[i] = max(when, now) // what is due already comes next
+				at[i] = max(when, now) // a time that has passed is due next
 			case 2:
 				w.Stop(&timers[i])
 				delete(at, i)
@@ -37,44 +37,44 @@
 				w.Advance(now, func(x *Timer[int]) {
 					when, set := at[x.Value]
 					if !set {
-						t.Fatalf("timer %d comes at %v though it is not set", x.Value, now)
+						t.Fatalf("timer %d fires at %v but is not set", x.Value, now)
 					}
 					if when > now+0.001 {
-						t.Fatalf("timer %d comes at %v, %v early", x.Value, now, when-now)
+						t.Fatalf("timer %d fires at %v, %v early", x.Value, now, when-now)
 					}
 					delete(at, x.Value)
 				})
 				for i, when := range at {
 					if when+2*tick < now {
-						t.Fatalf("timer %d was due at %v and has not come by %v", i, when, now)
+						t.Fatalf("timer %d was due at %v and has not fired by %v", i, when, now)
 					}
 				}
-				if next, any := w.Next(); any != (len(at) > 0) || any && next < now-tick {
-					t.Fatalf("next at %v, %v, with %d set at %v", next, any, len(at), now)
+				if next, found := w.Next(); found != (len(at) > 0) || found && next < now-tick {
+					t.Fatalf("Next returned %v, %v with %d timers set at %v", next, found, len(at), now)
 				}
 			}
 			if w.Len() != len(at) {
-				t.Fatalf("%d set, by its own count %d", len(at), w.Len())
+				t.Fatalf("%d timers set, Len returned %d", len(at), w.Len())
 			}
 		}
 	})
 }
 
-// One that is due sets itself again, as a lease that was renewed meanwhile does.
+// A timer is set again while it is handled, as for a lease that was renewed in the meantime.
 func TestSetAgainWhileDue(t *testing.T) {
 	w := New[int](8, 0)
 	var x Timer[int]
-	came := 0
+	fired := 0
 	w.Set(&x, 100)
 	for now := logic.Millis(0); now <= 1000; now += 10 {
-		w.Advance(now, func(x *Timer[int]) { came++; w.Set(x, now+100) })
+		w.Advance(now, func(x *Timer[int]) { fired++; w.Set(x, now+100) })
 	}
-	if came < 8 || came > 10 || w.Len() != 1 {
-		t.Fatalf("came %d times in a second", came)
+	if fired < 8 || fired > 10 || w.Len() != 1 {
+		t.Fatalf("fired %d times in a second, want 8 to 10", fired)
 	}
 }
 
-// beat is the plain one: a heap.
+// heapTimer is a timer in a binary heap, for comparison.
 type heapTimer struct {
 	at    logic.Millis
 	index int
@@ -87,7 +87,7 @@
 func (b *timerHeap) Push(x any)        { y := x.(*heapTimer); y.index = len(*b); *b = append(*b, y) }
 func (b *timerHeap) Pop() any          { o := *b; x := o[len(o)-1]; *b = o[:len(o)-1]; return x }
 
-// What parked polls do: a poll comes back and its end is moved on by its wait; now and then time goes on.
+// BenchmarkMove measures the use by pending polls: each poll moves its timer by its wait, and the time advances.
 func BenchmarkMove(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		draw := rand.New(rand.NewPCG(1, 2))
