--- a/internal/carry/mind_test.go
+++ b/internal/carry/mind_test.go
@@ -207,7 +207,8 @@
 	}
 }
 
-// Any order of events: what is in hand is counted right, no host holds more than it may, and at the end nothing is left.
+// Any order of events: what is in hand is counted right, no host holds more than it may, and at the end nothing is
+// left.
 func TestNothingIsLeftInHand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := mind(nil)
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -1,5 +1,5 @@
-// Package director runs a control.Core: one goroutine owns it, hands it what happened in batches, and carries
-// out what it says: the store, the probes, and the answers of the fronts.
+// Package director runs a control.Core. One goroutine owns the core, passes it inputs in batches, and executes its
+// outputs: writes to the store, probes of hosts, and answers through the fronts.
 package director
 
 import (
@@ -19,19 +19,21 @@
 	"vetchwood/logic"
 )
 
-// Store makes changes durable.
+// Store holds the durable state of a director.
 type Store interface {
+	// Load returns the stored state.
 	Load() (control.Saved, error)
+	// Write makes changes durable before it returns.
 	Write([]control.Change) error
 }
 
-// Prober asks a host whether it answers. It calls back once.
-type Prober func(ctx context.Context, host tables.Address) (good bool, load logic.Load)
+// Prober checks whether a host answers. It returns the load that the host reports, if any.
+type Prober func(ctx context.Context, host tables.Address) (healthy bool, load logic.Load)
 
-// Front carries answers to whoever asked by it. It must not block.
+// Front delivers answers to the clients whose requests it received. Answer must not block.
 type Front interface{ Answer(control.Answer) }
 
-// Director is a running one.
+// Director runs one core with its store, prober, fronts and shards of pending polls.
 type Director struct {
 	turns.Clock
 	*turns.Inbox
@@ -40,20 +42,20 @@
 	probe          Prober
 	log            *slog.Logger
 	fronts         []Front
-	started        chan struct{} // closed once fronts are there
+	started        chan struct{} // closed once fronts is set
 	shards         []*lockedShard
-	view           atomic.Pointer[park.View] // that lots are to see
-	maxBarrierUs   atomic.Int64              // the longest, in microseconds
-	overdueAnswers atomic.Uint64
+	view           atomic.Pointer[park.View] // the view that shards adopt
+	maxBarrierUs   atomic.Int64              // longest wait of a removal, in microseconds
+	overdueAnswers atomic.Uint64             // answers still unwritten when a barrier timed out
 	lastTicket     atomic.Uint64
 	waiters        sync.Map // control.Ticket -> chan control.Answer
 
 	admission       *inflow.Door
 	admissionMu     sync.Mutex
-	initialStep     tables.Step // the version that this start begins with
+	initialStep     tables.Step // the version that this process started with
 	stats           atomic.Pointer[control.Figures]
 	maxTurnUs       atomic.Int64 // longest turn of the loop, in microseconds
-	maxTimerDelayUs atomic.Int64 // latest that the core's own time came, in microseconds
+	maxTimerDelayUs atomic.Int64 // longest delay of a timer of the core, in microseconds
 
 	line          tables.Line
 	record        func(control.Record)
@@ -62,13 +64,13 @@
 	initialOutput []any
 }
 
-// mostTurn is how much of what happened one turn takes: some milliseconds' worth.
+// maxTurnItems is the maximum number of inputs that one turn handles: a few milliseconds of work.
 const maxTurnItems = 2048
 
-// batchFor is how long what happens is gathered before the module hears of it.
+// batchDelay is how long inputs are collected before a turn handles them.
 const batchDelay = 2 * time.Millisecond
 
-// New loads the state and makes a director that has yet to run.
+// New loads the stored state and returns a director that is not running yet.
 func New(svc control.Service, store Store, probe Prober, log *slog.Logger) (*Director, error) {
 	saved, err := store.Load()
 	if err != nil {
@@ -86,36 +88,38 @@
 	return d, nil
 }
 
-// Line is that of its store.
+// Line returns the identifier of the store's history. A new store begins another line.
 func (d *Director) Line() tables.Line { return d.line }
 
-// Record says who puts on record what a slice's next holder starts from. It is called before Run.
-func (d *Director) OnRecord(to func(control.Record)) { d.record = to }
+// OnRecord sets the function that stores the state from which a slice's next holder starts. It must be called before
+// Run.
+func (d *Director) OnRecord(record func(control.Record)) { d.record = record }
 
-// Peers says how other directors are asked for what they know. It is called before Run.
+// OnAskPeers sets the function that requests the facts of other directors. It must be called before Run.
 func (d *Director) OnAskPeers(ask func(context.Context)) { d.askPeers = ask }
 
-// Entrance is what a front sees of a director: its tickets bear the front's place among those that Run is given.
+// FrontHandle is a director as used by one front. Its tickets contain the front's index among those passed to Run.
 type FrontHandle struct {
 	*Director
 	front int
 }
 
-// Entrance gives that of a front, the first being 0.
+// ForFront returns the handle of the front with the given index, which starts at 0.
 func (d *Director) ForFront(front int) FrontHandle { return FrontHandle{d, front} }
 
-// frontBits of a ticket say which front asked, or that the director itself did.
+// The low frontBits of a ticket hold the index of the front that received the request, or internalFront if the director
+// itself made it.
 const (
 	frontBits     = 4
 	internalFront = 1<<frontBits - 1
 )
 
-// Ticket names a new poll or question.
-func (e FrontHandle) Ticket() control.Ticket {
-	return control.Ticket(e.Director.lastTicket.Add(1)<<frontBits | uint64(e.front))
+// Ticket returns a new ticket.
+func (h FrontHandle) Ticket() control.Ticket {
+	return control.Ticket(h.Director.lastTicket.Add(1)<<frontBits | uint64(h.front))
 }
 
-// Post takes something that happened: a poll or its end goes to the proxy's lot, all else into the loop's inbox.
+// Post accepts an input: a poll or its disconnect goes to the proxy's shard, all else to the loop's inbox.
 func (d *Director) Post(in any) {
 	switch in := in.(type) {
 	case control.Poll:
@@ -128,15 +132,16 @@
 			d.postToCore(in)
 			return
 		}
-		d.update(d.shardOf(in.Proxy), 0, func(l *park.Shard) park.Output { return l.Disconnect(d.Now(), in) })
+		d.update(d.shardOf(in.Proxy), 0, func(s *park.Shard) park.Output { return s.Disconnect(d.Now(), in) })
 	default:
 		d.postToCore(in)
 	}
 }
 
+// postToCore adds inputs to the loop's inbox.
 func (d *Director) postToCore(in ...any) { d.Inbox.Post(in...) }
 
-// turned tells the door how long what came had to wait for its turn.
+// recordTurn reports to the admission control how long the inputs of a turn had waited for it.
 func (d *Director) recordTurn(in []any, waited time.Duration) {
 	if len(in) == 0 {
 		waited = 0
@@ -146,21 +151,22 @@
 	d.admission.Turn(d.Elapsed(), waited, len(in))
 }
 
-// Admit says after how long a request that is no poll may come again, where its client asks too often or the director has more to do
-// than it can; 0: it comes in.
+// Admit returns 0 if a request that is not a poll is admitted. Otherwise the client exceeds its rate or the director is
+// overloaded, and Admit returns the delay after which the client may retry.
 func (d *Director) Admit(k inflow.Kind, client string) time.Duration {
 	if client != "" {
-		b := d.shardOf(client)
-		b.mu.Lock()
-		in, later := b.allowances.Admit(d.Elapsed(), client)
-		b.mu.Unlock()
-		if !in {
-			return later
+		sh := d.shardOf(client)
+		sh.mu.Lock()
+		admitted, retryAfter := sh.allowances.Admit(d.Elapsed(), client)
+		sh.mu.Unlock()
+		if !admitted {
+			return retryAfter
 		}
 	}
 	return d.shed(k)
 }
 
+// shed returns 0 if a request of this kind is admitted under the present load, or else the delay before a retry.
 func (d *Director) shed(k inflow.Kind) time.Duration {
 	if k >= inflow.Polls || admissionDisabled {
 		return 0
@@ -172,50 +178,50 @@
 	}
 	d.admissionMu.Lock()
 	defer d.admissionMu.Unlock()
-	if in, later := d.admission.Admit(d.Elapsed(), k, q); !in {
-		return later
+	if admitted, retryAfter := d.admission.Admit(d.Elapsed(), k, q); !admitted {
+		return retryAfter
 	}
 	return 0
 }
 
-// Inflow are the door's figures.
+// AdmissionStats returns the counters of the admission control.
 func (d *Director) AdmissionStats() inflow.Figures {
 	d.admissionMu.Lock()
 	defer d.admissionMu.Unlock()
 	return d.admission.Figures()
 }
 
-// Ask puts a question into the inbox and waits for its answer; for operators, of whom there are few.
+// Ask posts a request to the core and waits for its answer. It serves operators, whose requests are few.
 func (d *Director) Ask(ctx context.Context, in func(control.Ticket) any) (control.Answer, error) {
-	t, waits := d.ForFront(internalFront).Ticket(), make(chan control.Answer, 1)
-	d.waiters.Store(t, waits)
+	t, answer := d.ForFront(internalFront).Ticket(), make(chan control.Answer, 1)
+	d.waiters.Store(t, answer)
 	defer d.waiters.Delete(t)
 	d.Post(in(t))
 	select {
-	case a := <-waits:
+	case a := <-answer:
 		return a, nil
 	case <-ctx.Done():
 		return control.Answer{}, ctx.Err()
 	}
 }
 
-// Ready says whether the opening state is stored, so that polls are answered.
+// Ready reports whether the initial state is stored, so that polls are answered.
 func (d *Director) Ready() bool { return d.stats.Load().Stored >= d.initialStep }
 
-// Figures are those of the last turn.
+// Stats returns the counters of the core as of the last turn.
 func (d *Director) Stats() control.Figures { return *d.stats.Load() }
 
-// LongestTurn is the longest that the loop has been busy with one batch.
+// MaxTurn returns the longest time that the loop has taken for one batch.
 func (d *Director) MaxTurn() time.Duration {
 	return time.Duration(d.maxTurnUs.Load()) * time.Microsecond
 }
 
-// LatestBeat is the latest that the core was called after its own time.
+// MaxTimerDelay returns the longest delay between the time that the core asked to be called and the call.
 func (d *Director) MaxTimerDelay() time.Duration {
 	return time.Duration(d.maxTimerDelayUs.Load()) * time.Microsecond
 }
 
-// Run turns until the context ends. What was ordered by then is stored.
+// Run runs the loop until the context ends. All changes ordered by then are stored before it returns.
 func (d *Director) Run(ctx context.Context, fronts ...Front) error {
 	d.fronts = fronts
 	close(d.started)
@@ -226,8 +232,8 @@
 	d.initialOutput = nil
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	more := false          // something stayed from the last turn
-	due := logic.Millis(0) // when the core is to be called at the latest
+	more := false          // inputs remain from the last turn
+	due := logic.Millis(0) // when the core must be called again
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -241,12 +247,12 @@
 		}
 		var in []any
 		var since time.Time
-		in, since, more = d.Take(maxTurnItems) // the module's beat must not wait for a whole fleet
+		in, since, more = d.Take(maxTurnItems) // limited so that the core's timers don't wait for the inputs of a whole fleet
 		began := time.Now()
 		d.recordTurn(in, began.Sub(since)-batchDelay)
 		now := d.Now()
-		if late := int64(1000 * float64(now-due)); due > 0 && late > d.maxTimerDelayUs.Load() {
-			d.maxTimerDelayUs.Store(late)
+		if delay := int64(1000 * float64(now-due)); due > 0 && delay > d.maxTimerDelayUs.Load() {
+			d.maxTimerDelayUs.Store(delay)
 		}
 		d.execute(ctx, d.core.Handle(now, in))
 		due = d.core.Wake()
@@ -261,18 +267,19 @@
 	return <-stored
 }
 
-// deliver gives an answer to whoever asked.
+// deliver passes an answer to the front that received the request, or to the caller of Ask.
 func (d *Director) deliver(a control.Answer) {
 	if front := a.Ticket & internalFront; front != internalFront {
 		d.fronts[front].Answer(a)
-	} else if waits, asked := d.waiters.LoadAndDelete(a.Ticket); asked {
-		waits.(chan control.Answer) <- a
+	} else if waiter, found := d.waiters.LoadAndDelete(a.Ticket); found {
+		waiter.(chan control.Answer) <- a
 	}
 }
 
+// execute executes the outputs of a turn. Commands for single proxies are dispatched last, after a view is published.
 func (d *Director) execute(ctx context.Context, out []any) {
-	var tells []any
-	defer func() { d.dispatch(tells) }()
+	var commands []any
+	defer func() { d.dispatch(commands) }()
 	for _, o := range out {
 		switch o := o.(type) {
 		case control.Answer:
@@ -280,7 +287,7 @@
 		case control.Publish:
 			d.publishView(o)
 		case park.SetDocument, park.RejectJoin:
-			tells = append(tells, o)
+			commands = append(commands, o)
 		case control.Persist:
 			d.writes <- o.Change
 		case control.Record:
@@ -303,6 +310,7 @@
 	}
 }
 
+// logAttrs returns the attributes of an event's log line, without the empty ones.
 func logAttrs(e control.Event) (out []slog.Attr) {
 	for _, a := range []slog.Attr{slog.String("proxy", e.Proxy), slog.String("host", e.Host),
 		slog.String("version", e.Version), slog.String("detail", e.Detail)} {
@@ -313,18 +321,20 @@
 	return out
 }
 
+// probeHost probes a host and posts the result.
 func (d *Director) probeHost(ctx context.Context, host tables.Address) {
 	began := time.Now()
-	good, load := d.probe(ctx, host)
+	healthy, load := d.probe(ctx, host)
 	spent := logic.Millis(float64(time.Since(began).Microseconds()) / 1000)
-	d.Post(control.Probed{Address: host, Spent: spent, Good: good, Load: load})
+	d.Post(control.Probed{Address: host, Spent: spent, Good: healthy, Load: load})
 }
 
-// ErrStore ends a director whose store refuses writes for long: what is not stored is not told.
-var ErrStore = errors.New("the store refuses writes")
+// ErrStore is returned by Run if 20 attempts in a row to write to the store failed. The director stops because it must
+// not publish what is not stored.
+var ErrStore = errors.New("store writes keep failing")
 
-// write makes changes durable, as many at once as wait, and tells the core. A failed write is tried again; it
-// is the same change, so that nothing is told out of turn.
+// writeLoop makes changes durable, in batches of all that are queued, and notifies the core. A failed write is retried
+// with the same batch, so that versions are published in order.
 func (d *Director) writeLoop() error {
 	for c := range d.writes {
 		batch := []control.Change{c}
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -18,7 +18,7 @@
 	"vetchwood/logic"
 )
 
-// memory is a store that fails as it is told, before or after it has written.
+// memoryStore is a store in memory whose writes fail as failAt says: before or after the write took effect.
 type memoryStore struct {
 	mu     sync.Mutex
 	writes int
@@ -34,22 +34,22 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.writes++
-	before, after := m.failAt(m.writes)
-	if before {
+	failBefore, failAfter := m.failAt(m.writes)
+	if failBefore {
 		return errors.New("no space left")
 	}
 	for _, c := range all {
 		m.step = max(m.step, c.Step)
 	}
-	if after {
-		return errors.New("written, and then failed")
+	if failAfter {
+		return errors.New("error after the write took effect")
 	}
 	return nil
 }
 
 func (m *memoryStore) stored() tables.Step { m.mu.Lock(); defer m.mu.Unlock(); return m.step }
 
-// front polls for one proxy without end and keeps what it was told.
+// pollingFront polls continuously for one proxy and records the newest version that it got.
 type pollingFront struct {
 	d         *Director
 	store     *memoryStore
@@ -64,7 +64,7 @@
 	}
 	f.mu.Lock()
 	if stored := f.store.stored(); a.Doc.Step > stored {
-		f.violation = fmt.Sprintf("version %d is told, %d is stored", a.Doc.Step, stored)
+		f.violation = fmt.Sprintf("version %d is published, only %d is stored", a.Doc.Step, stored)
 	}
 	f.newest = max(f.newest, a.Doc.Step)
 	f.mu.Unlock()
@@ -79,19 +79,19 @@
 			MessageWindow: 10000, Levels: logic.LevelShare, Routes: []logic.Route{{SLO: 1000, TimeLimit: 3000, Importance: 1, Idempotency: logic.Idempotent}}}}
 }
 
-// A write fails at each of the first dozen, before or after it took place, once or for a while: nothing is ever told that
-// is not stored, and the day goes on once writes hold again.
+// Writes to the store fail from each of the first six on, once or three times in a row, before or after they took effect:
+// no version is published before it is stored, and publishing resumes once writes succeed again.
 func TestAStoreThatFails(t *testing.T) {
 	var all sync.WaitGroup
 	for at := 1; at <= 6; at++ {
-		for _, long := range []int{1, 3} {
-			for _, late := range []bool{false, true} {
+		for _, count := range []int{1, 3} {
+			for _, afterWrite := range []bool{false, true} {
 				all.Add(1)
 				go func() {
 					defer all.Done()
 					m := &memoryStore{failAt: func(n int) (bool, bool) {
-						failing := n >= at && n < at+long
-						return failing && !late, failing && late
+						failing := n >= at && n < at+count
+						return failing && !afterWrite, failing && afterWrite
 					}}
 					d, err := New(service(), m, func(context.Context, tables.Address) (bool, logic.Load) { return true, logic.Load{} }, slog.New(slog.DiscardHandler))
 					if err != nil {
@@ -126,12 +126,12 @@
 					}
 					stop()
 					if err := <-done; err != nil {
-						t.Errorf("failing at write %d for %d: %v", at, long, err)
+						t.Errorf("failing at write %d, %d times: %v", at, count, err)
 					}
 					f.mu.Lock()
 					defer f.mu.Unlock()
 					if f.violation != "" || f.newest < 3 {
-						t.Errorf("failing at write %d for %d: told %d; %s", at, long, f.newest, f.violation)
+						t.Errorf("failing at write %d, %d times: newest version %d, want at least 3; %s", at, count, f.newest, f.violation)
 					}
 				}()
 			}
@@ -140,7 +140,7 @@
 	all.Wait()
 }
 
-// A store that never holds again ends the director, so that whoever watches it knows.
+// A store whose writes fail permanently ends the director with ErrStore, so that its supervisor notices.
 func TestAStoreThatFailsForGood(t *testing.T) {
 	if testing.Short() {
 		t.Skip()
@@ -153,17 +153,17 @@
 	ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
 	defer stop()
 	if err := d.Run(ctx, &pollingFront{d: d, store: m}); !errors.Is(err, ErrStore) || d.Ready() {
-		t.Fatalf("%v, ready %v", err, d.Ready())
+		t.Fatalf("error %v, ready %v", err, d.Ready())
 	}
 }
 
-// nowhere is a front whose clients have all gone.
+// discardFront is a front whose clients are all gone: it only counts answers.
 type discardFront struct{ answers atomic.Int64 }
 
 func (f *discardFront) Answer(control.Answer) { f.answers.Add(1) }
 
-// New polls come from more clients than the loop can answer, as when a whole fleet has lost its tables. The door sends the
-// rest away with a time of their own; what acknowledges is let in, and the loop goes on turning.
+// New polls come from more clients than the loop can serve, as when a whole fleet has lost its tables. Admission control
+// rejects the excess with a randomized delay of at least 400 ms each and admits all acknowledging polls.
 func TestNewPollsAreShedUnderOverload(t *testing.T) {
 	svc := service()
 	svc.ProxyNames = regexp.MustCompile(`^p[0-9]+$`)
@@ -177,28 +177,28 @@
 	f := &discardFront{}
 	go func() { d.Run(ctx, f); close(ran) }()
 	d.Post(control.List{Hosts: []control.Listed{{ID: "h", Address: "10.0.0.1:80", Zone: "a", Weight: 1}}})
-	e := d.ForFront(0)
-	var in, away, acknowledged, kept int
+	handle := d.ForFront(0)
+	var admitted, rejected, acks, admittedAcks int
 	for end, i := time.Now().Add(2*time.Second), 0; time.Now().Before(end); i++ {
 		name := "p" + strconv.Itoa(i%20000)
-		if later := d.Admit(inflow.NewPolls, name); later > 0 {
-			if away++; later < 400*time.Millisecond {
-				t.Fatalf("told to come again after %v", later)
+		if retryAfter := d.Admit(inflow.NewPolls, name); retryAfter > 0 {
+			if rejected++; retryAfter < 400*time.Millisecond {
+				t.Fatalf("rejected with a retry delay of %v, want at least 400ms", retryAfter)
 			}
 		} else {
-			in++
-			e.Post(control.Poll{Ticket: e.Ticket(), Proxy: name, Zone: "a", Wait: 20000})
+			admitted++
+			handle.Post(control.Poll{Ticket: handle.Ticket(), Proxy: name, Zone: "a", Wait: 20000})
 		}
 		if i%50 == 0 {
-			if acknowledged++; d.Admit(inflow.Polls, "") == 0 {
-				kept++
+			if acks++; d.Admit(inflow.Polls, "") == 0 {
+				admittedAcks++
 			}
 		}
 	}
-	t.Logf("%d came in, %d were sent away; longest turn %v; pressure %.2f", in, away, d.MaxTurn(), d.AdmissionStats().Press)
+	t.Logf("%d admitted, %d rejected; longest turn %v; pressure %.2f", admitted, rejected, d.MaxTurn(), d.AdmissionStats().Press)
 	stop()
 	<-ran
-	if kept != acknowledged || away == 0 {
-		t.Errorf("%d of %d acknowledgements came in, %d new polls were sent away", kept, acknowledged, away)
+	if admittedAcks != acks || rejected == 0 {
+		t.Errorf("%d of %d acknowledging polls admitted, want all; %d new polls rejected, want some", admittedAcks, acks, rejected)
 	}
 }
--- a/internal/director/door.go
+++ b/internal/director/door.go
@@ -2,5 +2,5 @@
 
 package director
 
-// openDoor is set by the build tag of that name alone: a director without admission, to measure against.
+// admissionDisabled turns off admission control. It is set by the build tag opendoor, for comparative measurements.
 const admissionDisabled = false
--- a/internal/director/lots.go
+++ b/internal/director/lots.go
@@ -16,145 +16,151 @@
 	"vetchwood/logic"
 )
 
-// bay is a lot with its lock. Polls are taken on whatever core their bytes came to, and answered there where they need not wait.
+// lockedShard is a shard with its lock. A poll is handled on the processor that received it, and answered there if it can
+// be answered at once.
 type lockedShard struct {
 	mu         sync.Mutex
 	shard      *park.Shard
 	allowances *inflow.Allowances
-	unwritten  [2]answerCounter // answers that are not written yet, by the epoch they were given in
-	epoch      int
-	lastView   *park.View
+	unwritten  [2]answerCounter // answers not written yet, by the epoch in which they were given
+	epoch      int              // 0 or 1; toggled by each barrier
+	lastView   *park.View       // the view that the shard has adopted
 }
 
+// answerCounter counts answers that are not written yet.
 type answerCounter struct{ n atomic.Int64 }
 
-// Landed says that one is written, or never will be.
-func (f *answerCounter) WriteFinished() { f.n.Add(-1) }
+// WriteFinished records that one answer has been written or will never be written.
+func (c *answerCounter) WriteFinished() { c.n.Add(-1) }
 
-// perCore is how many lots there are for each core: with few, cores would wait for each other's locks.
+// shardsPerCore is the least number of shards per processor. With fewer, processors would wait for each other's locks.
 const shardsPerCore = 8
 
-// mostClients is how many clients' allowances are remembered in all.
+// maxClients is the number of clients, over all shards, whose request allowances are remembered.
 const maxClients = 65536
 
+// newShards returns the shards: the least power of two that gives each processor shardsPerCore of them.
 func newShards(svc control.Service, now logic.Millis) []*lockedShard {
 	n := 1
 	for n < shardsPerCore*runtime.GOMAXPROCS(0) {
 		n *= 2
 	}
 	out := make([]*lockedShard, n)
-	terms := park.Config{MaxWait: svc.LongestWait, Lease: svc.Lease, Zones: svc.Zones}
+	config := park.Config{MaxWait: svc.LongestWait, Lease: svc.Lease, Zones: svc.Zones}
 	for i := range out {
-		out[i] = &lockedShard{shard: park.NewShard(i, n, terms, now), allowances: inflow.NewAllowances(rand.Float64, maxClients/n)}
+		out[i] = &lockedShard{shard: park.NewShard(i, n, config, now), allowances: inflow.NewAllowances(rand.Float64, maxClients/n)}
 	}
 	return out
 }
 
-// bay is the one of a proxy: the same whatever connection or core its poll comes by, so that none is in two.
+// shardOf returns a proxy's shard. It depends on the name only, not on the connection or processor of a poll, so that no
+// proxy is in two shards.
 func (d *Director) shardOf(proxy string) *lockedShard {
 	return d.shards[xxhash.Sum64String(proxy)&uint64(len(d.shards)-1)]
 }
 
-// in lets a lot do something, with its lock held, and carries on what it says. An answer to the ticket that is given is
-// returned and not carried out.
-func (d *Director) update(b *lockedShard, own control.Ticket, do func(*park.Shard) park.Output) (a control.Answer, answered bool) {
+// update calls do with the shard's lock held, after the shard has adopted the newest view, and executes the output. The
+// answer to the ticket own, if any, is returned instead of delivered.
+func (d *Director) update(sh *lockedShard, own control.Ticket, do func(*park.Shard) park.Output) (a control.Answer, answered bool) {
 	var others []control.Answer
-	hear := func(said park.Output) {
-		for i := range said.Answers {
-			f := &b.unwritten[b.epoch]
-			f.n.Add(1)
-			said.Answers[i].Tracker = f
-			if said.Answers[i].Ticket == own {
-				a, answered = said.Answers[i], true
+	collect := func(out park.Output) {
+		for i := range out.Answers {
+			unwritten := &sh.unwritten[sh.epoch]
+			unwritten.n.Add(1)
+			out.Answers[i].Tracker = unwritten
+			if out.Answers[i].Ticket == own {
+				a, answered = out.Answers[i], true
 			} else {
-				others = append(others, said.Answers[i])
+				others = append(others, out.Answers[i])
 			}
 		}
-		if len(said.Events) > 0 { // in the order in which the lot said it, so with the lock held
-			d.postToCore(said.Events...)
+		if len(out.Events) > 0 { // with the lock held, so that the order of the events is kept
+			d.postToCore(out.Events...)
 		}
-		clear(said.Answers) // the lot uses their memory anew
-		clear(said.Events)
+		clear(out.Answers) // the shard reuses their memory
+		clear(out.Events)
 	}
-	b.mu.Lock()
-	if v := d.view.Load(); v != b.lastView && v != nil {
-		b.lastView = v
-		hear(b.shard.SetView(d.Now(), v))
+	sh.mu.Lock()
+	if v := d.view.Load(); v != sh.lastView && v != nil {
+		sh.lastView = v
+		collect(sh.shard.SetView(d.Now(), v))
 	}
-	hear(do(b.shard))
-	b.mu.Unlock()
-	for _, x := range others {
-		d.deliver(x)
+	collect(do(sh.shard))
+	sh.mu.Unlock()
+	for _, other := range others {
+		d.deliver(other)
 	}
 	return a, answered
 }
 
-// Poll takes a poll. What can be answered at once is returned; the rest goes to the front later. One that asks too often is told after
-// how long to come again; and so is one that would have to join, while there is too much to do. To answer a proxy that has joined
-// costs no more than to send it away.
-func (d *Director) Poll(p control.Poll) (a control.Answer, answered bool, later time.Duration) {
+// Poll accepts a poll. An answer that is available at once is returned; others go to the front later. If the client
+// exceeds its rate, or would have to join while the director is overloaded, the poll is rejected and retryAfter is the
+// delay before a retry. Polls of joined proxies are not shed, because answering one costs no more than rejecting it.
+func (d *Director) Poll(p control.Poll) (a control.Answer, answered bool, retryAfter time.Duration) {
 	<-d.started
-	b := d.shardOf(p.Proxy)
-	b.mu.Lock()
-	in, later := b.allowances.Admit(d.Elapsed(), p.Proxy)
-	joined := b.shard.HasJoined(p.Proxy)
-	b.mu.Unlock()
-	if !in && !admissionDisabled {
-		return a, false, later
+	sh := d.shardOf(p.Proxy)
+	sh.mu.Lock()
+	admitted, retryAfter := sh.allowances.Admit(d.Elapsed(), p.Proxy)
+	joined := sh.shard.HasJoined(p.Proxy)
+	sh.mu.Unlock()
+	if !admitted && !admissionDisabled {
+		return a, false, retryAfter
 	}
 	if !joined {
-		if later = d.shed(inflow.NewPolls); later > 0 {
-			return a, false, later
+		if retryAfter = d.shed(inflow.NewPolls); retryAfter > 0 {
+			return a, false, retryAfter
 		}
 	}
 	a, answered = d.poll(p)
 	return a, answered, 0
 }
 
+// poll passes a poll to its shard without admission control.
 func (d *Director) poll(p control.Poll) (control.Answer, bool) {
-	return d.update(d.shardOf(p.Proxy), p.Ticket, func(l *park.Shard) park.Output { return l.Poll(d.Now(), p) })
+	return d.update(d.shardOf(p.Proxy), p.Ticket, func(s *park.Shard) park.Output { return s.Poll(d.Now(), p) })
 }
 
-// tell hands what the core says of single proxies to their lots, on all cores where it is much: a proxy is told of versions that only
-// go up, so it does not matter which of two comes first.
-func (d *Director) dispatch(all []any) {
-	if len(all) == 0 {
+// dispatch passes the core's commands for single proxies to their shards, in parallel if there are many. Versions of a
+// proxy's document only increase, so the order of two commands does not matter.
+func (d *Director) dispatch(commands []any) {
+	if len(commands) == 0 {
 		return
 	}
-	by := make(map[*lockedShard][]any, len(d.shards))
-	for _, o := range all {
-		b := (*lockedShard)(nil)
+	byShard := make(map[*lockedShard][]any, len(d.shards))
+	for _, o := range commands {
+		sh := (*lockedShard)(nil)
 		switch o := o.(type) {
 		case park.SetDocument:
-			b = d.shardOf(o.Proxy)
+			sh = d.shardOf(o.Proxy)
 		case park.RejectJoin:
-			b = d.shardOf(o.Proxy)
+			sh = d.shardOf(o.Proxy)
 		}
-		by[b] = append(by[b], o)
+		byShard[sh] = append(byShard[sh], o)
 	}
-	for b, its := range by {
-		hand := func() {
-			d.update(b, 0, func(l *park.Shard) park.Output { return l.Apply(d.Now(), its...) })
+	for sh, own := range byShard {
+		apply := func() {
+			d.update(sh, 0, func(s *park.Shard) park.Output { return s.Apply(d.Now(), own...) })
 		}
-		if len(all) < 256 {
-			hand()
+		if len(commands) < 256 {
+			apply()
 		} else {
-			nets.Go(hand)
+			nets.Go(apply)
 		}
 	}
 }
 
-// show lets all lots see how things stand: each looks before it does anything. Where that matters at once, as a removal closes them
-// and as they open again, all are made to look now; with a barrier, what they had answered by then is counted apart.
+// publishView sets the view that each shard adopts before its next action. When the view closes or opens for a removal,
+// or the end of the leases changes, all shards adopt it at once. With a barrier, each shard also starts a new epoch, so
+// that answers given before are counted separately.
 func (d *Director) publishView(p control.Publish) {
-	was := d.view.Swap(p.View)
-	if !p.Barrier && was != nil && was.Closed == p.View.Closed && was.LeaseEnd == p.View.LeaseEnd {
+	previous := d.view.Swap(p.View)
+	if !p.Barrier && previous != nil && previous.Closed == p.View.Closed && previous.LeaseEnd == p.View.LeaseEnd {
 		return
 	}
-	for _, b := range d.shards {
-		d.update(b, 0, func(*park.Shard) (none park.Output) {
+	for _, sh := range d.shards {
+		d.update(sh, 0, func(*park.Shard) (none park.Output) {
 			if p.Barrier {
-				b.epoch ^= 1
+				sh.epoch ^= 1
 			}
 			return none
 		})
@@ -164,25 +170,27 @@
 	}
 }
 
-// patience is how long a removal waits for answers that were given before it: they are on their way to a socket, some microseconds.
-// One that is still not written has begun to be: its proxy reads slowly, and others don't wait for it.
+// barrierTimeout is how long a removal waits for answers that were given before it. Their writes to a socket normally
+// take some microseconds. An answer that is unwritten after the timeout has been written in part, to a proxy that reads
+// slowly; the removal does not wait for it.
 const barrierTimeout = 50 * time.Millisecond
 
-// await says when all that lots answered before the last barrier is written.
+// awaitWrites waits until all answers given before the last barrier are written, or barrierTimeout has passed, and
+// notifies the core.
 func (d *Director) awaitWrites() {
 	began := time.Now()
 	for {
-		var left int64
-		for _, b := range d.shards {
-			b.mu.Lock()
-			before := b.epoch ^ 1
-			b.mu.Unlock()
-			left += max(0, b.unwritten[before].n.Load())
+		var unwritten int64
+		for _, sh := range d.shards {
+			sh.mu.Lock()
+			before := sh.epoch ^ 1
+			sh.mu.Unlock()
+			unwritten += max(0, sh.unwritten[before].n.Load())
 		}
 		took := time.Since(began)
-		if left == 0 || took > barrierTimeout {
-			if left > 0 {
-				d.overdueAnswers.Add(uint64(left))
+		if unwritten == 0 || took > barrierTimeout {
+			if unwritten > 0 {
+				d.overdueAnswers.Add(uint64(unwritten))
 			}
 			if us := took.Microseconds(); us > d.maxBarrierUs.Load() {
 				d.maxBarrierUs.Store(us)
@@ -198,7 +206,7 @@
 	}
 }
 
-// turnLots ends waits that are over.
+// advanceShards handles the due timers of all shards every 10 ms, until done is closed.
 func (d *Director) advanceShards(done <-chan struct{}) {
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
@@ -208,13 +216,15 @@
 			return
 		case <-tick.C:
 		}
-		for _, b := range d.shards {
-			d.update(b, 0, func(l *park.Shard) park.Output { return l.Advance(d.Now()) })
+		for _, sh := range d.shards {
+			d.update(sh, 0, func(s *park.Shard) park.Output { return s.Advance(d.Now()) })
 		}
 	}
 }
 
-// LotFigures are those of all lots, with how long the longest barrier took and how many answers outlasted one.
+// ShardStats are the counters of all shards together. Limited counts requests rejected because their client exceeded its
+// rate. MaxBarrier is the longest wait of a removal, and Overdue the number of answers that were unwritten when a
+// barrier timed out.
 type ShardStats struct {
 	park.Stats
 	Shards     int
@@ -223,22 +233,22 @@
 	Overdue    uint64
 }
 
-// Lots are the lots' figures.
+// ShardStats returns the counters of all shards together.
 func (d *Director) ShardStats() ShardStats {
-	f := ShardStats{Shards: len(d.shards), MaxBarrier: time.Duration(d.maxBarrierUs.Load()) * time.Microsecond, Overdue: d.overdueAnswers.Load()}
-	for _, b := range d.shards {
-		b.mu.Lock()
-		x := b.shard.Stats()
-		f.Limited += b.allowances.Limited()
-		b.mu.Unlock()
-		f.Sessions += x.Sessions
-		f.Pending += x.Pending
-		f.Polls += x.Polls
-		f.Deltas += x.Deltas
-		f.Full += x.Full
-		f.Unchanged += x.Unchanged
-		f.Expired += x.Expired
-		f.Deferred += x.Deferred
-	}
-	return f
+	total := ShardStats{Shards: len(d.shards), MaxBarrier: time.Duration(d.maxBarrierUs.Load()) * time.Microsecond, Overdue: d.overdueAnswers.Load()}
+	for _, sh := range d.shards {
+		sh.mu.Lock()
+		s := sh.shard.Stats()
+		total.Limited += sh.allowances.Limited()
+		sh.mu.Unlock()
+		total.Sessions += s.Sessions
+		total.Pending += s.Pending
+		total.Polls += s.Polls
+		total.Deltas += s.Deltas
+		total.Full += s.Full
+		total.Unchanged += s.Unchanged
+		total.Expired += s.Expired
+		total.Deferred += s.Deferred
+	}
+	return total
 }
--- a/internal/director/lots_test.go
+++ b/internal/director/lots_test.go
@@ -16,50 +16,51 @@
 	"vetchwood/logic"
 )
 
-// wire writes answers some time after they are given, as sockets do, and remembers what was written with which host in it.
+// slowFront writes answers up to 8 ms after they are given, as sockets may, and checks the hosts in what is written.
 type slowFront struct {
 	t       *testing.T
 	d       *Director
 	mu      sync.Mutex
 	lastDoc map[string]*tables.Document
-	// without is the newest version that was written without a host that was there before.
+	// removedAt holds, for each host, the newest version that was written without it.
 	removedAt map[tables.Address]tables.Step
 	writes    int
-	violation string // the first that was written out of turn
+	violation string // the first answer that was written out of order
 }
 
-func (w *slowFront) Answer(a control.Answer) { go w.write(a) }
+func (f *slowFront) Answer(a control.Answer) { go f.write(a) }
 
-func (w *slowFront) write(a control.Answer) {
+func (f *slowFront) write(a control.Answer) {
 	time.Sleep(time.Duration(rand.IntN(8000)) * time.Microsecond)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	defer a.WriteFinished()
 	if a.Doc == nil || a.Kind == control.Replaced {
 		return
 	}
-	w.writes++
-	offered := map[tables.Address]bool{}
+	f.writes++
+	present := map[tables.Address]bool{}
 	for _, table := range a.Doc.Tables {
 		for h := range table.Lines {
-			offered[h] = !a.Doc.Masked[h]
+			present[h] = !a.Doc.Masked[h]
 		}
 	}
 	for i := range 6 {
 		h := address(i)
-		if s := w.removedAt[h]; offered[h] && a.Doc.Step < s && w.violation == "" {
-			w.violation = fmt.Sprintf("version %d offers %s, and is written after version %d, which does not", a.Doc.Step, h, s)
-		} else if !offered[h] {
-			w.removedAt[h] = max(s, a.Doc.Step)
+		if s := f.removedAt[h]; present[h] && a.Doc.Step < s && f.violation == "" {
+			f.violation = fmt.Sprintf("version %d contains %s and is written after version %d, which does not", a.Doc.Step, h, s)
+		} else if !present[h] {
+			f.removedAt[h] = max(s, a.Doc.Step)
 		}
 	}
-	w.lastDoc[a.Origin.(string)] = a.Doc
+	f.lastDoc[a.Origin.(string)] = a.Doc
 }
 
 func address(i int) tables.Address { return tables.Address(fmt.Sprintf("10.0.0.%d:80", i)) }
 
-// Hosts drain and come back while proxies poll on all cores and answers are written late: once any has been written that does not
-// offer a host, none is written that is older and does. Polls are ended, taken over and broken off meanwhile.
+// Hosts drain and return while proxies poll on all processors and answers are written late: once an answer without a host
+// has been written, no older answer with that host is written. Meanwhile polls time out, are replaced, and lose their
+// connections.
 func TestARemovalIsABarrier(t *testing.T) {
 	svc := service()
 	svc.ProxyNames = regexp.MustCompile(`^p[0-9]+$`)
@@ -68,10 +69,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &slowFront{t: t, d: d, lastDoc: map[string]*tables.Document{}, removedAt: map[tables.Address]tables.Step{}}
+	f := &slowFront{t: t, d: d, lastDoc: map[string]*tables.Document{}, removedAt: map[tables.Address]tables.Step{}}
 	ctx, stop := context.WithCancel(t.Context())
 	ran := make(chan struct{})
-	go func() { d.Run(ctx, w); close(ran) }()
+	go func() { d.Run(ctx, f); close(ran) }()
 	var all sync.WaitGroup
 	polls, end := d.ForFront(0), time.Now().Add(2500*time.Millisecond)
 	for worker := range 24 {
@@ -79,13 +80,13 @@
 			for n := 0; time.Now().Before(end); n++ {
 				name := fmt.Sprintf("p%d", worker*10+n%10)
 				p := control.Poll{Ticket: polls.Ticket(), Origin: name, Proxy: name, Zone: "a", Wait: logic.Millis(max(0, rand.IntN(200)-150)), WantsDelta: true}
-				w.mu.Lock()
-				if doc := w.lastDoc[name]; doc != nil {
+				f.mu.Lock()
+				if doc := f.lastDoc[name]; doc != nil {
 					p.Held = []tables.Tag{doc.Tag()}
 				}
-				w.mu.Unlock()
+				f.mu.Unlock()
 				if a, answered := d.poll(p); answered {
-					w.write(a)
+					f.write(a)
 				}
 				if n%97 == 0 {
 					d.Post(control.Broke{Ticket: p.Ticket, Proxy: name})
@@ -107,21 +108,21 @@
 		time.Sleep(120 * time.Millisecond)
 	}
 	all.Wait()
-	lots := d.ShardStats()
+	stats := d.ShardStats()
 	stop()
 	<-ran
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	t.Logf("%d writes, %d removals, longest barrier %v, %d answers held, %d overdue", w.writes, d.Stats().Removals, lots.MaxBarrier, lots.Deferred, lots.Overdue)
-	if w.violation != "" && lots.Overdue == 0 {
-		t.Error(w.violation)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	t.Logf("%d writes, %d removals, longest barrier %v, %d answers deferred, %d overdue", f.writes, d.Stats().Removals, stats.MaxBarrier, stats.Deferred, stats.Overdue)
+	if f.violation != "" && stats.Overdue == 0 {
+		t.Error(f.violation)
 	}
-	if d.Stats().Removals < 3 || w.writes < 500 {
-		t.Errorf("%d removals, %d writes", d.Stats().Removals, w.writes)
+	if d.Stats().Removals < 3 || f.writes < 500 {
+		t.Errorf("%d removals, want at least 3; %d writes, want at least 500", d.Stats().Removals, f.writes)
 	}
 }
 
-// A client that asks without end is limited by its own allowance, and a proxy that polls as it should does not feel it.
+// A client that sends requests without pause is limited by its own allowance, and another proxy is not affected.
 func TestOneBrokenClient(t *testing.T) {
 	d, err := New(service(), &memoryStore{failAt: func(int) (bool, bool) { return false, false }}, nil, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -130,20 +131,21 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go d.Run(ctx, &discardFront{})
-	e := d.ForFront(0)
-	away := 0
+	handle := d.ForFront(0)
+	rejected := 0
 	for range 2000 {
-		if _, _, later := d.Poll(control.Poll{Ticket: e.Ticket(), Proxy: "p1", Zone: "a"}); later > 0 {
-			away++
+		if _, _, retryAfter := d.Poll(control.Poll{Ticket: handle.Ticket(), Proxy: "p1", Zone: "a"}); retryAfter > 0 {
+			rejected++
 		}
-		if later := d.Admit(inflow.Reports, "p1"); later == 0 {
-			away--
+		if retryAfter := d.Admit(inflow.Reports, "p1"); retryAfter == 0 {
+			rejected--
 		}
 	}
-	if _, _, later := d.Poll(control.Poll{Ticket: e.Ticket(), Proxy: "p2", Zone: "a"}); later > 0 {
-		t.Error("another proxy is sent away")
+	if _, _, retryAfter := d.Poll(control.Poll{Ticket: handle.Ticket(), Proxy: "p2", Zone: "a"}); retryAfter > 0 {
+		t.Error("a poll of another proxy was rejected")
 	}
-	if away < 1500 || d.ShardStats().Limited < 3000 {
-		t.Errorf("%d of 2000 were sent away, %d in all", away, d.ShardStats().Limited)
+	if rejected < 1500 || d.ShardStats().Limited < 3000 {
+		t.Errorf("%d of 2000 polls rejected net of admitted reports, want at least 1500; %d rate-limited in all, want at least 3000",
+			rejected, d.ShardStats().Limited)
 	}
 }
