--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,5 @@
-// Package daemon wires a director together: its store, the front, the list, the probes, metrics and health.
+// Package daemon assembles and runs the processes of a director and a relay. For a director it connects the store, the
+// fronts, discovery, the probes, slice leases, memory limits, metrics, health and reloads.
 package daemon
 
 import (
@@ -27,8 +28,9 @@
 	"vetchwood/logic"
 )
 
-// Run is a director's life: until the context ends, or something that it can't do without fails.
-func Run(ctx context.Context, s *settings.Running, log *slog.Logger, again ...Reloader) error {
+// Run runs a director until the context ends or an essential part fails. When the context ends, the director hands its
+// slices over to others before it stops.
+func Run(ctx context.Context, s *settings.Running, log *slog.Logger, reloaders ...Reloader) error {
 	log = log.With("director", s.Name)
 	st, err := store.Open(s.StorePath, s.History)
 	if err != nil {
@@ -58,25 +60,25 @@
 		return fmt.Errorf("listen %s: %w", s.Listen, err)
 	}
 	fronts := []director.Front{front}
-	var second *mqtt.Server
+	var mqttFront *mqtt.Server
 	ledger.Cuts(func(c budget.Client) {
-		if front.Cut(c); second != nil {
-			second.Cut(c)
+		if front.Cut(c); mqttFront != nil {
+			mqttFront.Cut(c)
 		}
 	})
 	if s.MQTT != nil {
-		if second, err = mqtt.Listen(s.MQTT.Listen, d.ForFront(1), s.MQTT.Limits, log); err != nil {
+		if mqttFront, err = mqtt.Listen(s.MQTT.Listen, d.ForFront(1), s.MQTT.Limits, log); err != nil {
 			front.Close()
 			return fmt.Errorf("mqtt listen %s: %w", s.MQTT.Listen, err)
 		}
-		fronts = append(fronts, second)
+		fronts = append(fronts, mqttFront)
 	}
-	asked := ctx
+	shutdown := ctx
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	failed := make(chan error, 4)
 	if s.Admin != "" {
-		admin, err := serveAdmin(s.Admin, d, front, second, st, holder, ledger)
+		admin, err := serveAdmin(s.Admin, d, front, mqttFront, st, holder, ledger)
 		if err != nil {
 			front.Close()
 			return fmt.Errorf("admin %s: %w", s.Admin, err)
@@ -93,14 +95,14 @@
 	}()
 	ran := make(chan error, 1)
 	go func() { ran <- d.Run(ctx, fronts...) }()
-	if second != nil {
-		go func() { failed <- second.Serve() }()
-		log.Info("mqtt.started", "listen", second.Addr().String())
+	if mqttFront != nil {
+		go func() { failed <- mqttFront.Serve() }()
+		log.Info("mqtt.started", "listen", mqttFront.Addr().String())
 	}
 	if holder != nil {
 		go holder.Run(ctx)
 	}
-	go func() { // ready once polls are answered
+	go func() { // notifies the service manager once polls are answered
 		tick := time.NewTicker(5 * time.Millisecond)
 		defer tick.Stop()
 		for !d.Ready() {
@@ -111,22 +113,22 @@
 			}
 		}
 		notifyManager(log, daemon.SdNotifyReady)
-		for _, a := range again { // a signal that came before is met now
-			go a.run(ctx, maps.Clone(s.Written), front, st, ledger, log)
+		for _, r := range reloaders { // handles signals that arrived earlier, too
+			go r.run(ctx, maps.Clone(s.Written), front, st, ledger, log)
 		}
 	}()
 	log.Info("director.started", "listen", front.Addr().String(), "admin", s.Admin)
 	select {
-	case <-asked.Done():
+	case <-shutdown.Done():
 		log.Info("director.stopping")
 		notifyManager(log, daemon.SdNotifyStopping)
 		err = nil
-		if holder != nil { // all goes on while others take over
-			begun := time.Now()
-			wait, end := context.WithTimeout(ctx, min(10*time.Second, s.Custody.TTL))
+		if holder != nil { // the director keeps serving while others take over its slices
+			began := time.Now()
+			wait, cancelWait := context.WithTimeout(ctx, min(10*time.Second, s.Custody.TTL))
 			holder.Leave(wait)
-			end()
-			log.Info("director.handed_over", "slices_left", holder.Held(), "after", time.Since(begun).String())
+			cancelWait()
+			log.Info("director.handed_over", "slices_left", holder.Held(), "after", time.Since(began).String())
 		}
 	case err = <-failed:
 	case err = <-ran:
@@ -134,14 +136,15 @@
 	}
 	cancel()
 	front.Close()
-	if second != nil {
-		second.Close()
+	if mqttFront != nil {
+		mqttFront.Close()
 	}
 	err = errors.Join(err, <-ran)
 	log.Info("director.stopped", "step", uint64(d.Stats().Stored))
 	return err
 }
 
+// newProber returns a prober that requests the probe path of a host by HTTP. A status below 400 counts as healthy.
 func newProber(s *settings.Running) director.Prober {
 	client := &http.Client{Timeout: s.ProbeTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: (&net.Dialer{Timeout: s.ProbeTimeout}).DialContext}}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -23,6 +23,7 @@
 	"vetchwood/internal/store"
 )
 
+// freeAddress returns a loopback address with a port that is free at present.
 func freeAddress(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,6 +33,7 @@
 	return ln.Addr().String()
 }
 
+// settingsTemplate takes the listen address, store path, Consul URL, memory and poll.most_head.
 const settingsTemplate = `
 director "d1" {
   listen = %[1]q
@@ -70,8 +72,8 @@
 }
 `
 
-// A stop amid a storm of polls, some of them new, some that acknowledge and some that wait: the director ends at once and well, what
-// it told is stored, and it starts over from there while the storm goes on.
+// A director is stopped under a heavy load of new, acknowledging and pending polls. It stops within 3 s without an error,
+// its store is intact, and it starts again from there under the same load.
 func TestStopAmidAStorm(t *testing.T) {
 	registry, err := standin.NewRegistry("127.0.0.1:0", nil, func() float64 { return float64(time.Now().UnixMilli()) }, 0)
 	if err != nil {
@@ -85,52 +87,52 @@
 	}
 	for round := range 3 {
 		ctx, stop := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- Run(ctx, s, slog.New(slog.DiscardHandler)) }()
+		done := make(chan error, 1)
+		go func() { done <- Run(ctx, s, slog.New(slog.DiscardHandler)) }()
 		storm := &load.Script{Director: listen, Names: "p%d", Zone: "a", Limit: time.Second}
 		for _, k := range []load.Kind{load.New, load.Polls} {
 			storm.Steps = append(storm.Steps, load.Step{Name: string(k), Kind: k, Rate: 3000, Storm: 500, Proxies: 1500, Connections: 300, For: time.Second})
 		}
 		for _, err = load.Run(t.Context(), &load.Script{Director: listen, Names: "p%d", Limit: time.Second,
 			Steps: []load.Step{{Kind: load.Polls, Rate: 10, Proxies: 1, Connections: 1, For: 100 * time.Millisecond}}}, nil); err != nil; {
-			time.Sleep(20 * time.Millisecond) // until it listens
+			time.Sleep(20 * time.Millisecond) // until the director listens
 			_, err = load.Run(t.Context(), storm, nil)
 		}
-		all := make(chan []load.Second, 1)
+		seconds := make(chan []load.Second, 1)
 		go func() {
 			out, _ := load.Run(t.Context(), storm, nil)
-			all <- out
+			seconds <- out
 		}()
 		time.Sleep(time.Duration(400+400*round) * time.Millisecond)
 		began := time.Now()
 		stop()
 		select {
-		case err := <-ended:
+		case err := <-done:
 			if err != nil || time.Since(began) > 3*time.Second {
-				t.Fatalf("ended after %v: %v", time.Since(began), err)
+				t.Fatalf("stopped after %v, want at most 3s: %v", time.Since(began), err)
 			}
 		case <-time.After(15 * time.Second):
-			t.Fatal("it does not end")
+			t.Fatal("the director did not stop within 15s")
 		}
 		answered := 0
-		for _, x := range <-all {
+		for _, x := range <-seconds {
 			answered += x.Answered
 		}
 		if answered < 200 {
-			t.Errorf("only %d were answered before it ended", answered)
+			t.Errorf("only %d polls answered before the stop, want at least 200", answered)
 		}
 		st, err := store.Open(path, store.Retention{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, wrong := st.Verify(); len(wrong) > 0 {
-			t.Error(wrong)
+		if _, faults := st.Verify(); len(faults) > 0 {
+			t.Error(faults)
 		}
 		st.Close()
 	}
 }
 
-// journal keeps what was logged.
+// logBuffer is an io.Writer that collects log lines.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -141,14 +143,17 @@
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
-func (l *logBuffer) count(what string) int {
+
+// count returns how often a text occurs in the log.
+func (l *logBuffer) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Count(l.buf.String(), what)
+	return strings.Count(l.buf.String(), text)
 }
 
-// A file that changes: what can takes effect without a connection lost, what can't is named each time, a file that is wrong changes
-// nothing, and signals one upon the other are all met by the file as it is in the end.
+// A settings file changes while a director runs: changes that can take effect do so without closing connections, those
+// that need a restart are logged at each reload, an invalid file changes nothing, and after signals in quick succession
+// the newest file is in effect. The service manager is notified of each reload.
 func TestReload(t *testing.T) {
 	registry, err := standin.NewRegistry("127.0.0.1:0", nil, func() float64 { return float64(time.Now().UnixMilli()) }, 0)
 	if err != nil {
@@ -176,13 +181,13 @@
 	t.Setenv("NOTIFY_SOCKET", filepath.Join(dir, "notify"))
 	log, hup := &logBuffer{}, make(chan os.Signal, 1)
 	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, s, slog.New(slog.NewTextHandler(log, nil)), Reloader{path, hup}) }()
-	await := func(what string, n int) {
+	done := make(chan error, 1)
+	go func() { done <- Run(ctx, s, slog.New(slog.NewTextHandler(log, nil)), Reloader{path, hup}) }()
+	await := func(text string, n int) {
 		t.Helper()
-		for end := time.Now().Add(5 * time.Second); log.count(what) < n; time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(5 * time.Second); log.count(text) < n; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%q is not logged %d times", what, n)
+				t.Fatalf("%q was not logged %d times within 5s", text, n)
 			}
 		}
 	}
@@ -210,11 +215,11 @@
 	hup <- syscall.SIGHUP
 	await("reload.refused", 1)
 	if status := ask(4000); status != http.StatusOK {
-		t.Fatalf("a wrong file took effect: %d", status)
+		t.Fatalf("an invalid file took effect: status %d", status)
 	}
 	write("2s", "256MiB", "1KiB")
 	hup <- syscall.SIGHUP
-	hup <- syscall.SIGHUP // during the first, or right after it
+	hup <- syscall.SIGHUP // during the first reload or right after it
 	await("reload.done", 2)
 	if log.count("director[d1].memory: ") != 1 || log.count("poll.most_head: ") != 1 || log.count("reload.takes_restart") != 2 || log.count("service.route[read].slo: ") != 2 {
 		t.Error(log.buf.String())
@@ -223,22 +228,22 @@
 		t.Error(status)
 	}
 	if status := ask(4000); status != http.StatusRequestHeaderFieldsTooLarge {
-		t.Errorf("a head past the new limit: %d", status)
+		t.Errorf("a request head above the new limit was answered with status %d, want 431", status)
 	}
 	stop()
-	if err := <-ended; err != nil {
+	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	told, b := "", make([]byte, 1000)
-	for !strings.Contains(told, "STOPPING=1") {
+	states, b := "", make([]byte, 1000)
+	for !strings.Contains(states, "STOPPING=1") {
 		manager.SetReadDeadline(time.Now().Add(5 * time.Second))
 		n, err := manager.Read(b)
 		if err != nil {
-			t.Fatalf("the service manager was told %q: %v", told, err)
+			t.Fatalf("the service manager received only %q: %v", states, err)
 		}
-		told += string(b[:n]) + "\n"
+		states += string(b[:n]) + "\n"
 	}
-	if !strings.HasPrefix(told, "READY=1") || strings.Count(told, "RELOADING=1\nMONOTONIC_USEC=") != 3 || strings.Count(told, "READY=1") != 4 {
-		t.Errorf("the service manager was told %q", told)
+	if !strings.HasPrefix(states, "READY=1") || strings.Count(states, "RELOADING=1\nMONOTONIC_USEC=") != 3 || strings.Count(states, "READY=1") != 4 {
+		t.Errorf("the service manager received %q, want READY=1 first, 3 reloads and 4 times READY=1", states)
 	}
 }
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -11,14 +11,15 @@
 	"vetchwood/internal/settings"
 )
 
-// memory sets up what the process may use: the collector's limit lies under the memory that the settings state, so that it works
-// harder before that is reached, and is let be while there is room.
+// setUpMemory sets up the limits of the process and returns the ledger that its fronts share. The garbage collector's
+// memory limit lies below the configured memory, so that it collects more often before that is reached; with room left,
+// it starts a collection only when the heap has tripled.
 func setUpMemory(ctx context.Context, s *settings.Running) (*budget.Ledger, error) {
-	m, err := applyMemoryLimit(s)
+	limits, err := applyMemoryLimit(s)
 	if err != nil {
 		return nil, err
 	}
-	ledger := budget.New(m)
+	ledger := budget.New(limits)
 	debug.SetGCPercent(200)
 	s.Front.Budget = ledger
 	if s.MQTT != nil {
@@ -28,11 +29,12 @@
 	return ledger, nil
 }
 
-// means are what the settings and the system give, and tell the collector.
+// applyMemoryLimit sets the garbage collector's memory limit to 90 % of the configured memory. It returns the memory and
+// the number of file descriptors that the process may use.
 func applyMemoryLimit(s *settings.Running) (budget.Means, error) {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
-		return budget.Means{}, fmt.Errorf("descriptors: %w", err)
+		return budget.Means{}, fmt.Errorf("read the file descriptor limit: %w", err)
 	}
 	debug.SetMemoryLimit(s.Memory / 100 * 90)
 	return budget.Means{Memory: s.Memory, Descriptors: int(min(files.Cur, 1<<30))}, nil
--- a/internal/daemon/meters.go
+++ b/internal/daemon/meters.go
@@ -21,8 +21,8 @@
 	"vetchwood/internal/store"
 )
 
-// serveAdmin serves metrics, health and operators.
-func serveAdmin(address string, d *director.Director, front *longpoll.Server, second *mqtt.Server, st *store.Store, holder *lease.Holder, ledger *budget.Ledger) (*http.Server, error) {
+// serveAdmin serves metrics, health, profiles and the operators' interface.
+func serveAdmin(address string, d *director.Director, front *longpoll.Server, mqttFront *mqtt.Server, st *store.Store, holder *lease.Holder, ledger *budget.Ledger) (*http.Server, error) {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	gauge := func(name, help string, of func(control.Figures) float64) {
@@ -34,8 +34,8 @@
 			func() float64 { return float64(of(d.Stats())) }))
 	}
 	gauge("version_ordered", "Newest version ordered, stored or not.", func(f control.Figures) float64 { return float64(f.Step) })
-	gauge("version_stored", "Newest version that would outlive a crash.", func(f control.Figures) float64 { return float64(f.Stored) })
-	gauge("proxies_joined", "Proxies that poll.", func(f control.Figures) float64 { return float64(f.Joined) })
+	gauge("version_stored", "Newest version stored durably.", func(f control.Figures) float64 { return float64(f.Stored) })
+	gauge("proxies_joined", "Proxies that have joined.", func(f control.Figures) float64 { return float64(f.Joined) })
 	lots := func(name, help string, of func(director.ShardStats) float64) {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_" + name, Help: help},
 			func() float64 { return of(d.ShardStats()) }))
@@ -44,75 +44,75 @@
 		reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_" + name + "_total", Help: help},
 			func() float64 { return float64(of(d.ShardStats())) }))
 	}
-	lots("polls_parked", "Polls that wait.", func(f director.ShardStats) float64 { return float64(f.Pending) })
-	lots("lots", "Lots that proxies are dealt to, each with a lock of its own.", func(f director.ShardStats) float64 { return float64(f.Shards) })
-	lots("barrier_longest_seconds", "The longest that a removal waited for answers given before it.",
+	lots("polls_parked", "Pending polls.", func(f director.ShardStats) float64 { return float64(f.Pending) })
+	lots("lots", "Shards that proxies are distributed over, each with its own lock.", func(f director.ShardStats) float64 { return float64(f.Shards) })
+	lots("barrier_longest_seconds", "Longest time that a removal waited for earlier answers to be written.",
 		func(f director.ShardStats) float64 { return f.MaxBarrier.Seconds() })
-	polls("barrier_overdue", "Answers that a removal did not wait for any longer.", func(f director.ShardStats) uint64 { return f.Overdue })
-	polls("answers_held", "Answers that waited until a removal was shown to all lots, or for a lease.",
+	polls("barrier_overdue", "Answers still unwritten when a removal stopped waiting for them.", func(f director.ShardStats) uint64 { return f.Overdue })
+	polls("answers_held", "Answers deferred until a removal reached all shards, or until a lease was renewed.",
 		func(f director.ShardStats) uint64 { return f.Deferred })
-	counter("removals", "Versions that took a host out of all tables, each a barrier.", func(f control.Figures) uint64 { return f.Removals })
-	gauge("version_oldest_held", "Oldest version that a joined proxy stands on.", func(f control.Figures) float64 { return float64(f.Oldest) })
-	gauge("proxies_behind", "Joined proxies that stand on something older than what is stored.", func(f control.Figures) float64 { return float64(f.Behind) })
-	gauge("channel_waiting_lines", "Lines that wait in the channel.", func(f control.Figures) float64 { return f.Waiting })
-	gauge("channel_most_lines", "The most lines that ever waited.", func(f control.Figures) float64 { return f.MostWaiting })
-	gauge("channel_limit_lines", "The most that may wait.", func(f control.Figures) float64 { return f.QueueLimit })
-	gauge("messages_most", "Most messages written to one proxy within the message span.", func(f control.Figures) float64 { return float64(f.MostMessages) })
-	gauge("report_lines_waiting", "Report lines that the module has yet to hear.", func(f control.Figures) float64 { return float64(f.ReportLinesWaiting) })
-	gauge("hosts_listed", "Hosts in the list as last told.", func(f control.Figures) float64 { return float64(f.Hosts) })
-	gauge("hosts_masked", "Hosts that are masked.", func(f control.Figures) float64 { return float64(f.Masked) })
-	if second != nil {
-		gauge("mqtt_connections", "Open MQTT connections.", func(control.Figures) float64 { return float64(second.Open()) })
-		gauge("mqtt_sessions", "MQTT sessions, with those whose connection is gone.", func(control.Figures) float64 { return float64(second.Figures().Sessions) })
-		gauge("mqtt_unacknowledged", "Documents on their way to MQTT subscribers.", func(control.Figures) float64 { return float64(second.Figures().InFlight) })
-		counter("mqtt_delivered", "Documents and differences sent by MQTT.", func(control.Figures) uint64 { return second.Figures().Delivered })
-		counter("mqtt_redelivered", "Those sent again as a session went on.", func(control.Figures) uint64 { return second.Figures().Redelived })
-		counter("mqtt_refused", "Connections, filters and packets refused by reason code.", func(control.Figures) uint64 { return second.Figures().Refused + second.Failed() })
-		counter("mqtt_busy", "Connections told to come later, as too many came at once.", func(control.Figures) uint64 { return second.Figures().Busy })
-		counter("mqtt_taken_over", "Subscriptions that another connection or front of the proxy took over.", func(control.Figures) uint64 { return second.Figures().TakenOver })
+	counter("removals", "Versions that removed a host from all tables; each is a barrier.", func(f control.Figures) uint64 { return f.Removals })
+	gauge("version_oldest_held", "Oldest version that a joined proxy holds.", func(f control.Figures) float64 { return float64(f.Oldest) })
+	gauge("proxies_behind", "Joined proxies that hold a version older than the stored one.", func(f control.Figures) float64 { return float64(f.Behind) })
+	gauge("channel_waiting_lines", "Lines queued in the channel.", func(f control.Figures) float64 { return f.Waiting })
+	gauge("channel_most_lines", "Maximum number of lines ever queued in the channel.", func(f control.Figures) float64 { return f.MostWaiting })
+	gauge("channel_limit_lines", "Maximum number of lines that the channel queues.", func(f control.Figures) float64 { return f.QueueLimit })
+	gauge("messages_most", "Maximum number of messages written to one proxy within the message window.", func(f control.Figures) float64 { return float64(f.MostMessages) })
+	gauge("report_lines_waiting", "Report lines not yet passed to the decision module.", func(f control.Figures) float64 { return float64(f.ReportLinesWaiting) })
+	gauge("hosts_listed", "Hosts in the newest host list.", func(f control.Figures) float64 { return float64(f.Hosts) })
+	gauge("hosts_masked", "Masked hosts.", func(f control.Figures) float64 { return float64(f.Masked) })
+	if mqttFront != nil {
+		gauge("mqtt_connections", "Open MQTT connections.", func(control.Figures) float64 { return float64(mqttFront.Open()) })
+		gauge("mqtt_sessions", "MQTT sessions, including those without a connection.", func(control.Figures) float64 { return float64(mqttFront.Figures().Sessions) })
+		gauge("mqtt_unacknowledged", "Documents in flight to MQTT subscribers.", func(control.Figures) float64 { return float64(mqttFront.Figures().InFlight) })
+		counter("mqtt_delivered", "Documents and differences sent over MQTT.", func(control.Figures) uint64 { return mqttFront.Figures().Delivered })
+		counter("mqtt_redelivered", "Documents and differences sent again when a session resumed.", func(control.Figures) uint64 { return mqttFront.Figures().Redelived })
+		counter("mqtt_refused", "Connections, filters and packets refused with a reason code.", func(control.Figures) uint64 { return mqttFront.Figures().Refused + mqttFront.Failed() })
+		counter("mqtt_busy", "Connections rejected because too many arrived at once.", func(control.Figures) uint64 { return mqttFront.Figures().Busy })
+		counter("mqtt_taken_over", "Subscriptions taken over by another connection or front of the same proxy.", func(control.Figures) uint64 { return mqttFront.Figures().TakenOver })
 	}
 	if holder != nil {
 		gauge("slices_held", "Slices whose lease this director holds.", func(control.Figures) float64 { return float64(holder.Held()) })
-		gauge("peers_alive", "Other directors that the store of leases believes in.", func(control.Figures) float64 { return float64(len(holder.Peers())) })
-		counter("hosts_learnt", "Hosts whose state another director knew first.", func(f control.Figures) uint64 { return f.Learnt })
-		counter("slices_moved", "Slices that came to this director or went from it.", func(control.Figures) uint64 { return holder.Moves() })
+		gauge("peers_alive", "Other directors that are alive by the lease store.", func(control.Figures) float64 { return float64(len(holder.Peers())) })
+		counter("hosts_learnt", "Hosts whose state was learnt from another director.", func(f control.Figures) uint64 { return f.Learnt })
+		counter("slices_moved", "Slices acquired or released by this director.", func(control.Figures) uint64 { return holder.Moves() })
 	}
-	gauge("inflow_pressure", "How far the door is closed: 0 all come in, 1 those that look on are out, 2 reports too, 3 new polls too.",
+	gauge("inflow_pressure", "Load shedding: 0 admits all requests, 1 rejects watchers, 2 also reports, 3 also new polls.",
 		func(control.Figures) float64 { return d.AdmissionStats().Press })
-	counter("inflow_shed", "Requests sent away as the director had more to do than it can.", func(control.Figures) (n uint64) {
+	counter("inflow_shed", "Requests rejected because the director was overloaded.", func(control.Figures) (n uint64) {
 		for _, x := range d.AdmissionStats().Shed {
 			n += x
 		}
 		return n
 	})
-	polls("inflow_limited", "Requests sent away as their client asked too often.", func(f director.ShardStats) uint64 { return f.Limited })
-	polls("polls", "Polls taken.", func(f director.ShardStats) uint64 { return f.Polls })
+	polls("inflow_limited", "Requests rejected because their client exceeded its rate.", func(f director.ShardStats) uint64 { return f.Limited })
+	polls("polls", "Polls accepted.", func(f director.ShardStats) uint64 { return f.Polls })
 	polls("answers_delta", "Polls answered with a difference.", func(f director.ShardStats) uint64 { return f.Deltas })
-	polls("answers_whole", "Polls answered with a whole document.", func(f director.ShardStats) uint64 { return f.Full })
+	polls("answers_whole", "Polls answered with a full document.", func(f director.ShardStats) uint64 { return f.Full })
 	polls("answers_unchanged", "Polls answered with 304.", func(f director.ShardStats) uint64 { return f.Unchanged })
 	counter("reports", "Reports counted.", func(f control.Figures) uint64 { return f.Reports })
-	counter("reports_repeated", "Reports that came again and were not counted.", func(f control.Figures) uint64 { return f.Repeats })
+	counter("reports_repeated", "Repeated reports, which are not counted.", func(f control.Figures) uint64 { return f.Repeats })
 	counter("refused", "Polls and reports refused by the director.", func(f control.Figures) uint64 { return f.Refused })
-	counter("check_faults", "What checks before publishing found.", func(f control.Figures) uint64 { return f.Faults })
-	polls("leases_expired", "Proxies that left without a word.", func(f director.ShardStats) uint64 { return f.Expired })
-	counter("requests_malformed", "Requests refused for their form.", func(control.Figures) uint64 { return front.Failed() })
+	counter("check_faults", "Faults found by the checks before publishing.", func(f control.Figures) uint64 { return f.Faults })
+	polls("leases_expired", "Proxies that left by not polling within their lease.", func(f director.ShardStats) uint64 { return f.Expired })
+	counter("requests_malformed", "Requests rejected as malformed.", func(control.Figures) uint64 { return front.Failed() })
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_connections", Help: "Open connections."},
 		func() float64 { return float64(front.Open()) }))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_beat_latest_seconds",
-		Help: "The latest that the decisions were called after their own time."}, func() float64 { return d.MaxTimerDelay().Seconds() }))
+		Help: "Longest delay of a timer of the decision module."}, func() float64 { return d.MaxTimerDelay().Seconds() }))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_turn_longest_seconds",
-		Help: "The longest that the loop was busy with one batch."}, func() float64 { return d.MaxTurn().Seconds() }))
+		Help: "Longest time that the loop took for one batch."}, func() float64 { return d.MaxTurn().Seconds() }))
 	for name, of := range map[string]struct {
 		help string
 		of   func(budget.Figures) float64
-	}{"connections_most": {"Connections that may be open; past it accepting pauses.", func(f budget.Figures) float64 { return float64(f.Connections) }},
-		"accept_paused":      {"1 while no connection is accepted.", func(f budget.Figures) float64 { return map[bool]float64{true: 1}[f.Paused] }},
-		"clients_hold_bytes": {"Requests that are half read and answers that wait behind others.", func(f budget.Figures) float64 { return float64(f.Held) }},
-		"heap_live_bytes":    {"Heap in use as of the last collection.", func(f budget.Figures) float64 { return float64(f.Heap) }}} {
+	}{"connections_most": {"Maximum number of open connections, above which accepting pauses.", func(f budget.Figures) float64 { return float64(f.Connections) }},
+		"accept_paused":      {"1 while accepting is paused, else 0.", func(f budget.Figures) float64 { return map[bool]float64{true: 1}[f.Paused] }},
+		"clients_hold_bytes": {"Bytes of partly read requests and queued answers.", func(f budget.Figures) float64 { return float64(f.Held) }},
+		"heap_live_bytes":    {"Live heap as of the last garbage collection.", func(f budget.Figures) float64 { return float64(f.Heap) }}} {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_" + name, Help: of.help}, func() float64 { return of.of(ledger.Figures()) }))
 	}
-	counter("accept_pauses", "Times that accepting paused.", func(control.Figures) uint64 { return ledger.Figures().Pauses })
-	counter("clients_cut", "Clients whose connection was closed as they held most of what there is.", func(control.Figures) uint64 { return ledger.Figures().Cuts })
+	counter("accept_pauses", "Number of pauses in accepting.", func(control.Figures) uint64 { return ledger.Figures().Pauses })
+	counter("clients_cut", "Connections closed because the client held the most memory.", func(control.Figures) uint64 { return ledger.Figures().Cuts })
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
 	mux.Handle(operate.Path, operate.Handler(d, st))
@@ -122,7 +122,7 @@
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
 		if !d.Ready() {
-			http.Error(w, "the opening state is not stored yet", http.StatusServiceUnavailable)
+			http.Error(w, "the initial state is not stored yet", http.StatusServiceUnavailable)
 			return
 		}
 		fmt.Fprintln(w, "ok")
--- a/internal/daemon/notify.go
+++ b/internal/daemon/notify.go
@@ -6,7 +6,8 @@
 	"github.com/coreos/go-systemd/v22/daemon"
 )
 
-// tell tells a service manager how things stand, by its published protocol, where it has named a socket for that.
+// notifyManager sends a state to the service manager by the sd_notify protocol. It does nothing if NOTIFY_SOCKET is not
+// set.
 func notifyManager(log *slog.Logger, state string) {
 	if _, err := daemon.SdNotify(false, state); err != nil {
 		log.Warn("notify.failed", "error", err)
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -18,22 +18,24 @@
 	"vetchwood/internal/lease"
 )
 
-// mostFacts is what another director's facts may be long.
+// maxFactsBytes is the maximum length of another director's facts. Longer ones are truncated and fail to
+// decode.
 const maxFactsBytes = 16 << 20
 
-// peerPatience is for one answer: facts that take longer are not worth waiting for at a start.
+// peerTimeout limits one request for facts. A start is not delayed longer for a peer's facts.
 const peerTimeout = 700 * time.Millisecond
 
-// peers asks all other directors at once for what they know, and passes on what comes, each by itself.
+// peerQuery returns a function that requests the facts of all other directors concurrently and posts those received,
+// with their ages. A peer that fails is logged and left out.
 func peerQuery(holder *lease.Holder, d *director.Director, log *slog.Logger) func(context.Context) {
 	client := &http.Client{Timeout: peerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second,
 		DialContext: (&net.Dialer{Timeout: peerTimeout / 2}).DialContext}}
 	return func(ctx context.Context) {
 		var mu sync.Mutex
-		var all []learn.Heard
-		var asked sync.WaitGroup
+		var heard []learn.Heard
+		var requests sync.WaitGroup
 		for _, p := range holder.Peers() {
-			asked.Go(func() {
+			requests.Go(func() {
 				began := time.Now()
 				f, err := fetchFacts(ctx, client, p)
 				if err != nil {
@@ -42,16 +44,17 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				all = append(all, learn.Heard{Facts: f, Age: float64(time.Since(began).Microseconds()) / 1000})
+				heard = append(heard, learn.Heard{Facts: f, Age: float64(time.Since(began).Microseconds()) / 1000})
 			})
 		}
-		asked.Wait()
-		if len(all) > 0 {
-			d.Post(control.Learnt{Heard: all})
+		requests.Wait()
+		if len(heard) > 0 {
+			d.Post(control.Learnt{Heard: heard})
 		}
 	}
 }
 
+// fetchFacts requests a peer's facts and checks that they are that peer's.
 func fetchFacts(ctx context.Context, client *http.Client, p lease.Peer) (f learn.Facts, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, strings.TrimRight(p.URL, "/")+"/v1/peers/facts", nil)
 	if err != nil {
@@ -73,7 +76,7 @@
 		return f, err
 	}
 	if f.Director != p.Name {
-		return f, fmt.Errorf("%s answers as %q", p.URL, f.Director)
+		return f, fmt.Errorf("director at %s identifies itself as %q", p.URL, f.Director)
 	}
 	f.Leaving = p.Leaving
 	return f, nil
--- a/internal/daemon/relay.go
+++ b/internal/daemon/relay.go
@@ -13,39 +13,39 @@
 	"vetchwood/internal/settings"
 )
 
-// Relay is a proxy's life: until the context ends.
+// RunRelay runs a relay with the settings in a file until the context ends. SIGHUP reloads the file.
 func RunRelay(ctx context.Context, file string, log *slog.Logger) error {
-	set, err := settings.LoadRelay(file)
+	s, err := settings.LoadRelay(file)
 	if err != nil {
 		return err
 	}
-	log = log.With("relay", set.Name)
-	r, err := relay.New(set, relay.Watch{}, log)
+	log = log.With("relay", s.Name)
+	r, err := relay.New(s, relay.Watch{}, log)
 	if err != nil {
 		return err
 	}
-	if set.Admin != "" {
-		admin, err := r.ServeAdmin(set.Admin)
+	if s.Admin != "" {
+		admin, err := r.ServeAdmin(s.Admin)
 		if err != nil {
-			return fmt.Errorf("admin %s: %w", set.Admin, err)
+			return fmt.Errorf("admin %s: %w", s.Admin, err)
 		}
 		defer admin.Close()
 	}
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP)
-	defer signal.Stop(again)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
 	go func() {
-		for range again {
-			set, err := settings.LoadRelay(file)
+		for range hangups {
+			s, err := settings.LoadRelay(file)
 			if err == nil {
-				err = r.Reload(set)
+				err = r.Reload(s)
 			}
 			if err != nil {
 				log.Error("relay.not_reloaded", "error", err)
 			}
 		}
 	}()
-	log.Info("relay.started", "listen", r.Addr().String(), "admin", set.Admin)
+	log.Info("relay.started", "listen", r.Addr().String(), "admin", s.Admin)
 	err = r.Run(ctx)
 	if errors.Is(err, context.Canceled) {
 		err = nil
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -16,29 +16,30 @@
 	"vetchwood/internal/store"
 )
 
-// Again is a file of settings that is read anew whenever something comes on a channel.
+// Reloader reloads a settings file whenever its channel receives a signal.
 type Reloader struct {
 	File   string
 	Signal <-chan os.Signal
 }
 
-// follow reads the file anew at each signal, one after the other: a signal that comes meanwhile is met by one more reading. A file
-// that is wrong changes nothing.
-func (a Reloader) run(ctx context.Context, was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger, log *slog.Logger) {
+// run reloads the file at each signal, one after the other, until the context ends. A signal during a reload causes one
+// more reload. An invalid file changes nothing.
+func (r Reloader) run(ctx context.Context, before map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger, log *slog.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.Signal:
+		case <-r.Signal:
 		}
-		a.reload(was, front, st, ledger, log)
+		r.reload(before, front, st, ledger, log)
 	}
 }
 
-// once is one reading. The manager is told that it is over, whatever came of it, before anybody else can see that it is.
-func (a Reloader) reload(was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger, log *slog.Logger) {
+// reload performs one reload. The service manager is notified of its end, whatever the outcome, before the outcome is
+// logged.
+func (r Reloader) reload(before map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger, log *slog.Logger) {
 	notifyManager(log, daemon.SdNotifyReloading+"\n"+monotonicUsec())
-	plan, err := a.apply(was, front, st, ledger, log)
+	plan, err := r.apply(before, front, st, ledger, log)
 	notifyManager(log, daemon.SdNotifyReady)
 	if err != nil {
 		log.Error("reload.refused", "error", err)
@@ -47,29 +48,29 @@
 	log.Info("reload.done", "changed", len(plan.Live), "take_restart", len(plan.Restart))
 }
 
-// apply reads the file and has what changed in it take effect, as far as it can without a restart. A file that is wrong
-// changes nothing; the error names all that is wrong with it, each with its place.
-func (a Reloader) apply(was map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger,
+// apply reads the file and applies its changes, as far as possible without a restart. An invalid file changes nothing;
+// the error names all its faults, each with its position.
+func (r Reloader) apply(before map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Ledger,
 	log *slog.Logger) (plan reload.Plan, err error) {
-	text, err := os.ReadFile(a.File)
+	text, err := os.ReadFile(r.File)
 	if err != nil {
 		return plan, err
 	}
-	s, err := settings.Parse(a.File, text)
+	s, err := settings.Parse(r.File, text)
 	if err != nil {
 		return plan, err
 	}
-	m, err := applyMemoryLimit(s)
+	limits, err := applyMemoryLimit(s)
 	if err != nil {
 		return plan, err
 	}
-	plan = reload.Compare(was, s.Written)
-	ledger.Have(m)
+	plan = reload.Compare(before, s.Written)
+	ledger.Have(limits)
 	st.Keep(s.History)
 	front.Limit(s.Front)
 	for _, c := range plan.Live {
 		log.Info("reload.changed", "what", c.String())
-		was[c.Name] = c.New // what waits for a start over is named again at the next signal
+		before[c.Name] = c.New // a change that needs a restart stays different and is logged at each reload
 	}
 	for _, c := range plan.Restart {
 		log.Warn("reload.takes_restart", "what", c.String())
@@ -77,7 +78,7 @@
 	return plan, nil
 }
 
-// monotonic is the time of a reload as the protocol wants it.
+// monotonicUsec returns the monotonic time as the sd_notify protocol requires it with RELOADING=1.
 func monotonicUsec() string {
 	var t unix.Timespec
 	unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
