--- a/internal/daemon/meters.go
+++ b/internal/daemon/meters.go
@@ -36,20 +36,20 @@
 	gauge("version_ordered", "Newest version ordered, stored or not.", func(f control.Figures) float64 { return float64(f.Step) })
 	gauge("version_stored", "Newest version stored durably.", func(f control.Figures) float64 { return float64(f.Stored) })
 	gauge("proxies_joined", "Proxies that have joined.", func(f control.Figures) float64 { return float64(f.Joined) })
-	lots := func(name, help string, of func(director.ShardStats) float64) {
+	shardGauge := func(name, help string, of func(director.ShardStats) float64) {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_" + name, Help: help},
 			func() float64 { return of(d.ShardStats()) }))
 	}
-	polls := func(name, help string, of func(director.ShardStats) uint64) {
+	shardCounter := func(name, help string, of func(director.ShardStats) uint64) {
 		reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_" + name + "_total", Help: help},
 			func() float64 { return float64(of(d.ShardStats())) }))
 	}
-	lots("polls_parked", "Pending polls.", func(f director.ShardStats) float64 { return float64(f.Pending) })
-	lots("lots", "Shards that proxies are distributed over, each with its own lock.", func(f director.ShardStats) float64 { return float64(f.Shards) })
-	lots("barrier_longest_seconds", "Longest time that a removal waited for earlier answers to be written.",
+	shardGauge("polls_parked", "Pending polls.", func(f director.ShardStats) float64 { return float64(f.Pending) })
+	shardGauge("lots", "Shards that proxies are distributed over, each with its own lock.", func(f director.ShardStats) float64 { return float64(f.Shards) })
+	shardGauge("barrier_longest_seconds", "Longest time that a removal waited for earlier answers to be written.",
 		func(f director.ShardStats) float64 { return f.MaxBarrier.Seconds() })
-	polls("barrier_overdue", "Answers still unwritten when a removal stopped waiting for them.", func(f director.ShardStats) uint64 { return f.Overdue })
-	polls("answers_held", "Answers deferred until a removal reached all shards, or until a lease was renewed.",
+	shardCounter("barrier_overdue", "Answers still unwritten when a removal stopped waiting for them.", func(f director.ShardStats) uint64 { return f.Overdue })
+	shardCounter("answers_held", "Answers deferred until a removal reached all shards, or until a lease was renewed.",
 		func(f director.ShardStats) uint64 { return f.Deferred })
 	counter("removals", "Versions that removed a host from all tables; each is a barrier.", func(f control.Figures) uint64 { return f.Removals })
 	gauge("version_oldest_held", "Oldest version that a joined proxy holds.", func(f control.Figures) float64 { return float64(f.Oldest) })
@@ -85,16 +85,16 @@
 		}
 		return n
 	})
-	polls("inflow_limited", "Requests rejected because their client exceeded its rate.", func(f director.ShardStats) uint64 { return f.Limited })
-	polls("polls", "Polls accepted.", func(f director.ShardStats) uint64 { return f.Polls })
-	polls("answers_delta", "Polls answered with a difference.", func(f director.ShardStats) uint64 { return f.Deltas })
-	polls("answers_whole", "Polls answered with a full document.", func(f director.ShardStats) uint64 { return f.Full })
-	polls("answers_unchanged", "Polls answered with 304.", func(f director.ShardStats) uint64 { return f.Unchanged })
+	shardCounter("inflow_limited", "Requests rejected because their client exceeded its rate.", func(f director.ShardStats) uint64 { return f.Limited })
+	shardCounter("polls", "Polls accepted.", func(f director.ShardStats) uint64 { return f.Polls })
+	shardCounter("answers_delta", "Polls answered with a difference.", func(f director.ShardStats) uint64 { return f.Deltas })
+	shardCounter("answers_whole", "Polls answered with a full document.", func(f director.ShardStats) uint64 { return f.Full })
+	shardCounter("answers_unchanged", "Polls answered with 304.", func(f director.ShardStats) uint64 { return f.Unchanged })
 	counter("reports", "Reports counted.", func(f control.Figures) uint64 { return f.Reports })
 	counter("reports_repeated", "Repeated reports, which are not counted.", func(f control.Figures) uint64 { return f.Repeats })
 	counter("refused", "Polls and reports refused by the director.", func(f control.Figures) uint64 { return f.Refused })
 	counter("check_faults", "Faults found by the checks before publishing.", func(f control.Figures) uint64 { return f.Faults })
-	polls("leases_expired", "Proxies that left by not polling within their lease.", func(f director.ShardStats) uint64 { return f.Expired })
+	shardCounter("leases_expired", "Proxies that left by not polling within their lease.", func(f director.ShardStats) uint64 { return f.Expired })
 	counter("requests_malformed", "Requests rejected as malformed.", func(control.Figures) uint64 { return front.Failed() })
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_connections", Help: "Open connections."},
 		func() float64 { return float64(front.Open()) }))
