--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -13,7 +13,7 @@
 
 // setUpMemory sets up the limits of the process and returns the ledger that its fronts share. The garbage collector's
 // memory limit lies below the configured memory, so that it collects more often before that is reached; with room left,
-// it starts a collection only when the heap has tripled.
+// it starts a collection only when the heap has tripled since the last one.
 func setUpMemory(ctx context.Context, s *settings.Running) (*budget.Ledger, error) {
 	limits, err := applyMemoryLimit(s)
 	if err != nil {
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -18,8 +18,7 @@
 	"vetchwood/internal/lease"
 )
 
-// maxFactsBytes is the maximum length of another director's facts. Longer ones are truncated and fail to
-// decode.
+// maxFactsBytes is the maximum length of another director's facts. Longer ones are cut off and fail to decode.
 const maxFactsBytes = 16 << 20
 
 // peerTimeout limits one request for facts. A start is not delayed longer for a peer's facts.
--- a/internal/park/shard.go
+++ b/internal/park/shard.go
@@ -62,7 +62,7 @@
 	Events  []any
 }
 
-// timerTick is the resolution of the timers, and so the longest delay past a poll's deadline, in milliseconds.
+// timerTick is the resolution of the timers in milliseconds, and so the longest delay that they add to a poll's deadline.
 const timerTick logic.Millis = 10
 
 // NewShard returns the i-th of n shards. Its view is closed until the core publishes the first one.
--- a/internal/park/types.go
+++ b/internal/park/types.go
@@ -98,7 +98,8 @@
 		Poll
 		Session SessionID
 	}
-	// Acknowledgement reports the version that the proxy named in its poll; Step is 0 if the shard knows none of them.
+	// Acknowledgement reports a change of the version that the proxy holds, as named in its poll. Step is 0 if the shard
+	// knows none of the named versions.
 	Acknowledgement struct {
 		Proxy   string
 		Session SessionID
--- a/internal/wheel/wheel.go
+++ b/internal/wheel/wheel.go
@@ -17,7 +17,7 @@
 	slots    = 1 << slotBits
 )
 
-// Timer is a timer that its owner embeds in the object it belongs to. The zero value is stopped.
+// Timer is a timer, kept by its owner in the object that it belongs to. The zero value is stopped.
 type Timer[T any] struct {
 	Value      T      // for the owner's use
 	dueTick    uint64 // the tick at which it is due
