--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -192,13 +192,13 @@
 func (c *Core) Handle(now logic.Millis, in []any) []any {
 	for _, i := range in {
 		switch i := i.(type) {
-		case park.Join:
+		case park.JoinRequest:
 			c.join(now, i)
-		case park.Holds:
+		case park.Acknowledgement:
 			c.acknowledge(now, i)
-		case park.Leaves:
+		case park.Left:
 			c.handleLeave(i)
-		case park.Wants:
+		case park.DocumentRequest:
 			c.notifyStored(i)
 		case AnswersFlushed:
 			c.endBarrier(now)
@@ -342,7 +342,7 @@
 // refuse answers a ticket with an error and counts it.
 func (c *Core) refuse(t Ticket, kind AnswerKind, why string) {
 	c.stats.Refused++
-	c.out = append(c.out, Answer{Ticket: t, Kind: kind, Why: why})
+	c.out = append(c.out, Answer{Ticket: t, Kind: kind, Reason: why})
 }
 
 // peerRefreshInterval is the minimum interval in milliseconds between two calls of refreshPeerStates that take effect.
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -16,7 +16,7 @@
 type harness struct {
 	t             *testing.T
 	c             *Core
-	lot           *park.Lot
+	lot           *park.Shard
 	now           logic.Millis
 	store         SavedState
 	holdWrites    bool
@@ -50,7 +50,7 @@
 // startCore starts a Core and its lot from the stored state.
 func (h *harness) startCore(svc Service) {
 	var out []any
-	h.lot = park.NewLot(0, 1, park.Terms{LongestWait: svc.MaxWait, Lease: svc.Lease, Zones: svc.Zones}, h.now)
+	h.lot = park.NewShard(0, 1, park.Config{MaxWait: svc.MaxWait, Lease: svc.Lease, Zones: svc.Zones}, h.now)
 	h.c, out = New(5, h.now, svc, h.store)
 	h.execute(out)
 }
@@ -72,12 +72,12 @@
 }
 
 // handleLotOutput records the answers of the lot and passes its other output to the core.
-func (h *harness) handleLotOutput(said park.Said) {
+func (h *harness) handleLotOutput(said park.Output) {
 	for _, a := range said.Answers {
 		h.recordAnswer(a)
 	}
-	if len(said.Core) > 0 {
-		h.execute(h.c.Handle(h.now, said.Core))
+	if len(said.Events) > 0 {
+		h.execute(h.c.Handle(h.now, said.Events))
 	}
 }
 
@@ -99,12 +99,12 @@
 		case Answer:
 			h.recordAnswer(o)
 		case Publish:
-			h.handleLotOutput(h.lot.See(h.now, o.View))
+			h.handleLotOutput(h.lot.SetView(h.now, o.View))
 			if o.Barrier {
 				h.execute(h.c.Handle(h.now, []any{AnswersFlushed{}}))
 			}
-		case park.Tell, park.Turned:
-			h.handleLotOutput(h.lot.Told(h.now, o))
+		case park.SetDocument, park.RejectJoin:
+			h.handleLotOutput(h.lot.Apply(h.now, o))
 		case Persist:
 			h.pendingWrites = append(h.pendingWrites, o.Change)
 		case Probe:
@@ -129,12 +129,12 @@
 		case Poll:
 			h.handleLotOutput(h.lot.Poll(h.now, i))
 		case Disconnected:
-			h.handleLotOutput(h.lot.Broke(h.now, i))
+			h.handleLotOutput(h.lot.Disconnect(h.now, i))
 		default:
 			rest = append(rest, i)
 		}
 	}
-	h.handleLotOutput(h.lot.Turn(h.now))
+	h.handleLotOutput(h.lot.Advance(h.now))
 	h.execute(h.c.Handle(h.now, rest))
 }
 
@@ -158,7 +158,7 @@
 	h.t.Helper()
 	a, there := h.answers[t]
 	if !there || a.Kind != kind {
-		h.t.Fatalf("ticket %d: answered: %v, kind %d (%s), want kind %d", t, there, a.Kind, a.Why, kind)
+		h.t.Fatalf("ticket %d: answered: %v, kind %d (%s), want kind %d", t, there, a.Kind, a.Reason, kind)
 	}
 	return a.Doc
 }
--- a/internal/control/operate.go
+++ b/internal/control/operate.go
@@ -60,7 +60,7 @@
 const operatorQueueFraction = 0.4
 
 func (c *Core) answerOperator(t Ticket, kind AnswerKind, why string, o *OperationResult) {
-	c.out = append(c.out, Answer{Ticket: t, Kind: kind, Why: why, Body: o})
+	c.out = append(c.out, Answer{Ticket: t, Kind: kind, Reason: why, Body: o})
 }
 
 // hostConditions returns what the rules for pinned tables need to know of each listed host.
--- a/internal/control/types.go
+++ b/internal/control/types.go
@@ -38,7 +38,7 @@
 type (
 	Ticket       = park.Ticket
 	Poll         = park.Poll
-	Disconnected = park.Broke
+	Disconnected = park.Disconnected
 	Answer       = park.Answer
 	AnswerKind   = park.Kind
 )
@@ -46,15 +46,15 @@
 // Kinds of answers; see package park.
 const (
 	Unchanged  = park.Unchanged
-	Full       = park.Whole
+	Full       = park.Full
 	Delta      = park.Delta
-	Accepted   = park.Taken
+	Accepted   = park.Accepted
 	Unknown    = park.Unknown
-	Invalid    = park.Wrong
+	Invalid    = park.Invalid
 	Busy       = park.Busy
 	Done       = park.Done
 	Conflict   = park.Conflict
-	FactsReply = park.Told
+	FactsReply = park.PeerFacts
 	Replaced   = park.Replaced
 	Refused    = park.Refused
 )
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -18,57 +18,57 @@
 	"vetchwood/logic"
 )
 
-// memory is a store that fails as it is told, before or after it has written.
-type memory struct {
+// memoryStore is a store in memory whose writes fail as failAt says: before or after the write took effect.
+type memoryStore struct {
 	mu     sync.Mutex
 	writes int
 	step   tables.Step
-	fails  func(write int) (before, after bool)
+	failAt func(write int) (before, after bool)
 }
 
-func (m *memory) Load() (control.SavedState, error) {
+func (m *memoryStore) Load() (control.SavedState, error) {
 	return control.SavedState{Line: 7, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
 }
 
-func (m *memory) Write(all []control.Change) error {
+func (m *memoryStore) Write(all []control.Change) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.writes++
-	before, after := m.fails(m.writes)
-	if before {
+	failBefore, failAfter := m.failAt(m.writes)
+	if failBefore {
 		return errors.New("no space left")
 	}
 	for _, c := range all {
 		m.step = max(m.step, c.Step)
 	}
-	if after {
-		return errors.New("written, and then failed")
+	if failAfter {
+		return errors.New("error after the write took effect")
 	}
 	return nil
 }
 
-func (m *memory) stored() tables.Step { m.mu.Lock(); defer m.mu.Unlock(); return m.step }
+func (m *memoryStore) stored() tables.Step { m.mu.Lock(); defer m.mu.Unlock(); return m.step }
 
-// front polls for one proxy without end and keeps what it was told.
-type front struct {
-	d    *Director
-	m    *memory
-	mu   sync.Mutex
-	told tables.Step
-	bad  string
+// pollingFront polls continuously for one proxy and records the newest version that it got.
+type pollingFront struct {
+	d         *Director
+	store     *memoryStore
+	mu        sync.Mutex
+	newest    tables.Step
+	violation string
 }
 
-func (f *front) Answer(a control.Answer) {
+func (f *pollingFront) Answer(a control.Answer) {
 	if a.Doc == nil {
 		return
 	}
 	f.mu.Lock()
-	if stored := f.m.stored(); a.Doc.Step > stored {
-		f.bad = fmt.Sprintf("version %d is told, %d is stored", a.Doc.Step, stored)
+	if stored := f.store.stored(); a.Doc.Step > stored {
+		f.violation = fmt.Sprintf("version %d is published, only %d is stored", a.Doc.Step, stored)
 	}
-	f.told = max(f.told, a.Doc.Step)
+	f.newest = max(f.newest, a.Doc.Step)
 	f.mu.Unlock()
-	go f.d.Post(control.Poll{Ticket: f.d.Entrance(0).Ticket(), Proxy: "p1", Zone: "a", Held: []tables.Tag{a.Doc.Tag()}, Wait: 5000, WantsDelta: true})
+	go f.d.Post(control.Poll{Ticket: f.d.ForFront(0).Ticket(), Proxy: "p1", Zone: "a", Held: []tables.Tag{a.Doc.Tag()}, Wait: 5000, WantsDelta: true})
 }
 
 func service() control.Service {
@@ -79,30 +79,30 @@
 			MessageWindow: 10000, Levels: logic.LevelShare, Routes: []logic.Route{{SLO: 1000, TimeLimit: 3000, Importance: 1, Idempotency: logic.Idempotent}}}}
 }
 
-// A write fails at each of the first dozen, before or after it took place, once or for a while: nothing is ever told that
-// is not stored, and the day goes on once writes hold again.
+// Writes to the store fail from each of the first six on, once or three times in a row, before or after they took effect:
+// no version is published before it is stored, and publishing resumes once writes succeed again.
 func TestAStoreThatFails(t *testing.T) {
 	var all sync.WaitGroup
 	for at := 1; at <= 6; at++ {
-		for _, long := range []int{1, 3} {
-			for _, late := range []bool{false, true} {
+		for _, count := range []int{1, 3} {
+			for _, afterWrite := range []bool{false, true} {
 				all.Add(1)
 				go func() {
 					defer all.Done()
-					m := &memory{fails: func(n int) (bool, bool) {
-						failing := n >= at && n < at+long
-						return failing && !late, failing && late
+					m := &memoryStore{failAt: func(n int) (bool, bool) {
+						failing := n >= at && n < at+count
+						return failing && !afterWrite, failing && afterWrite
 					}}
 					d, err := New(service(), m, func(context.Context, tables.Address) (bool, logic.Load) { return true, logic.Load{} }, slog.New(slog.DiscardHandler))
 					if err != nil {
 						t.Error(err)
 						return
 					}
-					f := &front{d: d, m: m}
+					f := &pollingFront{d: d, store: m}
 					ctx, stop := context.WithCancel(context.Background())
 					done := make(chan error, 1)
 					go func() { done <- d.Run(ctx, f) }()
-					d.Post(control.Poll{Ticket: d.Entrance(0).Ticket(), Proxy: "p1", Zone: "a"})
+					d.Post(control.Poll{Ticket: d.ForFront(0).Ticket(), Proxy: "p1", Zone: "a"})
 					var last tables.Step
 					for i := range 8 {
 						var hosts []control.HostEntry
@@ -118,7 +118,7 @@
 					}
 					for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 						f.mu.Lock()
-						last = f.told
+						last = f.newest
 						f.mu.Unlock()
 						if last > 3 && last == m.stored() {
 							break
@@ -126,12 +126,12 @@
 					}
 					stop()
 					if err := <-done; err != nil {
-						t.Errorf("failing at write %d for %d: %v", at, long, err)
+						t.Errorf("failing at write %d, %d times: %v", at, count, err)
 					}
 					f.mu.Lock()
 					defer f.mu.Unlock()
-					if f.bad != "" || f.told < 3 {
-						t.Errorf("failing at write %d for %d: told %d; %s", at, long, f.told, f.bad)
+					if f.violation != "" || f.newest < 3 {
+						t.Errorf("failing at write %d, %d times: newest version %d, want at least 3; %s", at, count, f.newest, f.violation)
 					}
 				}()
 			}
@@ -140,65 +140,65 @@
 	all.Wait()
 }
 
-// A store that never holds again ends the director, so that whoever watches it knows.
+// A store whose writes fail permanently ends the director with ErrStore, so that its supervisor notices.
 func TestAStoreThatFailsForGood(t *testing.T) {
 	if testing.Short() {
 		t.Skip()
 	}
-	m := &memory{fails: func(int) (bool, bool) { return true, false }}
+	m := &memoryStore{failAt: func(int) (bool, bool) { return true, false }}
 	d, err := New(service(), m, nil, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
 	defer stop()
-	if err := d.Run(ctx, &front{d: d, m: m}); !errors.Is(err, ErrStore) || d.Ready() {
-		t.Fatalf("%v, ready %v", err, d.Ready())
+	if err := d.Run(ctx, &pollingFront{d: d, store: m}); !errors.Is(err, ErrStore) || d.Ready() {
+		t.Fatalf("error %v, ready %v", err, d.Ready())
 	}
 }
 
-// nowhere is a front whose clients have all gone.
-type nowhere struct{ n atomic.Int64 }
+// discardFront is a front whose clients are all gone: it only counts answers.
+type discardFront struct{ answers atomic.Int64 }
 
-func (f *nowhere) Answer(control.Answer) { f.n.Add(1) }
+func (f *discardFront) Answer(control.Answer) { f.answers.Add(1) }
 
-// New polls come from more clients than the loop can answer, as when a whole fleet has lost its tables. The door sends the
-// rest away with a time of their own; what acknowledges is let in, and the loop goes on turning.
-func TestAStormAtTheDoor(t *testing.T) {
+// New polls come from more clients than the loop can serve, as when a whole fleet has lost its tables. Admission control
+// rejects the excess with a randomized delay of at least 400 ms each and admits all acknowledging polls.
+func TestNewPollsAreShedUnderOverload(t *testing.T) {
 	svc := service()
 	svc.ProxyNames = regexp.MustCompile(`^p[0-9]+$`)
 	svc.Config.Proxies, svc.Config.QueueLimit = 20000, 1e7
-	d, err := New(svc, &memory{fails: func(int) (bool, bool) { return false, false }}, nil, slog.New(slog.DiscardHandler))
+	d, err := New(svc, &memoryStore{failAt: func(int) (bool, bool) { return false, false }}, nil, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	ran := make(chan struct{})
-	f := &nowhere{}
+	f := &discardFront{}
 	go func() { d.Run(ctx, f); close(ran) }()
 	d.Post(control.HostList{Hosts: []control.HostEntry{{ID: "h", Address: "10.0.0.1:80", Zone: "a", Weight: 1}}})
-	e := d.Entrance(0)
-	var in, away, acknowledged, kept int
+	handle := d.ForFront(0)
+	var admitted, rejected, acks, admittedAcks int
 	for end, i := time.Now().Add(2*time.Second), 0; time.Now().Before(end); i++ {
 		name := "p" + strconv.Itoa(i%20000)
-		if later := d.Admit(inflow.NewPolls, name); later > 0 {
-			if away++; later < 400*time.Millisecond {
-				t.Fatalf("told to come again after %v", later)
+		if retryAfter := d.Admit(inflow.NewPolls, name); retryAfter > 0 {
+			if rejected++; retryAfter < 400*time.Millisecond {
+				t.Fatalf("rejected with a retry delay of %v, want at least 400ms", retryAfter)
 			}
 		} else {
-			in++
-			e.Post(control.Poll{Ticket: e.Ticket(), Proxy: name, Zone: "a", Wait: 20000})
+			admitted++
+			handle.Post(control.Poll{Ticket: handle.Ticket(), Proxy: name, Zone: "a", Wait: 20000})
 		}
 		if i%50 == 0 {
-			if acknowledged++; d.Admit(inflow.Polls, "") == 0 {
-				kept++
+			if acks++; d.Admit(inflow.Polls, "") == 0 {
+				admittedAcks++
 			}
 		}
 	}
-	t.Logf("%d came in, %d were sent away; longest turn %v; pressure %.2f", in, away, d.LongestTurn(), d.Inflow().Press)
+	t.Logf("%d admitted, %d rejected; longest turn %v; pressure %.2f", admitted, rejected, d.MaxTurn(), d.AdmissionStats().Press)
 	stop()
 	<-ran
-	if kept != acknowledged || away == 0 {
-		t.Errorf("%d of %d acknowledgements came in, %d new polls were sent away", kept, acknowledged, away)
+	if admittedAcks != acks || rejected == 0 {
+		t.Errorf("%d of %d acknowledging polls admitted, want all; %d new polls rejected, want some", admittedAcks, acks, rejected)
 	}
 }
--- a/internal/director/door_open.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build opendoor
-
-package director
-
-const openDoor = true
--- a/internal/wheel/wheel_test.go
+++ b/internal/wheel/wheel_test.go
@@ -11,8 +11,8 @@
 	"vetchwood/logic"
 )
 
-// Whatever is set, moved and stopped: each timer comes once, not early, and at most a tick after its time once the wheel has
-// been told of it; the naive list says what is due.
+// For random sequences of Set, Stop and Advance, each timer fires once, not early, and by the first Advance that is
+// more than two ticks past its time, as compared with a plain map of times.
 func TestAgainstAPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tick = 8
@@ -20,7 +20,7 @@
 		w := New[int](tick, now)
 		timers, at := make([]Timer[int], 20), map[int]logic.Millis{}
 		for i := range timers {
-			timers[i].Of = i
+			timers[i].Value = i
 		}
 		span := rapid.SampledFrom([]float64{50, 3000, 4e5, 3e8, 1e12})
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -28,75 +28,75 @@
 			case 0, 1:
 				when := now + logic.Millis(rapid.Float64Range(-20, span.Draw(t, "span")).Draw(t, "in"))
 				w.Set(&timers[i], when)
-				at[i] = max(when, now) // what is due already comes next
+				at[i] = max(when, now) // a time that has passed is due next
 			case 2:
 				w.Stop(&timers[i])
 				delete(at, i)
 			default:
 				now += logic.Millis(rapid.Float64Range(0, span.Draw(t, "jump")).Draw(t, "by"))
 				w.Advance(now, func(x *Timer[int]) {
-					when, set := at[x.Of]
+					when, set := at[x.Value]
 					if !set {
-						t.Fatalf("timer %d comes at %v though it is not set", x.Of, now)
+						t.Fatalf("timer %d fires at %v but is not set", x.Value, now)
 					}
 					if when > now+0.001 {
-						t.Fatalf("timer %d comes at %v, %v early", x.Of, now, when-now)
+						t.Fatalf("timer %d fires at %v, %v early", x.Value, now, when-now)
 					}
-					delete(at, x.Of)
+					delete(at, x.Value)
 				})
 				for i, when := range at {
 					if when+2*tick < now {
-						t.Fatalf("timer %d was due at %v and has not come by %v", i, when, now)
+						t.Fatalf("timer %d was due at %v and has not fired by %v", i, when, now)
 					}
 				}
-				if next, any := w.Next(); any != (len(at) > 0) || any && next < now-tick {
-					t.Fatalf("next at %v, %v, with %d set at %v", next, any, len(at), now)
+				if next, found := w.Next(); found != (len(at) > 0) || found && next < now-tick {
+					t.Fatalf("Next returned %v, %v with %d timers set at %v", next, found, len(at), now)
 				}
 			}
 			if w.Len() != len(at) {
-				t.Fatalf("%d set, by its own count %d", len(at), w.Len())
+				t.Fatalf("%d timers set, Len returned %d", len(at), w.Len())
 			}
 		}
 	})
 }
 
-// One that is due sets itself again, as a lease that was renewed meanwhile does.
+// A timer is set again while it is handled, as for a lease that was renewed in the meantime.
 func TestSetAgainWhileDue(t *testing.T) {
 	w := New[int](8, 0)
 	var x Timer[int]
-	came := 0
+	fired := 0
 	w.Set(&x, 100)
 	for now := logic.Millis(0); now <= 1000; now += 10 {
-		w.Advance(now, func(x *Timer[int]) { came++; w.Set(x, now+100) })
+		w.Advance(now, func(x *Timer[int]) { fired++; w.Set(x, now+100) })
 	}
-	if came < 8 || came > 10 || w.Len() != 1 {
-		t.Fatalf("came %d times in a second", came)
+	if fired < 8 || fired > 10 || w.Len() != 1 {
+		t.Fatalf("fired %d times in a second, want 8 to 10", fired)
 	}
 }
 
-// beat is the plain one: a heap.
-type beat struct {
+// heapTimer is a timer in a binary heap, for comparison.
+type heapTimer struct {
 	at    logic.Millis
-	place int
+	index int
 }
-type beats []*beat
+type timerHeap []*heapTimer
 
-func (b beats) Len() int           { return len(b) }
-func (b beats) Less(i, j int) bool { return b[i].at < b[j].at }
-func (b beats) Swap(i, j int)      { b[i], b[j] = b[j], b[i]; b[i].place, b[j].place = i, j }
-func (b *beats) Push(x any)        { y := x.(*beat); y.place = len(*b); *b = append(*b, y) }
-func (b *beats) Pop() any          { o := *b; x := o[len(o)-1]; *b = o[:len(o)-1]; return x }
+func (b timerHeap) Len() int           { return len(b) }
+func (b timerHeap) Less(i, j int) bool { return b[i].at < b[j].at }
+func (b timerHeap) Swap(i, j int)      { b[i], b[j] = b[j], b[i]; b[i].index, b[j].index = i, j }
+func (b *timerHeap) Push(x any)        { y := x.(*heapTimer); y.index = len(*b); *b = append(*b, y) }
+func (b *timerHeap) Pop() any          { o := *b; x := o[len(o)-1]; *b = o[:len(o)-1]; return x }
 
-// What parked polls do: a poll comes back and its end is moved on by its wait; now and then time goes on.
+// BenchmarkMove measures the use by pending polls: each poll moves its timer by its wait, and the time advances.
 func BenchmarkMove(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		draw := rand.New(rand.NewPCG(1, 2))
 		wait := func() logic.Millis { return logic.Millis(20000 + 10000*draw.Float64()) }
 		b.Run(fmt.Sprintf("heap/%d", n), func(b *testing.B) {
-			var h beats
-			all := make([]*beat, n)
+			var h timerHeap
+			all := make([]*heapTimer, n)
 			for i := range all {
-				all[i] = &beat{at: wait()}
+				all[i] = &heapTimer{at: wait()}
 				heap.Push(&h, all[i])
 			}
 			now := logic.Millis(0)
@@ -104,7 +104,7 @@
 				now += 30000 / logic.Millis(n)
 				x := all[i%n]
 				x.at = now + wait()
-				heap.Fix(&h, x.place)
+				heap.Fix(&h, x.index)
 				for h[0].at <= now {
 					h[0].at = now + wait()
 					heap.Fix(&h, 0)
