--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -60,8 +60,8 @@
 	fronts := []director.Front{front}
 	var second *mqtt.Server
 	ledger.Cuts(func(c budget.Client) {
-		if front.Cut(c); second != nil {
-			second.Cut(c)
+		if front.CloseClient(c); second != nil {
+			second.CloseClient(c)
 		}
 	})
 	if s.MQTT != nil {
--- a/internal/daemon/meters.go
+++ b/internal/daemon/meters.go
@@ -62,12 +62,12 @@
 	gauge("hosts_listed", "Hosts in the list as last told.", func(f control.Figures) float64 { return float64(f.Hosts) })
 	gauge("hosts_masked", "Hosts that are masked.", func(f control.Figures) float64 { return float64(f.Masked) })
 	if second != nil {
-		gauge("mqtt_connections", "Open MQTT connections.", func(control.Figures) float64 { return float64(second.Open()) })
+		gauge("mqtt_connections", "Open MQTT connections.", func(control.Figures) float64 { return float64(second.OpenConnections()) })
 		gauge("mqtt_sessions", "MQTT sessions, with those whose connection is gone.", func(control.Figures) float64 { return float64(second.Figures().Sessions) })
 		gauge("mqtt_unacknowledged", "Documents on their way to MQTT subscribers.", func(control.Figures) float64 { return float64(second.Figures().InFlight) })
 		counter("mqtt_delivered", "Documents and differences sent by MQTT.", func(control.Figures) uint64 { return second.Figures().Delivered })
 		counter("mqtt_redelivered", "Those sent again as a session went on.", func(control.Figures) uint64 { return second.Figures().Redelived })
-		counter("mqtt_refused", "Connections, filters and packets refused by reason code.", func(control.Figures) uint64 { return second.Figures().Refused + second.Failed() })
+		counter("mqtt_refused", "Connections, filters and packets refused by reason code.", func(control.Figures) uint64 { return second.Figures().Refused + second.Refusals() })
 		counter("mqtt_busy", "Connections told to come later, as too many came at once.", func(control.Figures) uint64 { return second.Figures().Busy })
 		counter("mqtt_taken_over", "Subscriptions that another connection or front of the proxy took over.", func(control.Figures) uint64 { return second.Figures().TakenOver })
 	}
@@ -95,9 +95,9 @@
 	counter("refused", "Polls and reports refused by the director.", func(f control.Figures) uint64 { return f.Refused })
 	counter("check_faults", "What checks before publishing found.", func(f control.Figures) uint64 { return f.Faults })
 	polls("leases_expired", "Proxies that left without a word.", func(f director.LotFigures) uint64 { return f.Expired })
-	counter("requests_malformed", "Requests refused for their form.", func(control.Figures) uint64 { return front.Failed() })
+	counter("requests_malformed", "Requests refused for their form.", func(control.Figures) uint64 { return front.Refusals() })
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_connections", Help: "Open connections."},
-		func() float64 { return float64(front.Open()) }))
+		func() float64 { return float64(front.OpenConnections()) }))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_beat_latest_seconds",
 		Help: "The latest that the decisions were called after their own time."}, func() float64 { return d.LatestBeat().Seconds() }))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_turn_longest_seconds",
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -66,7 +66,7 @@
 	plan = reload.Of(was, s.Written)
 	ledger.Have(m)
 	st.Keep(s.History)
-	front.Limit(s.Front)
+	front.SetLimits(s.Front)
 	for _, c := range plan.Now {
 		log.Info("reload.changed", "what", c.String())
 		was[c.Name] = c.Is // what waits for a start over is named again at the next signal
--- a/internal/longpoll/ask.go
+++ b/internal/longpoll/ask.go
@@ -89,7 +89,7 @@
 		return wrong
 	}
 	q.Wait, p.prefer = preferredWait(r.value("prefer"))
-	q.Wait = min(q.Wait, s.limits.Load().LongestWait)
+	q.Wait = min(q.Wait, s.limits.Load().MaxWait)
 	if zone, only := bytes.CutPrefix(query, []byte("zone=")); only && bytes.IndexAny(zone, "&%+;") < 0 {
 		q.Zone = string(zone)
 	} else if len(query) > 0 {
@@ -154,7 +154,7 @@
 		return wrong
 	}
 	q.Wait, p.prefer = preferredWait(r.value("prefer"))
-	q.Wait = min(q.Wait, s.limits.Load().LongestWait)
+	q.Wait = min(q.Wait, s.limits.Load().MaxWait)
 	p.waits, p.ticket, p.poll, p.proxy = q.Wait, q.Ticket, true, ""
 	s.asked.Store(q.Ticket, p)
 	s.core.Post(q)
--- a/internal/longpoll/bench_test.go
+++ b/internal/longpoll/bench_test.go
@@ -131,7 +131,7 @@
 	} else {
 		s := &shelf{doc: doc, waits: map[control.Ticket]any{}}
 		l := limits
-		l.LongestWait, l.Idle = 600000, 10*time.Minute
+		l.MaxWait, l.IdleTimeout = 600000, 10*time.Minute
 		s.front, _ = Listen("127.0.0.1:0", s, l, slog.New(slog.DiscardHandler))
 		go s.front.Serve()
 		at, tell = s.front.Addr().String(), s.tell
--- a/internal/longpoll/budget_test.go
+++ b/internal/longpoll/budget_test.go
@@ -21,13 +21,13 @@
 		return nil
 	}}
 	l := limits
-	l.MostBody, l.SlowRequest, l.Idle, l.Budget = most, time.Minute, time.Minute, budget.New(m)
+	l.MaxBodyBytes, l.RequestTimeout, l.IdleTimeout, l.Budget = most, time.Minute, time.Minute, budget.New(m)
 	s, err := Listen("127.0.0.1:0", d, l, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.front = s
-	l.Budget.Cuts(s.Cut)
+	l.Budget.Cuts(s.CloseClient)
 	go s.Serve()
 	t.Cleanup(func() { s.Close() })
 	return d, l.Budget, s.Addr().String()
--- a/internal/longpoll/cores_test.go
+++ b/internal/longpoll/cores_test.go
@@ -65,7 +65,7 @@
 		b.Fatal(err)
 	}
 	l := limits
-	l.LongestWait = 600000
+	l.MaxWait = 600000
 	s, err := Listen("127.0.0.1:0", d.Entrance(0), l, slog.New(slog.DiscardHandler))
 	if err != nil {
 		b.Fatal(err)
--- a/internal/longpoll/longpoll_test.go
+++ b/internal/longpoll/longpoll_test.go
@@ -65,8 +65,8 @@
 	return len(d.polls), len(d.reports), len(d.broke)
 }
 
-var limits = Limits{MostHead: 2048, MostBody: 4096, SlowRequest: 700 * time.Millisecond, Idle: 3 * time.Second,
-	Write: time.Second, LongestWait: 20000}
+var limits = Limits{MaxHeadBytes: 2048, MaxBodyBytes: 4096, RequestTimeout: 700 * time.Millisecond, IdleTimeout: 3 * time.Second,
+	WriteTimeout: time.Second, MaxWait: 20000}
 
 func open(t testing.TB, answer func(any) *control.Answer) (*desk, string) {
 	d := &desk{answer: answer}
@@ -356,7 +356,7 @@
 		}
 	}()
 	all.Wait()
-	await(t, "all connections closed", func() bool { return d.front.Open() == 0 })
+	await(t, "all connections closed", func() bool { return d.front.OpenConnections() == 0 })
 }
 
 func await(t testing.TB, what string, is func() bool) {
@@ -387,7 +387,7 @@
 		await(t, "its end", func() bool { _, _, b := d.seen(); return b == i+1 })
 		d.front.Answer(control.Answer{Ticket: d.broke[i], Kind: control.Unchanged}) // too late, and harmless
 	}
-	await(t, "all connections closed", func() bool { return d.front.Open() == 0 })
+	await(t, "all connections closed", func() bool { return d.front.OpenConnections() == 0 })
 }
 
 // A client that never reads its answers holds up nobody and is let go.
@@ -410,7 +410,7 @@
 	if out := talk(t, at, "GET /nowhere HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n"); !strings.HasPrefix(out, "HTTP/1.1 404") || time.Since(began) > time.Second {
 		t.Fatalf("the next client waited %v for %.100q", time.Since(began), out)
 	}
-	await(t, "it is let go", func() bool { return d.front.Open() == 0 })
+	await(t, "it is let go", func() bool { return d.front.OpenConnections() == 0 })
 }
 
 func FuzzNext(f *testing.F) {
--- a/internal/longpoll/server.go
+++ b/internal/longpoll/server.go
@@ -36,11 +36,11 @@
 
 // Limits guard the front against its clients.
 type Limits struct {
-	MostHead, MostBody int
-	SlowRequest        time.Duration // from its first byte to its last
-	Idle               time.Duration // without a request
-	Write              time.Duration // for one answer
-	LongestWait        logic.Millis
+	MaxHeadBytes, MaxBodyBytes int
+	RequestTimeout             time.Duration // from its first byte to its last
+	IdleTimeout                time.Duration // without a request
+	WriteTimeout               time.Duration // for one answer
+	MaxWait                    logic.Millis
 	// Budget is what all fronts share; nil: any.
 	Budget *budget.Ledger
 }
@@ -88,23 +88,23 @@
 	s := &Server{core: core, budget: limits.Budget, log: log, done: make(chan struct{})}
 	s.limits.Store(&limits)
 	var err error
-	s.Socket, err = nets.Listen(address, s.read, s.accept, limits.Write, limits.Budget, log)
+	s.Socket, err = nets.Listen(address, s.read, s.accept, limits.WriteTimeout, limits.Budget, log)
 	return s, err
 }
 
 // Limit guards by other limits from now on; requests that are half read meet them with their next byte. What the budget is, how long a poll
 // waits and how slowly an answer may be read stay as they are.
-func (s *Server) Limit(l Limits) {
+func (s *Server) SetLimits(l Limits) {
 	was := s.limits.Load()
-	l.Budget, l.LongestWait, l.Write = was.Budget, was.LongestWait, was.Write
+	l.Budget, l.MaxWait, l.WriteTimeout = was.Budget, was.MaxWait, was.WriteTimeout
 	s.limits.Store(&l)
 }
 
 // Open is how many connections there are.
-func (s *Server) Open() int64 { return s.open.Load() }
+func (s *Server) OpenConnections() int64 { return s.open.Load() }
 
 // Failed counts requests that were refused for what they are.
-func (s *Server) Failed() uint64 { return s.failed.Load() }
+func (s *Server) Refusals() uint64 { return s.failed.Load() }
 
 // Serve answers until Close.
 func (s *Server) Serve() error {
@@ -166,7 +166,7 @@
 	} else {
 		p.in = append(p.in, b...)
 	}
-	if most := s.limits.Load().MostHead + s.limits.Load().MostBody; len(p.in) > most {
+	if most := s.limits.Load().MaxHeadBytes + s.limits.Load().MaxBodyBytes; len(p.in) > most {
 		s.refuse(p, bad(http.StatusRequestEntityTooLarge, "more than %d bytes wait unanswered", most).last())
 		p.in = nil
 	}
@@ -183,7 +183,7 @@
 }
 
 // Cut closes a client's connection, if it is of this front.
-func (s *Server) Cut(c budget.Client) {
+func (s *Server) CloseClient(c budget.Client) {
 	if v, open := s.peers.Load(c); open {
 		s.log.Warn("client.cut", "why", "it holds more of the director's memory than the others, and there is no more")
 		go v.(*peer).conn.Close()
@@ -202,7 +202,7 @@
 	r, in, limits := readers.Get().(*request), p.in, s.limits.Load()
 	defer readers.Put(r)
 	for p.ticket == 0 && len(in) > 0 && !p.gone {
-		whole, wrong := r.next(in, limits.MostHead, limits.MostBody)
+		whole, wrong := r.next(in, limits.MaxHeadBytes, limits.MaxBodyBytes)
 		if wrong != nil {
 			s.refuse(p, wrong)
 			in = nil
@@ -290,9 +290,9 @@
 				defer p.mu.Unlock()
 				switch quiet := now.Sub(p.since); {
 				case p.ticket != 0 || p.gone:
-				case len(p.in) > 0 && quiet > limits.SlowRequest:
-					s.refuse(p, bad(http.StatusRequestTimeout, "the request took longer than %v to come", limits.SlowRequest).last())
-				case len(p.in) == 0 && quiet > limits.Idle:
+				case len(p.in) > 0 && quiet > limits.RequestTimeout:
+					s.refuse(p, bad(http.StatusRequestTimeout, "the request took longer than %v to come", limits.RequestTimeout).last())
+				case len(p.in) == 0 && quiet > limits.IdleTimeout:
 					p.gone = true
 					go p.conn.Close()
 				}
--- a/internal/mqtt/bench_test.go
+++ b/internal/mqtt/bench_test.go
@@ -120,12 +120,12 @@
 	log := slog.New(slog.DiscardHandler)
 	d := newDirector(b, proxies, 30000)
 	s, err := Listen("127.0.0.1:0", d.Entrance(1), Limits{Limits: subscribe.Limits{Sessions: proxies, Expiry: 60000, Unanswered: 30000, Connects: 1e6, Watchers: 5},
-		MostPacket: 1 << 20, Connect: time.Minute, KeepAlive: time.Hour, Write: time.Second, LongestWait: 30000}, log)
+		MaxPacketBytes: 1 << 20, ConnectTimeout: time.Minute, MaxKeepAlive: time.Hour, WriteTimeout: time.Second, MaxWait: 30000}, log)
 	if err != nil {
 		b.Fatal(err)
 	}
-	h, err := longpoll.Listen("127.0.0.1:0", d.Entrance(0), longpoll.Limits{MostHead: 1 << 14, MostBody: 1 << 20, SlowRequest: time.Minute, Idle: time.Hour,
-		Write: time.Second, LongestWait: 30000}, log)
+	h, err := longpoll.Listen("127.0.0.1:0", d.Entrance(0), longpoll.Limits{MaxHeadBytes: 1 << 14, MaxBodyBytes: 1 << 20, RequestTimeout: time.Minute, IdleTimeout: time.Hour,
+		WriteTimeout: time.Second, MaxWait: 30000}, log)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/mqtt/mqtt_test.go
+++ b/internal/mqtt/mqtt_test.go
@@ -74,8 +74,8 @@
 func start(t *testing.T, change func(*Limits)) *rig {
 	log := slog.New(slog.DiscardHandler)
 	d := newDirector(t, 64, 1000)
-	limits := Limits{Limits: subscribe.Limits{Sessions: 100, Expiry: 60000, Unanswered: 30000, Connects: 1000, Watchers: 5}, MostPacket: 1 << 20,
-		Connect: time.Second, KeepAlive: time.Minute, Write: time.Second, LongestWait: 1000}
+	limits := Limits{Limits: subscribe.Limits{Sessions: 100, Expiry: 60000, Unanswered: 30000, Connects: 1000, Watchers: 5}, MaxPacketBytes: 1 << 20,
+		ConnectTimeout: time.Second, MaxKeepAlive: time.Minute, WriteTimeout: time.Second, MaxWait: 1000}
 	if change != nil {
 		change(&limits)
 	}
@@ -245,7 +245,7 @@
 // Clauses of the specification, each with what a client sends and what must come back. The client is a bare socket.
 func TestClauses(t *testing.T) {
 	t.Parallel()
-	r := start(t, func(l *Limits) { l.MostPacket = 4096 })
+	r := start(t, func(l *Limits) { l.MaxPacketBytes = 4096 })
 	connect := func(change func(*packets.Connect)) []byte {
 		c := &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "c", CleanStart: true, KeepAlive: 30, Properties: &packets.Properties{}}
 		if change != nil {
@@ -319,7 +319,7 @@
 		c.Write(whole[:cut])
 		c.Close()
 	}
-	eventually(t, "all are gone", func() bool { return r.s.Open() == 0 && r.d.Figures().Joined == 0 })
+	eventually(t, "all are gone", func() bool { return r.s.OpenConnections() == 0 && r.d.Figures().Joined == 0 })
 }
 
 // tell sends bytes and gives the first answer of a kind, or the last that came.
@@ -386,7 +386,7 @@
 	log := slog.New(slog.DiscardHandler)
 	d := newDirector(t, n+1, 5000)
 	s, err := Listen("127.0.0.1:0", d.Entrance(1), Limits{Limits: subscribe.Limits{Sessions: n + 1, Expiry: 60000, Unanswered: 60000, Connects: float64(n) / 3, Watchers: 5},
-		MostPacket: 1 << 20, Connect: time.Minute, KeepAlive: time.Hour, Write: time.Second, LongestWait: 5000}, log)
+		MaxPacketBytes: 1 << 20, ConnectTimeout: time.Minute, MaxKeepAlive: time.Hour, WriteTimeout: time.Second, MaxWait: 5000}, log)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/mqtt/server.go
+++ b/internal/mqtt/server.go
@@ -37,11 +37,11 @@
 // Limits guard the front against its clients.
 type Limits struct {
 	subscribe.Limits
-	MostPacket  int
-	Connect     time.Duration // from the connection to the whole CONNECT
-	KeepAlive   time.Duration // at most; a client that asks for more, or for none, is told this
-	Write       time.Duration
-	LongestWait logic.Millis
+	MaxPacketBytes int
+	ConnectTimeout time.Duration // from the connection to the whole CONNECT
+	MaxKeepAlive   time.Duration // at most; a client that asks for more, or for none, is told this
+	WriteTimeout   time.Duration
+	MaxWait        logic.Millis
 	// Budget is what all fronts share; nil: any.
 	Budget *budget.Ledger
 }
@@ -96,13 +96,13 @@
 	s := &Server{core: core, limits: limits, log: log, done: make(chan struct{}), wake: make(chan struct{}, 1)}
 	s.figures.Store(&subscribe.Figures{})
 	var err error
-	s.Socket, err = nets.Listen(address, s.read, s.accept, limits.Write, limits.Budget, log)
+	s.Socket, err = nets.Listen(address, s.read, s.accept, limits.WriteTimeout, limits.Budget, log)
 	return s, err
 }
 
 // Open is how many connections are open, Failed how many broke the specification, Figures those of the sessions.
-func (s *Server) Open() int64                { return s.open.Load() }
-func (s *Server) Failed() uint64             { return s.failed.Load() }
+func (s *Server) OpenConnections() int64     { return s.open.Load() }
+func (s *Server) Refusals() uint64           { return s.failed.Load() }
 func (s *Server) Figures() subscribe.Figures { return *s.figures.Load() }
 
 // Serve answers until Close.
@@ -126,7 +126,7 @@
 type peerKey struct{}
 
 func (s *Server) accept(c netpoll.Connection) context.Context {
-	p := &peer{conn: c, id: subscribe.Conn(s.serial.Add(1)), heard: time.Now(), keepAlive: s.limits.Connect}
+	p := &peer{conn: c, id: subscribe.Conn(s.serial.Add(1)), heard: time.Now(), keepAlive: s.limits.ConnectTimeout}
 	s.open.Add(1)
 	s.limits.Budget.Opened()
 	s.peers.Store(p.id, p)
@@ -167,7 +167,7 @@
 		}
 	}()
 	for len(p.in) > 0 && !p.gone {
-		n, wrong := length(p.in, s.limits.MostPacket)
+		n, wrong := length(p.in, s.limits.MaxPacketBytes)
 		if wrong == nil && (n == 0 || len(p.in) < n) {
 			return nil
 		}
@@ -193,7 +193,7 @@
 func (p *peer) client() budget.Client { return budget.Client(p.id)<<1 | 1 }
 
 // Cut closes a client's connection, if it is of this front.
-func (s *Server) Cut(c budget.Client) {
+func (s *Server) CloseClient(c budget.Client) {
 	if v, open := s.peers.Load(subscribe.Conn(c >> 1)); open && c&1 == 1 {
 		s.log.Warn("client.cut", "why", "it holds more of the director's memory than the others, and there is no more")
 		go v.(*peer).conn.Close()
@@ -305,8 +305,8 @@
 		return breach(subscribe.ServerBusy, "the director has more to do than it can: come again in some seconds")
 	}
 	p.connected = true
-	if p.keepAlive = time.Duration(c.KeepAlive) * time.Second; p.keepAlive == 0 || p.keepAlive > s.limits.KeepAlive {
-		p.keepAlive = s.limits.KeepAlive
+	if p.keepAlive = time.Duration(c.KeepAlive) * time.Second; p.keepAlive == 0 || p.keepAlive > s.limits.MaxKeepAlive {
+		p.keepAlive = s.limits.MaxKeepAlive
 	}
 	s.post(in)
 	return nil
@@ -376,7 +376,7 @@
 
 // run is the desk's loop.
 func (s *Server) run() {
-	desk := subscribe.NewDesk(s.limits.Limits, s.limits.LongestWait, s.core.Ticket)
+	desk := subscribe.NewDesk(s.limits.Limits, s.limits.MaxWait, s.core.Ticket)
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -429,7 +429,7 @@
 	case subscribe.Post:
 		s.core.Post(o.In)
 	case subscribe.Accept:
-		no, one, most, keep := byte(0), byte(1), uint32(s.limits.MostPacket), uint16(s.limits.KeepAlive/time.Second)
+		no, one, most, keep := byte(0), byte(1), uint32(s.limits.MaxPacketBytes), uint16(s.limits.MaxKeepAlive/time.Second)
 		expiry, receive := uint32(o.Expiry/1000), uint16(64)
 		to(o.Conn, pack(packets.CONNACK, &packets.Connack{SessionPresent: o.Present, Properties: &packets.Properties{MaximumQOS: &one,
 			RetainAvailable: &no, MaximumPacketSize: &most, WildcardSubAvailable: &no, SubIDAvailable: &no, SharedSubAvailable: &no,
--- a/internal/rehearse/rogue_test.go
+++ b/internal/rehearse/rogue_test.go
@@ -150,8 +150,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	log := slog.New(slog.DiscardHandler)
 	go roster.Follow(ctx, r.registry.URL(), "hosts", 5*time.Second, func([]control.Listed) {}, func() {}, log)
-	if r.front, err = longpoll.Listen("127.0.0.1:0", r, longpoll.Limits{MostHead: 1 << 14, MostBody: 1 << 20, SlowRequest: time.Second,
-		Idle: time.Minute, Write: time.Second, LongestWait: 10000}, log); err != nil {
+	if r.front, err = longpoll.Listen("127.0.0.1:0", r, longpoll.Limits{MaxHeadBytes: 1 << 14, MaxBodyBytes: 1 << 20, RequestTimeout: time.Second,
+		IdleTimeout: time.Minute, WriteTimeout: time.Second, MaxWait: 10000}, log); err != nil {
 		t.Fatal(err)
 	}
 	go r.front.Serve()
--- a/internal/settings/director.go
+++ b/internal/settings/director.go
@@ -271,13 +271,13 @@
 		out.Service.LongestWait = min(out.Service.LongestWait, millis(out.Custody.TTL/3))
 	}
 	out.Service.Kept = in.Whole("kept_versions", 256, 1, 100000)
-	out.Front = longpoll.Limits{MostHead: in.Size("most_head", 16<<10, 512, 1<<20),
-		MostBody:    in.Size("most_body", 4<<20, 512, 64<<20),
-		SlowRequest: in.Span("slow_request", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
-		Idle:        idle, Write: in.Span("slow_answer", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
-		LongestWait: out.Service.LongestWait}
+	out.Front = longpoll.Limits{MaxHeadBytes: in.Size("most_head", 16<<10, 512, 1<<20),
+		MaxBodyBytes:   in.Size("most_body", 4<<20, 512, 64<<20),
+		RequestTimeout: in.Span("slow_request", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
+		IdleTimeout:    idle, WriteTimeout: in.Span("slow_answer", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
+		MaxWait: out.Service.LongestWait}
 	if out.MQTT != nil {
-		out.MQTT.Limits.LongestWait = out.Service.LongestWait
+		out.MQTT.Limits.MaxWait = out.Service.LongestWait
 	}
 	in.Done()
 }
@@ -321,9 +321,9 @@
 	if m.Listen != "" && (m.Listen == out.Listen || m.Listen == out.Admin) {
 		in.Fail("listen", "is the same socket as another of the director's")
 	}
-	m.Limits = mqtt.Limits{MostPacket: in.Size("most_packet", 4<<20, 512, 64<<20),
-		Connect:   in.Span("connect", 10*time.Second, 100*time.Millisecond, time.Minute),
-		KeepAlive: in.Span("keep_alive", time.Minute, time.Second, 10*time.Hour), Write: in.Span("slow_packet", 10*time.Second, 100*time.Millisecond, 10*time.Minute)}
+	m.Limits = mqtt.Limits{MaxPacketBytes: in.Size("most_packet", 4<<20, 512, 64<<20),
+		ConnectTimeout: in.Span("connect", 10*time.Second, 100*time.Millisecond, time.Minute),
+		MaxKeepAlive:   in.Span("keep_alive", time.Minute, time.Second, 10*time.Hour), WriteTimeout: in.Span("slow_packet", 10*time.Second, 100*time.Millisecond, 10*time.Minute)}
 	m.Limits.Sessions = in.Whole("sessions", 2*out.Service.Facts.Proxies+100, 1, 1e6)
 	m.Limits.Expiry = millis(in.Span("session", 5*time.Minute, 0, 24*time.Hour))
 	m.Limits.Unanswered = millis(in.Span("unanswered", 30*time.Second, time.Second, time.Hour))
