--- a/internal/longpoll/ask.go
+++ b/internal/longpoll/ask.go
@@ -17,178 +17,181 @@
 )
 
 var (
-	ofProxies = []byte("/v1/proxies/")
-	tablesEnd = []byte("/tables")
-	reportEnd = []byte("/reports")
+	proxiesPrefix = []byte("/v1/proxies/")
+	tablesSuffix  = []byte("/tables")
+	reportsSuffix = []byte("/reports")
 )
 
-// ask hands a request to the core.
-func (s *Server) ask(p *peer, r *request) *problem {
+// handle dispatches a request by its path. It returns a problem if the request is rejected.
+func (s *Server) handle(cc *clientConn, r *request) *problem {
 	path, query, _ := bytes.Cut(r.Target, []byte("?"))
-	if rest, is := bytes.CutPrefix(path, ofProxies); is {
-		if name, is := bytes.CutSuffix(rest, tablesEnd); is {
-			return s.named(p, r, name, query, http.MethodGet, s.poll)
+	if rest, ok := bytes.CutPrefix(path, proxiesPrefix); ok {
+		if name, ok := bytes.CutSuffix(rest, tablesSuffix); ok {
+			return s.handleProxy(cc, r, name, query, http.MethodGet, s.handlePoll)
 		}
-		if name, is := bytes.CutSuffix(rest, reportEnd); is {
-			return s.named(p, r, name, query, http.MethodPost, s.report)
+		if name, ok := bytes.CutSuffix(rest, reportsSuffix); ok {
+			return s.handleProxy(cc, r, name, query, http.MethodPost, s.handleReport)
 		}
 	}
 	switch string(path) {
 	case "/v1/tables":
-		return s.only(r, http.MethodGet, func() *problem { return s.look(p, r) })
+		return s.requireMethod(r, http.MethodGet, func() *problem { return s.handleWatch(cc, r) })
 	case "/v1/peers/facts":
-		return s.only(r, http.MethodGet, func() *problem {
+		return s.requireMethod(r, http.MethodGet, func() *problem {
 			if wait := s.core.Admit(inflow.Peers, ""); wait > 0 {
-				return later(wait)
+				return overloaded(wait)
 			}
-			s.post(p, s.core.Ticket(), func(t control.Ticket) any { return control.FactsQuery{Ticket: t} })
+			s.postQuery(cc, s.core.Ticket(), func(t control.Ticket) any { return control.FactsQuery{Ticket: t} })
 			return nil
 		})
 	}
-	return bad(http.StatusNotFound, "there is /v1/proxies/{proxy}/tables, /v1/proxies/{proxy}/reports and /v1/tables")
+	return newProblem(http.StatusNotFound, "unknown path: use /v1/proxies/{proxy}/tables, /v1/proxies/{proxy}/reports or /v1/tables")
 }
 
-// post asks the core something that is no proxy's poll.
-func (s *Server) post(p *peer, t control.Ticket, in func(control.Ticket) any) {
-	p.ticket, p.poll, p.proxy = t, false, ""
-	s.asked.Store(t, p)
+// postQuery sends the core a request that is not a proxy's poll, and records that its answer is pending.
+func (s *Server) postQuery(cc *clientConn, t control.Ticket, in func(control.Ticket) any) {
+	cc.ticket, cc.isPoll, cc.proxy = t, false, ""
+	s.pendingQueries.Store(t, cc)
 	s.core.Post(in(t))
 }
 
-func (s *Server) only(r *request, method string, do func() *problem) *problem {
+// requireMethod calls do if the request has the given method, and otherwise returns a 405 problem.
+func (s *Server) requireMethod(r *request, method string, do func() *problem) *problem {
 	if string(r.Method) != method {
-		wrong := bad(http.StatusMethodNotAllowed, "%s alone is taken here", method)
-		wrong.allow = method
-		return wrong
+		prob := newProblem(http.StatusMethodNotAllowed, "only the method %s is supported for this path", method)
+		prob.allow = method
+		return prob
 	}
 	return do()
 }
 
-// named does what is asked of a proxy by its name.
-func (s *Server) named(p *peer, r *request, name, query []byte, method string, do func(*peer, *request, string, []byte) *problem) *problem {
+// handleProxy checks the proxy's name in the path and the method, and calls do with the unescaped name.
+func (s *Server) handleProxy(cc *clientConn, r *request, name, query []byte, method string,
+	do func(*clientConn, *request, string, []byte) *problem) *problem {
 	proxy := string(name)
 	if bytes.IndexByte(name, '%') >= 0 {
 		plain, err := url.PathUnescape(proxy)
 		if err != nil {
-			return bad(http.StatusBadRequest, "the path %.60q can't be read", r.Target)
+			return newProblem(http.StatusBadRequest, "invalid percent-encoding in the path %.60q", r.Target)
 		}
 		proxy = plain
 	} else if proxy == "" || bytes.IndexByte(name, '/') >= 0 {
-		return bad(http.StatusNotFound, "there is /v1/proxies/{proxy}/tables, /v1/proxies/{proxy}/reports and /v1/tables")
+		return newProblem(http.StatusNotFound, "unknown path: use /v1/proxies/{proxy}/tables, /v1/proxies/{proxy}/reports or /v1/tables")
 	}
 	if len(proxy) > 128 {
-		return bad(http.StatusNotFound, "a proxy's name has at most 128 bytes")
+		return newProblem(http.StatusNotFound, "a proxy name may have at most 128 bytes")
 	}
-	return s.only(r, method, func() *problem { return do(p, r, proxy, query) })
+	return s.requireMethod(r, method, func() *problem { return do(cc, r, proxy, query) })
 }
 
-// poll hands on a proxy's poll, and answers it where that is possible at once.
-func (s *Server) poll(p *peer, r *request, proxy string, query []byte) (wrong *problem) {
-	q := control.Poll{Ticket: s.core.Ticket(), From: p, Proxy: proxy, WantsDelta: takes(r.value("a-im"))}
-	if q.Held, p.any, wrong = entityTags(r.value("if-none-match")); wrong != nil {
-		return wrong
+// handlePoll passes a proxy's poll to the core, and writes the answer if the core has one immediately.
+func (s *Server) handlePoll(cc *clientConn, r *request, proxy string, query []byte) (prob *problem) {
+	q := control.Poll{Ticket: s.core.Ticket(), From: cc, Proxy: proxy, WantsDelta: acceptsJSONPatch(r.fieldValue("a-im"))}
+	if q.Held, cc.matchAny, prob = parseIfNoneMatch(r.fieldValue("if-none-match")); prob != nil {
+		return prob
 	}
-	q.Wait, p.prefer = preferredWait(r.value("prefer"))
+	q.Wait, cc.hasWaitPreference = parsePreferWait(r.fieldValue("prefer"))
 	q.Wait = min(q.Wait, s.limits.Load().MaxWait)
-	if zone, only := bytes.CutPrefix(query, []byte("zone=")); only && bytes.IndexAny(zone, "&%+;") < 0 {
+	if zone, ok := bytes.CutPrefix(query, []byte("zone=")); ok && bytes.IndexAny(zone, "&%+;") < 0 {
 		q.Zone = string(zone)
 	} else if len(query) > 0 {
-		hints, err := url.ParseQuery(string(query))
+		params, err := url.ParseQuery(string(query))
 		if err != nil {
-			return bad(http.StatusBadRequest, "the query can't be read: %v", err)
+			return newProblem(http.StatusBadRequest, "invalid query: %v", err)
 		}
-		q.Zone = hints.Get("zone")
-		if text := hints.Get("rate"); text != "" {
+		q.Zone = params.Get("zone")
+		if text := params.Get("rate"); text != "" {
 			rate, err := strconv.ParseFloat(text, 64)
 			if err != nil || math.IsNaN(rate) || rate < 0 || rate > 1e9 {
-				return bad(http.StatusBadRequest, "rate: %.40q is no number of calls a second", text)
+				return newProblem(http.StatusBadRequest, "rate: %.40q is not a number of calls per second", text)
 			}
 			q.Rate = rate
 		}
 	}
-	// Before the poll is handed on: another core may answer it at once, and waits for this peer's lock.
-	p.waits, p.ticket, p.poll, p.proxy = q.Wait, q.Ticket, true, proxy
+	// The state is set before the poll is passed on, since another goroutine may answer it immediately: it then waits
+	// for the lock of this connection.
+	cc.wait, cc.ticket, cc.isPoll, cc.proxy = q.Wait, q.Ticket, true, proxy
 	switch a, answered, wait := s.core.Poll(q); {
 	case wait > 0:
-		p.ticket = 0
-		return later(wait)
+		cc.ticket = 0
+		return overloaded(wait)
 	case answered:
-		s.tell(p, a)
+		s.writeAnswer(cc, a)
 	}
 	return nil
 }
 
-// report hands on a proxy's sums.
-func (s *Server) report(p *peer, r *request, proxy string, _ []byte) *problem {
-	if !isJSON(r) {
-		return bad(http.StatusUnsupportedMediaType, "a report is JSON")
+// handleReport passes a proxy's load report to the core.
+func (s *Server) handleReport(cc *clientConn, r *request, proxy string, _ []byte) *problem {
+	if !hasJSONBody(r) {
+		return newProblem(http.StatusUnsupportedMediaType, "a load report must have a JSON content type")
 	}
 	q, err := lrs.Read(r.body)
 	if err != nil {
-		return bad(http.StatusBadRequest, "%v", err)
+		return newProblem(http.StatusBadRequest, "%v", err)
 	}
 	if q.Proxy != "" && q.Proxy != proxy {
-		return bad(http.StatusBadRequest, "load stats: node.id: %.60q is not the proxy of the path", q.Proxy)
+		return newProblem(http.StatusBadRequest, "load stats: node.id: %.60q is not the proxy of the path", q.Proxy)
 	}
 	if !s.budget.Takes() {
-		return later(5 * time.Second)
+		return overloaded(5 * time.Second)
 	}
 	if wait := s.core.Admit(inflow.Reports, proxy); wait > 0 {
-		return later(wait)
+		return overloaded(wait)
 	}
 	q.Proxy, q.Key = proxy, string(r.Get("idempotency-key"))
-	s.post(p, s.core.Ticket(), func(t control.Ticket) any { q.Ticket = t; return q })
+	s.postQuery(cc, s.core.Ticket(), func(t control.Ticket) any { q.Ticket = t; return q })
 	return nil
 }
 
-// look hands on the poll of one that looks on.
-func (s *Server) look(p *peer, r *request) (wrong *problem) {
+// handleWatch passes to the core the poll of a watcher: a client that follows the tables without being a proxy.
+func (s *Server) handleWatch(cc *clientConn, r *request) (prob *problem) {
 	if !s.budget.Takes() {
-		return later(5 * time.Second)
+		return overloaded(5 * time.Second)
 	}
 	if wait := s.core.Admit(inflow.Looks, ""); wait > 0 {
-		return later(wait)
+		return overloaded(wait)
 	}
-	q := control.Watch{Ticket: s.core.Ticket(), WantsDelta: takes(r.value("a-im"))}
-	if q.Held, p.any, wrong = entityTags(r.value("if-none-match")); wrong != nil {
-		return wrong
+	q := control.Watch{Ticket: s.core.Ticket(), WantsDelta: acceptsJSONPatch(r.fieldValue("a-im"))}
+	if q.Held, cc.matchAny, prob = parseIfNoneMatch(r.fieldValue("if-none-match")); prob != nil {
+		return prob
 	}
-	q.Wait, p.prefer = preferredWait(r.value("prefer"))
+	q.Wait, cc.hasWaitPreference = parsePreferWait(r.fieldValue("prefer"))
 	q.Wait = min(q.Wait, s.limits.Load().MaxWait)
-	p.waits, p.ticket, p.poll, p.proxy = q.Wait, q.Ticket, true, ""
-	s.asked.Store(q.Ticket, p)
+	cc.wait, cc.ticket, cc.isPoll, cc.proxy = q.Wait, q.Ticket, true, ""
+	s.pendingQueries.Store(q.Ticket, cc)
 	s.core.Post(q)
 	return nil
 }
 
-// Answer carries the core's answers out, each beside the core's own loop: a client that reads slowly holds up
-// nobody else.
+// Answer sends an answer of the core to its client. It is written in a goroutine of its own, so that a client that
+// reads slowly delays neither the core nor other clients.
 func (s *Server) Answer(a control.Answer) {
-	p, polled := a.To.(*peer)
+	cc, polled := a.To.(*clientConn)
 	if !polled {
-		v, waits := s.asked.LoadAndDelete(a.Ticket)
-		if !waits {
+		v, pending := s.pendingQueries.LoadAndDelete(a.Ticket)
+		if !pending {
 			a.Land()
 			return
 		}
-		p = v.(*peer)
+		cc = v.(*clientConn)
 	}
 	nets.Go(func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		if p.ticket != a.Ticket {
+		cc.mu.Lock()
+		defer cc.mu.Unlock()
+		if cc.ticket != a.Ticket {
 			a.Land()
 			return
 		}
-		s.tell(p, a)
-		s.turn(p)
+		s.writeAnswer(cc, a)
+		s.processBuffered(cc)
 	})
 }
 
-// tell writes an answer. The peer's lock is held.
-func (s *Server) tell(p *peer, a control.Answer) {
+// writeAnswer writes an answer to its connection. The caller holds the connection's lock.
+func (s *Server) writeAnswer(cc *clientConn, a control.Answer) {
 	if a.Flight != nil {
-		p.sent = append(p.sent, a.Flight)
+		cc.completions = append(cc.completions, a.Flight)
 	}
 	tag, base := "", ""
 	if a.Doc != nil {
@@ -197,40 +200,40 @@
 	if a.Base != nil {
 		base = a.Base.ETag()
 	}
-	p.ticket = 0
+	cc.ticket = 0
 	kind := a.Kind
-	if kind == control.Whole && p.any || kind == control.Replaced {
+	if kind == control.Whole && cc.matchAny || kind == control.Replaced {
 		kind = control.Unchanged
 	}
-	var h *head
+	var h *responseHead
 	switch kind {
 	case control.Unknown:
-		s.refuseAsked(p, bad(http.StatusNotFound, "%s", a.Why))
+		s.rejectRequest(cc, newProblem(http.StatusNotFound, "%s", a.Why))
 	case control.Wrong:
-		s.refuseAsked(p, bad(http.StatusBadRequest, "%s", a.Why))
+		s.rejectRequest(cc, newProblem(http.StatusBadRequest, "%s", a.Why))
 	case control.Busy:
-		s.refuseAsked(p, bad(http.StatusServiceUnavailable, "%s", a.Why))
+		s.rejectRequest(cc, newProblem(http.StatusServiceUnavailable, "%s", a.Why))
 	case control.Told:
 		body, err := json.Marshal(a.Body)
 		if err != nil {
-			s.refuseAsked(p, bad(http.StatusInternalServerError, "%v", err))
+			s.rejectRequest(cc, newProblem(http.StatusInternalServerError, "%v", err))
 			break
 		}
-		h := newHead(http.StatusOK, p.closes)
+		h := newResponseHead(http.StatusOK, cc.closeAfter)
 		h.set("Cache-Control", "no-store")
-		h.end("application/json", len(body))
-		s.write(p, h, body, p.closes)
+		h.finish("application/json", len(body))
+		s.writeResponse(cc, h, body, cc.closeAfter)
 	case control.Taken:
-		h := newHead(http.StatusNoContent, p.closes)
-		h.end("", 0)
-		s.write(p, h, nil, p.closes)
+		h := newResponseHead(http.StatusNoContent, cc.closeAfter)
+		h.finish("", 0)
+		s.writeResponse(cc, h, nil, cc.closeAfter)
 	case control.Unchanged:
-		h = newHead(http.StatusNotModified, p.closes)
+		h = newResponseHead(http.StatusNotModified, cc.closeAfter)
 	case control.Whole:
-		h = newHead(http.StatusOK, p.closes)
+		h = newResponseHead(http.StatusOK, cc.closeAfter)
 	case control.Delta:
-		h = newHead(http.StatusIMUsed, p.closes)
-		h.set("IM", manipulation)
+		h = newResponseHead(http.StatusIMUsed, cc.closeAfter)
+		h.set("IM", instanceManipulation)
 		h.set("Delta-Base", base)
 	}
 	if h != nil {
@@ -239,22 +242,22 @@
 		}
 		h.set("Cache-Control", "no-store")
 		if a.Lease > 0 {
-			h.number(LeaseHeader, int(a.Lease))
+			h.setInt(LeaseHeader, int(a.Lease))
 		}
-		if p.prefer {
-			h.set("Preference-Applied", "wait="+strconv.Itoa(int(p.waits/1000)))
+		if cc.hasWaitPreference {
+			h.set("Preference-Applied", "wait="+strconv.Itoa(int(cc.wait/1000)))
 		}
 		var body []byte
 		switch kind {
 		case control.Whole:
 			body = a.Doc.Whole()
-			h.end(tables.MediaType, len(body))
+			h.finish(tables.MediaType, len(body))
 		case control.Delta:
 			body = a.Patch
-			h.end(tables.PatchType, len(body))
+			h.finish(tables.PatchType, len(body))
 		default:
-			h.end("", 0)
+			h.finish("", 0)
 		}
-		s.write(p, h, body, p.closes)
+		s.writeResponse(cc, h, body, cc.closeAfter)
 	}
 }
--- a/internal/longpoll/bench_test.go
+++ b/internal/longpoll/bench_test.go
@@ -22,16 +22,16 @@
 	"vetchwood/internal/tables"
 )
 
-// The plain baseline: the same answers by net/http, a goroutine for each poll that waits.
-type plain struct {
+// netHTTPServer is the baseline of the benchmark: the same answers by net/http, with a goroutine per pending poll.
+type netHTTPServer struct {
 	mu      sync.Mutex
 	doc     *tables.Document
 	changed chan struct{}
 }
 
-func (p *plain) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	held, _, _ := entityTags([]byte(r.Header.Get("If-None-Match")))
-	wait, _ := preferredWait([]byte(r.Header.Get("Prefer")))
+func (p *netHTTPServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	held, _, _ := parseIfNoneMatch([]byte(r.Header.Get("If-None-Match")))
+	wait, _ := parsePreferWait([]byte(r.Header.Get("Prefer")))
 	end := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer end.Stop()
 	for {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (p *plain) tell(d *tables.Document) {
+func (p *netHTTPServer) publish(d *tables.Document) {
 	d.Tag()
 	p.mu.Lock()
 	p.doc = d
@@ -73,77 +73,79 @@
 	p.mu.Unlock()
 }
 
-// shelf is the smallest core for the front: the newest document, and the polls that wait for it.
-type shelf struct {
+// minimalCore is a core with one current document and the polls that are pending for the next.
+type minimalCore struct {
 	mu      sync.Mutex
 	tickets atomic.Uint64
-	front   *Server
+	server  *Server
 	doc     *tables.Document
-	waits   map[control.Ticket]any
+	waiting map[control.Ticket]any
 }
 
-func (s *shelf) Ticket() control.Ticket { return control.Ticket(s.tickets.Add(1)) }
+func (s *minimalCore) Ticket() control.Ticket { return control.Ticket(s.tickets.Add(1)) }
 
-// Poll answers at once where it can, as a director's lots do.
-func (s *shelf) Poll(p control.Poll) (control.Answer, bool, time.Duration) {
+// Poll answers immediately where it can, as a director does.
+func (s *minimalCore) Poll(p control.Poll) (control.Answer, bool, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a, answered := s.answer(p)
 	return a, answered, 0
 }
 
-func (s *shelf) Admit(inflow.Kind, string) time.Duration { return 0 }
-func (s *shelf) Post(any)                                {}
+func (s *minimalCore) Admit(inflow.Kind, string) time.Duration { return 0 }
+func (s *minimalCore) Post(any)                                {}
 
-func (s *shelf) answer(p control.Poll) (control.Answer, bool) {
+func (s *minimalCore) answer(p control.Poll) (control.Answer, bool) {
 	a := control.Answer{Ticket: p.Ticket, To: p.From, Kind: control.Unchanged, Doc: s.doc}
 	switch {
 	case len(p.Held) == 0 || p.Held[0] != s.doc.Tag():
 		a.Kind = control.Whole
 	case p.Wait > 0:
-		s.waits[p.Ticket] = p.From
+		s.waiting[p.Ticket] = p.From
 		return a, false
 	}
 	return a, true
 }
 
-func (s *shelf) tell(d *tables.Document) {
+func (s *minimalCore) publish(d *tables.Document) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.doc = d
-	for t, from := range s.waits {
-		s.front.Answer(control.Answer{Ticket: t, To: from, Kind: control.Whole, Doc: d})
+	for t, from := range s.waiting {
+		s.server.Answer(control.Answer{Ticket: t, To: from, Kind: control.Whole, Doc: d})
 	}
-	clear(s.waits)
+	clear(s.waiting)
 }
 
-// serveFor is the other process of the comparison: it serves by one of the two, and tells what it costs.
-func serveFor(kind string) {
-	doc := document(1, 1)
-	var tell func(*tables.Document)
-	var at string
+// runServerProcess is the main function of the benchmark's server process. It runs the server of the given kind, prints
+// its address, and then executes the commands that it reads: "tell" publishes a new document, "memory" prints the bytes
+// of heap and stacks in use.
+func runServerProcess(kind string) {
+	doc := newDocument(1, 1)
+	var publish func(*tables.Document)
+	var address string
 	if kind == "plain" {
-		p := &plain{doc: doc, changed: make(chan struct{})}
+		p := &netHTTPServer{doc: doc, changed: make(chan struct{})}
 		doc.Tag()
 		ln, _ := net.Listen("tcp", "127.0.0.1:0")
 		go http.Serve(ln, p)
-		at, tell = ln.Addr().String(), p.tell
+		address, publish = ln.Addr().String(), p.publish
 	} else {
-		s := &shelf{doc: doc, waits: map[control.Ticket]any{}}
-		l := limits
+		s := &minimalCore{doc: doc, waiting: map[control.Ticket]any{}}
+		l := testLimits
 		l.MaxWait, l.IdleTimeout = 600000, 10*time.Minute
-		s.front, _ = Listen("127.0.0.1:0", s, l, slog.New(slog.DiscardHandler))
-		go s.front.Serve()
-		at, tell = s.front.Addr().String(), s.tell
+		s.server, _ = Listen("127.0.0.1:0", s, l, slog.New(slog.DiscardHandler))
+		go s.server.Serve()
+		address, publish = s.server.Addr().String(), s.publish
 	}
-	fmt.Println(at)
+	fmt.Println(address)
 	in := bufio.NewScanner(os.Stdin)
 	step := tables.Step(1)
 	for in.Scan() {
 		switch in.Text() {
 		case "tell":
 			step++
-			tell(document(step, float64(step)))
+			publish(newDocument(step, float64(step)))
 			fmt.Println("told")
 		case "memory":
 			for range 3 {
@@ -156,14 +158,15 @@
 	}
 }
 
-type server struct {
-	cmd *exec.Cmd
-	in  io.Writer
-	out *bufio.Reader
-	at  string
+// serverProcess is the benchmark's handle of a server process.
+type serverProcess struct {
+	cmd     *exec.Cmd
+	in      io.Writer
+	out     *bufio.Reader
+	address string
 }
 
-func serve(b *testing.B, kind string) *server {
+func startServerProcess(b *testing.B, kind string) *serverProcess {
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "VETCHWOOD_TEST_SERVE="+kind)
 	in, _ := c.StdinPipe()
@@ -173,12 +176,12 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { c.Process.Kill(); c.Wait() })
-	s := &server{c, in, bufio.NewReader(out), ""}
-	s.at = s.read(b)
+	s := &serverProcess{c, in, bufio.NewReader(out), ""}
+	s.address = s.readLine(b)
 	return s
 }
 
-func (s *server) read(b *testing.B) string {
+func (s *serverProcess) readLine(b *testing.B) string {
 	line, err := s.out.ReadString('\n')
 	if err != nil {
 		b.Fatal(err)
@@ -186,26 +189,26 @@
 	return strings.TrimSpace(line)
 }
 
-func (s *server) ask(b *testing.B, what string) string {
+func (s *serverProcess) command(b *testing.B, what string) string {
 	io.WriteString(s.in, what+"\n")
-	return s.read(b)
+	return s.readLine(b)
 }
 
-func (s *server) memory(b *testing.B) float64 {
-	n, _ := strconv.ParseFloat(s.ask(b, "memory"), 64)
+func (s *serverProcess) memory(b *testing.B) float64 {
+	n, _ := strconv.ParseFloat(s.command(b, "memory"), 64)
 	return n
 }
 
 func TestMain(m *testing.M) {
 	if kind := os.Getenv("VETCHWOOD_TEST_SERVE"); kind != "" {
-		serveFor(kind)
+		runServerProcess(kind)
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// Both fronts side by side: memory for each poll that waits, the time from a change to the last proxy that waits,
-// and polls answered a second. VETCHWOOD_POLLS sets how many wait.
+// BenchmarkFronts compares both servers by the memory per pending poll, the time from a change until the last pending
+// poll is answered, and the polls answered per second. VETCHWOOD_POLLS sets the number of pending polls.
 func BenchmarkFronts(b *testing.B) {
 	n := 1000
 	if v, err := strconv.Atoi(os.Getenv("VETCHWOOD_POLLS")); err == nil {
@@ -213,19 +216,19 @@
 	}
 	for _, kind := range []string{"plain", "netpoll"} {
 		b.Run(fmt.Sprintf("%s/waiting=%d", kind, n), func(b *testing.B) {
-			s := serve(b, kind)
+			s := startServerProcess(b, kind)
 			before := s.memory(b)
 			conns := make([]net.Conn, n)
 			readers := make([]*bufio.Reader, n)
-			tag := document(1, 1).Tag().ETag()
+			tag := newDocument(1, 1).Tag().ETag()
 			for i := range conns {
-				c, err := net.Dial("tcp", s.at)
+				c, err := net.Dial("tcp", s.address)
 				if err != nil {
 					b.Fatal(err)
 				}
 				defer c.Close()
 				conns[i], readers[i] = c, bufio.NewReader(c)
-				fmt.Fprint(c, get(fmt.Sprintf("/v1/proxies/p%d/tables", i), "Prefer: wait=600", "If-None-Match: "+tag))
+				fmt.Fprint(c, getRequest(fmt.Sprintf("/v1/proxies/p%d/tables", i), "Prefer: wait=600", "If-None-Match: "+tag))
 			}
 			time.Sleep(time.Second)
 			each := (s.memory(b) - before) / float64(n)
@@ -233,7 +236,7 @@
 			rounds := 0
 			for b.Loop() {
 				began := time.Now()
-				s.ask(b, "tell")
+				s.command(b, "tell")
 				for i := range conns {
 					res, err := http.ReadResponse(readers[i], nil)
 					if err != nil {
@@ -245,7 +248,7 @@
 				last += time.Since(began)
 				rounds++
 				for i, c := range conns {
-					fmt.Fprint(c, get(fmt.Sprintf("/v1/proxies/p%d/tables", i), "Prefer: wait=600", "If-None-Match: "+tag))
+					fmt.Fprint(c, getRequest(fmt.Sprintf("/v1/proxies/p%d/tables", i), "Prefer: wait=600", "If-None-Match: "+tag))
 				}
 			}
 			b.ReportMetric(float64(last.Microseconds())/float64(rounds)/1000, "ms-to-last")
@@ -254,18 +257,18 @@
 	}
 	for _, kind := range []string{"plain", "netpoll"} {
 		b.Run(kind+"/polls", func(b *testing.B) {
-			s := serve(b, kind)
-			tag := document(1, 1).Tag().ETag()
+			s := startServerProcess(b, kind)
+			tag := newDocument(1, 1).Tag().ETag()
 			b.SetParallelism(16)
 			b.RunParallel(func(pb *testing.PB) {
-				c, err := net.Dial("tcp", s.at)
+				c, err := net.Dial("tcp", s.address)
 				if err != nil {
 					b.Error(err)
 					return
 				}
 				defer c.Close()
 				in := bufio.NewReader(c)
-				ask := get("/v1/proxies/p/tables", "If-None-Match: "+tag)
+				ask := getRequest("/v1/proxies/p/tables", "If-None-Match: "+tag)
 				for pb.Next() {
 					io.WriteString(c, ask)
 					res, err := http.ReadResponse(in, nil)
--- a/internal/longpoll/budget_test.go
+++ b/internal/longpoll/budget_test.go
@@ -13,40 +13,40 @@
 	"vetchwood/internal/control"
 )
 
-func bounded(t *testing.T, m budget.Means, most int) (*desk, *budget.Ledger, string) {
-	d := &desk{answer: func(in any) *control.Answer {
+func startWithBudget(t *testing.T, m budget.Means, maxBody int) (*fakeCore, *budget.Ledger, string) {
+	d := &fakeCore{answer: func(in any) *control.Answer {
 		if p, is := in.(control.Poll); is && p.Wait == 0 {
-			return &control.Answer{Ticket: p.Ticket, Kind: control.Unchanged, Doc: document(1, 1)}
+			return &control.Answer{Ticket: p.Ticket, Kind: control.Unchanged, Doc: newDocument(1, 1)}
 		}
 		return nil
 	}}
-	l := limits
-	l.MaxBodyBytes, l.RequestTimeout, l.IdleTimeout, l.Budget = most, time.Minute, time.Minute, budget.New(m)
+	l := testLimits
+	l.MaxBodyBytes, l.RequestTimeout, l.IdleTimeout, l.Budget = maxBody, time.Minute, time.Minute, budget.New(m)
 	s, err := Listen("127.0.0.1:0", d, l, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.front = s
+	d.server = s
 	l.Budget.Cuts(s.CloseClient)
 	go s.Serve()
 	t.Cleanup(func() { s.Close() })
 	return d, l.Budget, s.Addr().String()
 }
 
-// Clients send long bodies that never end. Those go that hold most; what is held stays within its share, and a proxy whose poll
-// waits, and one that polls, feel nothing.
+// Clients send long request bodies and never finish them. The connections that hold the most memory are closed, so that
+// the memory held stays within its share. A pending poll and a proxy that polls meanwhile are not affected.
 func TestBodiesThatNeverEnd(t *testing.T) {
-	d, ledger, at := bounded(t, budget.Means{Memory: 64 << 20, Descriptors: 1 << 20}, 1<<20)
-	waits, err := net.Dial("tcp", at)
+	d, ledger, address := startWithBudget(t, budget.Means{Memory: 64 << 20, Descriptors: 1 << 20}, 1<<20)
+	pending, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer waits.Close()
-	waits.Write([]byte(get("/v1/proxies/p1/tables", "Prefer: wait=20")))
-	await(t, "the poll", func() bool { p, _, _ := d.seen(); return p == 1 })
+	defer pending.Close()
+	pending.Write([]byte(getRequest("/v1/proxies/p1/tables", "Prefer: wait=20")))
+	waitFor(t, "the poll", func() bool { p, _, _ := d.counts(); return p == 1 })
 	var cut atomic.Int64
 	for range 60 {
-		c, err := net.Dial("tcp", at)
+		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,46 +60,47 @@
 			}
 		}()
 	}
-	await(t, "those that hold most to go", func() bool { return cut.Load() >= 40 })
+	waitFor(t, "the connections that hold the most to be closed", func() bool { return cut.Load() >= 40 })
 	if f := ledger.Figures(); f.Held > f.Bytes || f.Cuts < 40 {
 		t.Errorf("%+v", f)
 	}
-	if out := talk(t, at, get("/v1/proxies/p2/tables")); !strings.Contains(out, "304") {
-		t.Errorf("a proxy that polls meanwhile: %.80q", out)
+	if out := exchange(t, address, getRequest("/v1/proxies/p2/tables")); !strings.Contains(out, "304") {
+		t.Errorf("answer to a proxy that polls meanwhile: %.80q", out)
 	}
-	if _, _, broke := d.seen(); broke != 0 {
-		t.Error("a poll that waits was cut")
+	if _, _, broke := d.counts(); broke != 0 {
+		t.Error("the connection of the pending poll was closed")
 	}
 }
 
-// As many connections as may be open are: the next ones wait, nothing spins, and they are taken once there is room.
+// At the connection limit, accepting pauses without a busy loop. The connections beyond it are accepted once others have
+// been closed.
 func TestAcceptingPauses(t *testing.T) {
-	_, ledger, at := bounded(t, budget.Means{Memory: 64 << 20, Descriptors: 64 + 20}, 4096)
+	_, ledger, address := startWithBudget(t, budget.Means{Memory: 64 << 20, Descriptors: 64 + 20}, 4096)
 	var open []net.Conn
 	for range 40 {
-		c, err := net.Dial("tcp", at)
+		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		open = append(open, c)
 	}
-	await(t, "accepting to pause", func() bool { return ledger.Figures().Paused })
+	waitFor(t, "accepting to pause", func() bool { return ledger.Figures().Paused })
 	if f := ledger.Figures(); f.Open != 20 || f.Pauses != 1 {
 		t.Fatalf("%+v", f)
 	}
 	late := open[30]
-	late.Write([]byte(get("/v1/proxies/p2/tables")))
+	late.Write([]byte(getRequest("/v1/proxies/p2/tables")))
 	late.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 	if n, _ := late.Read(make([]byte, 10)); n > 0 {
-		t.Fatal("answered past what may be open")
+		t.Fatal("a connection beyond the limit was answered")
 	}
 	for _, c := range open[:28] {
 		c.Close()
 	}
 	late.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if n, err := late.Read(make([]byte, 10)); n == 0 {
-		t.Fatal("not answered with room again: ", err)
+		t.Fatal("not answered after other connections were closed: ", err)
 	}
-	await(t, "accepting to go on", func() bool { return !ledger.Figures().Paused })
+	waitFor(t, "accepting to resume", func() bool { return !ledger.Figures().Paused })
 }
--- a/internal/longpoll/longpoll_test.go
+++ b/internal/longpoll/longpoll_test.go
@@ -19,25 +19,25 @@
 	"vetchwood/internal/tables"
 )
 
-// desk is a core that answers as the test says.
-type desk struct {
-	mu      sync.Mutex
-	polls   []control.Poll
-	reports []control.Report
-	broke   []control.Ticket
-	tickets atomic.Uint64
-	answer  func(any) *control.Answer
-	front   *Server
+// fakeCore is a core that records its inputs and answers with a function of the test.
+type fakeCore struct {
+	mu          sync.Mutex
+	polls       []control.Poll
+	reports     []control.Report
+	disconnects []control.Ticket
+	tickets     atomic.Uint64
+	answer      func(any) *control.Answer
+	server      *Server
 }
 
-func (d *desk) Ticket() control.Ticket { return control.Ticket(d.tickets.Add(1)) }
-func (d *desk) Poll(p control.Poll) (control.Answer, bool, time.Duration) {
+func (d *fakeCore) Ticket() control.Ticket { return control.Ticket(d.tickets.Add(1)) }
+func (d *fakeCore) Poll(p control.Poll) (control.Answer, bool, time.Duration) {
 	d.Post(p)
 	return control.Answer{}, false, 0
 }
-func (d *desk) Admit(inflow.Kind, string) time.Duration { return 0 }
+func (d *fakeCore) Admit(inflow.Kind, string) time.Duration { return 0 }
 
-func (d *desk) Post(in any) {
+func (d *fakeCore) Post(in any) {
 	d.mu.Lock()
 	switch in := in.(type) {
 	case control.Poll:
@@ -45,7 +45,7 @@
 	case control.Report:
 		d.reports = append(d.reports, in)
 	case control.Broke:
-		d.broke = append(d.broke, in.Ticket)
+		d.disconnects = append(d.disconnects, in.Ticket)
 	}
 	answer := d.answer
 	d.mu.Unlock()
@@ -54,43 +54,43 @@
 			if poll, is := in.(control.Poll); is {
 				a.To = poll.From
 			}
-			go d.front.Answer(*a)
+			go d.server.Answer(*a)
 		}
 	}
 }
 
-func (d *desk) seen() (polls, reports, broke int) {
+func (d *fakeCore) counts() (polls, reports, broke int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.polls), len(d.reports), len(d.broke)
+	return len(d.polls), len(d.reports), len(d.disconnects)
 }
 
-var limits = Limits{MaxHeadBytes: 2048, MaxBodyBytes: 4096, RequestTimeout: 700 * time.Millisecond, IdleTimeout: 3 * time.Second,
+var testLimits = Limits{MaxHeadBytes: 2048, MaxBodyBytes: 4096, RequestTimeout: 700 * time.Millisecond, IdleTimeout: 3 * time.Second,
 	WriteTimeout: time.Second, MaxWait: 20000}
 
-func open(t testing.TB, answer func(any) *control.Answer) (*desk, string) {
-	d := &desk{answer: answer}
-	s, err := Listen("127.0.0.1:0", d, limits, slog.New(slog.DiscardHandler))
+func startServer(t testing.TB, answer func(any) *control.Answer) (*fakeCore, string) {
+	d := &fakeCore{answer: answer}
+	s, err := Listen("127.0.0.1:0", d, testLimits, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.front = s
+	d.server = s
 	go s.Serve()
 	t.Cleanup(func() { s.Close() })
 	return d, s.Addr().String()
 }
 
-func document(step tables.Step, weight float64) *tables.Document {
+func newDocument(step tables.Step, weight float64) *tables.Document {
 	d := &tables.Document{Pick: "lottery", Hash: tables.KeyHash, Routes: map[string]tables.Route{}, Masked: map[tables.Address]bool{},
 		Hosts: map[tables.Address]tables.Host{}, Tables: map[string]*tables.Table{"0": {Lines: map[tables.Address]float64{"h:1": weight}}}}
-	for i := range 20 { // so that a difference is shorter than the whole
+	for i := range 20 { // so that a delta is shorter than the whole document
 		d.Hosts[tables.Address(fmt.Sprintf("10.0.0.%d:80", i))] = tables.Host{ID: "some host", Zone: "a"}
 	}
 	return d.Seal(9, step, 1)
 }
 
-// whole answers each poll with one document, once its tag is sealed.
-func whole(doc *tables.Document) func(any) *control.Answer {
+// answerWhole returns a function that answers each poll with the same document and accepts each report.
+func answerWhole(doc *tables.Document) func(any) *control.Answer {
 	doc.Tag()
 	return func(in any) *control.Answer {
 		switch in := in.(type) {
@@ -103,13 +103,14 @@
 	}
 }
 
-// talkFor is how long talk reads, unless the connection closes.
-const talkFor = 1500 * time.Millisecond
+// exchangeTimeout limits the time for which exchange reads.
+const exchangeTimeout = 1500 * time.Millisecond
 
-// talk sends raw bytes and reads answers until the connection closes or the time is over.
-func talk(t testing.TB, at string, parts ...string) string {
+// exchange sends raw bytes, with a pause between the parts, and reads until the connection is closed or the timeout has
+// passed.
+func exchange(t testing.TB, address string, parts ...string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", at)
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,38 +123,38 @@
 			break
 		}
 	}
-	c.SetReadDeadline(time.Now().Add(talkFor))
+	c.SetReadDeadline(time.Now().Add(exchangeTimeout))
 	out, _ := io.ReadAll(c)
 	return string(out)
 }
 
-func get(path string, headers ...string) string {
+func getRequest(path string, headers ...string) string {
 	return "GET " + path + " HTTP/1.1\r\nHost: d\r\n" + strings.Join(append(headers, ""), "\r\n") + "\r\n"
 }
 
 const tablesPath = "/v1/proxies/p1/tables"
 
 func TestAnswersByTheSpecifications(t *testing.T) {
-	base, next := document(1, 1), document(2, 0.5)
+	base, next := newDocument(1, 1), newDocument(2, 0.5)
 	base.Tag()
 	next.Tag()
 	patch := next.Delta(base)
 	if patch == nil {
-		t.Fatal("the difference is no shorter than the whole")
+		t.Fatal("the delta is not shorter than the whole document")
 	}
-	d, at := open(t, nil)
+	d, address := startServer(t, nil)
 	for _, c := range []struct {
-		name    string
-		headers []string
-		answer  control.Answer
-		status  string
-		says    []string
+		name     string
+		headers  []string
+		answer   control.Answer
+		status   string
+		contains []string
 	}{
 		{"first poll", nil, control.Answer{Kind: control.Whole, Doc: next}, "200 OK",
 			[]string{"ETag: " + next.Tag().ETag(), "Content-Type: " + tables.MediaType, string(next.Whole())}},
 		{"unchanged", []string{"If-None-Match: " + next.Tag().ETag(), "Prefer: wait=7"}, control.Answer{Kind: control.Unchanged, Doc: next},
 			"304 Not Modified", []string{"ETag: " + next.Tag().ETag(), "Preference-Applied: wait=7"}},
-		{"difference", []string{"If-None-Match: " + base.Tag().ETag(), "A-IM: vcdiff, json-patch;q=0.5", "Prefer: respond-async, wait=90"},
+		{"delta", []string{"If-None-Match: " + base.Tag().ETag(), "A-IM: vcdiff, json-patch;q=0.5", "Prefer: respond-async, wait=90"},
 			control.Answer{Kind: control.Delta, Doc: next, Base: base, Patch: patch}, "226 IM Used",
 			[]string{"IM: json-patch", "Delta-Base: " + base.Tag().ETag(), "ETag: " + next.Tag().ETag(), "Preference-Applied: wait=20", string(patch)}},
 		{"any", []string{"If-None-Match: *"}, control.Answer{Kind: control.Whole, Doc: next}, "304 Not Modified", nil},
@@ -172,18 +173,18 @@
 		}
 		d.mu.Unlock()
 		asked := time.Now()
-		out := talk(t, at, get(tablesPath+"?zone=a&rate=2.5", append(c.headers, "Connection: close")...))
-		if spent := time.Since(asked); spent >= talkFor || !strings.Contains(out, "Connection: close\r\n") {
+		out := exchange(t, address, getRequest(tablesPath+"?zone=a&rate=2.5", append(c.headers, "Connection: close")...))
+		if spent := time.Since(asked); spent >= exchangeTimeout || !strings.Contains(out, "Connection: close\r\n") {
 			t.Errorf("%s: the connection was not closed with the answer, in %v: %.80q", c.name, spent, out)
 		}
 		if !strings.HasPrefix(out, "HTTP/1.1 "+c.status+"\r\n") {
 			d.mu.Lock()
-			t.Errorf("%s: %q; the core was told of %+v, of the ends of %v", c.name, out, d.polls, d.broke)
+			t.Errorf("%s: got %q; the core got polls %+v and disconnects %v", c.name, out, d.polls, d.disconnects)
 			d.mu.Unlock()
 		}
-		for _, s := range c.says {
+		for _, s := range c.contains {
 			if !strings.Contains(out, s) {
-				t.Errorf("%s: %q does not say %q", c.name, out, s)
+				t.Errorf("%s: %q does not contain %q", c.name, out, s)
 			}
 		}
 	}
@@ -198,11 +199,11 @@
 	}
 }
 
-// A stock client that knows none of the extensions goes by ETag alone.
+// An ordinary HTTP client that uses none of the extensions gets the whole document with its ETag.
 func TestAStockClient(t *testing.T) {
-	doc := document(3, 1)
-	_, at := open(t, whole(doc))
-	res, err := http.Get("http://" + at + tablesPath)
+	doc := newDocument(3, 1)
+	_, address := startServer(t, answerWhole(doc))
+	res, err := http.Get("http://" + address + tablesPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,7 +214,7 @@
 }
 
 func TestBadInput(t *testing.T) {
-	_, at := open(t, whole(document(1, 1)))
+	_, address := startServer(t, answerWhole(newDocument(1, 1)))
 	long := strings.Repeat("x", 3000)
 	post := func(body string, headers ...string) string {
 		return "POST /v1/proxies/p1/reports HTTP/1.1\r\nHost: d\r\n" + strings.Join(append(headers, ""), "\r\n") +
@@ -221,57 +222,57 @@
 	}
 	const isJSON = "Content-Type: application/json"
 	var all sync.WaitGroup
-	for name, c := range map[string]struct{ send, status, says string }{
-		"no HTTP":               {"hello there\r\n\r\n", "400", "three parts"},
-		"a head without end":    {"GET / HTTP/1.1\r\nA: " + long, "431", "longer than 2048"},
-		"a long path":           {get("/" + long), "431", ""},
-		"two lengths":           {"POST /v1/proxies/p1/reports HTTP/1.1\r\nHost: d\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", "400", ""},
-		"length and encoding":   {"POST / HTTP/1.1\r\nHost: d\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400", "both"},
-		"an encoding":           {"POST / HTTP/1.1\r\nHost: d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "501", "Content-Length"},
-		"a negative length":     {"POST / HTTP/1.1\r\nHost: d\r\nContent-Length: -1\r\n\r\n", "400", ""},
-		"a long body":           {"POST /v1/proxies/p1/reports HTTP/1.1\r\nHost: d\r\nContent-Length: 5000\r\n\r\n", "413", "of 4096 at most"},
-		"another protocol":      {"GET / HTTP/2.0\r\n\r\n", "505", ""},
-		"an expectation":        {"POST /v1/proxies/p1/reports HTTP/1.1\r\nHost: d\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n", "417", ""},
-		"no such path":          {get("/v1/proxies//tables"), "404", "/v1/proxies/{proxy}/tables"},
-		"another path":          {get("/"), "404", ""},
-		"a long name":           {get("/v1/proxies/" + strings.Repeat("p", 200) + "/tables"), "404", "at most 128"},
-		"another method":        {"DELETE " + tablesPath + " HTTP/1.1\r\nHost: d\r\n\r\n", "405", "Allow: GET"},
-		"a bare tag":            {get(tablesPath, "If-None-Match: 9.1.ab"), "400", "no entity tag"},
-		"an open tag":           {get(tablesPath, `If-None-Match: "9.1.ab`), "400", "no entity tag"},
-		"a list gone wrong":     {get(tablesPath, `If-None-Match: "9.1.ab" "9.2.ab"`), "400", "comma"},
-		"too many tags":         {get(tablesPath, "If-None-Match: "+strings.Repeat(`"9.1.ab",`, 20)), "400", "more than 16"},
-		"a rate that is none":   {get(tablesPath + "?rate=fast"), "400", "no number"},
-		"a rate below 0":        {get(tablesPath + "?rate=-1"), "400", "no number"},
-		"a report in words":     {post("hello", "Content-Type: text/plain"), "415", "JSON"},
-		"a report cut off":      {post(`{"node":`, isJSON), "400", "load stats"},
-		"another's report":      {post(`{"node":{"id":"p2"}}`, isJSON), "400", "not the proxy of the path"},
-		"a count that is none":  {post(`{"cluster_stats":[{"upstream_locality_stats":[{"upstream_endpoint_stats":[{"total_error_requests":"-4"}]}]}]}`, isJSON), "400", "no count"},
-		"an address of no host": {post(`{"cluster_stats":[{"upstream_locality_stats":[{"upstream_endpoint_stats":[{}]}]}]}`, isJSON), "400", "cluster_stats[0].upstream_locality_stats[0].upstream_endpoint_stats[0]"},
-		"a metric gone wrong":   {post(`{"cluster_stats":[{"upstream_locality_stats":[{"load_metric_stats":[{"total_metric_value":-1}]}]}]}`, isJSON), "400", "out of range"},
-		"two values":            {post(`{}{}`, isJSON), "400", "more than one"},
-		"a foreign tag is none": {get(tablesPath, `If-None-Match: W/"abc", "x,y"`, "Connection: close"), "200", ""},
-		"an odd preference":     {get(tablesPath, "Prefer: wait=soon", "Connection: close"), "200", ""},
-		"a good report":         {post(`{"node":{"id":"p1"},"cluster_stats":[]}`, isJSON, "Connection: close"), "204", ""},
+	for name, c := range map[string]struct{ send, status, contains string }{
+		"not HTTP":                 {"hello there\r\n\r\n", "400", "three parts"},
+		"an unfinished head":       {"GET / HTTP/1.1\r\nA: " + long, "431", "longer than 2048"},
+		"a long path":              {getRequest("/" + long), "431", ""},
+		"two lengths":              {"POST /v1/proxies/p1/reports HTTP/1.1\r\nHost: d\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", "400", ""},
+		"length and encoding":      {"POST / HTTP/1.1\r\nHost: d\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400", "both"},
+		"an encoding":              {"POST / HTTP/1.1\r\nHost: d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "501", "Content-Length"},
+		"a negative length":        {"POST / HTTP/1.1\r\nHost: d\r\nContent-Length: -1\r\n\r\n", "400", ""},
+		"a long body":              {"POST /v1/proxies/p1/reports HTTP/1.1\r\nHost: d\r\nContent-Length: 5000\r\n\r\n", "413", "exceeds the limit of 4096"},
+		"another protocol":         {"GET / HTTP/2.0\r\n\r\n", "505", ""},
+		"an expectation":           {"POST /v1/proxies/p1/reports HTTP/1.1\r\nHost: d\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n", "417", ""},
+		"no such path":             {getRequest("/v1/proxies//tables"), "404", "/v1/proxies/{proxy}/tables"},
+		"another path":             {getRequest("/"), "404", ""},
+		"a long name":              {getRequest("/v1/proxies/" + strings.Repeat("p", 200) + "/tables"), "404", "at most 128"},
+		"another method":           {"DELETE " + tablesPath + " HTTP/1.1\r\nHost: d\r\n\r\n", "405", "Allow: GET"},
+		"an unquoted tag":          {getRequest(tablesPath, "If-None-Match: 9.1.ab"), "400", "not an entity tag"},
+		"an unterminated tag":      {getRequest(tablesPath, `If-None-Match: "9.1.ab`), "400", "not an entity tag"},
+		"a malformed tag list":     {getRequest(tablesPath, `If-None-Match: "9.1.ab" "9.2.ab"`), "400", "comma"},
+		"too many tags":            {getRequest(tablesPath, "If-None-Match: "+strings.Repeat(`"9.1.ab",`, 20)), "400", "more than 16"},
+		"a rate in words":          {getRequest(tablesPath + "?rate=fast"), "400", "not a number"},
+		"a negative rate":          {getRequest(tablesPath + "?rate=-1"), "400", "not a number"},
+		"a report in plain text":   {post("hello", "Content-Type: text/plain"), "415", "JSON"},
+		"a truncated report":       {post(`{"node":`, isJSON), "400", "load stats"},
+		"another's report":         {post(`{"node":{"id":"p2"}}`, isJSON), "400", "not the proxy of the path"},
+		"a negative count":         {post(`{"cluster_stats":[{"upstream_locality_stats":[{"upstream_endpoint_stats":[{"total_error_requests":"-4"}]}]}]}`, isJSON), "400", "no count"},
+		"a missing address":        {post(`{"cluster_stats":[{"upstream_locality_stats":[{"upstream_endpoint_stats":[{}]}]}]}`, isJSON), "400", "cluster_stats[0].upstream_locality_stats[0].upstream_endpoint_stats[0]"},
+		"a negative metric":        {post(`{"cluster_stats":[{"upstream_locality_stats":[{"load_metric_stats":[{"total_metric_value":-1}]}]}]}`, isJSON), "400", "out of range"},
+		"two JSON values":          {post(`{}{}`, isJSON), "400", "more than one"},
+		"foreign tags are ignored": {getRequest(tablesPath, `If-None-Match: W/"abc", "x,y"`, "Connection: close"), "200", ""},
+		"an invalid preference":    {getRequest(tablesPath, "Prefer: wait=soon", "Connection: close"), "200", ""},
+		"a good report":            {post(`{"node":{"id":"p1"},"cluster_stats":[]}`, isJSON, "Connection: close"), "204", ""},
 	} {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			out := talk(t, at, c.send)
+			out := exchange(t, address, c.send)
 			status, _, _ := strings.Cut(strings.TrimPrefix(out, "HTTP/1.1 "), " ")
-			if status != c.status || !strings.Contains(out, c.says) {
-				t.Errorf("%s: %.300q, wanted %s that says %q", name, out, c.status, c.says)
+			if status != c.status || !strings.Contains(out, c.contains) {
+				t.Errorf("%s: got %.300q, want status %s and %q", name, out, c.status, c.contains)
 			}
 		}()
 	}
 	all.Wait()
-	if out := talk(t, at, get(tablesPath, "Connection: close")); !strings.HasPrefix(out, "HTTP/1.1 200") {
-		t.Fatalf("after all that: %.200q", out)
+	if out := exchange(t, address, getRequest(tablesPath, "Connection: close")); !strings.HasPrefix(out, "HTTP/1.1 200") {
+		t.Fatalf("a valid request after the invalid ones: %.200q", out)
 	}
 }
 
-// A request cut at any byte, sent in two parts, is answered as one sent whole.
+// A request that arrives in two parts, split at any byte, is answered like one that arrives at once.
 func TestARequestInTwoParts(t *testing.T) {
-	d, at := open(t, whole(document(1, 1)))
+	d, address := startServer(t, answerWhole(newDocument(1, 1)))
 	body := `{"node":{"id":"p1"}}`
 	text := fmt.Sprintf("POST /v1/proxies/p1/reports HTTP/1.1\r\nHost: d\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	var all sync.WaitGroup
@@ -279,21 +280,21 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if out := talk(t, at, text[:cut], text[cut:]); !strings.HasPrefix(out, "HTTP/1.1 204") {
+			if out := exchange(t, address, text[:cut], text[cut:]); !strings.HasPrefix(out, "HTTP/1.1 204") {
 				t.Errorf("cut at %d: %.200q", cut, out)
 			}
 		}()
 	}
 	all.Wait()
-	if _, reports, _ := d.seen(); reports != len(text)-1 {
+	if _, reports, _ := d.counts(); reports != len(text)-1 {
 		t.Fatalf("%d reports of %d", reports, len(text)-1)
 	}
 }
 
-// Requests sent without waiting are answered one by one, in their order.
+// Pipelined requests are answered in their order. Those after one with Connection: close are not.
 func TestPipelinedRequests(t *testing.T) {
-	_, at := open(t, whole(document(1, 1)))
-	out := talk(t, at, get(tablesPath)+get("/nowhere")+get(tablesPath, "Connection: close")+get("/never"))
+	_, address := startServer(t, answerWhole(newDocument(1, 1)))
+	out := exchange(t, address, getRequest(tablesPath)+getRequest("/nowhere")+getRequest(tablesPath, "Connection: close")+getRequest("/never"))
 	var statuses []string
 	r := bufio.NewReader(strings.NewReader(out))
 	for {
@@ -309,25 +310,26 @@
 	}
 }
 
-// One that sends a byte now and then, one that sends half and no more, one that never sends: none holds on.
+// A client that sends a byte now and then, one that stops within a request and one that sends nothing all lose their
+// connection.
 func TestSlowClientsAreLetGo(t *testing.T) {
-	d, at := open(t, whole(document(1, 1)))
+	d, address := startServer(t, answerWhole(newDocument(1, 1)))
 	var all sync.WaitGroup
 	for name, send := range map[string]func(net.Conn){
-		"a byte now and then": func(c net.Conn) {
-			for _, b := range []byte(get(tablesPath)) {
+		"a byte at a time": func(c net.Conn) {
+			for _, b := range []byte(getRequest(tablesPath)) {
 				if _, err := c.Write([]byte{b}); err != nil {
 					return
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
 		},
-		"half": func(c net.Conn) { c.Write([]byte("GET /v1")) },
+		"half a request": func(c net.Conn) { c.Write([]byte("GET /v1")) },
 	} {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			c, err := net.Dial("tcp", at)
+			c, err := net.Dial("tcp", address)
 			if err != nil {
 				t.Error(err)
 				return
@@ -344,7 +346,7 @@
 	all.Add(1)
 	go func() {
 		defer all.Done()
-		c, err := net.Dial("tcp", at)
+		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Error(err)
 			return
@@ -356,10 +358,10 @@
 		}
 	}()
 	all.Wait()
-	await(t, "all connections closed", func() bool { return d.front.OpenConnections() == 0 })
+	waitFor(t, "all connections closed", func() bool { return d.server.OpenConnections() == 0 })
 }
 
-func await(t testing.TB, what string, is func() bool) {
+func waitFor(t testing.TB, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -368,73 +370,73 @@
 	}
 }
 
-// A poll that waits and whose connection breaks, or half breaks, is told to the core, once.
-func TestABrokenConnectionIsTold(t *testing.T) {
-	d, at := open(t, nil)
+// If the connection of a pending poll is closed, reset or half closed, the core is notified, once.
+func TestBrokenConnectionIsReported(t *testing.T) {
+	d, address := startServer(t, nil)
 	for i, breaks := range []func(*net.TCPConn){
 		func(c *net.TCPConn) { c.Close() },
 		func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 		func(c *net.TCPConn) { c.CloseWrite() },
 	} {
-		c, err := net.Dial("tcp", at)
+		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.Write([]byte(get(tablesPath, "Prefer: wait=10")))
-		await(t, "the poll", func() bool { p, _, _ := d.seen(); return p == i+1 })
+		c.Write([]byte(getRequest(tablesPath, "Prefer: wait=10")))
+		waitFor(t, "the poll", func() bool { p, _, _ := d.counts(); return p == i+1 })
 		breaks(c.(*net.TCPConn))
-		await(t, "its end", func() bool { _, _, b := d.seen(); return b == i+1 })
-		d.front.Answer(control.Answer{Ticket: d.broke[i], Kind: control.Unchanged}) // too late, and harmless
+		waitFor(t, "its disconnect", func() bool { _, _, b := d.counts(); return b == i+1 })
+		d.server.Answer(control.Answer{Ticket: d.disconnects[i], Kind: control.Unchanged}) // an answer that comes too late has no effect
 	}
-	await(t, "all connections closed", func() bool { return d.front.OpenConnections() == 0 })
+	waitFor(t, "all connections closed", func() bool { return d.server.OpenConnections() == 0 })
 }
 
-// A client that never reads its answers holds up nobody and is let go.
+// A client that never reads its answers does not delay others, and its connection is closed.
 func TestAClientThatDoesNotRead(t *testing.T) {
-	big := document(1, 1)
+	big := newDocument(1, 1)
 	for i := range 60000 {
 		big.Hosts[tables.Address(fmt.Sprintf("10.1.%d.%d:80", i/250, i%250))] = tables.Host{ID: "some host or other", Zone: "a"}
 	}
-	d, at := open(t, whole(big))
-	c, err := net.Dial("tcp", at)
+	d, address := startServer(t, answerWhole(big))
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	c.(*net.TCPConn).SetReadBuffer(4096)
 	for range 8 {
-		c.Write([]byte(get(tablesPath)))
+		c.Write([]byte(getRequest(tablesPath)))
 	}
 	began := time.Now()
-	if out := talk(t, at, "GET /nowhere HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n"); !strings.HasPrefix(out, "HTTP/1.1 404") || time.Since(began) > time.Second {
-		t.Fatalf("the next client waited %v for %.100q", time.Since(began), out)
+	if out := exchange(t, address, "GET /nowhere HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n"); !strings.HasPrefix(out, "HTTP/1.1 404") || time.Since(began) > time.Second {
+		t.Fatalf("the next client got, after %v, %.100q", time.Since(began), out)
 	}
-	await(t, "it is let go", func() bool { return d.front.OpenConnections() == 0 })
+	waitFor(t, "its connection to be closed", func() bool { return d.server.OpenConnections() == 0 })
 }
 
 func FuzzNext(f *testing.F) {
-	f.Add([]byte(get(tablesPath, `If-None-Match: "1.2.3"`, "Prefer: wait=3", "A-IM: json-patch")))
+	f.Add([]byte(getRequest(tablesPath, `If-None-Match: "1.2.3"`, "Prefer: wait=3", "A-IM: json-patch")))
 	f.Add([]byte("POST /v1/proxies/p/reports HTTP/1.1\r\nHost: d\r\nContent-Length: 2\r\n\r\n{}"))
 	f.Add([]byte("GET / HTTP/1.0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var r request
-		whole, wrong := r.next(in, 1024, 1024)
+		complete, prob := r.parse(in, 1024, 1024)
 		switch {
-		case wrong != nil:
-			if wrong.Status < 400 || wrong.Status > 505 || wrong.Detail == "" {
-				t.Fatalf("%+v", wrong)
+		case prob != nil:
+			if prob.Status < 400 || prob.Status > 505 || prob.Detail == "" {
+				t.Fatalf("%+v", prob)
 			}
-			wrong.render()
-		case whole:
-			if r.length <= 0 || r.length > len(in) || len(r.body) > 1024 {
-				t.Fatalf("%d bytes of %d", r.length, len(in))
+			prob.render()
+		case complete:
+			if r.size <= 0 || r.size > len(in) || len(r.body) > 1024 {
+				t.Fatalf("%d bytes of %d", r.size, len(in))
 			}
-			entityTags(r.value("if-none-match"))
-			preferredWait(r.value("prefer"))
-			takes(r.value("a-im"))
+			parseIfNoneMatch(r.fieldValue("if-none-match"))
+			parsePreferWait(r.fieldValue("prefer"))
+			acceptsJSONPatch(r.fieldValue("a-im"))
 		case len(in) >= 2048+4:
-			t.Fatal("asks for more than it may take")
+			t.Fatal("more input requested than the limits allow")
 		}
 	})
 }
--- a/internal/longpoll/server.go
+++ b/internal/longpoll/server.go
@@ -1,5 +1,6 @@
-// Package longpoll is the front that plain proxies poll: HTTP/1.1 on netpoll. A poll that waits holds no
-// goroutine. It decides nothing: what is told to whom, and when, is the core's.
+// Package longpoll serves routing tables to proxies by HTTP/1.1 long polling, on netpoll. A pending poll holds no
+// goroutine. The core decides which answer each client gets, and when; this package only reads requests and writes
+// answers.
 package longpoll
 
 import (
@@ -20,67 +21,69 @@
 	"vetchwood/logic"
 )
 
-// Core is what the front needs of a director.
+// Core is the part of a director that the server needs.
 type Core interface {
 	Post(in any)
 	Ticket() control.Ticket
-	// Admit says after how long a request that is no poll may come again; 0: it comes in.
+	// Admit decides whether a request other than a poll is admitted. It returns 0 if so, or else the time after which
+	// the client may retry.
 	Admit(k inflow.Kind, client string) time.Duration
-	// Poll takes a poll: what can be answered at once is returned, the rest comes to Answer; or it may come again later.
+	// Poll passes on a poll. If it can be answered immediately, the answer is returned; otherwise it is sent to Answer
+	// later. A later above 0 means that the poll was not admitted, and is the time after which the client may retry.
 	Poll(control.Poll) (a control.Answer, answered bool, later time.Duration)
 }
 
-// LeaseHeader says for how many milliseconds after the poll was sent its answer may take effect, where directors hold slices
-// by lease.
+// LeaseHeader is the response header that limits when an answer may take effect: within so many milliseconds after its
+// poll was sent. It is set where directors hold slices by lease.
 const LeaseHeader = "Vetchwood-Lease"
 
-// Limits guard the front against its clients.
+// Limits protect the server from its clients.
 type Limits struct {
 	MaxHeadBytes, MaxBodyBytes int
-	RequestTimeout             time.Duration // from its first byte to its last
-	IdleTimeout                time.Duration // without a request
-	WriteTimeout               time.Duration // for one answer
-	MaxWait                    logic.Millis
-	// Budget is what all fronts share; nil: any.
+	RequestTimeout             time.Duration // from the first byte of a request to its last
+	IdleTimeout                time.Duration // for a connection without a request
+	WriteTimeout               time.Duration // for one response
+	MaxWait                    logic.Millis  // of a poll
+	// Budget is the resource budget that all servers of the process share; nil means unlimited.
 	Budget *budget.Ledger
 }
 
-// Server is one listening socket.
+// Server serves polls and load reports on one listening socket.
 type Server struct {
 	*nets.Socket
-	core   Core
-	budget *budget.Ledger
-	limits atomic.Pointer[Limits]
-	log    *slog.Logger
-	asked  sync.Map // control.Ticket -> *peer, for what is no poll
-	peers  sync.Map // budget.Client -> *peer
-	serial atomic.Uint64
-	open   atomic.Int64
-	failed atomic.Uint64
-	done   chan struct{}
+	core           Core
+	budget         *budget.Ledger
+	limits         atomic.Pointer[Limits]
+	log            *slog.Logger
+	pendingQueries sync.Map // control.Ticket -> *clientConn, for requests other than a proxy's poll
+	conns          sync.Map // budget.Client -> *clientConn
+	lastID         atomic.Uint64
+	openCount      atomic.Int64
+	refusals       atomic.Uint64
+	done           chan struct{}
 }
 
-// peer is one connection.
-type peer struct {
-	id     budget.Client
-	conn   netpoll.Connection
-	holds  int // bytes that the budget knows of
-	mu     sync.Mutex
-	in     []byte
-	ticket control.Ticket // of the request that is being answered; 0: none
-	poll   bool
-	proxy  string // whose the poll is; empty: one that looks on
-	any    bool   // If-None-Match: *
-	waits  logic.Millis
-	prefer bool
-	closes bool
-	since  time.Time // of the first byte of what is not yet whole, or of the last answer
-	gone   bool
-	out    bool          // something is written and yet to be flushed
-	sent   []park.Flight // of what is
+// clientConn is one connection. Its fields are guarded by mu, except id and conn.
+type clientConn struct {
+	id                budget.Client
+	conn              netpoll.Connection
+	heldBytes         int // size of buf as last reported to the budget
+	mu                sync.Mutex
+	buf               []byte
+	ticket            control.Ticket // of the request being answered; 0 if there is none
+	isPoll            bool           // the pending request is a poll, of a proxy or a watcher
+	proxy             string         // that polls; empty for a watcher
+	matchAny          bool           // If-None-Match: *
+	wait              logic.Millis
+	hasWaitPreference bool      // the request has Prefer: wait
+	closeAfter        bool      // the connection is closed after the response
+	activeAt          time.Time // time of the first byte of an incomplete request, or of the last request or response
+	closed            bool
+	hasUnflushed      bool          // responses are written to the connection's buffer but not flushed
+	completions       []park.Flight // of the answers in that buffer, to be notified after the flush
 }
 
-// Listen opens the socket.
+// Listen opens the socket of a server. Serve accepts connections on it.
 func Listen(address string, core Core, limits Limits, log *slog.Logger) (*Server, error) {
 	if limits.Budget == nil {
 		limits.Budget = budget.New(budget.Unlimited)
@@ -92,23 +95,23 @@
 	return s, err
 }
 
-// Limit guards by other limits from now on; requests that are half read meet them with their next byte. What the budget is, how long a poll
-// waits and how slowly an answer may be read stay as they are.
+// SetLimits changes the limits of a running server. A request that is partly read is checked against the new limits when
+// more of it arrives. Budget, MaxWait and WriteTimeout keep their values.
 func (s *Server) SetLimits(l Limits) {
 	was := s.limits.Load()
 	l.Budget, l.MaxWait, l.WriteTimeout = was.Budget, was.MaxWait, was.WriteTimeout
 	s.limits.Store(&l)
 }
 
-// Open is how many connections there are.
-func (s *Server) OpenConnections() int64 { return s.open.Load() }
+// OpenConnections returns the number of open connections.
+func (s *Server) OpenConnections() int64 { return s.openCount.Load() }
 
-// Failed counts requests that were refused for what they are.
-func (s *Server) Refusals() uint64 { return s.failed.Load() }
+// Refusals returns the number of requests that were answered with a problem.
+func (s *Server) Refusals() uint64 { return s.refusals.Load() }
 
-// Serve answers until Close.
+// Serve accepts and serves connections until Close.
 func (s *Server) Serve() error {
-	go s.watch()
+	go s.enforceTimeouts()
 	return s.Socket.Serve()
 }
 
@@ -116,164 +119,167 @@
 func (s *Server) Close() error {
 	close(s.done)
 	return s.Socket.Close(func(each func(netpoll.Connection)) {
-		s.peers.Range(func(_, v any) bool { each(v.(*peer).conn); return true })
+		s.conns.Range(func(_, v any) bool { each(v.(*clientConn).conn); return true })
 	})
 }
 
 func (s *Server) accept(c netpoll.Connection) context.Context {
-	p := &peer{id: budget.Client(s.serial.Add(1) << 1), conn: c, since: time.Now()}
-	s.open.Add(1)
+	cc := &clientConn{id: budget.Client(s.lastID.Add(1) << 1), conn: c, activeAt: time.Now()}
+	s.openCount.Add(1)
 	s.budget.Opened()
-	s.peers.Store(p.id, p)
+	s.conns.Store(cc.id, cc)
 	c.AddCloseCallback(func(netpoll.Connection) error {
-		s.peers.Delete(p.id)
-		s.open.Add(-1)
-		s.budget.Closed(p.id)
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.gone = true
-		if p.ticket != 0 {
-			if p.proxy == "" {
-				s.asked.Delete(p.ticket)
+		s.conns.Delete(cc.id)
+		s.openCount.Add(-1)
+		s.budget.Closed(cc.id)
+		cc.mu.Lock()
+		defer cc.mu.Unlock()
+		cc.closed = true
+		if cc.ticket != 0 {
+			if cc.proxy == "" {
+				s.pendingQueries.Delete(cc.ticket)
 			}
-			if p.poll {
-				s.core.Post(control.Broke{Ticket: p.ticket, Proxy: p.proxy})
+			if cc.isPoll {
+				s.core.Post(control.Broke{Ticket: cc.ticket, Proxy: cc.proxy})
 			}
 		}
 		return nil
 	})
-	return context.WithValue(context.Background(), peerKey{}, p)
+	return context.WithValue(context.Background(), connKey{}, cc)
 }
 
-type peerKey struct{}
+type connKey struct{}
 
-// read takes all that has come: what stays in netpoll's buffer would be handed over again at once.
+// read takes all data that has arrived: netpoll would call read again immediately for data left in its buffer.
 func (s *Server) read(ctx context.Context, c netpoll.Connection) error {
-	p := ctx.Value(peerKey{}).(*peer)
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	cc := ctx.Value(connKey{}).(*clientConn)
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
 	r := c.Reader()
 	b, err := r.Next(r.Len())
 	if err != nil {
 		return err
 	}
-	if len(p.in) == 0 {
-		p.since = time.Now()
+	if len(cc.buf) == 0 {
+		cc.activeAt = time.Now()
 	}
-	lent := len(p.in) == 0 // what is whole is read where it lies
-	if lent {
-		p.in = b
+	borrowed := len(cc.buf) == 0 // complete requests are parsed in netpoll's buffer, without a copy
+	if borrowed {
+		cc.buf = b
 	} else {
-		p.in = append(p.in, b...)
+		cc.buf = append(cc.buf, b...)
 	}
-	if most := s.limits.Load().MaxHeadBytes + s.limits.Load().MaxBodyBytes; len(p.in) > most {
-		s.refuse(p, bad(http.StatusRequestEntityTooLarge, "more than %d bytes wait unanswered", most).last())
-		p.in = nil
+	if limit := s.limits.Load().MaxHeadBytes + s.limits.Load().MaxBodyBytes; len(cc.buf) > limit {
+		s.writeProblem(cc, newProblem(http.StatusRequestEntityTooLarge, "more than %d bytes of unprocessed requests", limit).closing())
+		cc.buf = nil
 	}
-	s.turn(p)
-	if lent && len(p.in) == len(b) {
-		p.in = append([]byte(nil), b...)
+	s.processBuffered(cc)
+	if borrowed && len(cc.buf) == len(b) {
+		cc.buf = append([]byte(nil), b...)
 	}
 	r.Release()
-	if len(p.in) != p.holds && !p.gone {
-		p.holds = len(p.in)
-		s.budget.Hold(p.id, int64(p.holds))
+	if len(cc.buf) != cc.heldBytes && !cc.closed {
+		cc.heldBytes = len(cc.buf)
+		s.budget.Hold(cc.id, int64(cc.heldBytes))
 	}
 	return nil
 }
 
-// Cut closes a client's connection, if it is of this front.
+// CloseClient closes the connection of a client, if it belongs to this server, to free the memory that it holds.
 func (s *Server) CloseClient(c budget.Client) {
-	if v, open := s.peers.Load(c); open {
-		s.log.Warn("client.cut", "why", "it holds more of the director's memory than the others, and there is no more")
-		go v.(*peer).conn.Close()
+	if v, open := s.conns.Load(c); open {
+		s.log.Warn("client.cut", "why", "memory budget exhausted: this client holds more than the others")
+		go v.(*clientConn).conn.Close()
 	}
 }
 
-// readers keep the memory of requests that have been read for the next.
-var readers = sync.Pool{New: func() any { return new(request) }}
+// requestPool reuses the memory of parsed requests.
+var requestPool = sync.Pool{New: func() any { return new(request) }}
 
-// turn starts on the next request, if none is being answered. What is answered at once goes out together.
-func (s *Server) turn(p *peer) {
-	defer s.flush(p)
-	if p.ticket != 0 || len(p.in) == 0 {
+// processBuffered handles the buffered requests in order until one has to wait for its answer. Responses that are ready
+// immediately are flushed together. The caller holds the connection's lock.
+func (s *Server) processBuffered(cc *clientConn) {
+	defer s.flush(cc)
+	if cc.ticket != 0 || len(cc.buf) == 0 {
 		return
 	}
-	r, in, limits := readers.Get().(*request), p.in, s.limits.Load()
-	defer readers.Put(r)
-	for p.ticket == 0 && len(in) > 0 && !p.gone {
-		whole, wrong := r.next(in, limits.MaxHeadBytes, limits.MaxBodyBytes)
-		if wrong != nil {
-			s.refuse(p, wrong)
+	r, in, limits := requestPool.Get().(*request), cc.buf, s.limits.Load()
+	defer requestPool.Put(r)
+	for cc.ticket == 0 && len(in) > 0 && !cc.closed {
+		complete, prob := r.parse(in, limits.MaxHeadBytes, limits.MaxBodyBytes)
+		if prob != nil {
+			s.writeProblem(cc, prob)
 			in = nil
 			break
 		}
-		if !whole {
+		if !complete {
 			break
 		}
-		p.closes, p.since = r.Close, time.Now()
-		if wrong = s.ask(p, r); wrong != nil {
-			s.refuseAsked(p, wrong)
+		cc.closeAfter, cc.activeAt = r.Close, time.Now()
+		if prob = s.handle(cc, r); prob != nil {
+			s.rejectRequest(cc, prob)
 		}
-		in = in[r.length:]
+		in = in[r.size:]
 	}
-	switch { // what a poll that waits does not need is not kept for it
+	switch { // a pending poll keeps no memory that it does not need
 	case len(in) == 0:
-		p.in = nil
-	case len(in) < len(p.in):
-		p.in = append([]byte(nil), in...)
+		cc.buf = nil
+	case len(in) < len(cc.buf):
+		cc.buf = append([]byte(nil), in...)
 	}
 }
 
-func (s *Server) refuse(p *peer, wrong *problem) {
-	s.failed.Add(1)
-	head, body := wrong.render()
-	s.write(p, head, body, wrong.close)
+// writeProblem writes a problem response and counts it.
+func (s *Server) writeProblem(cc *clientConn, prob *problem) {
+	s.refusals.Add(1)
+	head, body := prob.render()
+	s.writeResponse(cc, head, body, prob.closeConn)
 }
 
-// refuseAsked refuses a request that was read whole; the connection ends with it where the client asked for that.
-func (s *Server) refuseAsked(p *peer, wrong *problem) {
-	wrong.close = wrong.close || p.closes
-	s.refuse(p, wrong)
+// rejectRequest rejects a completely read request. The connection is closed if the client asked for that.
+func (s *Server) rejectRequest(cc *clientConn, prob *problem) {
+	prob.closeConn = prob.closeConn || cc.closeAfter
+	s.writeProblem(cc, prob)
 }
 
-// write puts an answer into the connection's buffer, and gives its head back; the peer's lock is held.
-func (s *Server) write(p *peer, h *head, body []byte, closes bool) {
-	defer spare.Put(h)
-	if p.gone {
+// writeResponse writes a response to the connection's buffer and returns its head to the pool. The caller holds the
+// connection's lock.
+func (s *Server) writeResponse(cc *clientConn, h *responseHead, body []byte, closes bool) {
+	defer headPool.Put(h)
+	if cc.closed {
 		return
 	}
-	w := p.conn.Writer()
+	w := cc.conn.Writer()
 	if room, err := w.Malloc(len(*h)); err == nil {
 		copy(room, *h)
 	}
 	if len(body) > 0 {
 		w.WriteBinary(body)
 	}
-	if p.out, p.since = true, time.Now(); closes {
-		s.flush(p)
-		p.gone = true
-		go p.conn.Close()
+	if cc.hasUnflushed, cc.activeAt = true, time.Now(); closes {
+		s.flush(cc)
+		cc.closed = true
+		go cc.conn.Close()
 	}
 }
 
-// flush sends what is written, and says so.
-func (s *Server) flush(p *peer) {
-	if p.out {
-		p.out = false
-		if err := p.conn.Writer().Flush(); err != nil && !p.gone {
-			p.gone = true
-			go p.conn.Close()
+// flush sends the buffered responses and notifies their completions.
+func (s *Server) flush(cc *clientConn) {
+	if cc.hasUnflushed {
+		cc.hasUnflushed = false
+		if err := cc.conn.Writer().Flush(); err != nil && !cc.closed {
+			cc.closed = true
+			go cc.conn.Close()
 		}
 	}
-	for _, f := range p.sent {
+	for _, f := range cc.completions {
 		f.Landed()
 	}
-	p.sent = p.sent[:0]
+	cc.completions = cc.completions[:0]
 }
 
-// watch ends requests that come too slowly, and connections that ask for nothing.
-func (s *Server) watch() {
+// enforceTimeouts rejects requests that arrive too slowly and closes idle connections, until the server is closed.
+func (s *Server) enforceTimeouts() {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -282,19 +288,19 @@
 			return
 		case now := <-tick.C:
 			limits := s.limits.Load()
-			s.peers.Range(func(_, v any) bool {
-				p := v.(*peer)
-				if !p.mu.TryLock() {
-					return true // it is being answered
+			s.conns.Range(func(_, v any) bool {
+				cc := v.(*clientConn)
+				if !cc.mu.TryLock() {
+					return true // a request of the connection is being processed
 				}
-				defer p.mu.Unlock()
-				switch quiet := now.Sub(p.since); {
-				case p.ticket != 0 || p.gone:
-				case len(p.in) > 0 && quiet > limits.RequestTimeout:
-					s.refuse(p, bad(http.StatusRequestTimeout, "the request took longer than %v to come", limits.RequestTimeout).last())
-				case len(p.in) == 0 && quiet > limits.IdleTimeout:
-					p.gone = true
-					go p.conn.Close()
+				defer cc.mu.Unlock()
+				switch idle := now.Sub(cc.activeAt); {
+				case cc.ticket != 0 || cc.closed:
+				case len(cc.buf) > 0 && idle > limits.RequestTimeout:
+					s.writeProblem(cc, newProblem(http.StatusRequestTimeout, "the request was not complete within %v", limits.RequestTimeout).closing())
+				case len(cc.buf) == 0 && idle > limits.IdleTimeout:
+					cc.closed = true
+					go cc.conn.Close()
 				}
 				return true
 			})
--- a/internal/longpoll/wire.go
+++ b/internal/longpoll/wire.go
@@ -18,71 +18,76 @@
 	"vetchwood/logic"
 )
 
-// problem is an answer by RFC 9457. Close says that what follows on the connection can't be told apart.
+// problem is a problem details response (RFC 9457).
 type problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
 
-	allow string
-	retry time.Duration // after which it may come again
-	close bool
+	allow      string
+	retryAfter time.Duration // Retry-After of a 503
+	closeConn  bool          // the connection is closed after this response
 }
 
-func bad(status int, format string, args ...any) *problem {
-	return &problem{Type: "about:blank", Title: http.StatusText(status), Status: status, Detail: fmt.Sprintf(format, args...)}
+func newProblem(status int, format string, args ...any) *problem {
+	return &problem{Type: "about:blank", Title: http.StatusText(status), Status: status,
+		Detail: fmt.Sprintf(format, args...)}
 }
 
-// later tells a client to come again.
-func later(after time.Duration) *problem {
-	p := bad(http.StatusServiceUnavailable, "the director has more to do than it can")
-	p.retry = after
+// overloaded returns the problem that asks a client to retry after the given time.
+func overloaded(after time.Duration) *problem {
+	p := newProblem(http.StatusServiceUnavailable, "the director is overloaded")
+	p.retryAfter = after
 	return p
 }
 
-func (p *problem) last() *problem { p.close = true; return p }
+// closing marks the problem as one after which the connection is closed, as the end of the request is unknown or what
+// follows it can't be read.
+func (p *problem) closing() *problem { p.closeConn = true; return p }
 
-// request is what has been read of one. It lies in the buffer that it came in.
+// request is a parsed request. Its slices point into the buffer that it was parsed from.
 type request struct {
 	h1.Head
-	body   []byte
-	length int // of head and body
+	body []byte
+	size int // of head and body, in bytes
 }
 
-// next finds the first whole request in what has come so far; false if more is needed. The framing is narrower than RFC
-// 9112: a body has a length, or there is none.
-func (r *request) next(buf []byte, mostHead, mostBody int) (bool, *problem) {
-	end, w := r.Request(buf, mostHead)
+// parse reads the first complete request in buf, and reports whether there is one. The framing is stricter than RFC
+// 9112: a body needs a Content-Length.
+func (r *request) parse(buf []byte, maxHead, maxBody int) (bool, *problem) {
+	end, w := r.Request(buf, maxHead)
 	if w != nil {
-		return false, bad(w.Status, "%s", w.Why).last()
+		return false, newProblem(w.Status, "%s", w.Why).closing()
 	}
 	if end == 0 {
 		return false, nil
 	}
 	if r.Chunked {
-		return false, bad(http.StatusNotImplemented, "a body is taken with a Content-Length alone").last()
+		return false, newProblem(http.StatusNotImplemented, "chunked bodies are not supported: a body needs a Content-Length").closing()
 	}
 	length := max(0, r.Length)
-	if length > int64(mostBody) {
-		return false, bad(http.StatusRequestEntityTooLarge, "the body has %d bytes, of %d at most", length, mostBody).last()
+	if length > int64(maxBody) {
+		return false, newProblem(http.StatusRequestEntityTooLarge,
+			"a body of %d bytes exceeds the limit of %d bytes", length, maxBody).closing()
 	}
 	if r.Expects {
-		return false, bad(http.StatusExpectationFailed, "no expectation is met here").last()
+		return false, newProblem(http.StatusExpectationFailed, "the Expect header is not supported").closing()
 	}
-	if r.length = end + int(length); len(buf) < r.length {
+	if r.size = end + int(length); len(buf) < r.size {
 		return false, nil
 	}
-	r.body = buf[end:r.length:r.length]
+	r.body = buf[end:r.size:r.size]
 	return true, nil
 }
 
-// value is that of a field by its name in small letters; several of one name are one list, as RFC 9110 has it.
-func (r *request) value(small string) (out []byte) {
+// fieldValue returns the value of a header field by its name in lower case. The values of repeated fields are joined
+// to a list (RFC 9110, 5.3).
+func (r *request) fieldValue(lowerName string) (out []byte) {
 	first := true
 	for _, f := range r.Fields {
 		switch {
-		case len(f.Name) != len(small) || !h1.Is(f.Name, small):
+		case len(f.Name) != len(lowerName) || !h1.Is(f.Name, lowerName):
 		case first:
 			out, first = f.Value, false
 		default:
@@ -92,8 +97,8 @@
 	return out
 }
 
-// entityTags reads an If-None-Match list. Tags that some other server made are passed over; `*` is any.
-func entityTags(list []byte) (held []tables.Tag, any bool, p *problem) {
+// parseIfNoneMatch parses an If-None-Match list. Tags that are not versions of tables are ignored; matchAny reports `*`.
+func parseIfNoneMatch(list []byte) (held []tables.Tag, matchAny bool, p *problem) {
 	rest := bytes.TrimSpace(list)
 	if string(rest) == "*" {
 		return nil, true, nil
@@ -108,23 +113,24 @@
 			end = bytes.IndexByte(opaque[1:], '"')
 		}
 		if end < 0 {
-			return nil, false, bad(http.StatusBadRequest, "If-None-Match: %.60q is no entity tag", rest)
+			return nil, false, newProblem(http.StatusBadRequest, "If-None-Match: %.60q is not an entity tag", rest)
 		}
 		if t, err := tables.ParseETag(string(opaque[:end+2])); err == nil {
 			held = append(held, t)
 		}
 		if rest = bytes.TrimLeft(opaque[end+2:], " \t"); len(rest) > 0 && rest[0] != ',' {
-			return nil, false, bad(http.StatusBadRequest, "If-None-Match: %.60q does not go on with a comma", rest)
+			return nil, false, newProblem(http.StatusBadRequest, "If-None-Match: a comma is missing before %.60q", rest)
 		}
 		if len(held) > 16 {
-			return nil, false, bad(http.StatusBadRequest, "If-None-Match: more than 16 entity tags")
+			return nil, false, newProblem(http.StatusBadRequest, "If-None-Match: more than 16 entity tags")
 		}
 	}
 	return held, false, nil
 }
 
-// preferredWait is that of RFC 7240, in seconds. What can't be read is passed over, as it asks for.
-func preferredWait(list []byte) (logic.Millis, bool) {
+// parsePreferWait returns the wait preference of a Prefer list, which is in seconds, and whether there is one. Values
+// that can't be parsed are ignored, as RFC 7240 requires.
+func parsePreferWait(list []byte) (logic.Millis, bool) {
 	for len(list) > 0 {
 		var part []byte
 		part, list, _ = bytes.Cut(list, []byte(","))
@@ -140,13 +146,13 @@
 	return 0, false
 }
 
-// takes says whether A-IM (RFC 3229) names JSON Patch.
-func takes(list []byte) bool {
+// acceptsJSONPatch reports whether an A-IM list (RFC 3229) accepts JSON Patch.
+func acceptsJSONPatch(list []byte) bool {
 	for len(list) > 0 {
 		var part []byte
 		part, list, _ = bytes.Cut(list, []byte(","))
 		name, params, _ := bytes.Cut(part, []byte(";"))
-		if !bytes.EqualFold(bytes.TrimSpace(name), []byte(manipulation)) {
+		if !bytes.EqualFold(bytes.TrimSpace(name), []byte(instanceManipulation)) {
 			continue
 		}
 		q := strings.ReplaceAll(string(params), " ", "")
@@ -155,78 +161,79 @@
 	return false
 }
 
-func isJSON(r *request) bool {
+func hasJSONBody(r *request) bool {
 	t, _, err := mime.ParseMediaType(string(r.Get("content-type")))
 	return err == nil && (t == "application/json" || strings.HasSuffix(t, "+json"))
 }
 
-const manipulation = "json-patch"
+// instanceManipulation is the name of JSON Patch in A-IM and IM (RFC 3229).
+const instanceManipulation = "json-patch"
 
-// head is an answer's, in the making.
-type head []byte
+// responseHead is the head of a response as it is built.
+type responseHead []byte
 
-// today is the date as it is told, made once a second.
-var today atomic.Pointer[struct {
+// cachedDate is the value of the Date header, formatted once a second.
+var cachedDate atomic.Pointer[struct {
 	second int64
 	text   string
 }]
 
-func date() string {
+func httpDate() string {
 	now := time.Now()
-	d := today.Load()
+	d := cachedDate.Load()
 	if d == nil || d.second != now.Unix() {
 		d = &struct {
 			second int64
 			text   string
 		}{now.Unix(), now.UTC().Format(http.TimeFormat)}
-		today.Store(d)
+		cachedDate.Store(d)
 	}
 	return d.text
 }
 
-// spare keeps heads' memory for the next.
-var spare = sync.Pool{New: func() any { return new(head) }}
+// headPool reuses the memory of response heads.
+var headPool = sync.Pool{New: func() any { return new(responseHead) }}
 
-func newHead(status int, closes bool) *head {
-	h := spare.Get().(*head)
+func newResponseHead(status int, closes bool) *responseHead {
+	h := headPool.Get().(*responseHead)
 	*h = append((*h)[:0], "HTTP/1.1 "...)
 	*h = strconv.AppendInt(*h, int64(status), 10)
 	*h = append(append(append(*h, ' '), http.StatusText(status)...), "\r\n"...)
-	h.set("Date", date())
+	h.set("Date", httpDate())
 	if closes {
 		h.set("Connection", "close")
 	}
 	return h
 }
 
-func (h *head) set(name, value string) {
+func (h *responseHead) set(name, value string) {
 	*h = append(append(append(append(*h, name...), ": "...), value...), "\r\n"...)
 }
 
-func (h *head) number(name string, value int) {
+func (h *responseHead) setInt(name string, value int) {
 	*h = strconv.AppendInt(append(append(*h, name...), ": "...), int64(value), 10)
 	*h = append(*h, "\r\n"...)
 }
 
-func (h *head) end(bodyType string, length int) []byte {
+func (h *responseHead) finish(bodyType string, length int) []byte {
 	if bodyType != "" {
 		h.set("Content-Type", bodyType)
-		h.number("Content-Length", length)
+		h.setInt("Content-Length", length)
 	}
 	*h = append(*h, "\r\n"...)
 	return *h
 }
 
-// render puts a problem into words. The head goes back once it is written.
-func (p *problem) render() (h *head, body []byte) {
+// render returns the head and the body of a problem response. The head is returned to headPool once it is written.
+func (p *problem) render() (h *responseHead, body []byte) {
 	body, _ = json.Marshal(p)
-	h = newHead(p.Status, p.close)
+	h = newResponseHead(p.Status, p.closeConn)
 	if p.allow != "" {
 		h.set("Allow", p.allow)
 	}
 	if p.Status == http.StatusServiceUnavailable {
-		h.number("Retry-After", max(1, int(math.Ceil(p.retry.Seconds()))))
+		h.setInt("Retry-After", max(1, int(math.Ceil(p.retryAfter.Seconds()))))
 	}
-	h.end("application/problem+json", len(body))
+	h.finish("application/problem+json", len(body))
 	return h, body
 }
--- a/internal/mqtt/bench_test.go
+++ b/internal/mqtt/bench_test.go
@@ -25,12 +25,12 @@
 )
 
 // count is a connection that counts what comes.
-type count struct {
+type countingConn struct {
 	net.Conn
 	n *atomic.Int64
 }
 
-func (c count) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.n.Add(int64(n))
 	return n, err
@@ -45,7 +45,7 @@
 	}
 	for _, front := range []string{"poll", "mqtt"} {
 		b.Run(front, func(b *testing.B) {
-			r := bench(b, 2*n)
+			r := newBenchRig(b, 2*n)
 			var bytes atomic.Int64
 			var came sync.WaitGroup
 			memory := func() float64 {
@@ -55,9 +55,9 @@
 				return float64(m.HeapInuse + m.StackInuse)
 			}
 			before := memory()
-			var clients []*bare
+			var clients []*rawClient
 			for i := range n {
-				c := &bare{b: b, name: fmt.Sprint("p", i), mqtt: front == "mqtt"}
+				c := &rawClient{b: b, name: fmt.Sprint("p", i), mqtt: front == "mqtt"}
 				address := r.http.Addr().String()
 				if c.mqtt {
 					address = r.s.Addr().String()
@@ -66,10 +66,10 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				c.conn = count{conn, &bytes}
+				c.conn = countingConn{conn, &bytes}
 				c.in = bufio.NewReaderSize(c.conn, 512)
 				clients = append(clients, c)
-				c.begin()
+				c.subscribe()
 			}
 			time.Sleep(3 * time.Second) // tables are laid, levels stated, all is quiet
 			for _, c := range clients {
@@ -83,13 +83,13 @@
 			sent := int64(0)
 			for round := range b.N {
 				for _, c := range clients {
-					c.told.Store(0)
+					c.documents.Store(0)
 				}
 				from := bytes.Load()
 				began := time.Now()
 				r.d.Post(control.List{Hosts: hosts(4, 1+round%3)})
 				for _, c := range clients {
-					for c.told.Load() == 0 {
+					for c.documents.Load() == 0 {
 						time.Sleep(200 * time.Microsecond)
 					}
 				}
@@ -110,13 +110,13 @@
 }
 
 // both is a director with both fronts.
-type both struct {
+type benchRig struct {
 	*rig
 	http *longpoll.Server
 }
 
-func bench(b *testing.B, proxies int) *both {
-	r := &both{}
+func newBenchRig(b *testing.B, proxies int) *benchRig {
+	r := &benchRig{}
 	log := slog.New(slog.DiscardHandler)
 	d := newDirector(b, proxies, 30000)
 	s, err := Listen("127.0.0.1:0", d.Entrance(1), Limits{Limits: subscribe.Limits{Sessions: proxies, Expiry: 60000, Unanswered: 30000, Connects: 1e6, Watchers: 5},
@@ -141,20 +141,20 @@
 }
 
 // bare is a client without a library.
-type bare struct {
-	b    *testing.B
-	name string
-	mqtt bool
-	conn net.Conn
-	in   *bufio.Reader
-	tag  string
-	told atomic.Int64
+type rawClient struct {
+	b         *testing.B
+	name      string
+	mqtt      bool
+	conn      net.Conn
+	in        *bufio.Reader
+	tag       string
+	documents atomic.Int64
 }
 
-func (c *bare) begin() {
+func (c *rawClient) subscribe() {
 	if c.mqtt {
-		c.conn.Write(pack(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: c.name, CleanStart: true, Properties: &packets.Properties{}}))
-		c.conn.Write(pack(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
+		c.conn.Write(encodeAs(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: c.name, CleanStart: true, Properties: &packets.Properties{}}))
+		c.conn.Write(encodeAs(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
 			Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesOf(c.name), QoS: 1}}}))
 		return
 	}
@@ -162,7 +162,7 @@
 }
 
 // follow takes documents until the connection ends, and is there once it has read the first.
-func (c *bare) follow(came *sync.WaitGroup) {
+func (c *rawClient) follow(came *sync.WaitGroup) {
 	first := sync.OnceFunc(came.Done)
 	for {
 		if c.mqtt {
@@ -171,8 +171,8 @@
 				return
 			}
 			if pub, is := p.Content.(*packets.Publish); is {
-				c.told.Add(1)
-				c.conn.Write(pack(packets.PUBACK, &packets.Puback{PacketID: pub.PacketID, Properties: &packets.Properties{}}))
+				c.documents.Add(1)
+				c.conn.Write(encodeAs(packets.PUBACK, &packets.Puback{PacketID: pub.PacketID, Properties: &packets.Properties{}}))
 				first()
 			}
 			continue
@@ -184,7 +184,7 @@
 		io.Copy(io.Discard, res.Body)
 		c.tag = res.Header.Get("ETag")
 		if res.StatusCode != http.StatusNotModified {
-			c.told.Add(1)
+			c.documents.Add(1)
 		}
 		first()
 		fmt.Fprintf(c.conn, "GET /v1/proxies/%s/tables HTTP/1.1\r\nHost: d\r\nIf-None-Match: %s\r\nA-IM: json-patch\r\nPrefer: wait=30\r\n\r\n", c.name, c.tag)
--- a/internal/mqtt/mqtt_test.go
+++ b/internal/mqtt/mqtt_test.go
@@ -29,16 +29,16 @@
 	"vetchwood/logic"
 )
 
-type memory struct{}
+type discardStore struct{}
 
-func (memory) Load() (control.Saved, error) {
+func (discardStore) Load() (control.Saved, error) {
 	return control.Saved{Line: 42, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
 }
-func (memory) Write([]control.Change) error { return nil }
+func (discardStore) Write([]control.Change) error { return nil }
 
-type nobody struct{}
+type discardAnswers struct{}
 
-func (nobody) Answer(control.Answer) {}
+func (discardAnswers) Answer(control.Answer) {}
 
 // rig is a director with this front alone.
 type rig struct {
@@ -64,7 +64,7 @@
 		Facts: logic.Config{Directors: 1, Proxies: proxies, Slices: 8, LinesPerSecond: 1e6, QueueLimit: 1e6, MessageOverhead: 4, Transit: 5, WorstTransit: 50,
 			DrainGrace: 2000, WarmAfter: 10000, ColdFailAfter: 1500, ColdOverloadLimit: 3, ColdCapacity: 0.2, EmptyTableLimit: 2000, ReportInterval: 500, ReportLinesPerSecond: 100,
 			MessageWindow: 10000, Levels: logic.LevelShare, Routes: []logic.Route{{SLO: 1000, TimeLimit: 3000, Importance: 1, Idempotency: logic.Idempotent}}}}
-	d, err := director.New(svc, memory{}, nil, slog.New(slog.DiscardHandler))
+	d, err := director.New(svc, discardStore{}, nil, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ran := make(chan struct{})
-	go func() { d.Run(ctx, nobody{}, s); close(ran) }()
+	go func() { d.Run(ctx, discardAnswers{}, s); close(ran) }()
 	go s.Serve()
 	t.Cleanup(func() { stop(); s.Close(); <-ran })
 	d.Post(control.List{Hosts: hosts(4, -1)})
@@ -94,7 +94,7 @@
 
 func (r *rig) url() *url.URL { return &url.URL{Scheme: "mqtt", Host: r.s.Addr().String()} }
 
-func eventually(t *testing.T, what string, is func() bool) {
+func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(8 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -103,7 +103,7 @@
 	}
 }
 
-func full(d *tables.Document) bool {
+func allTablesFilled(d *tables.Document) bool {
 	if d == nil || len(d.Tables) < 8 {
 		return false
 	}
@@ -190,15 +190,15 @@
 		t.Fatal(err)
 	}
 	now := func() *tables.Document { mu.Lock(); defer mu.Unlock(); return held }
-	eventually(t, "a whole table", func() bool { return full(now()) })
+	waitFor(t, "a whole table", func() bool { return allTablesFilled(now()) })
 	r.d.Post(control.List{Hosts: hosts(4, 1)})
-	eventually(t, "the drain", func() bool { return !offers(now(), "10.0.0.1:80") })
+	waitFor(t, "the drain", func() bool { return !offers(now(), "10.0.0.1:80") })
 	if !offers(now(), "10.0.0.2:80") {
 		t.Fatal("the host that drains next is in no table as it is")
 	}
 	m.TerminateConnectionForTest()
 	r.d.Post(control.List{Hosts: hosts(4, 2)})
-	eventually(t, "the next drain, by the session that goes on", func() bool { return !offers(now(), "10.0.0.2:80") })
+	waitFor(t, "the next drain, by the session that goes on", func() bool { return !offers(now(), "10.0.0.2:80") })
 	mu.Lock()
 	defer mu.Unlock()
 	if fail != "" || ups < 2 || wholes != 1 || retained != 1 || deltas < 2 || redelivered >= ups {
@@ -218,13 +218,13 @@
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { f.Run(ctx); close(done) }()
-		eventually(t, "the follower is there", func() bool { return until(f) })
+		waitFor(t, "the follower is there", func() bool { return until(f) })
 		stop()
 		<-done
 		return updates
 	}
 	all := run(nil, func(f *follow.Several) bool {
-		if !full(f.Held()) {
+		if !allTablesFilled(f.Held()) {
 			return false
 		}
 		status, text, err := f.Report(t.Context(), 0, f.Directors()[0], "k1", []byte(`{"node":{"id":"p2"}}`))
@@ -239,7 +239,7 @@
 	if !all[0].Whole || !<-joined || r.d.Figures().Reports != 1 {
 		t.Fatalf("%+v, %d reports", all[0], r.d.Figures().Reports)
 	}
-	eventually(t, "the proxy has left", func() bool { return r.d.Figures().Joined == 0 })
+	waitFor(t, "the proxy has left", func() bool { return r.d.Figures().Joined == 0 })
 }
 
 // Clauses of the specification, each with what a client sends and what must come back. The client is a bare socket.
@@ -251,16 +251,16 @@
 		if change != nil {
 			change(c)
 		}
-		return pack(packets.CONNECT, c)
+		return encodeAs(packets.CONNECT, c)
 	}
 	hello := connect(nil)
 	pub := func(change func(*packets.Publish)) []byte {
 		p := &packets.Publish{Topic: subscribe.ReportsOf("p1"), QoS: 1, PacketID: 7, Payload: []byte("{}"), Properties: &packets.Properties{}}
 		change(p)
-		return render(p)
+		return encode(p)
 	}
 	sub := func(topic string, qos byte) []byte {
-		return pack(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 9, Properties: &packets.Properties{}, Subscriptions: []packets.SubOptions{{Topic: topic, QoS: qos}}})
+		return encodeAs(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 9, Properties: &packets.Properties{}, Subscriptions: []packets.SubOptions{{Topic: topic, QoS: qos}}})
 	}
 	join := func(all ...[]byte) []byte { return bytes.Join(all, nil) }
 	one := uint16(1)
@@ -278,7 +278,7 @@
 		{"3.1.2.11.3 a receive maximum of 0", connect(func(c *packets.Connect) { zero := uint16(0); c.Properties.ReceiveMaximum = &zero }), packets.CONNACK, 0x82},
 		{"4.12.0-1 an authentication method that is not offered", connect(func(c *packets.Connect) { c.Properties.AuthMethod = "SCRAM" }), packets.CONNACK, 0x8C},
 		{"3.2.2 a CONNECT is answered", hello, packets.CONNACK, 0x00},
-		{"3.1.2-22 and a ping", join(hello, pack(packets.PINGREQ, &packets.Pingreq{})), packets.PINGRESP, 0x00},
+		{"3.1.2-22 and a ping", join(hello, encodeAs(packets.PINGREQ, &packets.Pingreq{})), packets.PINGRESP, 0x00},
 		{"1.5.5-1 a length in five bytes", join(hello, []byte{0x30, 0xff, 0xff, 0xff, 0xff, 0x01}), packets.DISCONNECT, 0x81},
 		{"1.5.5-1 a length not in its shortest form", join(hello, []byte{0xc0, 0x80, 0x00}), packets.DISCONNECT, 0x81},
 		{"2.1.3-1 reserved flags", join(hello, []byte{0xc1, 0x00}), packets.DISCONNECT, 0x81},
@@ -300,12 +300,12 @@
 		{"3.9.3 a filter that is not there", join(hello, sub("else/where", 1)), packets.SUBACK, 0x8F},
 		{"3.9.3 QoS 0 for a proxy's tables", join(hello, sub(subscribe.TablesOf("p1"), 0)), packets.SUBACK, 0x83},
 		{"3.9.3 QoS 1 is granted where 2 is asked for", join(hello, sub(subscribe.TablesOf("p1"), 2)), packets.SUBACK, 0x01},
-		{"3.11.3 an UNSUBSCRIBE from what is not followed", join(hello, pack(packets.UNSUBSCRIBE, &packets.Unsubscribe{PacketID: 3, Topics: []string{"x"}, Properties: &packets.Properties{}})), packets.UNSUBACK, 0x11},
+		{"3.11.3 an UNSUBSCRIBE from what is not followed", join(hello, encodeAs(packets.UNSUBSCRIBE, &packets.Unsubscribe{PacketID: 3, Topics: []string{"x"}, Properties: &packets.Properties{}})), packets.UNSUBACK, 0x11},
 		{"3.15 an AUTH", join(hello, []byte{0xf0, 0x00}), packets.DISCONNECT, 0x8C},
-		{"3.5 a PUBREC, for a message of QoS 2 that was never sent", join(hello, pack(packets.PUBREC, &packets.Pubrec{PacketID: 3, Properties: &packets.Properties{}})), packets.DISCONNECT, 0x82},
+		{"3.5 a PUBREC, for a message of QoS 2 that was never sent", join(hello, encodeAs(packets.PUBREC, &packets.Pubrec{PacketID: 3, Properties: &packets.Properties{}})), packets.DISCONNECT, 0x82},
 		{"4.9 a proxy that the settings don't know", join(hello, sub(subscribe.TablesOf("other"), 1)), packets.DISCONNECT, 0x87},
 	} {
-		if kind, code := r.tell(t, c.send, c.kind); kind != c.kind || code != c.code {
+		if kind, code := r.exchange(t, c.send, c.kind); kind != c.kind || code != c.code {
 			t.Errorf("%s: packet type %d code 0x%02x, not %d 0x%02x", c.clause, kind, code, c.kind, c.code)
 		}
 	}
@@ -319,11 +319,11 @@
 		c.Write(whole[:cut])
 		c.Close()
 	}
-	eventually(t, "all are gone", func() bool { return r.s.OpenConnections() == 0 && r.d.Figures().Joined == 0 })
+	waitFor(t, "all are gone", func() bool { return r.s.OpenConnections() == 0 && r.d.Figures().Joined == 0 })
 }
 
 // tell sends bytes and gives the first answer of a kind, or the last that came.
-func (r *rig) tell(t *testing.T, send []byte, want byte) (kind, code byte) {
+func (r *rig) exchange(t *testing.T, send []byte, want byte) (kind, code byte) {
 	t.Helper()
 	c, err := net.Dial("tcp", r.s.Addr().String())
 	if err != nil {
@@ -362,13 +362,13 @@
 }
 
 func FuzzPackets(f *testing.F) {
-	f.Add(pack(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "c", Properties: &packets.Properties{}}))
-	f.Add(render(&packets.Publish{Topic: "a/b", QoS: 1, PacketID: 1, Payload: []byte("{}"), Properties: &packets.Properties{}}))
-	f.Add(pack(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 9, Properties: &packets.Properties{}, Subscriptions: []packets.SubOptions{{Topic: "x", QoS: 1}}}))
+	f.Add(encodeAs(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "c", Properties: &packets.Properties{}}))
+	f.Add(encode(&packets.Publish{Topic: "a/b", QoS: 1, PacketID: 1, Payload: []byte("{}"), Properties: &packets.Properties{}}))
+	f.Add(encodeAs(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 9, Properties: &packets.Properties{}, Subscriptions: []packets.SubOptions{{Topic: "x", QoS: 1}}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n, wrong := length(b, 1<<16)
+		n, wrong := packetLength(b, 1<<16)
 		if wrong == nil && n > 0 && n <= len(b) {
-			if p, wrong := parse(b[:n]); (p == nil) == (wrong == nil) && wrong == nil {
+			if p, wrong := parsePacket(b[:n]); (p == nil) == (wrong == nil) && wrong == nil {
 				t.Fatal("neither a packet nor a fault")
 			}
 		}
@@ -392,7 +392,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ran := make(chan struct{})
-	go func() { d.Run(ctx, nobody{}, s); close(ran) }()
+	go func() { d.Run(ctx, discardAnswers{}, s); close(ran) }()
 	go s.Serve()
 	t.Cleanup(func() { stop(); s.Close(); <-ran })
 	d.Post(control.List{Hosts: hosts(4, -1)})
@@ -401,17 +401,17 @@
 		t.Fatal(err)
 	}
 	defer mute.Close()
-	mute.Write(pack(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "mute", CleanStart: true, Properties: &packets.Properties{}}))
-	mute.Write(pack(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
+	mute.Write(encodeAs(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "mute", CleanStart: true, Properties: &packets.Properties{}}))
+	mute.Write(encodeAs(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
 		Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesOf(fmt.Sprint("p", n)), QoS: 1}}}))
-	eventually(t, "the mute one has joined", func() bool { return d.Figures().Joined == 1 })
+	waitFor(t, "the mute one has joined", func() bool { return d.Figures().Joined == 1 })
 	began := time.Now()
 	var all sync.WaitGroup
 	var busy, told atomic.Int64
 	for i := range n {
 		all.Go(func() {
 			for ctx.Err() == nil && time.Since(began) < 30*time.Second {
-				if storm(s.Addr().String(), fmt.Sprint("p", i), &busy) {
+				if joinOnce(s.Addr().String(), fmt.Sprint("p", i), &busy) {
 					told.Add(1)
 					return
 				}
@@ -427,14 +427,14 @@
 }
 
 // storm connects and subscribes once; false where it was told to come later.
-func storm(address, name string, busy *atomic.Int64) bool {
+func joinOnce(address, name string, busy *atomic.Int64) bool {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	c.Write(pack(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: name, CleanStart: true, Properties: &packets.Properties{}}))
+	c.Write(encodeAs(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: name, CleanStart: true, Properties: &packets.Properties{}}))
 	for {
 		p, err := packets.ReadPacket(c)
 		if err != nil {
@@ -446,7 +446,7 @@
 				busy.Add(1)
 				return false
 			}
-			c.Write(pack(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
+			c.Write(encodeAs(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
 				Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesOf(name), QoS: 1}}}))
 		case *packets.Publish:
 			return true
@@ -464,8 +464,8 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(8 * time.Second))
-	c.Write(pack(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "p9", CleanStart: true, Properties: &packets.Properties{}}))
-	c.Write(pack(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
+	c.Write(encodeAs(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "p9", CleanStart: true, Properties: &packets.Properties{}}))
+	c.Write(encodeAs(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
 		Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesOf("p9"), QoS: 1}}}))
 	other, quiet := r.d.Entrance(0), false
 	for {
@@ -475,7 +475,7 @@
 		}
 		switch x := p.Content.(type) {
 		case *packets.Publish:
-			c.Write(pack(packets.PUBACK, &packets.Puback{PacketID: x.PacketID, Properties: &packets.Properties{}}))
+			c.Write(encodeAs(packets.PUBACK, &packets.Puback{PacketID: x.PacketID, Properties: &packets.Properties{}}))
 			if !quiet {
 				quiet = true
 				time.AfterFunc(1500*time.Millisecond, func() {
--- a/internal/mqtt/server.go
+++ b/internal/mqtt/server.go
@@ -49,43 +49,43 @@
 // Server is one listening socket.
 type Server struct {
 	*nets.Socket
-	core   Core
-	limits Limits
-	log    *slog.Logger
-	peers  sync.Map // subscribe.Conn -> *peer
-	serial atomic.Uint64
-	open   atomic.Int64
-	failed atomic.Uint64
-	done   chan struct{}
-	once   sync.Once
+	core      Core
+	limits    Limits
+	log       *slog.Logger
+	conns     sync.Map // subscribe.Conn -> *peer
+	lastID    atomic.Uint64
+	openCount atomic.Int64
+	refusals  atomic.Uint64
+	done      chan struct{}
+	closeOnce sync.Once
 
 	mu      sync.Mutex
-	box     []any
+	inbox   []any
 	wake    chan struct{}
 	figures atomic.Pointer[subscribe.Figures]
 }
 
 // peer is one connection.
-type peer struct {
+type clientConn struct {
 	conn netpoll.Connection
 	id   subscribe.Conn
 
-	mu        sync.Mutex
-	in        []byte
-	connected bool
-	gone      bool
-	keepAlive time.Duration
-	heard     time.Time // of the last packet
+	mu           sync.Mutex
+	buf          []byte
+	connected    bool
+	disconnected bool
+	keepAlive    time.Duration
+	lastPacketAt time.Time // of the last packet
 
-	half, unsent atomic.Int64 // bytes of packets that are half read, or wait to be written behind others
+	partialBytes, queuedBytes atomic.Int64 // bytes of packets that are half read, or wait to be written behind others
 
-	outMu   sync.Mutex
-	out     [][]byte
+	queueMu sync.Mutex
+	queue   [][]byte
 	writing bool
 	closing bool // after what waits is written
 	ended   bool
 	writeMu sync.Mutex // held while netpoll's writer is used, which must not be once the connection is closed
-	shut    bool
+	closed  bool
 }
 
 // Listen opens the socket.
@@ -101,8 +101,8 @@
 }
 
 // Open is how many connections are open, Failed how many broke the specification, Figures those of the sessions.
-func (s *Server) OpenConnections() int64     { return s.open.Load() }
-func (s *Server) Refusals() uint64           { return s.failed.Load() }
+func (s *Server) OpenConnections() int64     { return s.openCount.Load() }
+func (s *Server) Refusals() uint64           { return s.refusals.Load() }
 func (s *Server) Figures() subscribe.Figures { return *s.figures.Load() }
 
 // Serve answers until Close.
@@ -113,125 +113,125 @@
 
 // Close closes the socket and tells all clients.
 func (s *Server) Close() error {
-	s.once.Do(func() { close(s.done) })
-	s.peers.Range(func(_, v any) bool {
-		v.(*peer).send(s, pack(packets.DISCONNECT, &packets.Disconnect{ReasonCode: byte(serverShuttingDown), Properties: &packets.Properties{}}), true)
+	s.closeOnce.Do(func() { close(s.done) })
+	s.conns.Range(func(_, v any) bool {
+		v.(*clientConn).enqueue(s, encodeAs(packets.DISCONNECT, &packets.Disconnect{ReasonCode: byte(serverShuttingDown), Properties: &packets.Properties{}}), true)
 		return true
 	})
 	return s.Socket.Close(func(each func(netpoll.Connection)) {
-		s.peers.Range(func(_, v any) bool { each(v.(*peer).conn); return true })
+		s.conns.Range(func(_, v any) bool { each(v.(*clientConn).conn); return true })
 	})
 }
 
-type peerKey struct{}
+type connKey struct{}
 
 func (s *Server) accept(c netpoll.Connection) context.Context {
-	p := &peer{conn: c, id: subscribe.Conn(s.serial.Add(1)), heard: time.Now(), keepAlive: s.limits.ConnectTimeout}
-	s.open.Add(1)
+	cc := &clientConn{conn: c, id: subscribe.Conn(s.lastID.Add(1)), lastPacketAt: time.Now(), keepAlive: s.limits.ConnectTimeout}
+	s.openCount.Add(1)
 	s.limits.Budget.Opened()
-	s.peers.Store(p.id, p)
+	s.conns.Store(cc.id, cc)
 	c.AddCloseCallback(func(netpoll.Connection) error {
-		s.open.Add(-1)
-		s.peers.Delete(p.id)
-		s.limits.Budget.Closed(p.client())
-		p.writeMu.Lock()
-		p.shut = true
-		p.writeMu.Unlock()
-		p.mu.Lock()
-		was := p.gone
-		p.gone = true
-		p.mu.Unlock()
+		s.openCount.Add(-1)
+		s.conns.Delete(cc.id)
+		s.limits.Budget.Closed(cc.budgetID())
+		cc.writeMu.Lock()
+		cc.closed = true
+		cc.writeMu.Unlock()
+		cc.mu.Lock()
+		was := cc.disconnected
+		cc.disconnected = true
+		cc.mu.Unlock()
 		if !was {
-			s.post(subscribe.Gone{Conn: p.id})
+			s.post(subscribe.Gone{Conn: cc.id})
 		}
 		return nil
 	})
-	return context.WithValue(context.Background(), peerKey{}, p)
+	return context.WithValue(context.Background(), connKey{}, cc)
 }
 
 // read takes what has come. Packets go on to the desk in their order.
 func (s *Server) read(ctx context.Context, c netpoll.Connection) error {
-	p := ctx.Value(peerKey{}).(*peer)
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	cc := ctx.Value(connKey{}).(*clientConn)
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
 	r := c.Reader()
 	b, err := r.Next(r.Len())
 	if err != nil {
 		return err
 	}
-	p.in = append(p.in, b...)
+	cc.buf = append(cc.buf, b...)
 	r.Release()
 	defer func() {
-		if was := p.half.Swap(int64(len(p.in))); was != int64(len(p.in)) && !p.gone {
-			s.limits.Budget.Hold(p.client(), p.half.Load()+p.unsent.Load())
+		if was := cc.partialBytes.Swap(int64(len(cc.buf))); was != int64(len(cc.buf)) && !cc.disconnected {
+			s.limits.Budget.Hold(cc.budgetID(), cc.partialBytes.Load()+cc.queuedBytes.Load())
 		}
 	}()
-	for len(p.in) > 0 && !p.gone {
-		n, wrong := length(p.in, s.limits.MaxPacketBytes)
-		if wrong == nil && (n == 0 || len(p.in) < n) {
+	for len(cc.buf) > 0 && !cc.disconnected {
+		n, perr := packetLength(cc.buf, s.limits.MaxPacketBytes)
+		if perr == nil && (n == 0 || len(cc.buf) < n) {
 			return nil
 		}
-		if wrong == nil {
+		if perr == nil {
 			var packet *packets.ControlPacket
-			if packet, wrong = parse(p.in[:n:n]); wrong == nil {
-				p.heard = time.Now()
-				wrong = s.take(p, packet)
+			if packet, perr = parsePacket(cc.buf[:n:n]); perr == nil {
+				cc.lastPacketAt = time.Now()
+				perr = s.handlePacket(cc, packet)
 			}
 		}
-		if wrong != nil {
-			s.breach(p, wrong)
+		if perr != nil {
+			s.abort(cc, perr)
 			return nil
 		}
-		if p.in = append([]byte(nil), p.in[n:]...); len(p.in) == 0 {
-			p.in = nil
+		if cc.buf = append([]byte(nil), cc.buf[n:]...); len(cc.buf) == 0 {
+			cc.buf = nil
 		}
 	}
 	return nil
 }
 
 // client is the peer's name in the budget.
-func (p *peer) client() budget.Client { return budget.Client(p.id)<<1 | 1 }
+func (cc *clientConn) budgetID() budget.Client { return budget.Client(cc.id)<<1 | 1 }
 
 // Cut closes a client's connection, if it is of this front.
 func (s *Server) CloseClient(c budget.Client) {
-	if v, open := s.peers.Load(subscribe.Conn(c >> 1)); open && c&1 == 1 {
+	if v, open := s.conns.Load(subscribe.Conn(c >> 1)); open && c&1 == 1 {
 		s.log.Warn("client.cut", "why", "it holds more of the director's memory than the others, and there is no more")
-		go v.(*peer).conn.Close()
+		go v.(*clientConn).conn.Close()
 	}
 }
 
 // breach ends a connection that broke the rules.
-func (s *Server) breach(p *peer, wrong *fault) {
-	s.failed.Add(1)
-	s.log.Debug("mqtt.refused", "code", int(wrong.code), "why", wrong.why)
-	s.end(p, p.connected, wrong.code, wrong.why)
-	p.gone, p.in = true, nil
-	s.post(subscribe.Gone{Conn: p.id})
+func (s *Server) abort(cc *clientConn, perr *protocolError) {
+	s.refusals.Add(1)
+	s.log.Debug("mqtt.refused", "code", int(perr.code), "why", perr.reason)
+	s.disconnect(cc, cc.connected, perr.code, perr.reason)
+	cc.disconnected, cc.buf = true, nil
+	s.post(subscribe.Gone{Conn: cc.id})
 }
 
 // end tells a client why its connection ends, and ends it.
-func (s *Server) end(p *peer, connected bool, code subscribe.Code, why string) {
+func (s *Server) disconnect(cc *clientConn, connected bool, code subscribe.Code, why string) {
 	if !connected {
-		p.send(s, pack(packets.CONNACK, &packets.Connack{ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: why}}), true)
+		cc.enqueue(s, encodeAs(packets.CONNACK, &packets.Connack{ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: why}}), true)
 		return
 	}
-	p.send(s, pack(packets.DISCONNECT, &packets.Disconnect{ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: why}}), true)
+	cc.enqueue(s, encodeAs(packets.DISCONNECT, &packets.Disconnect{ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: why}}), true)
 }
 
 // take hands a packet on. The peer's lock is held.
-func (s *Server) take(p *peer, packet *packets.ControlPacket) *fault {
-	if c, is := packet.Content.(*packets.Connect); is {
-		if p.connected {
-			return breach(subscribe.ProtocolError, "a second CONNECT")
+func (s *Server) handlePacket(cc *clientConn, packet *packets.ControlPacket) *protocolError {
+	if c, ok := packet.Content.(*packets.Connect); ok {
+		if cc.connected {
+			return protocolErrorf(subscribe.ProtocolError, "a second CONNECT")
 		}
-		return s.connect(p, c)
+		return s.handleConnect(cc, c)
 	}
-	if !p.connected {
-		return breach(subscribe.ProtocolError, "the first packet is no CONNECT")
+	if !cc.connected {
+		return protocolErrorf(subscribe.ProtocolError, "the first packet is no CONNECT")
 	}
 	switch c := packet.Content.(type) {
 	case *packets.Subscribe:
-		in := subscribe.Subscribe{Conn: p.id, ID: c.PacketID}
+		in := subscribe.Subscribe{Conn: cc.id, ID: c.PacketID}
 		if c.Properties != nil {
 			for _, u := range c.Properties.User {
 				in.Again = in.Again || u.Key == subscribe.PropertyAgain
@@ -242,30 +242,30 @@
 		}
 		s.post(in)
 	case *packets.Unsubscribe:
-		s.post(subscribe.Unsubscribe{Conn: p.id, ID: c.PacketID, Topics: c.Topics})
+		s.post(subscribe.Unsubscribe{Conn: cc.id, ID: c.PacketID, Topics: c.Topics})
 	case *packets.Puback:
-		s.post(subscribe.Ack{Conn: p.id, ID: c.PacketID, Code: subscribe.Code(c.ReasonCode)})
+		s.post(subscribe.Ack{Conn: cc.id, ID: c.PacketID, Code: subscribe.Code(c.ReasonCode)})
 	case *packets.Publish:
-		s.report(p, c)
+		s.handleReport(cc, c)
 	case *packets.Pingreq:
-		p.send(s, pack(packets.PINGRESP, &packets.Pingresp{}), false)
+		cc.enqueue(s, encodeAs(packets.PINGRESP, &packets.Pingresp{}), false)
 	case *packets.Disconnect:
-		g := subscribe.Gone{Conn: p.id}
+		g := subscribe.Gone{Conn: cc.id}
 		if c.Properties != nil && c.Properties.SessionExpiryInterval != nil {
 			expiry := logic.Millis(*c.Properties.SessionExpiryInterval) * 1000
 			g.Expiry = &expiry
 		}
-		p.gone = true
+		cc.disconnected = true
 		s.post(g)
-		p.send(s, nil, true)
+		cc.enqueue(s, nil, true)
 	}
 	return nil
 }
 
-func (s *Server) connect(p *peer, c *packets.Connect) *fault {
-	in := subscribe.Connect{Conn: p.id, Client: c.ClientID, Clean: c.CleanStart}
-	if in.Client == "" || len(in.Client) > 128 || !text(in.Client) {
-		return breach(subscribe.IDNotValid, "a client identifier of 1 to 128 bytes is needed")
+func (s *Server) handleConnect(cc *clientConn, c *packets.Connect) *protocolError {
+	in := subscribe.Connect{Conn: cc.id, Client: c.ClientID, Clean: c.CleanStart}
+	if in.Client == "" || len(in.Client) > 128 || !isValidText(in.Client) {
+		return protocolErrorf(subscribe.IDNotValid, "a client identifier of 1 to 128 bytes is needed")
 	}
 	props := c.Properties
 	if props == nil {
@@ -284,13 +284,13 @@
 		case subscribe.PropertyRate:
 			rate, err := strconv.ParseFloat(u.Value, 64)
 			if err != nil || !(rate >= 0 && rate <= 1e9) {
-				return breach(subscribe.Unspecified, "user property rate: %.40q is no number of calls a second", u.Value)
+				return protocolErrorf(subscribe.Unspecified, "user property rate: %.40q is no number of calls a second", u.Value)
 			}
 			in.Rate = rate
 		case subscribe.PropertyHeld:
 			tag, err := tables.ParseETag(u.Value)
 			if err != nil {
-				return breach(subscribe.Unspecified, "user property held: %v", err)
+				return protocolErrorf(subscribe.Unspecified, "user property held: %v", err)
 			}
 			if len(in.Held) < 16 {
 				in.Held = append(in.Held, tag)
@@ -302,26 +302,26 @@
 		kind = inflow.NewPolls
 	}
 	if s.core.Admit(kind, in.Client) > 0 {
-		return breach(subscribe.ServerBusy, "the director has more to do than it can: come again in some seconds")
+		return protocolErrorf(subscribe.ServerBusy, "the director has more to do than it can: come again in some seconds")
 	}
-	p.connected = true
-	if p.keepAlive = time.Duration(c.KeepAlive) * time.Second; p.keepAlive == 0 || p.keepAlive > s.limits.MaxKeepAlive {
-		p.keepAlive = s.limits.MaxKeepAlive
+	cc.connected = true
+	if cc.keepAlive = time.Duration(c.KeepAlive) * time.Second; cc.keepAlive == 0 || cc.keepAlive > s.limits.MaxKeepAlive {
+		cc.keepAlive = s.limits.MaxKeepAlive
 	}
 	s.post(in)
 	return nil
 }
 
 // report takes a proxy's sums. What can't be read is refused by its reason code; the connection stays.
-func (s *Server) report(p *peer, c *packets.Publish) {
+func (s *Server) handleReport(cc *clientConn, c *packets.Publish) {
 	refuse := func(code subscribe.Code, why string) {
-		s.failed.Add(1)
+		s.refusals.Add(1)
 		if c.QoS > 0 {
-			p.send(s, puback(c.PacketID, code, why), false)
+			cc.enqueue(s, encodePuback(c.PacketID, code, why), false)
 		}
 	}
-	proxy, is := subscribe.ProxyOfReports(c.Topic)
-	if !is {
+	proxy, ok := subscribe.ProxyOfReports(c.Topic)
+	if !ok {
 		refuse(subscribe.TopicInvalid, "there is "+subscribe.ReportsOf("{proxy}"))
 		return
 	}
@@ -348,17 +348,17 @@
 	if c.QoS == 0 {
 		id = 0
 	}
-	s.post(subscribe.Report{Conn: p.id, ID: id, Report: r})
+	s.post(subscribe.Report{Conn: cc.id, ID: id, Report: r})
 }
 
-func puback(id uint16, code subscribe.Code, why string) []byte {
-	return pack(packets.PUBACK, &packets.Puback{PacketID: id, ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: why}})
+func encodePuback(id uint16, code subscribe.Code, why string) []byte {
+	return encodeAs(packets.PUBACK, &packets.Puback{PacketID: id, ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: why}})
 }
 
 // post puts something into the desk's inbox.
 func (s *Server) post(in any) {
 	s.mu.Lock()
-	s.box = append(s.box, in)
+	s.inbox = append(s.inbox, in)
 	s.mu.Unlock()
 	select {
 	case s.wake <- struct{}{}:
@@ -384,18 +384,18 @@
 		case <-s.done:
 			return
 		case now := <-tick.C:
-			s.silent(now)
+			s.enforceKeepAlive(now)
 		case <-s.wake:
 		}
 		s.mu.Lock()
-		in := s.box
-		s.box = nil
+		in := s.inbox
+		s.inbox = nil
 		s.mu.Unlock()
 		for _, o := range desk.Handle(s.core.Now(), in...) {
-			s.carryOut(o)
+			s.execute(o)
 		}
 		for _, i := range in {
-			if told, is := i.(subscribe.Told); is {
+			if told, ok := i.(subscribe.Told); ok {
 				told.Answer.Land() // what came of it stands in its connection's queue, in order
 			}
 		}
@@ -405,24 +405,24 @@
 }
 
 // silent ends connections that have sent nothing for one and a half times the keep alive.
-func (s *Server) silent(now time.Time) {
-	s.peers.Range(func(_, v any) bool {
-		p := v.(*peer)
-		if !p.mu.TryLock() {
+func (s *Server) enforceKeepAlive(now time.Time) {
+	s.conns.Range(func(_, v any) bool {
+		cc := v.(*clientConn)
+		if !cc.mu.TryLock() {
 			return true
 		}
-		defer p.mu.Unlock()
-		if limit := p.keepAlive * 3 / 2; !p.gone && now.Sub(p.heard) > limit {
-			s.breach(p, breach(subscribe.KeepAliveTimeout, "nothing came for %v", limit))
+		defer cc.mu.Unlock()
+		if limit := cc.keepAlive * 3 / 2; !cc.disconnected && now.Sub(cc.lastPacketAt) > limit {
+			s.abort(cc, protocolErrorf(subscribe.KeepAliveTimeout, "nothing came for %v", limit))
 		}
 		return true
 	})
 }
 
-func (s *Server) carryOut(o any) {
+func (s *Server) execute(o any) {
 	to := func(c subscribe.Conn, b []byte) {
-		if v, open := s.peers.Load(c); open {
-			v.(*peer).send(s, b, false)
+		if v, open := s.conns.Load(c); open {
+			v.(*clientConn).enqueue(s, b, false)
 		}
 	}
 	switch o := o.(type) {
@@ -431,37 +431,37 @@
 	case subscribe.Accept:
 		no, one, most, keep := byte(0), byte(1), uint32(s.limits.MaxPacketBytes), uint16(s.limits.MaxKeepAlive/time.Second)
 		expiry, receive := uint32(o.Expiry/1000), uint16(64)
-		to(o.Conn, pack(packets.CONNACK, &packets.Connack{SessionPresent: o.Present, Properties: &packets.Properties{MaximumQOS: &one,
+		to(o.Conn, encodeAs(packets.CONNACK, &packets.Connack{SessionPresent: o.Present, Properties: &packets.Properties{MaximumQOS: &one,
 			RetainAvailable: &no, MaximumPacketSize: &most, WildcardSubAvailable: &no, SubIDAvailable: &no, SharedSubAvailable: &no,
 			SessionExpiryInterval: &expiry, ReceiveMaximum: &receive, ServerKeepAlive: &keep}}))
 	case subscribe.Refuse:
-		if v, open := s.peers.Load(o.Conn); open {
-			v.(*peer).send(s, pack(packets.CONNACK, &packets.Connack{ReasonCode: byte(o.Code), Properties: &packets.Properties{ReasonString: o.Why}}), true)
+		if v, open := s.conns.Load(o.Conn); open {
+			v.(*clientConn).enqueue(s, encodeAs(packets.CONNACK, &packets.Connack{ReasonCode: byte(o.Code), Properties: &packets.Properties{ReasonString: o.Why}}), true)
 		}
 	case subscribe.Granted:
 		a := &packets.Suback{PacketID: o.ID, Properties: &packets.Properties{ReasonString: o.Why}}
 		for _, c := range o.Codes {
 			a.Reasons = append(a.Reasons, byte(c))
 		}
-		to(o.Conn, pack(packets.SUBACK, a))
+		to(o.Conn, encodeAs(packets.SUBACK, a))
 	case subscribe.Ungranted:
 		a := &packets.Unsuback{PacketID: o.ID, Properties: &packets.Properties{}}
 		for _, c := range o.Codes {
 			a.Reasons = append(a.Reasons, byte(c))
 		}
-		to(o.Conn, pack(packets.UNSUBACK, a))
+		to(o.Conn, encodeAs(packets.UNSUBACK, a))
 	case subscribe.Deliver:
-		to(o.Conn, publish(o))
+		to(o.Conn, encodeDelivery(o))
 	case subscribe.Acked:
-		to(o.Conn, puback(o.ID, o.Code, o.Why))
+		to(o.Conn, encodePuback(o.ID, o.Code, o.Why))
 	case subscribe.Close:
-		if v, open := s.peers.Load(o.Conn); open {
-			s.end(v.(*peer), true, o.Code, o.Why)
+		if v, open := s.conns.Load(o.Conn); open {
+			s.disconnect(v.(*clientConn), true, o.Code, o.Why)
 		}
 	}
 }
 
-func publish(o subscribe.Deliver) []byte {
+func encodeDelivery(o subscribe.Deliver) []byte {
 	props := &packets.Properties{ContentType: o.Doc.Type, User: []packets.User{{Key: subscribe.PropertyTag, Value: o.Doc.Tag}}}
 	if o.Doc.Base != "" {
 		props.User = append(props.User, packets.User{Key: subscribe.PropertyBase, Value: o.Doc.Base})
@@ -469,74 +469,74 @@
 	if o.Doc.Lease > 0 {
 		props.User = append(props.User, packets.User{Key: subscribe.PropertyLease, Value: strconv.Itoa(int(o.Doc.Lease))})
 	}
-	return render(&packets.Publish{Topic: o.Topic, QoS: 1, PacketID: o.ID, Duplicate: o.Again, Retain: o.Retain, Payload: o.Doc.Body, Properties: props})
+	return encode(&packets.Publish{Topic: o.Topic, QoS: 1, PacketID: o.ID, Duplicate: o.Again, Retain: o.Retain, Payload: o.Doc.Body, Properties: props})
 }
 
 // send writes a packet after those that wait, beside the desk's loop: a client that reads slowly holds up nobody else. One
 // that lets too many wait is closed.
-func (p *peer) send(s *Server, b []byte, last bool) {
-	p.outMu.Lock()
-	defer p.outMu.Unlock()
-	if p.ended {
+func (cc *clientConn) enqueue(s *Server, b []byte, last bool) {
+	cc.queueMu.Lock()
+	defer cc.queueMu.Unlock()
+	if cc.ended {
 		return
 	}
 	if b != nil {
-		p.out = append(p.out, b)
+		cc.queue = append(cc.queue, b)
 	}
-	if p.writing && len(p.out) > 1 { // it reads more slowly than it is sent
+	if cc.writing && len(cc.queue) > 1 { // it reads more slowly than it is sent
 		waits := int64(0)
-		for _, x := range p.out {
+		for _, x := range cc.queue {
 			waits += int64(len(x))
 		}
-		p.unsent.Store(waits)
-		s.limits.Budget.Hold(p.client(), p.half.Load()+waits)
+		cc.queuedBytes.Store(waits)
+		s.limits.Budget.Hold(cc.budgetID(), cc.partialBytes.Load()+waits)
 	}
-	if p.closing = p.closing || last; len(p.out) > mostWaiting {
-		p.ended = true
-		go p.conn.Close()
+	if cc.closing = cc.closing || last; len(cc.queue) > maxQueuedPackets {
+		cc.ended = true
+		go cc.conn.Close()
 		return
 	}
-	if !p.writing {
-		p.writing = true
-		nets.Go(func() { p.drain(s) })
+	if !cc.writing {
+		cc.writing = true
+		nets.Go(func() { cc.writeQueue(s) })
 	}
 }
 
-func (p *peer) drain(s *Server) {
+func (cc *clientConn) writeQueue(s *Server) {
 	for {
-		p.outMu.Lock()
-		all := p.out
-		if p.out = nil; len(all) == 0 || p.ended {
-			p.writing = false
-			closing := p.closing && !p.ended
-			p.ended = p.ended || p.closing
-			p.outMu.Unlock()
-			if p.unsent.Swap(0) > 0 {
-				s.limits.Budget.Hold(p.client(), p.half.Load())
+		cc.queueMu.Lock()
+		all := cc.queue
+		if cc.queue = nil; len(all) == 0 || cc.ended {
+			cc.writing = false
+			closing := cc.closing && !cc.ended
+			cc.ended = cc.ended || cc.closing
+			cc.queueMu.Unlock()
+			if cc.queuedBytes.Swap(0) > 0 {
+				s.limits.Budget.Hold(cc.budgetID(), cc.partialBytes.Load())
 			}
 			if closing {
-				p.conn.Close()
+				cc.conn.Close()
 			}
 			return
 		}
-		p.outMu.Unlock()
-		if err := p.write(all); err != nil {
-			p.outMu.Lock()
-			p.ended, p.writing = true, false
-			p.outMu.Unlock()
-			p.conn.Close()
+		cc.queueMu.Unlock()
+		if err := cc.writePackets(all); err != nil {
+			cc.queueMu.Lock()
+			cc.ended, cc.writing = true, false
+			cc.queueMu.Unlock()
+			cc.conn.Close()
 			return
 		}
 	}
 }
 
-func (p *peer) write(all [][]byte) error {
-	p.writeMu.Lock()
-	defer p.writeMu.Unlock()
-	if p.shut {
+func (cc *clientConn) writePackets(all [][]byte) error {
+	cc.writeMu.Lock()
+	defer cc.writeMu.Unlock()
+	if cc.closed {
 		return net.ErrClosed
 	}
-	w := p.conn.Writer()
+	w := cc.conn.Writer()
 	for _, b := range all {
 		w.WriteBinary(b)
 	}
