--- a/internal/longpoll/ask.go
+++ b/internal/longpoll/ask.go
@@ -45,7 +45,8 @@
 			return nil
 		})
 	}
-	return newProblem(http.StatusNotFound, "unknown path: use /v1/proxies/{proxy}/tables, /v1/proxies/{proxy}/reports or /v1/tables")
+	return newProblem(http.StatusNotFound,
+		"unknown path: use /v1/proxies/{proxy}/tables, /v1/proxies/{proxy}/reports or /v1/tables")
 }
 
 // postQuery sends the core a request that is not a proxy's poll, and records that its answer is pending.
@@ -76,7 +77,8 @@
 		}
 		proxy = plain
 	} else if proxy == "" || bytes.IndexByte(name, '/') >= 0 {
-		return newProblem(http.StatusNotFound, "unknown path: use /v1/proxies/{proxy}/tables, /v1/proxies/{proxy}/reports or /v1/tables")
+		return newProblem(http.StatusNotFound,
+			"unknown path: use /v1/proxies/{proxy}/tables, /v1/proxies/{proxy}/reports or /v1/tables")
 	}
 	if len(proxy) > 128 {
 		return newProblem(http.StatusNotFound, "a proxy name may have at most 128 bytes")
--- a/internal/longpoll/longpoll_test.go
+++ b/internal/longpoll/longpoll_test.go
@@ -361,9 +361,9 @@
 	waitFor(t, "all connections closed", func() bool { return d.server.OpenConnections() == 0 })
 }
 
-func waitFor(t testing.TB, what string, is func() bool) {
+func waitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
--- a/internal/longpoll/server.go
+++ b/internal/longpoll/server.go
@@ -95,8 +95,8 @@
 	return s, err
 }
 
-// SetLimits changes the limits of a running server. A request that is partly read is checked against the new limits when
-// more of it arrives. Budget, MaxWait and WriteTimeout keep their values.
+// SetLimits changes the limits of a running server. A request that is partly read is checked against the new limits
+// when more of it arrives. Budget, MaxWait and WriteTimeout keep their values.
 func (s *Server) SetLimits(l Limits) {
 	was := s.limits.Load()
 	l.Budget, l.MaxWait, l.WriteTimeout = was.Budget, was.MaxWait, was.WriteTimeout
@@ -170,7 +170,8 @@
 		cc.buf = append(cc.buf, b...)
 	}
 	if limit := s.limits.Load().MaxHeadBytes + s.limits.Load().MaxBodyBytes; len(cc.buf) > limit {
-		s.writeProblem(cc, newProblem(http.StatusRequestEntityTooLarge, "more than %d bytes of unprocessed requests", limit).closing())
+		s.writeProblem(cc, newProblem(http.StatusRequestEntityTooLarge,
+			"more than %d bytes of unprocessed requests", limit).closing())
 		cc.buf = nil
 	}
 	s.processBuffered(cc)
@@ -297,7 +298,8 @@
 				switch idle := now.Sub(cc.activeAt); {
 				case cc.ticket != 0 || cc.closed:
 				case len(cc.buf) > 0 && idle > limits.RequestTimeout:
-					s.writeProblem(cc, newProblem(http.StatusRequestTimeout, "the request was not complete within %v", limits.RequestTimeout).closing())
+					s.writeProblem(cc, newProblem(http.StatusRequestTimeout,
+						"the request was not complete within %v", limits.RequestTimeout).closing())
 				case len(cc.buf) == 0 && idle > limits.IdleTimeout:
 					cc.closed = true
 					go cc.conn.Close()
--- a/internal/longpoll/wire.go
+++ b/internal/longpoll/wire.go
@@ -64,7 +64,8 @@
 		return false, nil
 	}
 	if r.Chunked {
-		return false, newProblem(http.StatusNotImplemented, "chunked bodies are not supported: a body needs a Content-Length").closing()
+		return false, newProblem(http.StatusNotImplemented,
+			"chunked bodies are not supported: a body needs a Content-Length").closing()
 	}
 	length := max(0, r.Length)
 	if length > int64(maxBody) {
@@ -97,7 +98,8 @@
 	return out
 }
 
-// parseIfNoneMatch parses an If-None-Match list. Tags that are not versions of tables are ignored; matchAny reports `*`.
+// parseIfNoneMatch parses an If-None-Match list. Tags that do not name a version of the tables are ignored; matchAny
+// reports `*`.
 func parseIfNoneMatch(list []byte) (held []tables.Tag, matchAny bool, p *problem) {
 	rest := bytes.TrimSpace(list)
 	if string(rest) == "*" {
--- a/internal/mqtt/bench_test.go
+++ b/internal/mqtt/bench_test.go
@@ -24,7 +24,7 @@
 	"vetchwood/internal/subscribe"
 )
 
-// count is a connection that counts what comes.
+// countingConn is a connection that counts the bytes received.
 type countingConn struct {
 	net.Conn
 	n *atomic.Int64
@@ -36,8 +36,9 @@
 	return n, err
 }
 
-// Both fronts of one director in one run: so many proxies each, VETCHWOOD_PROXIES or 500. Memory is the process's, less
-// what the clients' own buffers take on either side: each client is a bare socket with a small reader.
+// BenchmarkFronts compares long polling and MQTT on one director by the time from a change to the last proxy, the bytes
+// sent to each proxy per change and the memory per proxy. VETCHWOOD_PROXIES sets the number of proxies, 500 by default.
+// Memory is that of the whole process; each client is a plain socket with a small reader, to keep its own share low.
 func BenchmarkFronts(b *testing.B) {
 	n := 500
 	if v, err := strconv.Atoi(os.Getenv("VETCHWOOD_PROXIES")); err == nil {
@@ -47,7 +48,7 @@
 		b.Run(front, func(b *testing.B) {
 			r := newBenchRig(b, 2*n)
 			var bytes atomic.Int64
-			var came sync.WaitGroup
+			var first sync.WaitGroup
 			memory := func() float64 {
 				runtime.GC()
 				var m runtime.MemStats
@@ -71,12 +72,12 @@
 				clients = append(clients, c)
 				c.subscribe()
 			}
-			time.Sleep(3 * time.Second) // tables are laid, levels stated, all is quiet
+			time.Sleep(3 * time.Second) // until tables and levels are published and no more changes follow
 			for _, c := range clients {
-				came.Add(1)
-				go c.follow(&came)
+				first.Add(1)
+				go c.follow(&first)
 			}
-			came.Wait()
+			first.Wait()
 			time.Sleep(2500 * time.Millisecond)
 			held := memory()
 			var last []float64
@@ -109,7 +110,7 @@
 	}
 }
 
-// both is a director with both fronts.
+// benchRig is a director that serves both protocols.
 type benchRig struct {
 	*rig
 	http *longpoll.Server
@@ -140,7 +141,7 @@
 	return r
 }
 
-// bare is a client without a library.
+// rawClient is a client on a plain socket, without a client library.
 type rawClient struct {
 	b         *testing.B
 	name      string
@@ -151,6 +152,7 @@
 	documents atomic.Int64
 }
 
+// subscribe sends the first request: a subscription or a poll.
 func (c *rawClient) subscribe() {
 	if c.mqtt {
 		c.conn.Write(encodeAs(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: c.name, CleanStart: true, Properties: &packets.Properties{}}))
@@ -161,19 +163,19 @@
 	fmt.Fprintf(c.conn, "GET /v1/proxies/%s/tables HTTP/1.1\r\nHost: d\r\n\r\n", c.name)
 }
 
-// follow takes documents until the connection ends, and is there once it has read the first.
-func (c *rawClient) follow(came *sync.WaitGroup) {
-	first := sync.OnceFunc(came.Done)
+// follow receives documents until the connection is closed, and calls first.Done after the first one.
+func (c *rawClient) follow(first *sync.WaitGroup) {
+	markFirst := sync.OnceFunc(first.Done)
 	for {
 		if c.mqtt {
 			p, err := packets.ReadPacket(c.in)
 			if err != nil {
 				return
 			}
-			if pub, is := p.Content.(*packets.Publish); is {
+			if pub, ok := p.Content.(*packets.Publish); ok {
 				c.documents.Add(1)
 				c.conn.Write(encodeAs(packets.PUBACK, &packets.Puback{PacketID: pub.PacketID, Properties: &packets.Properties{}}))
-				first()
+				markFirst()
 			}
 			continue
 		}
@@ -186,7 +188,7 @@
 		if res.StatusCode != http.StatusNotModified {
 			c.documents.Add(1)
 		}
-		first()
+		markFirst()
 		fmt.Fprintf(c.conn, "GET /v1/proxies/%s/tables HTTP/1.1\r\nHost: d\r\nIf-None-Match: %s\r\nA-IM: json-patch\r\nPrefer: wait=30\r\n\r\n", c.name, c.tag)
 	}
 }
--- a/internal/mqtt/mqtt_test.go
+++ b/internal/mqtt/mqtt_test.go
@@ -29,6 +29,7 @@
 	"vetchwood/logic"
 )
 
+// discardStore is a store whose writes succeed immediately and are discarded.
 type discardStore struct{}
 
 func (discardStore) Load() (control.Saved, error) {
@@ -36,16 +37,18 @@
 }
 func (discardStore) Write([]control.Change) error { return nil }
 
+// discardAnswers takes the place of the long polling server.
 type discardAnswers struct{}
 
 func (discardAnswers) Answer(control.Answer) {}
 
-// rig is a director with this front alone.
+// rig is a director that serves MQTT only.
 type rig struct {
 	d *director.Director
 	s *Server
 }
 
+// hosts returns a list of n hosts. The one with the index drained is draining; -1 means none.
 func hosts(n int, drained int) (out []control.Listed) {
 	for i := range n {
 		l := control.Listed{ID: fmt.Sprint("h", i), Address: tables.Address(fmt.Sprintf("10.0.0.%d:80", i)), Zone: "a", Weight: 1}
@@ -57,7 +60,7 @@
 	return out
 }
 
-// newDirector makes one of four hosts and eight slices.
+// newDirector returns a director with eight slices and one route.
 func newDirector(t testing.TB, proxies int, wait logic.Millis) *director.Director {
 	svc := control.Service{Zones: []string{"a"}, Pick: "lottery", ProxyNames: regexp.MustCompile(`^p[0-9]+$`), Lease: 3000, LongestWait: wait, Kept: 64,
 		Routes: []control.RouteInfo{{Name: "read", Route: tables.Route{Level: tables.Level{Level: 1, Tries: 1}, Repeat: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1}}},
@@ -94,9 +97,9 @@
 
 func (r *rig) url() *url.URL { return &url.URL{Scheme: "mqtt", Host: r.s.Addr().String()} }
 
-func waitFor(t *testing.T, what string, is func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(8 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(8 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
@@ -124,9 +127,10 @@
 	return false
 }
 
-// The real client library: a subscription gets the snapshot and then differences, each from what was acknowledged, with none
-// between lost; a session that goes on gets no snapshot again; a will and a clean end are no trouble. QoS 1 delivers at least
-// once: what is held already comes again only behind a reconnect, once for each, marked as a duplicate (MQTT 5, 4.4).
+// With the Paho client library, a subscription gets a snapshot and then deltas, each based on the acknowledged version,
+// and none is lost. A resumed session gets no second snapshot. The client sets a will, which must cause no error. QoS 1
+// delivers at least once: a version that the client holds is redelivered only after a reconnect, at most once for each,
+// and marked as a duplicate (MQTT 5, 4.4).
 func TestAutopaho(t *testing.T) {
 	t.Parallel()
 	r := start(t, nil)
@@ -142,7 +146,7 @@
 			first := ups == 0
 			ups++
 			if !first && !ack.SessionPresent {
-				fail = "the session was not kept"
+				fail = "the session was not resumed"
 			}
 			mu.Unlock()
 			if first {
@@ -154,7 +158,7 @@
 			defer mu.Unlock()
 			tag, base := p.Packet.Properties.User.Get(subscribe.PropertyTag), p.Packet.Properties.User.Get(subscribe.PropertyBase)
 			if held != nil && p.Packet.Duplicate() && tag == held.Tag().ETag() {
-				redelivered++ // its acknowledgement was lost with the connection
+				redelivered++ // the acknowledgement was lost with the connection
 				return true, nil
 			}
 			var d *tables.Document
@@ -162,7 +166,7 @@
 			if p.Packet.Properties.ContentType == tables.PatchType {
 				deltas++
 				if held == nil || base != held.Tag().ETag() {
-					fail = "a difference from what is not held: " + base
+					fail = "a delta whose base is not held: " + base
 					return true, nil
 				}
 				d, err = tables.Apply(held, p.Packet.Payload)
@@ -174,7 +178,7 @@
 				retained++
 			}
 			if err != nil || d.Tag().ETag() != tag {
-				fail = fmt.Sprint("wrong content: ", err)
+				fail = fmt.Sprint("invalid document: ", err)
 				return true, nil
 			}
 			if held != nil && d.Step <= held.Step {
@@ -190,23 +194,23 @@
 		t.Fatal(err)
 	}
 	now := func() *tables.Document { mu.Lock(); defer mu.Unlock(); return held }
-	waitFor(t, "a whole table", func() bool { return allTablesFilled(now()) })
+	waitFor(t, "the tables of all slices", func() bool { return allTablesFilled(now()) })
 	r.d.Post(control.List{Hosts: hosts(4, 1)})
-	waitFor(t, "the drain", func() bool { return !offers(now(), "10.0.0.1:80") })
+	waitFor(t, "the host that drains to be removed", func() bool { return !offers(now(), "10.0.0.1:80") })
 	if !offers(now(), "10.0.0.2:80") {
-		t.Fatal("the host that drains next is in no table as it is")
+		t.Fatal("the host that is drained next is in no table before its drain")
 	}
 	m.TerminateConnectionForTest()
 	r.d.Post(control.List{Hosts: hosts(4, 2)})
-	waitFor(t, "the next drain, by the session that goes on", func() bool { return !offers(now(), "10.0.0.2:80") })
+	waitFor(t, "the next host that drains to be removed, in the resumed session", func() bool { return !offers(now(), "10.0.0.2:80") })
 	mu.Lock()
 	defer mu.Unlock()
 	if fail != "" || ups < 2 || wholes != 1 || retained != 1 || deltas < 2 || redelivered >= ups {
-		t.Fatalf("%q; %d connections, %d whole, %d of them as the snapshot, %d differences, %d redelivered", fail, ups, wholes, retained, deltas, redelivered)
+		t.Fatalf("%q; %d connections, %d whole documents, %d of them retained, %d deltas, %d redelivered", fail, ups, wholes, retained, deltas, redelivered)
 	}
 }
 
-// Our own proxy's follower: tables and reports by subscription, from the version that is held.
+// The follower of the project's proxy receives tables and sends reports by MQTT.
 func TestTheFollowerSubscribes(t *testing.T) {
 	t.Parallel()
 	r := start(t, nil)
@@ -218,7 +222,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { f.Run(ctx); close(done) }()
-		waitFor(t, "the follower is there", func() bool { return until(f) })
+		waitFor(t, "the follower's condition", func() bool { return until(f) })
 		stop()
 		<-done
 		return updates
@@ -232,17 +236,18 @@
 			t.Errorf("report: %d %s %v", status, text, err)
 		}
 		if status, text, _ := f.Report(t.Context(), 0, f.Directors()[0], "k2", []byte(`{"node":`)); status != 400 || text == "" {
-			t.Errorf("a broken report: %d %q", status, text)
+			t.Errorf("answer to a malformed report: %d %q", status, text)
 		}
 		return true
 	})
 	if !all[0].Whole || !<-joined || r.d.Figures().Reports != 1 {
 		t.Fatalf("%+v, %d reports", all[0], r.d.Figures().Reports)
 	}
-	waitFor(t, "the proxy has left", func() bool { return r.d.Figures().Joined == 0 })
+	waitFor(t, "the proxy to leave", func() bool { return r.d.Figures().Joined == 0 })
 }
 
-// Clauses of the specification, each with what a client sends and what must come back. The client is a bare socket.
+// Each case is a clause of the MQTT specification, with the bytes that a client sends on a plain socket and the packet
+// that it must get in response.
 func TestClauses(t *testing.T) {
 	t.Parallel()
 	r := start(t, func(l *Limits) { l.MaxPacketBytes = 4096 })
@@ -267,23 +272,23 @@
 	for _, c := range []struct {
 		clause string
 		send   []byte
-		kind   byte // of the answer that tells
+		kind   byte // packet type of the expected response
 		code   byte
 	}{
 		{"3.1.0-1 the first packet is a CONNECT", sub("x", 1), packets.CONNACK, 0x82},
 		{"3.1.0-2 a second CONNECT is a protocol error", join(hello, hello), packets.DISCONNECT, 0x82},
 		{"3.1.2-1 another protocol name", connect(func(c *packets.Connect) { c.ProtocolName = "MQIsdp" }), packets.CONNACK, 0x84},
 		{"3.1.2-2 another version", connect(func(c *packets.Connect) { c.ProtocolVersion = 4 }), packets.CONNACK, 0x84},
-		{"3.1.3-8 a client identifier that is refused", connect(func(c *packets.Connect) { c.ClientID = "" }), packets.CONNACK, 0x85},
+		{"3.1.3-8 an empty client identifier is refused", connect(func(c *packets.Connect) { c.ClientID = "" }), packets.CONNACK, 0x85},
 		{"3.1.2.11.3 a receive maximum of 0", connect(func(c *packets.Connect) { zero := uint16(0); c.Properties.ReceiveMaximum = &zero }), packets.CONNACK, 0x82},
-		{"4.12.0-1 an authentication method that is not offered", connect(func(c *packets.Connect) { c.Properties.AuthMethod = "SCRAM" }), packets.CONNACK, 0x8C},
+		{"4.12.0-1 an unsupported authentication method", connect(func(c *packets.Connect) { c.Properties.AuthMethod = "SCRAM" }), packets.CONNACK, 0x8C},
 		{"3.2.2 a CONNECT is answered", hello, packets.CONNACK, 0x00},
-		{"3.1.2-22 and a ping", join(hello, encodeAs(packets.PINGREQ, &packets.Pingreq{})), packets.PINGRESP, 0x00},
+		{"3.1.2-22 a PINGREQ is answered", join(hello, encodeAs(packets.PINGREQ, &packets.Pingreq{})), packets.PINGRESP, 0x00},
 		{"1.5.5-1 a length in five bytes", join(hello, []byte{0x30, 0xff, 0xff, 0xff, 0xff, 0x01}), packets.DISCONNECT, 0x81},
 		{"1.5.5-1 a length not in its shortest form", join(hello, []byte{0xc0, 0x80, 0x00}), packets.DISCONNECT, 0x81},
 		{"2.1.3-1 reserved flags", join(hello, []byte{0xc1, 0x00}), packets.DISCONNECT, 0x81},
 		{"2.1.2 packet type 0", join(hello, []byte{0x00, 0x00}), packets.DISCONNECT, 0x81},
-		{"3.1.2-24 a packet longer than is taken", join(hello, []byte{0x30, 0xff, 0x7f}), packets.DISCONNECT, 0x95},
+		{"3.1.2-24 a packet that exceeds the maximum size", join(hello, []byte{0x30, 0xff, 0x7f}), packets.DISCONNECT, 0x95},
 		{"3.3.1-4 QoS 3", join(hello, []byte{0x36, 0x02, 0x00, 0x00}), packets.DISCONNECT, 0x81},
 		{"3.3.1-2 DUP with QoS 0", join(hello, []byte{0x38, 0x02, 0x00, 0x00}), packets.DISCONNECT, 0x81},
 		{"3.2.2-11 QoS 2 where the maximum is 1", join(hello, pub(func(p *packets.Publish) { p.QoS = 2 })), packets.DISCONNECT, 0x9B},
@@ -291,25 +296,25 @@
 		{"3.3.2-9 a topic alias where the maximum is 0", join(hello, pub(func(p *packets.Publish) { p.Properties.TopicAlias = &one })), packets.DISCONNECT, 0x94},
 		{"3.3.2-2 a wildcard in a topic name", join(hello, pub(func(p *packets.Publish) { p.Topic = "vetchwood/#" })), packets.DISCONNECT, 0x90},
 		{"2.2.1-3 packet identifier 0", join(hello, pub(func(p *packets.Publish) { p.PacketID = 0 })), packets.DISCONNECT, 0x82},
-		{"3.4.2.1 a topic that is not there", join(hello, pub(func(p *packets.Publish) { p.Topic = "elsewhere" })), packets.PUBACK, 0x90},
-		{"3.4.2.1 a payload that can't be read", join(hello, pub(func(p *packets.Publish) { p.Payload = []byte("{") })), packets.PUBACK, 0x99},
+		{"3.4.2.1 an unknown topic", join(hello, pub(func(p *packets.Publish) { p.Topic = "elsewhere" })), packets.PUBACK, 0x90},
+		{"3.4.2.1 a malformed payload", join(hello, pub(func(p *packets.Publish) { p.Payload = []byte("{") })), packets.PUBACK, 0x99},
 		{"3.4.2.1 a report of a proxy that has not joined", join(hello, pub(func(*packets.Publish) {})), packets.PUBACK, 0x87},
 		{"3.8.3-2 a SUBSCRIBE without a filter", join(hello, []byte{0x82, 0x03, 0x00, 0x09, 0x00}), packets.DISCONNECT, 0x82},
 		{"3.8.3-1 shared subscriptions are not available", join(hello, sub("$share/g/vetchwood/tables", 1)), packets.SUBACK, 0x9E},
 		{"3.9.3 wildcards are not available", join(hello, sub("vetchwood/proxies/+/tables", 1)), packets.SUBACK, 0xA2},
-		{"3.9.3 a filter that is not there", join(hello, sub("else/where", 1)), packets.SUBACK, 0x8F},
+		{"3.9.3 an unknown topic filter", join(hello, sub("else/where", 1)), packets.SUBACK, 0x8F},
 		{"3.9.3 QoS 0 for a proxy's tables", join(hello, sub(subscribe.TablesOf("p1"), 0)), packets.SUBACK, 0x83},
 		{"3.9.3 QoS 1 is granted where 2 is asked for", join(hello, sub(subscribe.TablesOf("p1"), 2)), packets.SUBACK, 0x01},
-		{"3.11.3 an UNSUBSCRIBE from what is not followed", join(hello, encodeAs(packets.UNSUBSCRIBE, &packets.Unsubscribe{PacketID: 3, Topics: []string{"x"}, Properties: &packets.Properties{}})), packets.UNSUBACK, 0x11},
+		{"3.11.3 an UNSUBSCRIBE without a subscription", join(hello, encodeAs(packets.UNSUBSCRIBE, &packets.Unsubscribe{PacketID: 3, Topics: []string{"x"}, Properties: &packets.Properties{}})), packets.UNSUBACK, 0x11},
 		{"3.15 an AUTH", join(hello, []byte{0xf0, 0x00}), packets.DISCONNECT, 0x8C},
 		{"3.5 a PUBREC, for a message of QoS 2 that was never sent", join(hello, encodeAs(packets.PUBREC, &packets.Pubrec{PacketID: 3, Properties: &packets.Properties{}})), packets.DISCONNECT, 0x82},
-		{"4.9 a proxy that the settings don't know", join(hello, sub(subscribe.TablesOf("other"), 1)), packets.DISCONNECT, 0x87},
+		{"4.9 a proxy name that the settings do not allow", join(hello, sub(subscribe.TablesOf("other"), 1)), packets.DISCONNECT, 0x87},
 	} {
 		if kind, code := r.exchange(t, c.send, c.kind); kind != c.kind || code != c.code {
-			t.Errorf("%s: packet type %d code 0x%02x, not %d 0x%02x", c.clause, kind, code, c.kind, c.code)
+			t.Errorf("%s: got packet type %d code 0x%02x, want %d 0x%02x", c.clause, kind, code, c.kind, c.code)
 		}
 	}
-	// 4.13: whatever byte a valid exchange is cut at, nothing hangs and nobody else is hurt.
+	// 4.13: a valid exchange that is cut off at any byte leaves no connection or proxy behind.
 	whole := join(hello, sub(subscribe.TablesOf("p1"), 1), pub(func(*packets.Publish) {}))
 	for cut := range len(whole) {
 		c, err := net.Dial("tcp", r.s.Addr().String())
@@ -319,10 +324,11 @@
 		c.Write(whole[:cut])
 		c.Close()
 	}
-	waitFor(t, "all are gone", func() bool { return r.s.OpenConnections() == 0 && r.d.Figures().Joined == 0 })
+	waitFor(t, "all connections to be closed and all proxies to leave", func() bool { return r.s.OpenConnections() == 0 && r.d.Figures().Joined == 0 })
 }
 
-// tell sends bytes and gives the first answer of a kind, or the last that came.
+// exchange sends bytes and returns type and reason code of the first packet of the wanted type, or of the last packet
+// if none is.
 func (r *rig) exchange(t *testing.T, send []byte, want byte) (kind, code byte) {
 	t.Helper()
 	c, err := net.Dial("tcp", r.s.Addr().String())
@@ -369,14 +375,15 @@
 		n, wrong := packetLength(b, 1<<16)
 		if wrong == nil && n > 0 && n <= len(b) {
 			if p, wrong := parsePacket(b[:n]); (p == nil) == (wrong == nil) && wrong == nil {
-				t.Fatal("neither a packet nor a fault")
+				t.Fatal("neither a packet nor an error")
 			}
 		}
 	})
 }
 
-// All subscribers come back together, as after a restart: so many as VETCHWOOD_STORM says. Those beyond the limit are told to
-// come later, and each has the tables in the end; one that reads nothing holds up nobody, and a poll by the other front takes over.
+// All subscribers connect at once, as after a restart of the director. Those beyond the connection rate limit are refused
+// as busy and retry, and each gets the tables in the end. A subscriber that reads nothing does not delay the others.
+// VETCHWOOD_STORM sets the number of subscribers.
 func TestAStormOfSubscribers(t *testing.T) {
 	t.Parallel()
 	n := 300
@@ -396,23 +403,23 @@
 	go s.Serve()
 	t.Cleanup(func() { stop(); s.Close(); <-ran })
 	d.Post(control.List{Hosts: hosts(4, -1)})
-	mute, err := net.Dial("tcp", s.Addr().String()) // subscribes, and reads nothing from then on
+	silent, err := net.Dial("tcp", s.Addr().String()) // subscribes and never reads
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mute.Close()
-	mute.Write(encodeAs(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "mute", CleanStart: true, Properties: &packets.Properties{}}))
-	mute.Write(encodeAs(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
+	defer silent.Close()
+	silent.Write(encodeAs(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "mute", CleanStart: true, Properties: &packets.Properties{}}))
+	silent.Write(encodeAs(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
 		Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesOf(fmt.Sprint("p", n)), QoS: 1}}}))
-	waitFor(t, "the mute one has joined", func() bool { return d.Figures().Joined == 1 })
+	waitFor(t, "the subscriber that reads nothing to join", func() bool { return d.Figures().Joined == 1 })
 	began := time.Now()
 	var all sync.WaitGroup
-	var busy, told atomic.Int64
+	var busy, served atomic.Int64
 	for i := range n {
 		all.Go(func() {
 			for ctx.Err() == nil && time.Since(began) < 30*time.Second {
 				if joinOnce(s.Addr().String(), fmt.Sprint("p", i), &busy) {
-					told.Add(1)
+					served.Add(1)
 					return
 				}
 				time.Sleep(time.Duration(500+rand.IntN(1000)) * time.Millisecond)
@@ -420,13 +427,14 @@
 		})
 	}
 	all.Wait()
-	t.Logf("%d subscribers had the tables after %v; %d connections were told to come later", told.Load(), time.Since(began).Round(time.Millisecond), busy.Load())
-	if told.Load() != int64(n) || busy.Load() == 0 {
-		t.Fatalf("%d of %d, %d told to come later", told.Load(), n, busy.Load())
+	t.Logf("%d subscribers got the tables within %v; %d connections were refused as busy", served.Load(), time.Since(began).Round(time.Millisecond), busy.Load())
+	if served.Load() != int64(n) || busy.Load() == 0 {
+		t.Fatalf("%d of %d subscribers got the tables; %d connections were refused as busy", served.Load(), n, busy.Load())
 	}
 }
 
-// storm connects and subscribes once; false where it was told to come later.
+// joinOnce connects, subscribes and waits for the tables. It returns false, and counts in busy, if the connection was
+// refused.
 func joinOnce(address, name string, busy *atomic.Int64) bool {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -454,7 +462,8 @@
 	}
 }
 
-// A proxy that subscribes and then polls by the other front: its subscription is ended by name, and the poll waits in its place.
+// A proxy subscribes by MQTT and then polls by HTTP. Its MQTT connection is closed with the code for a session that was
+// taken over, and the poll takes its place.
 func TestOneProxyOnBothFronts(t *testing.T) {
 	t.Parallel()
 	r := start(t, nil)
@@ -467,17 +476,17 @@
 	c.Write(encodeAs(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "p9", CleanStart: true, Properties: &packets.Properties{}}))
 	c.Write(encodeAs(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
 		Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesOf("p9"), QoS: 1}}}))
-	other, quiet := r.d.Entrance(0), false
+	other, hasPolled := r.d.Entrance(0), false
 	for {
 		p, err := packets.ReadPacket(c)
 		if err != nil {
-			t.Fatal("no word why: ", err)
+			t.Fatal("connection closed without a DISCONNECT: ", err)
 		}
 		switch x := p.Content.(type) {
 		case *packets.Publish:
 			c.Write(encodeAs(packets.PUBACK, &packets.Puback{PacketID: x.PacketID, Properties: &packets.Properties{}}))
-			if !quiet {
-				quiet = true
+			if !hasPolled {
+				hasPolled = true
 				time.AfterFunc(1500*time.Millisecond, func() {
 					other.Post(control.Poll{Ticket: other.Ticket(), Proxy: "p9", Zone: "a", Wait: 5000})
 				})
--- a/internal/mqtt/packet.go
+++ b/internal/mqtt/packet.go
@@ -11,7 +11,7 @@
 	"vetchwood/internal/subscribe"
 )
 
-// fault is a client's breach of the specification: the code that its connection ends with, and why.
+// protocolError is a violation of the MQTT specification by a client. Its connection is closed with the reason code.
 type protocolError struct {
 	code   subscribe.Code
 	reason string
@@ -23,7 +23,7 @@
 	return &protocolError{code, fmt.Sprintf(format, args...)}
 }
 
-// Codes that the front gives by itself, by their names in the specification.
+// The reason codes that only this package uses, by their names in the specification.
 const (
 	malformed          subscribe.Code = 0x81
 	unsupportedVersion subscribe.Code = 0x84
@@ -35,39 +35,41 @@
 	serverShuttingDown subscribe.Code = 0x8B
 )
 
-// mostWaiting is how many packets may wait to be written to one client.
+// maxQueuedPackets is the number of packets that may be queued for one client. A client that reads too slowly to stay
+// within it is disconnected.
 const maxQueuedPackets = 256
 
-// length says how long the packet at the start of a buffer is, 0 if more is needed to tell.
-func packetLength(buf []byte, most int) (int, *protocolError) {
+// packetLength returns the length of the packet at the start of a buffer, or 0 if the buffer does not hold its length
+// yet.
+func packetLength(buf []byte, limit int) (int, *protocolError) {
 	n, shift := 0, 0
 	for i := 1; i < len(buf); i++ {
 		n |= int(buf[i]&0x7f) << shift
 		if buf[i] < 0x80 {
 			if i > 1 && buf[i] == 0 {
-				return 0, protocolErrorf(malformed, "the remaining length is not in its shortest form")
+				return 0, protocolErrorf(malformed, "the remaining length is not encoded in the fewest bytes")
 			}
-			if n+1+i > most {
-				return 0, protocolErrorf(packetTooLarge, "a packet of %d bytes, of %d at most", n+1+i, most)
+			if n+1+i > limit {
+				return 0, protocolErrorf(packetTooLarge, "packet of %d bytes exceeds the limit of %d bytes", n+1+i, limit)
 			}
 			return n + 1 + i, nil
 		}
 		if shift += 7; shift > 21 {
-			return 0, protocolErrorf(malformed, "the remaining length has more than four bytes")
+			return 0, protocolErrorf(malformed, "the remaining length is longer than four bytes")
 		}
 	}
 	return 0, nil
 }
 
-// flags are the reserved bits of each packet's first byte.
+// reservedFlags holds the required lower four bits of the first byte by packet type. They are 0 for other types.
 var reservedFlags = map[byte]byte{packets.PUBREL: 2, packets.SUBSCRIBE: 2, packets.UNSUBSCRIBE: 2}
 
-// parse reads one whole packet and holds it to the rules that concern a client. The codec is the library's; what it takes
-// more kindly than the specification is refused here.
+// parsePacket parses one complete packet and validates it as sent by a client. Packets that the codec library accepts
+// although the specification forbids them are rejected here.
 func parsePacket(buf []byte) (p *packets.ControlPacket, perr *protocolError) {
 	defer func() {
-		if r := recover(); r != nil { // the codec must not bring the front down, whatever is sent
-			p, perr = nil, protocolErrorf(malformed, "the packet can't be read")
+		if r := recover(); r != nil { // a panic of the codec on malformed input must not stop the server
+			p, perr = nil, protocolErrorf(malformed, "malformed packet")
 		}
 	}()
 	kind := buf[0] >> 4
@@ -78,17 +80,17 @@
 		return nil, protocolErrorf(malformed, "reserved flags of packet type %d are %04b", kind, buf[0]&0x0f)
 	}
 	if kind == packets.AUTH {
-		return nil, protocolErrorf(badAuthMethod, "no authentication method is offered")
+		return nil, protocolErrorf(badAuthMethod, "authentication methods are not supported")
 	}
 	if kind == packets.PUBLISH && buf[0]&0x06 == 0x06 {
-		return nil, protocolErrorf(malformed, "QoS 3")
+		return nil, protocolErrorf(malformed, "QoS 3 is not valid")
 	}
 	if kind == packets.PUBLISH && buf[0]&0x0e == 0x08 {
-		return nil, protocolErrorf(malformed, "DUP with QoS 0")
+		return nil, protocolErrorf(malformed, "DUP flag with QoS 0")
 	}
 	p, err := packets.ReadPacket(bytes.NewReader(buf))
 	if err != nil {
-		return nil, protocolErrorf(malformed, "the packet can't be read: %v", err)
+		return nil, protocolErrorf(malformed, "malformed packet: %v", err)
 	}
 	switch c := p.Content.(type) {
 	case *packets.Connect:
@@ -97,43 +99,45 @@
 		return p, checkPublish(c)
 	case *packets.Subscribe:
 		if c.PacketID == 0 || len(c.Subscriptions) == 0 {
-			return nil, protocolErrorf(subscribe.ProtocolError, "a SUBSCRIBE needs a packet identifier and a filter")
+			return nil, protocolErrorf(subscribe.ProtocolError, "SUBSCRIBE without a packet identifier or a topic filter")
 		}
 		for _, s := range c.Subscriptions {
 			if s.QoS > 2 || s.RetainHandling > 2 || !isValidText(s.Topic) {
-				return nil, protocolErrorf(malformed, "subscription options or filter can't be read")
+				return nil, protocolErrorf(malformed, "malformed subscription options or topic filter")
 			}
 		}
 	case *packets.Unsubscribe:
 		if c.PacketID == 0 || len(c.Topics) == 0 {
-			return nil, protocolErrorf(subscribe.ProtocolError, "an UNSUBSCRIBE needs a packet identifier and a filter")
+			return nil, protocolErrorf(subscribe.ProtocolError, "UNSUBSCRIBE without a packet identifier or a topic filter")
 		}
 	case *packets.Puback:
 		if c.PacketID == 0 {
-			return nil, protocolErrorf(subscribe.ProtocolError, "a PUBACK needs a packet identifier")
+			return nil, protocolErrorf(subscribe.ProtocolError, "PUBACK without a packet identifier")
 		}
 	case *packets.Pingreq, *packets.Disconnect:
 	default:
-		return nil, protocolErrorf(subscribe.ProtocolError, "packet type %d is not for a server that offers QoS 1 at most", kind)
+		return nil, protocolErrorf(subscribe.ProtocolError,
+			"packet type %d is not valid for a server with a maximum QoS of 1", kind)
 	}
 	return p, nil
 }
 
-// text says whether a string may stand in a packet: UTF-8 without the null character.
+// isValidText reports whether s is a non-empty string that MQTT allows: valid UTF-8 without U+0000.
 func isValidText(s string) bool { return s != "" && utf8.ValidString(s) && !strings.ContainsRune(s, 0) }
 
 func checkConnect(c *packets.Connect) *protocolError {
 	switch {
 	case c.ProtocolName != "MQTT" || c.ProtocolVersion != 5:
-		return protocolErrorf(unsupportedVersion, "%.10q version %d: version 5 alone is spoken", c.ProtocolName, c.ProtocolVersion)
+		return protocolErrorf(unsupportedVersion,
+			"protocol %.10q version %d is not supported: only MQTT version 5 is", c.ProtocolName, c.ProtocolVersion)
 	case c.WillFlag && (c.WillQOS > 2 || !isValidText(c.WillTopic)):
-		return protocolErrorf(malformed, "the will can't be read")
+		return protocolErrorf(malformed, "malformed will")
 	case c.Properties != nil && c.Properties.ReceiveMaximum != nil && *c.Properties.ReceiveMaximum == 0:
-		return protocolErrorf(subscribe.ProtocolError, "a receive maximum of 0")
+		return protocolErrorf(subscribe.ProtocolError, "receive maximum of 0")
 	case c.Properties != nil && c.Properties.MaximumPacketSize != nil && *c.Properties.MaximumPacketSize == 0:
-		return protocolErrorf(subscribe.ProtocolError, "a maximum packet size of 0")
+		return protocolErrorf(subscribe.ProtocolError, "maximum packet size of 0")
 	case c.Properties != nil && c.Properties.AuthMethod != "":
-		return protocolErrorf(badAuthMethod, "no authentication method is offered")
+		return protocolErrorf(badAuthMethod, "authentication methods are not supported")
 	}
 	return nil
 }
@@ -141,19 +145,20 @@
 func checkPublish(c *packets.Publish) *protocolError {
 	switch {
 	case c.Properties != nil && c.Properties.TopicAlias != nil:
-		return protocolErrorf(topicAliasInvalid, "topic aliases are not taken: the topic alias maximum is 0")
+		return protocolErrorf(topicAliasInvalid, "topic aliases are not supported: the topic alias maximum is 0")
 	case !isValidText(c.Topic) || strings.ContainsAny(c.Topic, "+#"):
-		return protocolErrorf(subscribe.TopicInvalid, "topic %.60q", c.Topic)
+		return protocolErrorf(subscribe.TopicInvalid, "invalid topic name %.60q", c.Topic)
 	case c.QoS > 1:
-		return protocolErrorf(qosNotSupported, "QoS 2: the maximum is 1")
+		return protocolErrorf(qosNotSupported, "QoS 2 is not supported: the maximum is 1")
 	case c.Retain:
-		return protocolErrorf(retainNotSupported, "clients' messages are not retained")
+		return protocolErrorf(retainNotSupported, "retained messages from clients are not supported")
 	case c.QoS > 0 && c.PacketID == 0:
-		return protocolErrorf(subscribe.ProtocolError, "a PUBLISH with QoS 1 needs a packet identifier")
+		return protocolErrorf(subscribe.ProtocolError, "PUBLISH with QoS 1 without a packet identifier")
 	}
 	return nil
 }
 
+// encode encodes a packet with the header flags that its type sets.
 func encode(p interface {
 	ToControlPacket() *packets.ControlPacket
 }) []byte {
@@ -162,6 +167,7 @@
 	return b.Bytes()
 }
 
+// encodeAs encodes a packet of the given type with the default header flags of the type.
 func encodeAs(kind byte, content packets.Packet) []byte {
 	var b bytes.Buffer
 	c := packets.NewControlPacket(kind)
--- a/internal/mqtt/server.go
+++ b/internal/mqtt/server.go
@@ -1,5 +1,6 @@
-// Package mqtt is the front that proxies subscribe to: MQTT 5 on netpoll. Packets are the library's, sessions and what is
-// sent when are package subscribe's, documents the core's; here are the sockets.
+// Package mqtt serves routing tables to proxies by MQTT 5 subscriptions, on netpoll. It handles connections and
+// validates packets. A library encodes and parses the packets, package subscribe keeps the sessions and decides what is
+// sent when, and the core provides the documents.
 package mqtt
 
 import (
@@ -25,34 +26,35 @@
 	"vetchwood/logic"
 )
 
-// Core is what the front needs of a director.
+// Core is the part of a director that the server needs.
 type Core interface {
 	Post(in any)
 	Ticket() control.Ticket
 	Now() logic.Millis
-	// Admit says after how long a request may come again; 0: it comes in.
+	// Admit decides whether a request is admitted. It returns 0 if so, or else the time after which the client may
+	// retry.
 	Admit(k inflow.Kind, client string) time.Duration
 }
 
-// Limits guard the front against its clients.
+// Limits protect the server from its clients.
 type Limits struct {
 	subscribe.Limits
 	MaxPacketBytes int
-	ConnectTimeout time.Duration // from the connection to the whole CONNECT
-	MaxKeepAlive   time.Duration // at most; a client that asks for more, or for none, is told this
-	WriteTimeout   time.Duration
-	MaxWait        logic.Millis
-	// Budget is what all fronts share; nil: any.
+	ConnectTimeout time.Duration // from the accepted connection to the complete CONNECT
+	MaxKeepAlive   time.Duration // a client that requests a longer interval or none gets this one
+	WriteTimeout   time.Duration // of a write to a connection
+	MaxWait        logic.Millis  // of the polls by which a session follows the tables
+	// Budget is the resource budget that all servers of the process share; nil means unlimited.
 	Budget *budget.Ledger
 }
 
-// Server is one listening socket.
+// Server serves MQTT clients on one listening socket.
 type Server struct {
 	*nets.Socket
 	core      Core
 	limits    Limits
 	log       *slog.Logger
-	conns     sync.Map // subscribe.Conn -> *peer
+	conns     sync.Map // subscribe.Conn -> *clientConn
 	lastID    atomic.Uint64
 	openCount atomic.Int64
 	refusals  atomic.Uint64
@@ -65,7 +67,7 @@
 	figures atomic.Pointer[subscribe.Figures]
 }
 
-// peer is one connection.
+// clientConn is one connection.
 type clientConn struct {
 	conn netpoll.Connection
 	id   subscribe.Conn
@@ -73,22 +75,22 @@
 	mu           sync.Mutex
 	buf          []byte
 	connected    bool
-	disconnected bool
+	disconnected bool // the session has been notified, and further input is ignored
 	keepAlive    time.Duration
-	lastPacketAt time.Time // of the last packet
+	lastPacketAt time.Time
 
-	partialBytes, queuedBytes atomic.Int64 // bytes of packets that are half read, or wait to be written behind others
+	partialBytes, queuedBytes atomic.Int64 // sizes of the partly read packet and of the queue, as reported to the budget
 
 	queueMu sync.Mutex
 	queue   [][]byte
 	writing bool
-	closing bool // after what waits is written
-	ended   bool
-	writeMu sync.Mutex // held while netpoll's writer is used, which must not be once the connection is closed
+	closing bool       // the connection is closed once the queue is written
+	ended   bool       // nothing is queued any more
+	writeMu sync.Mutex // held while netpoll's writer is used, which is not allowed once the connection is closed
 	closed  bool
 }
 
-// Listen opens the socket.
+// Listen opens the socket of a server. Serve accepts connections on it.
 func Listen(address string, core Core, limits Limits, log *slog.Logger) (*Server, error) {
 	if limits.Budget == nil {
 		limits.Budget = budget.New(budget.Unlimited)
@@ -100,22 +102,27 @@
 	return s, err
 }
 
-// Open is how many connections are open, Failed how many broke the specification, Figures those of the sessions.
-func (s *Server) OpenConnections() int64     { return s.openCount.Load() }
-func (s *Server) Refusals() uint64           { return s.refusals.Load() }
+// OpenConnections returns the number of open connections.
+func (s *Server) OpenConnections() int64 { return s.openCount.Load() }
+
+// Refusals returns the number of protocol errors and of refused reports.
+func (s *Server) Refusals() uint64 { return s.refusals.Load() }
+
+// Figures returns the counters of the sessions.
 func (s *Server) Figures() subscribe.Figures { return *s.figures.Load() }
 
-// Serve answers until Close.
+// Serve accepts and serves connections until Close.
 func (s *Server) Serve() error {
 	go s.run()
 	return s.Socket.Serve()
 }
 
-// Close closes the socket and tells all clients.
+// Close sends all clients a DISCONNECT, and closes the socket and all connections.
 func (s *Server) Close() error {
 	s.closeOnce.Do(func() { close(s.done) })
 	s.conns.Range(func(_, v any) bool {
-		v.(*clientConn).enqueue(s, encodeAs(packets.DISCONNECT, &packets.Disconnect{ReasonCode: byte(serverShuttingDown), Properties: &packets.Properties{}}), true)
+		v.(*clientConn).enqueue(s, encodeAs(packets.DISCONNECT,
+			&packets.Disconnect{ReasonCode: byte(serverShuttingDown), Properties: &packets.Properties{}}), true)
 		return true
 	})
 	return s.Socket.Close(func(each func(netpoll.Connection)) {
@@ -126,7 +133,8 @@
 type connKey struct{}
 
 func (s *Server) accept(c netpoll.Connection) context.Context {
-	cc := &clientConn{conn: c, id: subscribe.Conn(s.lastID.Add(1)), lastPacketAt: time.Now(), keepAlive: s.limits.ConnectTimeout}
+	cc := &clientConn{conn: c, id: subscribe.Conn(s.lastID.Add(1)), lastPacketAt: time.Now(),
+		keepAlive: s.limits.ConnectTimeout}
 	s.openCount.Add(1)
 	s.limits.Budget.Opened()
 	s.conns.Store(cc.id, cc)
@@ -138,10 +146,10 @@
 		cc.closed = true
 		cc.writeMu.Unlock()
 		cc.mu.Lock()
-		was := cc.disconnected
+		wasDisconnected := cc.disconnected
 		cc.disconnected = true
 		cc.mu.Unlock()
-		if !was {
+		if !wasDisconnected {
 			s.post(subscribe.Gone{Conn: cc.id})
 		}
 		return nil
@@ -149,7 +157,7 @@
 	return context.WithValue(context.Background(), connKey{}, cc)
 }
 
-// read takes what has come. Packets go on to the desk in their order.
+// read takes all data that has arrived and handles its complete packets in order.
 func (s *Server) read(ctx context.Context, c netpoll.Connection) error {
 	cc := ctx.Value(connKey{}).(*clientConn)
 	cc.mu.Lock()
@@ -162,7 +170,7 @@
 	cc.buf = append(cc.buf, b...)
 	r.Release()
 	defer func() {
-		if was := cc.partialBytes.Swap(int64(len(cc.buf))); was != int64(len(cc.buf)) && !cc.disconnected {
+		if before := cc.partialBytes.Swap(int64(len(cc.buf))); before != int64(len(cc.buf)) && !cc.disconnected {
 			s.limits.Budget.Hold(cc.budgetID(), cc.partialBytes.Load()+cc.queuedBytes.Load())
 		}
 	}()
@@ -189,18 +197,18 @@
 	return nil
 }
 
-// client is the peer's name in the budget.
+// budgetID returns the connection's ID in the budget. It is odd: those of the other server in the process are even.
 func (cc *clientConn) budgetID() budget.Client { return budget.Client(cc.id)<<1 | 1 }
 
-// Cut closes a client's connection, if it is of this front.
+// CloseClient closes the connection of a client, if it belongs to this server, to free the memory that it holds.
 func (s *Server) CloseClient(c budget.Client) {
 	if v, open := s.conns.Load(subscribe.Conn(c >> 1)); open && c&1 == 1 {
-		s.log.Warn("client.cut", "why", "it holds more of the director's memory than the others, and there is no more")
+		s.log.Warn("client.cut", "why", "memory budget exhausted: this client holds more than the others")
 		go v.(*clientConn).conn.Close()
 	}
 }
 
-// breach ends a connection that broke the rules.
+// abort disconnects a client after a protocol error. The caller holds the connection's lock.
 func (s *Server) abort(cc *clientConn, perr *protocolError) {
 	s.refusals.Add(1)
 	s.log.Debug("mqtt.refused", "code", int(perr.code), "why", perr.reason)
@@ -209,25 +217,28 @@
 	s.post(subscribe.Gone{Conn: cc.id})
 }
 
-// end tells a client why its connection ends, and ends it.
-func (s *Server) disconnect(cc *clientConn, connected bool, code subscribe.Code, why string) {
+// disconnect sends a client the reason, in a CONNACK if it is not connected yet and in a DISCONNECT otherwise, and
+// closes the connection.
+func (s *Server) disconnect(cc *clientConn, connected bool, code subscribe.Code, reason string) {
 	if !connected {
-		cc.enqueue(s, encodeAs(packets.CONNACK, &packets.Connack{ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: why}}), true)
+		cc.enqueue(s, encodeAs(packets.CONNACK,
+			&packets.Connack{ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: reason}}), true)
 		return
 	}
-	cc.enqueue(s, encodeAs(packets.DISCONNECT, &packets.Disconnect{ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: why}}), true)
+	cc.enqueue(s, encodeAs(packets.DISCONNECT,
+		&packets.Disconnect{ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: reason}}), true)
 }
 
-// take hands a packet on. The peer's lock is held.
+// handlePacket handles one packet. The caller holds the connection's lock.
 func (s *Server) handlePacket(cc *clientConn, packet *packets.ControlPacket) *protocolError {
 	if c, ok := packet.Content.(*packets.Connect); ok {
 		if cc.connected {
-			return protocolErrorf(subscribe.ProtocolError, "a second CONNECT")
+			return protocolErrorf(subscribe.ProtocolError, "second CONNECT on a connection")
 		}
 		return s.handleConnect(cc, c)
 	}
 	if !cc.connected {
-		return protocolErrorf(subscribe.ProtocolError, "the first packet is no CONNECT")
+		return protocolErrorf(subscribe.ProtocolError, "the first packet is not a CONNECT")
 	}
 	switch c := packet.Content.(type) {
 	case *packets.Subscribe:
@@ -262,10 +273,11 @@
 	return nil
 }
 
+// handleConnect admits a client and passes its CONNECT to the sessions.
 func (s *Server) handleConnect(cc *clientConn, c *packets.Connect) *protocolError {
 	in := subscribe.Connect{Conn: cc.id, Client: c.ClientID, Clean: c.CleanStart}
 	if in.Client == "" || len(in.Client) > 128 || !isValidText(in.Client) {
-		return protocolErrorf(subscribe.IDNotValid, "a client identifier of 1 to 128 bytes is needed")
+		return protocolErrorf(subscribe.IDNotValid, "the client identifier must have 1 to 128 bytes")
 	}
 	props := c.Properties
 	if props == nil {
@@ -284,7 +296,8 @@
 		case subscribe.PropertyRate:
 			rate, err := strconv.ParseFloat(u.Value, 64)
 			if err != nil || !(rate >= 0 && rate <= 1e9) {
-				return protocolErrorf(subscribe.Unspecified, "user property rate: %.40q is no number of calls a second", u.Value)
+				return protocolErrorf(subscribe.Unspecified,
+					"user property rate: %.40q is not a number of calls per second", u.Value)
 			}
 			in.Rate = rate
 		case subscribe.PropertyHeld:
@@ -302,7 +315,7 @@
 		kind = inflow.NewPolls
 	}
 	if s.core.Admit(kind, in.Client) > 0 {
-		return protocolErrorf(subscribe.ServerBusy, "the director has more to do than it can: come again in some seconds")
+		return protocolErrorf(subscribe.ServerBusy, "the director is overloaded: retry in some seconds")
 	}
 	cc.connected = true
 	if cc.keepAlive = time.Duration(c.KeepAlive) * time.Second; cc.keepAlive == 0 || cc.keepAlive > s.limits.MaxKeepAlive {
@@ -312,21 +325,22 @@
 	return nil
 }
 
-// report takes a proxy's sums. What can't be read is refused by its reason code; the connection stays.
+// handleReport handles a proxy's load report. A report that is not valid or not admitted is refused with a reason code,
+// and the connection stays open.
 func (s *Server) handleReport(cc *clientConn, c *packets.Publish) {
-	refuse := func(code subscribe.Code, why string) {
+	refuse := func(code subscribe.Code, reason string) {
 		s.refusals.Add(1)
 		if c.QoS > 0 {
-			cc.enqueue(s, encodePuback(c.PacketID, code, why), false)
+			cc.enqueue(s, encodePuback(c.PacketID, code, reason), false)
 		}
 	}
 	proxy, ok := subscribe.ProxyOfReports(c.Topic)
 	if !ok {
-		refuse(subscribe.TopicInvalid, "there is "+subscribe.ReportsOf("{proxy}"))
+		refuse(subscribe.TopicInvalid, "unknown topic: reports are published to "+subscribe.ReportsOf("{proxy}"))
 		return
 	}
 	if s.core.Admit(inflow.Reports, proxy) > 0 {
-		refuse(subscribe.QuotaExceeded, "the director has more to do than it can")
+		refuse(subscribe.QuotaExceeded, "the director is overloaded")
 		return
 	}
 	r, err := lrs.Read(c.Payload)
@@ -351,11 +365,12 @@
 	s.post(subscribe.Report{Conn: cc.id, ID: id, Report: r})
 }
 
-func encodePuback(id uint16, code subscribe.Code, why string) []byte {
-	return encodeAs(packets.PUBACK, &packets.Puback{PacketID: id, ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: why}})
+func encodePuback(id uint16, code subscribe.Code, reason string) []byte {
+	return encodeAs(packets.PUBACK,
+		&packets.Puback{PacketID: id, ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: reason}})
 }
 
-// post puts something into the desk's inbox.
+// post puts an input into the inbox of the session loop.
 func (s *Server) post(in any) {
 	s.mu.Lock()
 	s.inbox = append(s.inbox, in)
@@ -366,7 +381,8 @@
 	}
 }
 
-// Answer takes the core's answers. The document is encoded here, by the core's own goroutine, which alone may.
+// Answer passes an answer of the core to the session loop. It encodes the document first: only the goroutine of the
+// core, which calls Answer, may do that.
 func (s *Server) Answer(a control.Answer) {
 	if a.Doc != nil {
 		a.Doc.Tag()
@@ -374,7 +390,7 @@
 	s.post(subscribe.Told{Answer: a})
 }
 
-// run is the desk's loop.
+// run is the session loop: it handles the inbox in batches and executes the outputs, until the server is closed.
 func (s *Server) run() {
 	desk := subscribe.NewDesk(s.limits.Limits, s.limits.MaxWait, s.core.Ticket)
 	tick := time.NewTicker(250 * time.Millisecond)
@@ -395,8 +411,8 @@
 			s.execute(o)
 		}
 		for _, i := range in {
-			if told, ok := i.(subscribe.Told); ok {
-				told.Answer.Land() // what came of it stands in its connection's queue, in order
+			if answered, ok := i.(subscribe.Told); ok {
+				answered.Answer.Land() // its packets are in the queue of the connection, in order
 			}
 		}
 		f := desk.Figures()
@@ -404,7 +420,7 @@
 	}
 }
 
-// silent ends connections that have sent nothing for one and a half times the keep alive.
+// enforceKeepAlive disconnects clients that have sent nothing for one and a half times their keep alive interval.
 func (s *Server) enforceKeepAlive(now time.Time) {
 	s.conns.Range(func(_, v any) bool {
 		cc := v.(*clientConn)
@@ -413,14 +429,15 @@
 		}
 		defer cc.mu.Unlock()
 		if limit := cc.keepAlive * 3 / 2; !cc.disconnected && now.Sub(cc.lastPacketAt) > limit {
-			s.abort(cc, protocolErrorf(subscribe.KeepAliveTimeout, "nothing came for %v", limit))
+			s.abort(cc, protocolErrorf(subscribe.KeepAliveTimeout, "no packet received for %v", limit))
 		}
 		return true
 	})
 }
 
+// execute carries out one output of the sessions.
 func (s *Server) execute(o any) {
-	to := func(c subscribe.Conn, b []byte) {
+	sendTo := func(c subscribe.Conn, b []byte) {
 		if v, open := s.conns.Load(c); open {
 			v.(*clientConn).enqueue(s, b, false)
 		}
@@ -429,31 +446,34 @@
 	case subscribe.Post:
 		s.core.Post(o.In)
 	case subscribe.Accept:
-		no, one, most, keep := byte(0), byte(1), uint32(s.limits.MaxPacketBytes), uint16(s.limits.MaxKeepAlive/time.Second)
-		expiry, receive := uint32(o.Expiry/1000), uint16(64)
-		to(o.Conn, encodeAs(packets.CONNACK, &packets.Connack{SessionPresent: o.Present, Properties: &packets.Properties{MaximumQOS: &one,
-			RetainAvailable: &no, MaximumPacketSize: &most, WildcardSubAvailable: &no, SubIDAvailable: &no, SharedSubAvailable: &no,
-			SessionExpiryInterval: &expiry, ReceiveMaximum: &receive, ServerKeepAlive: &keep}}))
+		no, maxQoS, maxPacket, keepAlive := byte(0), byte(1), uint32(s.limits.MaxPacketBytes),
+			uint16(s.limits.MaxKeepAlive/time.Second)
+		expiry, receiveMax := uint32(o.Expiry/1000), uint16(64)
+		sendTo(o.Conn, encodeAs(packets.CONNACK, &packets.Connack{SessionPresent: o.Present, Properties: &packets.Properties{
+			MaximumQOS: &maxQoS, RetainAvailable: &no, MaximumPacketSize: &maxPacket, WildcardSubAvailable: &no,
+			SubIDAvailable: &no, SharedSubAvailable: &no, SessionExpiryInterval: &expiry, ReceiveMaximum: &receiveMax,
+			ServerKeepAlive: &keepAlive}}))
 	case subscribe.Refuse:
 		if v, open := s.conns.Load(o.Conn); open {
-			v.(*clientConn).enqueue(s, encodeAs(packets.CONNACK, &packets.Connack{ReasonCode: byte(o.Code), Properties: &packets.Properties{ReasonString: o.Why}}), true)
+			v.(*clientConn).enqueue(s, encodeAs(packets.CONNACK,
+				&packets.Connack{ReasonCode: byte(o.Code), Properties: &packets.Properties{ReasonString: o.Why}}), true)
 		}
 	case subscribe.Granted:
 		a := &packets.Suback{PacketID: o.ID, Properties: &packets.Properties{ReasonString: o.Why}}
 		for _, c := range o.Codes {
 			a.Reasons = append(a.Reasons, byte(c))
 		}
-		to(o.Conn, encodeAs(packets.SUBACK, a))
+		sendTo(o.Conn, encodeAs(packets.SUBACK, a))
 	case subscribe.Ungranted:
 		a := &packets.Unsuback{PacketID: o.ID, Properties: &packets.Properties{}}
 		for _, c := range o.Codes {
 			a.Reasons = append(a.Reasons, byte(c))
 		}
-		to(o.Conn, encodeAs(packets.UNSUBACK, a))
+		sendTo(o.Conn, encodeAs(packets.UNSUBACK, a))
 	case subscribe.Deliver:
-		to(o.Conn, encodeDelivery(o))
+		sendTo(o.Conn, encodeDelivery(o))
 	case subscribe.Acked:
-		to(o.Conn, encodePuback(o.ID, o.Code, o.Why))
+		sendTo(o.Conn, encodePuback(o.ID, o.Code, o.Why))
 	case subscribe.Close:
 		if v, open := s.conns.Load(o.Conn); open {
 			s.disconnect(v.(*clientConn), true, o.Code, o.Why)
@@ -461,19 +481,23 @@
 	}
 }
 
+// encodeDelivery encodes the PUBLISH that delivers a document or a delta.
 func encodeDelivery(o subscribe.Deliver) []byte {
-	props := &packets.Properties{ContentType: o.Doc.Type, User: []packets.User{{Key: subscribe.PropertyTag, Value: o.Doc.Tag}}}
+	props := &packets.Properties{ContentType: o.Doc.Type,
+		User: []packets.User{{Key: subscribe.PropertyTag, Value: o.Doc.Tag}}}
 	if o.Doc.Base != "" {
 		props.User = append(props.User, packets.User{Key: subscribe.PropertyBase, Value: o.Doc.Base})
 	}
 	if o.Doc.Lease > 0 {
 		props.User = append(props.User, packets.User{Key: subscribe.PropertyLease, Value: strconv.Itoa(int(o.Doc.Lease))})
 	}
-	return encode(&packets.Publish{Topic: o.Topic, QoS: 1, PacketID: o.ID, Duplicate: o.Again, Retain: o.Retain, Payload: o.Doc.Body, Properties: props})
+	return encode(&packets.Publish{Topic: o.Topic, QoS: 1, PacketID: o.ID, Duplicate: o.Again, Retain: o.Retain,
+		Payload: o.Doc.Body, Properties: props})
 }
 
-// send writes a packet after those that wait, beside the desk's loop: a client that reads slowly holds up nobody else. One
-// that lets too many wait is closed.
+// enqueue queues a packet, and closes the connection after it if last is set. The queue is written by a goroutine of
+// its own, so that a client that reads slowly delays neither the session loop nor other clients. The connection is
+// closed if the queue exceeds maxQueuedPackets.
 func (cc *clientConn) enqueue(s *Server, b []byte, last bool) {
 	cc.queueMu.Lock()
 	defer cc.queueMu.Unlock()
@@ -483,13 +507,13 @@
 	if b != nil {
 		cc.queue = append(cc.queue, b)
 	}
-	if cc.writing && len(cc.queue) > 1 { // it reads more slowly than it is sent
-		waits := int64(0)
+	if cc.writing && len(cc.queue) > 1 { // the client reads more slowly than packets are sent to it
+		queued := int64(0)
 		for _, x := range cc.queue {
-			waits += int64(len(x))
+			queued += int64(len(x))
 		}
-		cc.queuedBytes.Store(waits)
-		s.limits.Budget.Hold(cc.budgetID(), cc.partialBytes.Load()+waits)
+		cc.queuedBytes.Store(queued)
+		s.limits.Budget.Hold(cc.budgetID(), cc.partialBytes.Load()+queued)
 	}
 	if cc.closing = cc.closing || last; len(cc.queue) > maxQueuedPackets {
 		cc.ended = true
@@ -502,6 +526,7 @@
 	}
 }
 
+// writeQueue writes queued packets until the queue is empty or the connection fails.
 func (cc *clientConn) writeQueue(s *Server) {
 	for {
 		cc.queueMu.Lock()
@@ -530,6 +555,7 @@
 	}
 }
 
+// writePackets writes and flushes packets, unless the connection is closed.
 func (cc *clientConn) writePackets(all [][]byte) error {
 	cc.writeMu.Lock()
 	defer cc.writeMu.Unlock()
