--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -62,8 +62,8 @@
 	fronts := []director.Front{front}
 	var mqttFront *mqtt.Server
 	ledger.OnEvict(func(c budget.ClientID) {
-		if front.Cut(c); mqttFront != nil {
-			mqttFront.Cut(c)
+		if front.CloseClient(c); mqttFront != nil {
+			mqttFront.CloseClient(c)
 		}
 	})
 	if s.MQTT != nil {
--- a/internal/daemon/meters.go
+++ b/internal/daemon/meters.go
@@ -62,12 +62,12 @@
 	gauge("hosts_listed", "Hosts in the newest host list.", func(f control.Stats) float64 { return float64(f.Hosts) })
 	gauge("hosts_masked", "Masked hosts.", func(f control.Stats) float64 { return float64(f.Masked) })
 	if mqttFront != nil {
-		gauge("mqtt_connections", "Open MQTT connections.", func(control.Stats) float64 { return float64(mqttFront.Open()) })
+		gauge("mqtt_connections", "Open MQTT connections.", func(control.Stats) float64 { return float64(mqttFront.OpenConnections()) })
 		gauge("mqtt_sessions", "MQTT sessions, including those without a connection.", func(control.Stats) float64 { return float64(mqttFront.Figures().Sessions) })
 		gauge("mqtt_unacknowledged", "Documents in flight to MQTT subscribers.", func(control.Stats) float64 { return float64(mqttFront.Figures().InFlight) })
 		counter("mqtt_delivered", "Documents and differences sent over MQTT.", func(control.Stats) uint64 { return mqttFront.Figures().Delivered })
 		counter("mqtt_redelivered", "Documents and differences sent again when a session resumed.", func(control.Stats) uint64 { return mqttFront.Figures().Redelived })
-		counter("mqtt_refused", "Connections, filters and packets refused with a reason code.", func(control.Stats) uint64 { return mqttFront.Figures().Refused + mqttFront.Failed() })
+		counter("mqtt_refused", "Connections, filters and packets refused with a reason code.", func(control.Stats) uint64 { return mqttFront.Figures().Refused + mqttFront.Refusals() })
 		counter("mqtt_busy", "Connections rejected because too many arrived at once.", func(control.Stats) uint64 { return mqttFront.Figures().Busy })
 		counter("mqtt_taken_over", "Subscriptions taken over by another connection or front of the same proxy.", func(control.Stats) uint64 { return mqttFront.Figures().TakenOver })
 	}
@@ -95,9 +95,9 @@
 	counter("refused", "Polls and reports refused by the director.", func(f control.Stats) uint64 { return f.Refused })
 	counter("check_faults", "Faults found by the checks before publishing.", func(f control.Stats) uint64 { return f.CheckFailures })
 	shardCounter("leases_expired", "Proxies that left by not polling within their lease.", func(f director.ShardStats) uint64 { return f.Expired })
-	counter("requests_malformed", "Requests rejected as malformed.", func(control.Stats) uint64 { return front.Failed() })
+	counter("requests_malformed", "Requests rejected as malformed.", func(control.Stats) uint64 { return front.Refusals() })
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_connections", Help: "Open connections."},
-		func() float64 { return float64(front.Open()) }))
+		func() float64 { return float64(front.OpenConnections()) }))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_beat_latest_seconds",
 		Help: "Longest delay of a timer of the decision module."}, func() float64 { return d.MaxTimerDelay().Seconds() }))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_turn_longest_seconds",
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -67,7 +67,7 @@
 	plan = reload.Compare(before, s.Written)
 	ledger.SetResources(limits)
 	st.Keep(s.History)
-	front.Limit(s.Front)
+	front.SetLimits(s.Front)
 	for _, c := range plan.Live {
 		log.Info("reload.changed", "what", c.String())
 		before[c.Name] = c.New // a change that needs a restart stays different and is logged at each reload
--- a/internal/mqtt/bench_test.go
+++ b/internal/mqtt/bench_test.go
@@ -24,20 +24,21 @@
 	"vetchwood/internal/subscribe"
 )
 
-// count is a connection that counts what comes.
-type count struct {
+// countingConn is a connection that counts the bytes received.
+type countingConn struct {
 	net.Conn
 	n *atomic.Int64
 }
 
-func (c count) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.n.Add(int64(n))
 	return n, err
 }
 
-// Both fronts of one director in one run: so many proxies each, VETCHWOOD_PROXIES or 500. Memory is the process's, less
-// what the clients' own buffers take on either side: each client is a bare socket with a small reader.
+// BenchmarkFronts compares long polling and MQTT on one director by the time from a change to the last proxy, the bytes
+// sent to each proxy per change and the memory per proxy. VETCHWOOD_PROXIES sets the number of proxies, 500 by default.
+// Memory is that of the whole process; each client is a plain socket with a small reader, to keep its own share low.
 func BenchmarkFronts(b *testing.B) {
 	n := 500
 	if v, err := strconv.Atoi(os.Getenv("VETCHWOOD_PROXIES")); err == nil {
@@ -45,9 +46,9 @@
 	}
 	for _, front := range []string{"poll", "mqtt"} {
 		b.Run(front, func(b *testing.B) {
-			r := bench(b, 2*n)
+			r := newBenchRig(b, 2*n)
 			var bytes atomic.Int64
-			var came sync.WaitGroup
+			var first sync.WaitGroup
 			memory := func() float64 {
 				runtime.GC()
 				var m runtime.MemStats
@@ -55,9 +56,9 @@
 				return float64(m.HeapInuse + m.StackInuse)
 			}
 			before := memory()
-			var clients []*bare
+			var clients []*rawClient
 			for i := range n {
-				c := &bare{b: b, name: fmt.Sprint("p", i), mqtt: front == "mqtt"}
+				c := &rawClient{b: b, name: fmt.Sprint("p", i), mqtt: front == "mqtt"}
 				address := r.http.Addr().String()
 				if c.mqtt {
 					address = r.s.Addr().String()
@@ -66,30 +67,30 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				c.conn = count{conn, &bytes}
+				c.conn = countingConn{conn, &bytes}
 				c.in = bufio.NewReaderSize(c.conn, 512)
 				clients = append(clients, c)
-				c.begin()
+				c.subscribe()
 			}
-			time.Sleep(3 * time.Second) // tables are laid, levels stated, all is quiet
+			time.Sleep(3 * time.Second) // until tables and levels are published and no more changes follow
 			for _, c := range clients {
-				came.Add(1)
-				go c.follow(&came)
+				first.Add(1)
+				go c.follow(&first)
 			}
-			came.Wait()
+			first.Wait()
 			time.Sleep(2500 * time.Millisecond)
 			held := memory()
 			var last []float64
 			sent := int64(0)
 			for round := range b.N {
 				for _, c := range clients {
-					c.told.Store(0)
+					c.documents.Store(0)
 				}
 				from := bytes.Load()
 				began := time.Now()
 				r.d.Post(control.HostList{Hosts: hosts(4, 1+round%3)})
 				for _, c := range clients {
-					for c.told.Load() == 0 {
+					for c.documents.Load() == 0 {
 						time.Sleep(200 * time.Microsecond)
 					}
 				}
@@ -109,23 +110,23 @@
 	}
 }
 
-// both is a director with both fronts.
-type both struct {
+// benchRig is a director that serves both protocols.
+type benchRig struct {
 	*rig
 	http *longpoll.Server
 }
 
-func bench(b *testing.B, proxies int) *both {
-	r := &both{}
+func newBenchRig(b *testing.B, proxies int) *benchRig {
+	r := &benchRig{}
 	log := slog.New(slog.DiscardHandler)
 	d := newDirector(b, proxies, 30000)
 	s, err := Listen("127.0.0.1:0", d.ForFront(1), Limits{Limits: subscribe.Limits{Sessions: proxies, Expiry: 60000, Unanswered: 30000, Connects: 1e6, Watchers: 5},
-		MostPacket: 1 << 20, Connect: time.Minute, KeepAlive: time.Hour, Write: time.Second, LongestWait: 30000}, log)
+		MaxPacketBytes: 1 << 20, ConnectTimeout: time.Minute, MaxKeepAlive: time.Hour, WriteTimeout: time.Second, MaxWait: 30000}, log)
 	if err != nil {
 		b.Fatal(err)
 	}
-	h, err := longpoll.Listen("127.0.0.1:0", d.ForFront(0), longpoll.Limits{MostHead: 1 << 14, MostBody: 1 << 20, SlowRequest: time.Minute, Idle: time.Hour,
-		Write: time.Second, LongestWait: 30000}, log)
+	h, err := longpoll.Listen("127.0.0.1:0", d.ForFront(0), longpoll.Limits{MaxHeadBytes: 1 << 14, MaxBodyBytes: 1 << 20, RequestTimeout: time.Minute, IdleTimeout: time.Hour,
+		WriteTimeout: time.Second, MaxWait: 30000}, log)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -140,40 +141,41 @@
 	return r
 }
 
-// bare is a client without a library.
-type bare struct {
-	b    *testing.B
-	name string
-	mqtt bool
-	conn net.Conn
-	in   *bufio.Reader
-	tag  string
-	told atomic.Int64
+// rawClient is a client on a plain socket, without a client library.
+type rawClient struct {
+	b         *testing.B
+	name      string
+	mqtt      bool
+	conn      net.Conn
+	in        *bufio.Reader
+	tag       string
+	documents atomic.Int64
 }
 
-func (c *bare) begin() {
+// subscribe sends the first request: a subscription or a poll.
+func (c *rawClient) subscribe() {
 	if c.mqtt {
-		c.conn.Write(pack(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: c.name, CleanStart: true, Properties: &packets.Properties{}}))
-		c.conn.Write(pack(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
+		c.conn.Write(encodeAs(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: c.name, CleanStart: true, Properties: &packets.Properties{}}))
+		c.conn.Write(encodeAs(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
 			Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesOf(c.name), QoS: 1}}}))
 		return
 	}
 	fmt.Fprintf(c.conn, "GET /v1/proxies/%s/tables HTTP/1.1\r\nHost: d\r\n\r\n", c.name)
 }
 
-// follow takes documents until the connection ends, and is there once it has read the first.
-func (c *bare) follow(came *sync.WaitGroup) {
-	first := sync.OnceFunc(came.Done)
+// follow receives documents until the connection is closed, and calls first.Done after the first one.
+func (c *rawClient) follow(first *sync.WaitGroup) {
+	markFirst := sync.OnceFunc(first.Done)
 	for {
 		if c.mqtt {
 			p, err := packets.ReadPacket(c.in)
 			if err != nil {
 				return
 			}
-			if pub, is := p.Content.(*packets.Publish); is {
-				c.told.Add(1)
-				c.conn.Write(pack(packets.PUBACK, &packets.Puback{PacketID: pub.PacketID, Properties: &packets.Properties{}}))
-				first()
+			if pub, ok := p.Content.(*packets.Publish); ok {
+				c.documents.Add(1)
+				c.conn.Write(encodeAs(packets.PUBACK, &packets.Puback{PacketID: pub.PacketID, Properties: &packets.Properties{}}))
+				markFirst()
 			}
 			continue
 		}
@@ -184,9 +186,9 @@
 		io.Copy(io.Discard, res.Body)
 		c.tag = res.Header.Get("ETag")
 		if res.StatusCode != http.StatusNotModified {
-			c.told.Add(1)
+			c.documents.Add(1)
 		}
-		first()
+		markFirst()
 		fmt.Fprintf(c.conn, "GET /v1/proxies/%s/tables HTTP/1.1\r\nHost: d\r\nIf-None-Match: %s\r\nA-IM: json-patch\r\nPrefer: wait=30\r\n\r\n", c.name, c.tag)
 	}
 }
