--- a/cmd/vetchwood/commands.go
+++ b/cmd/vetchwood/commands.go
@@ -88,7 +88,7 @@
 	}
 	for i, r := range s.Service.Routes {
 		fmt.Fprintf(out, "  route %-24s importance %v, SLO time %v ms, time limit %v ms, %s\n", r.Name, f.Routes[i].Importance,
-			r.SLOMs, r.TimeLimitMs, r.Repeat)
+			r.SLOMs, r.TimeLimitMs, r.Idempotency)
 	}
 	return nil
 }
--- a/cmd/vetchwood/tables.go
+++ b/cmd/vetchwood/tables.go
@@ -188,7 +188,7 @@
 func faults(w io.Writer, o control.OperationResult) {
 	for _, t := range o.Tables {
 		for _, f := range t.Faults {
-			fmt.Fprintf(w, "not honoured: table %d, host %s: %s\n", t.Table, f.Host, f.Why)
+			fmt.Fprintf(w, "not honoured: table %d, host %s: %s\n", t.Table, f.Host, f.Reason)
 		}
 	}
 }
--- a/internal/carry/dispatcher.go
+++ b/internal/carry/dispatcher.go
@@ -130,7 +130,7 @@
 // SetDocument puts a new document in force. The state of hosts that it still names is kept.
 func (d *Dispatcher) SetDocument(doc *tables.Document) {
 	d.doc = doc
-	d.detector.SetThreshold(doc.Ejects)
+	d.detector.SetThreshold(doc.EjectAfterFailures)
 	for name := range d.routes {
 		if _, found := doc.Routes[name]; !found {
 			delete(d.routes, name)
@@ -146,7 +146,7 @@
 	}
 	d.updateRouteLevels(doc, 0)
 	for _, s := range doc.Sources {
-		d.updateRouteLevels(s.Doc, s.From)
+		d.updateRouteLevels(s.Doc, s.Director)
 	}
 	d.ranges = d.ranges[:0]
 	old := d.tables
@@ -159,9 +159,9 @@
 			if o := old[name]; o != nil {
 				level = o.levels[r]
 			}
-			updated.levels[r], updated.retryModes[r] = updateLevel(level, doc.LevelsBy, l.Level), l.Tries
+			updated.levels[r], updated.retryModes[r] = updateLevel(level, doc.LevelUnit, l.Level), l.Tries
 		}
-		updated.doc, updated.director = doc.Of(name)
+		updated.doc, updated.director = doc.SourceOf(name)
 		d.tables[name] = updated
 		if t.From != nil {
 			d.ranges = append(d.ranges, hashRange{*t.From, *t.To, name})
@@ -189,7 +189,7 @@
 func (d *Dispatcher) updateRouteLevels(doc *tables.Document, director int) {
 	for name, r := range doc.Routes {
 		k := levelKey{director, name}
-		d.routeLevels[k] = updateLevel(d.routeLevels[k], doc.LevelsBy, r.Level.Level)
+		d.routeLevels[k] = updateLevel(d.routeLevels[k], doc.LevelUnit, r.Level.Level)
 	}
 }
 
@@ -370,7 +370,7 @@
 			l.hosts, weights = append(l.hosts, a), append(weights, t.content.Lines[a])
 		}
 	}
-	policy := map[string]pick.Policy{"wheel": pick.RoundRobin, "pair": pick.TwoChoices}[d.doc.Pick]
+	policy := map[string]pick.Policy{"wheel": pick.RoundRobin, "pair": pick.TwoChoices}[d.doc.PickPolicy]
 	l.picker = pick.New(policy, weights, d.random)
 	t.lineSets[zone] = l
 	return l
@@ -395,12 +395,12 @@
 		return Try{}, NoRoute
 	}
 	d.findTable(c, r) // the tables may have changed since the call arrived
-	idempotency := r.Repeat
+	idempotency := r.Idempotency
 	if idempotency == again.IdempotentByKey && !c.HasIdempotencyKey {
 		idempotency = again.NonIdempotent
 	}
-	c.retry = again.NewState(again.Route{Idempotency: idempotency, DedupScope: r.Reach, DedupWindow: r.SpanMs, SLO: r.SLOMs,
-		TryTimeoutShare: d.doc.TryWait}, c.level.Tries, c.Deadline)
+	c.retry = again.NewState(again.Route{Idempotency: idempotency, DedupScope: r.DedupScope, DedupWindow: r.DedupWindowMs, SLO: r.SLOMs,
+		TryTimeoutShare: d.doc.TryTimeoutShare}, c.level.Tries, c.Deadline)
 	return d.pickHost(c, now)
 }
 
@@ -484,7 +484,7 @@
 	}
 	d.Tally(c.director()).Tried(c.Route, c.host, false, 0, load)
 	execution := again.MayHaveRun
-	if f == NotSent || f == Rejected && d.doc.FullIsProof {
+	if f == NotSent || f == Rejected && d.doc.RejectedDidNotRun {
 		execution = again.NeverRan
 	}
 	c.retry.RecordFailure(execution, h.location, c.sentAt)
--- a/internal/carry/dispatcher_test.go
+++ b/internal/carry/dispatcher_test.go
@@ -15,10 +15,10 @@
 
 // newDocument returns a sealed document of four slices, each with the lines a:1, b:1 and c:1.
 func newDocument(step tables.Step, change func(*tables.Document)) *tables.Document {
-	doc := &tables.Document{Pick: "lottery", Ejects: 3, TryWait: 1, Masked: map[tables.Address]bool{}, Hosts: map[tables.Address]tables.Host{},
+	doc := &tables.Document{PickPolicy: "lottery", EjectAfterFailures: 3, TryTimeoutShare: 1, Masked: map[tables.Address]bool{}, Hosts: map[tables.Address]tables.Host{},
 		Routes: map[string]tables.Route{
-			"read": {Level: tables.Level{Level: 1, Tries: 2}, Repeat: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1},
-			"note": {Level: tables.Level{Level: 1, Tries: 3}, Repeat: "keyed", Reach: "cell", SpanMs: 4000, SLOMs: 1000, TimeLimitMs: 3000, Importance: 3},
+			"read": {Level: tables.Level{Level: 1, Tries: 2}, Idempotency: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1},
+			"note": {Level: tables.Level{Level: 1, Tries: 3}, Idempotency: "keyed", DedupScope: "cell", DedupWindowMs: 4000, SLOMs: 1000, TimeLimitMs: 3000, Importance: 3},
 		}, Tables: map[string]*tables.Table{}}
 	for i := range 4 {
 		from, to := tables.SliceRange(i, 4)
@@ -197,7 +197,7 @@
 		t.Fatalf("%d calls admitted; %d not throttled in the slice with a level of 0", admitted, wrong)
 	}
 	d.SetDocument(newDocument(2, func(doc *tables.Document) {
-		doc.LevelsBy = "rate"
+		doc.LevelUnit = "rate"
 		r := doc.Routes["read"]
 		r.Level.Level = 0.5
 		doc.Routes["read"] = r
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -20,7 +20,7 @@
 	svc       Service
 	module    *logic.Director
 	names     *names
-	line      tables.Line
+	line      tables.HistoryID
 	world     *snapshot   // as ordered
 	stored    *snapshot   // the newest that would outlive a crash
 	opening   tables.Step // the first of this start
@@ -427,7 +427,7 @@
 	f.Step, f.Stored, f.Joined = c.world.step, c.stored.step, len(c.ids)
 	f.Hosts, f.Masked = len(c.listed), len(c.world.masked)
 	f.Oldest, _ = c.stands.Oldest()
-	f.Behind = c.stands.Behind(c.stored.step)
+	f.Behind = c.stands.CountOlder(c.stored.step)
 	f.Slices = len(c.world.tables)
 	f.Waiting, f.MostWaiting, f.QueueLimit = c.channel.QueuedLines(), c.channel.MaxQueuedLines(), c.svc.Facts.QueueLimit
 	f.MostMessages, f.ReportLinesWaiting = c.channel.MaxMessagesInWindow(), c.intake.Pending()
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -28,7 +28,7 @@
 func service(slices int) Service {
 	return Service{Zones: []string{"a", "b"}, Pick: "lottery", ProxyNames: regexp.MustCompile(`^p[0-9]$`), Lease: 2000,
 		LongestWait: 30000, Kept: 16, Routes: []RouteInfo{{"read", tables.Route{Level: tables.Level{Level: 1, Tries: 1},
-			Repeat: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1}}},
+			Idempotency: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1}}},
 		Facts: logic.Config{Directors: 1, Proxies: 4, Slices: slices, LinesPerSecond: 1000, QueueLimit: 1000, MessageOverhead: 4,
 			Transit: 5, WorstTransit: 50, DrainGrace: 2000, WarmAfter: 10000, ColdFailAfter: 1500, ColdOverloadLimit: 3, ColdCapacity: 0.2,
 			EmptyTableLimit: 2000, ReportInterval: 500, ReportLinesPerSecond: 100, MessageWindow: 10000, Levels: logic.LevelShare,
@@ -197,7 +197,7 @@
 	if !got.Masked["10.0.0.0:80"] {
 		for _, table := range got.Tables {
 			if table.Lines["10.0.0.0:80"] > 0 {
-				t.Fatalf("the draining host is still in a table: %s", got.Whole())
+				t.Fatalf("the draining host is still in a table: %s", got.JSON())
 			}
 		}
 	}
@@ -275,7 +275,7 @@
 		}
 	}
 	// One that missed versions which nobody keeps any more gets the whole.
-	again.want(again.poll("p2", 0, tables.Tag{Line: 42, Step: 1, Digest: 1}), Whole)
+	again.want(again.poll("p2", 0, tables.Tag{History: 42, Step: 1, Digest: 1}), Whole)
 }
 
 func TestANewerPollTakesThePlaceOfTheOneThatWaits(t *testing.T) {
@@ -386,16 +386,16 @@
 	r.pass(2000)
 	d := r.answers[wait].Doc
 	if d == nil || d.Routes["read"].Table == "" || len(d.Tables[d.Routes["read"].Table].Lines) == 0 {
-		t.Fatalf("not bound: %s", first.Whole())
+		t.Fatalf("not bound: %s", first.JSON())
 	}
 	again := start(t, svc, r.disk)
 	got := again.want(again.poll("p1", 0, d.Tag()), Whole)
 	if got.Routes["read"].Table != "was-read" || len(got.Tables["was-read"].Lines) == 0 || got.Step <= d.Step {
-		t.Fatalf("lost its table over a start: %s", got.Whole())
+		t.Fatalf("lost its table over a start: %s", got.JSON())
 	}
 	twice := start(t, svc, again.disk) // and over two in a row
 	if got = twice.want(twice.poll("p1", 0), Whole); len(got.Tables["was-read"].Lines) == 0 {
-		t.Fatalf("lost its table over two starts: %s", got.Whole())
+		t.Fatalf("lost its table over two starts: %s", got.JSON())
 	}
 	wait = twice.poll("p1", 20000, got.Tag())
 	twice.do(List{up(5)})
@@ -415,7 +415,7 @@
 			r.do(List{list})
 			r.pass(2000)
 		}
-		return string(r.c.document(r.c.world, 0).Whole()) + fmt.Sprint(len(r.answers))
+		return string(r.c.document(r.c.world, 0).JSON()) + fmt.Sprint(len(r.answers))
 	}
 	if a, b := play(), play(); a != b {
 		t.Fatalf("%s\n%s", a, b)
@@ -511,7 +511,7 @@
 	again.do(List{list})
 	again.pass(3000)
 	if got := again.want(again.poll("p1", 0), Whole); len(again.c.pinned) != 8 || got.Tables["0"].Lines["10.0.0.1:80"] > 0 {
-		t.Fatalf("%d are pinned after a start over: %s", len(again.c.pinned), got.Whole())
+		t.Fatalf("%d are pinned after a start over: %s", len(again.c.pinned), got.JSON())
 	}
 	again.ticket++
 	again.do(Release{Ticket: again.ticket, Who: "ann", Why: "test"})
--- a/internal/control/operate.go
+++ b/internal/control/operate.go
@@ -37,10 +37,10 @@
 
 // PinnedTable describes a pinned table.
 type PinnedTable struct {
-	Table  logic.TableID `json:"table"`
-	Step   tables.Step   `json:"version"`
-	Who    string        `json:"who"`
-	Faults []pins.Fault  `json:"not_honoured,omitempty"`
+	Table  logic.TableID    `json:"table"`
+	Step   tables.Step      `json:"version"`
+	Who    string           `json:"who"`
+	Faults []pins.Deviation `json:"not_honoured,omitempty"`
 }
 
 // OperationResult is the result of an operator request.
@@ -68,7 +68,7 @@
 	out := map[tables.Address]pins.Host{}
 	for _, l := range c.list0 {
 		born := min(logic.Millis(l.Born), now)
-		out[l.Address] = pins.Host{Up: l.State == logic.Up, Cold: born > 0 && now < born+c.svc.Facts.WarmAfter,
+		out[l.Address] = pins.Host{Up: l.State == logic.Up, WarmingUp: born > 0 && now < born+c.svc.Facts.WarmAfter,
 			Masked: c.world.masked[l.Address]}
 	}
 	return out
@@ -96,13 +96,13 @@
 		if r.Content[id] == nil || int(id) >= c.svc.Facts.Slices || !c.ownsSlice(id) {
 			continue
 		}
-		m := pins.Mend(int(id), r.Content[id].Lines, hosts)
+		m := pins.Adjust(int(id), r.Content[id].Lines, hosts)
 		if len(m.Lines) == 0 {
 			empty = append(empty, strconv.Itoa(int(id)))
 		}
-		result.Tables = append(result.Tables, PinnedTable{id, r.To, r.Who, m.Faults})
+		result.Tables = append(result.Tables, PinnedTable{id, r.To, r.Who, m.Deviations})
 		if current := c.world.tables[id]; current != nil {
-			result.MovedFraction += pins.Moved(current.Lines, m.Lines) / float64(c.svc.Facts.Slices)
+			result.MovedFraction += pins.MovedFraction(current.Lines, m.Lines) / float64(c.svc.Facts.Slices)
 		}
 	}
 	switch {
@@ -182,7 +182,7 @@
 	hosts := c.hostConditions(now)
 	for _, id := range slices.Sorted(maps.Keys(c.pinned)) {
 		p := c.pinned[id]
-		result.Tables = append(result.Tables, PinnedTable{id, p.Step, p.Who, pins.Mend(int(id), p.Lines, hosts).Faults})
+		result.Tables = append(result.Tables, PinnedTable{id, p.Step, p.Who, pins.Adjust(int(id), p.Lines, hosts).Deviations})
 	}
 	c.answerOperator(t, Done, "", result)
 }
@@ -204,7 +204,7 @@
 		if c.world.tables[id] == nil {
 			continue // owned by another director
 		}
-		if m := pins.Mend(int(id), c.pinned[id].Lines, hosts); !maps.Equal(m.Lines, c.world.tables[id].Lines) {
+		if m := pins.Adjust(int(id), c.pinned[id].Lines, hosts); !maps.Equal(m.Lines, c.world.tables[id].Lines) {
 			out = append(out, id)
 		}
 	}
@@ -246,7 +246,7 @@
 		return 1
 	})
 	for _, id := range outdated {
-		want := pins.Mend(int(id), c.pinned[id].Lines, hosts).Lines
+		want := pins.Adjust(int(id), c.pinned[id].Lines, hosts).Lines
 		lines := 0.0
 		current := c.world.tables[id].Lines
 		for a, w := range want {
--- a/internal/control/streams.go
+++ b/internal/control/streams.go
@@ -46,7 +46,7 @@
 		c.leave(id, "joins anew")
 	}
 	st := &stream{name: j.Proxy, zone: j.Zone, visit: j.Visit, reads: c.world.step}
-	st.stands.Of = id
+	st.stands.Value = id
 	c.streams[id] = st
 	at, _ := slices.BinarySearch(c.ids, id)
 	c.ids = slices.Insert(c.ids, at, id)
@@ -87,7 +87,7 @@
 		return
 	}
 	if st.holds = h.Step; h.Step == 0 {
-		c.stands.Drop(&st.stands)
+		c.stands.Remove(&st.stands)
 		return
 	}
 	c.stands.Move(&st.stands, h.Step)
@@ -111,7 +111,7 @@
 
 func (c *Core) leave(id logic.ProxyID, why string) {
 	st := c.streams[id]
-	c.stands.Drop(&st.stands)
+	c.stands.Remove(&st.stands)
 	delete(c.streams, id)
 	delete(c.readers, id)
 	if at, found := slices.BinarySearch(c.ids, id); found {
@@ -235,11 +235,11 @@
 	}
 	c.kept[tag], c.shown.dirty = d, true
 	if c.svc.Facts.Slices > 0 && (c.last == nil || d.Step > c.last.Step) {
-		d.After(c.last) // all proxies are told the same documents, one after the other
+		d.SetPrevious(c.last) // all proxies are told the same documents, one after the other
 		c.last = d
 	}
 	if c.oldest = append(c.oldest, tag); len(c.oldest) > c.svc.Kept {
-		c.kept[c.oldest[0]].Forget()
+		c.kept[c.oldest[0]].ReleaseBases()
 		delete(c.kept, c.oldest[0])
 		c.oldest = c.oldest[1:]
 	}
--- a/internal/control/types.go
+++ b/internal/control/types.go
@@ -129,7 +129,7 @@
 	From     tables.Step           `json:",omitempty"` // the version that it goes back to
 	Least    tables.Step           `json:"-"`          // the oldest version that a joined proxy stands on; it is kept
 	Pinned   map[logic.TableID]Pin // all of them, where one changed
-	Line     tables.Line
+	Line     tables.HistoryID
 	Step     tables.Step
 	At       float64
 	Tables   map[logic.TableID]*tables.Table // nil: gone
@@ -193,7 +193,7 @@
 
 // Saved is all that was stored.
 type Saved struct {
-	Line    tables.Line
+	Line    tables.HistoryID
 	Step    tables.Step
 	At      float64
 	Tables  map[logic.TableID]*tables.Table
--- a/internal/control/world.go
+++ b/internal/control/world.go
@@ -246,9 +246,9 @@
 		return d
 	}
 	f := c.svc.Facts
-	d := &tables.Document{Pick: c.svc.Pick, Ejects: f.EjectAfterFailures, TryWait: f.TryTimeout, FullIsProof: !f.RejectedMayHaveRun,
-		LevelsBy: map[logic.LevelUnit]string{logic.LevelShare: "share", logic.LevelRate: "rate", logic.NoLevels: "none"}[f.Levels],
-		Routes:   map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{},
+	d := &tables.Document{PickPolicy: c.svc.Pick, EjectAfterFailures: f.EjectAfterFailures, TryTimeoutShare: f.TryTimeout, RejectedDidNotRun: !f.RejectedMayHaveRun,
+		LevelUnit: map[logic.LevelUnit]string{logic.LevelShare: "share", logic.LevelRate: "rate", logic.NoLevels: "none"}[f.Levels],
+		Routes:    map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{},
 		Masked: map[tables.Address]bool{}, Tables: map[string]*tables.Table{}}
 	addTable := func(name string, t *tables.Table) {
 		d.Tables[name] = t
@@ -260,7 +260,7 @@
 		}
 	}
 	if f.Slices > 0 {
-		d.Hash = tables.KeyHash
+		d.KeyHash = tables.KeyHash
 		for t, table := range c.publishedTables(w) {
 			addTable(strconv.Itoa(int(t)), table)
 		}
@@ -321,7 +321,7 @@
 // verify checks a step before it is published. Faults are counted and logged, but the step is published all the same:
 // to hold back a removal because it leaves a table without hosts for a moment would break another rule.
 func (d *draft) verify(now logic.Millis) {
-	in := checks.Step{Was: map[string]*tables.Table{}, Is: map[string]*tables.Table{}, MaskedWas: d.previous.masked, Masked: d.next.masked,
+	in := checks.Transition{Previous: map[string]*tables.Table{}, Next: map[string]*tables.Table{}, PreviousMasked: d.previous.masked, NextMasked: d.next.masked,
 		Known: func(a tables.Address) bool { _, known := d.c.names.hosts[a]; return known }, Listed: map[tables.Address]checks.Host{}}
 	affected := d.change.Tables
 	if d.change.Masked != nil {
@@ -333,13 +333,13 @@
 	for id := range affected {
 		name := strconv.Itoa(int(id))
 		if d.next.tables[id] != nil {
-			in.Was[name], in.Is[name] = d.previous.tables[id], d.next.tables[id]
+			in.Previous[name], in.Next[name] = d.previous.tables[id], d.next.tables[id]
 		}
 	}
 	for a, h := range d.c.hostConditions(now) {
-		in.Listed[a] = checks.Host{Up: h.Up, Cold: h.Cold}
+		in.Listed[a] = checks.Host{Up: h.Up, WarmingUp: h.WarmingUp}
 	}
-	for _, f := range checks.Look(in) {
+	for _, f := range checks.Validate(in) {
 		d.c.figures.Faults++
 		d.c.say(Event{Name: "check.failed", Host: string(f.Host), Version: strconv.Itoa(int(d.next.step)), Detail: f.String()})
 	}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -65,7 +65,7 @@
 	}
 	plan = reload.Of(was, s.Written)
 	ledger.Have(m)
-	st.Keep(s.History)
+	st.SetRetention(s.History)
 	front.Limit(s.Front)
 	for _, c := range plan.Now {
 		log.Info("reload.changed", "what", c.String())
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -55,7 +55,7 @@
 	slow   atomic.Int64 // longest turn of the loop, in microseconds
 	late   atomic.Int64 // latest that the core's own time came, in microseconds
 
-	line   tables.Line
+	line   tables.HistoryID
 	record func(control.SliceRecord)
 	peers  func(context.Context)
 	writes chan control.Change
@@ -87,7 +87,7 @@
 }
 
 // Line is that of its store.
-func (d *Director) Line() tables.Line { return d.line }
+func (d *Director) Line() tables.HistoryID { return d.line }
 
 // Record says who puts on record what a slice's next holder starts from. It is called before Run.
 func (d *Director) Record(to func(control.SliceRecord)) { d.record = to }
--- a/internal/fault/between_test.go
+++ b/internal/fault/between_test.go
@@ -69,7 +69,7 @@
 }
 
 func document(step tables.Step) *tables.Document {
-	d := &tables.Document{Pick: "lottery", Routes: map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{}, Masked: map[tables.Address]bool{},
+	d := &tables.Document{PickPolicy: "lottery", Routes: map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{}, Masked: map[tables.Address]bool{},
 		Tables: map[string]*tables.Table{"t": {Lines: map[tables.Address]float64{"h:1": float64(step)}}}}
 	for i := range 40 {
 		d.Hosts[tables.Address(fmt.Sprintf("10.0.0.%d:80", i))] = tables.Host{ID: "fills the document", Zone: "a"}
@@ -90,14 +90,14 @@
 		case held == "" && wholes == 0:
 			wholes++
 			w.Header().Set("ETag", one.ETag())
-			w.Header().Set("Content-Type", tables.MediaType)
-			w.Write(one.Whole())
+			w.Header().Set("Content-Type", tables.DocumentMediaType)
+			w.Write(one.JSON())
 		case strings.Contains(held, one.ETag()):
 			deltas++
 			w.Header().Set("ETag", two.ETag())
 			w.Header().Set("IM", "json-patch")
 			w.Header().Set("Delta-Base", one.ETag())
-			w.Header().Set("Content-Type", tables.PatchType)
+			w.Header().Set("Content-Type", tables.PatchMediaType)
 			w.WriteHeader(http.StatusIMUsed)
 			w.Write(two.Delta(one))
 		case strings.Contains(held, two.ETag()):
@@ -106,8 +106,8 @@
 		default:
 			wholes++
 			w.Header().Set("ETag", two.ETag())
-			w.Header().Set("Content-Type", tables.MediaType)
-			w.Write(two.Whole())
+			w.Header().Set("Content-Type", tables.DocumentMediaType)
+			w.Write(two.JSON())
 		}
 	}))
 	defer s.Close()
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -291,7 +291,7 @@
 }
 
 func version(d *tables.Document) following.Held {
-	return following.Held{Line: d.Line, Step: d.Step, At: d.At}
+	return following.Held{Line: d.History, Step: d.Step, At: d.At}
 }
 
 func (f *Follower) take(told string, d *tables.Document, n int, whole bool) error {
@@ -351,7 +351,7 @@
 	}
 	f.kept, f.keptAt = d, time.Now()
 	next := f.src.Kept + ".next"
-	err := os.WriteFile(next, d.Whole(), 0o600)
+	err := os.WriteFile(next, d.JSON(), 0o600)
 	if err == nil {
 		err = os.Rename(next, f.src.Kept)
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -15,8 +15,8 @@
 	"vetchwood/internal/tables"
 )
 
-func document(line tables.Line, step tables.Step, at float64) *tables.Document {
-	d := &tables.Document{Pick: "lottery", Routes: map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{}, Masked: map[tables.Address]bool{},
+func document(line tables.HistoryID, step tables.Step, at float64) *tables.Document {
+	d := &tables.Document{PickPolicy: "lottery", Routes: map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{}, Masked: map[tables.Address]bool{},
 		Tables: map[string]*tables.Table{"t": {Lines: map[tables.Address]float64{"h:1": float64(step)}}}}
 	d.Seal(line, step, at).Tag()
 	return d
@@ -62,7 +62,7 @@
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
-		w.Write(d.Whole())
+		w.Write(d.JSON())
 	}
 }
 
--- a/internal/follow/subscriber.go
+++ b/internal/follow/subscriber.go
@@ -143,7 +143,7 @@
 // document takes one that was published.
 func (f *Follower) document(p *paho.Publish) error {
 	tag, base := p.Properties.User.Get(subscribe.PropertyTag), p.Properties.User.Get(subscribe.PropertyBase)
-	if p.Properties.ContentType == tables.PatchType {
+	if p.Properties.ContentType == tables.PatchMediaType {
 		return f.patched(p.Payload, tag, base)
 	}
 	return f.complete(p.Payload, tag)
--- a/internal/following/following.go
+++ b/internal/following/following.go
@@ -68,7 +68,7 @@
 
 // Held says which version is in force.
 type Held struct {
-	Line tables.Line
+	Line tables.HistoryID
 	Step tables.Step
 	At   float64 // when it was ordered, Unix milliseconds
 }
--- a/internal/following/following_test.go
+++ b/internal/following/following_test.go
@@ -16,7 +16,7 @@
 		var newest Held
 		effects := map[[2]uint64]int{}
 		for range rapid.IntRange(1, 60).Draw(t, "offers") {
-			line := tables.Line(rapid.IntRange(1, 2).Draw(t, "line"))
+			line := tables.HistoryID(rapid.IntRange(1, 2).Draw(t, "line"))
 			step := tables.Step(rapid.IntRange(1, 12).Draw(t, "step"))
 			offer := Held{line, step, float64(line)*1000 + float64(step)} // the second line begins after the first
 			if offer.At > newest.At {
--- a/internal/following/merge.go
+++ b/internal/following/merge.go
@@ -39,7 +39,7 @@
 			m.refused++
 			continue
 		}
-		m.tables[name], m.sources[name] = t, tables.Source{Doc: d, From: from}
+		m.tables[name], m.sources[name] = t, tables.Source{Doc: d, Director: from}
 	}
 	m.step++
 	out := d.Copy()
@@ -50,5 +50,5 @@
 			out.Hosts[a] = out.Sources[name].Doc.Hosts[a]
 		}
 	}
-	return out.Merged(m.step)
+	return out.SealMerged(m.step)
 }
--- a/internal/following/merge_test.go
+++ b/internal/following/merge_test.go
@@ -27,7 +27,7 @@
 					d.Tables[fmt.Sprint(s)] = &tables.Table{Fence: fence, Lines: map[tables.Address]float64{host(from): 1}}
 				}
 			}
-			out = m.Take(from, d.Seal(tables.Line(from), tables.Step(step), 0))
+			out = m.Take(from, d.Seal(tables.HistoryID(from), tables.Step(step), 0))
 			for name, table := range d.Tables {
 				top[name] = max(top[name], table.Fence)
 			}
@@ -37,8 +37,8 @@
 					t.Fatalf("table %s is %+v, the greatest fence is %d", name, table, fence)
 				}
 				by := int(fence % 3)
-				of, source := out.Of(name)
-				if source != by || table.Lines[host(by)] != 1 || of.Line != tables.Line(by) || out.Hosts[host(by)].ID == "" {
+				of, source := out.SourceOf(name)
+				if source != by || table.Lines[host(by)] != 1 || of.History != tables.HistoryID(by) || out.Hosts[host(by)].ID == "" {
 					t.Fatalf("table %s of director %d is followed as that of %d: %+v", name, by, source, table)
 				}
 			}
--- a/internal/judge/verdict.go
+++ b/internal/judge/verdict.go
@@ -169,7 +169,7 @@
 			}
 			open := false
 			if table != nil {
-				of, _ := h.Doc.Of(name)
+				of, _ := h.Doc.SourceOf(name)
 				for a := range table.Lines {
 					open = open || !of.Masked[a]
 				}
@@ -195,7 +195,7 @@
 	r := Rule{Name: "no effect twice", Kept: true, Unit: "calls"}
 	ran := map[string]int{}
 	for _, a := range b.Arrivals {
-		if a.Effect && a.Call != "" && t.Routes[a.Route].Repeat != "repeatable" {
+		if a.Effect && a.Call != "" && t.Routes[a.Route].Idempotency != "repeatable" {
 			if ran[a.Call]++; ran[a.Call] == 2 {
 				r.Worst++
 				r.Where = fmt.Sprintf("call %s of %s at %s", a.Call, a.Route, a.Host)
@@ -343,7 +343,7 @@
 			continue
 		}
 		own, to := h.own(), pair{h.Proxy, h.Director}
-		if was := last[to]; was != nil && was.Line == own.Line && own.Step < was.Step {
+		if was := last[to]; was != nil && was.History == own.History && own.Step < was.Step {
 			v.Backwards++
 		}
 		if h.Raw != nil {
--- a/internal/learn/learn.go
+++ b/internal/learn/learn.go
@@ -15,11 +15,11 @@
 
 // Facts are what one director observed itself. All ages and spans are in milliseconds.
 type Facts struct {
-	Director   string      `json:"director"`
-	Line       tables.Line `json:"line"`
-	Uptime     float64     `json:"up_ms"`
-	ProxyCount int         `json:"proxies_joined"`
-	Leaving    bool        `json:"leaving,omitempty"` // set by the receiver, from the peer's membership record
+	Director   string           `json:"director"`
+	Line       tables.HistoryID `json:"line"`
+	Uptime     float64          `json:"up_ms"`
+	ProxyCount int              `json:"proxies_joined"`
+	Leaving    bool             `json:"leaving,omitempty"` // set by the receiver, from the peer's membership record
 	// ListAge is the time since the host list was last known to be current, below 0 if there has been none.
 	ListAge float64  `json:"list_age_ms"`
 	Hosts   []Host   `json:"hosts"`
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -41,11 +41,11 @@
 
 // Peer is another director, as the store knows it.
 type Peer struct {
-	Name    string      `json:"name"`
-	URL     string      `json:"url"`
-	Line    tables.Line `json:"line"` // of its own store: the same line is the same director, also after a restart
-	Leaving bool        `json:"leaving,omitempty"`
-	Session string      `json:"-"`
+	Name    string           `json:"name"`
+	URL     string           `json:"url"`
+	Line    tables.HistoryID `json:"line"` // of its own store: the same line is the same director, also after a restart
+	Leaving bool             `json:"leaving,omitempty"`
+	Session string           `json:"-"`
 }
 
 // Holder keeps what it can of the slices. Its steady clock is the director's.
@@ -77,7 +77,7 @@
 const marginPart = 0.05
 
 // New prepares a holder; tell passes on control.Given, Withdrawn and Guard.
-func New(name string, line tables.Line, terms Terms, now func() logic.Millis, tell func(any), log *slog.Logger) (*Holder, error) {
+func New(name string, line tables.HistoryID, terms Terms, now func() logic.Millis, tell func(any), log *slog.Logger) (*Holder, error) {
 	if terms.Through == nil {
 		terms.Through = &http.Transport{MaxIdleConnsPerHost: 4, DialContext: (&net.Dialer{Timeout: terms.TTL / 4}).DialContext}
 	}
--- a/internal/longpoll/ask.go
+++ b/internal/longpoll/ask.go
@@ -247,11 +247,11 @@
 		var body []byte
 		switch kind {
 		case control.Whole:
-			body = a.Doc.Whole()
-			h.end(tables.MediaType, len(body))
+			body = a.Doc.JSON()
+			h.end(tables.DocumentMediaType, len(body))
 		case control.Delta:
 			body = a.Patch
-			h.end(tables.PatchType, len(body))
+			h.end(tables.PatchMediaType, len(body))
 		default:
 			h.end("", 0)
 		}
--- a/internal/longpoll/bench_test.go
+++ b/internal/longpoll/bench_test.go
@@ -40,7 +40,7 @@
 		var body []byte
 		tag := doc.Tag()
 		if len(held) == 0 || held[0] != tag {
-			body = doc.Whole()
+			body = doc.JSON()
 		}
 		p.mu.Unlock()
 		w.Header().Set("ETag", tag.ETag())
@@ -50,7 +50,7 @@
 				w.WriteHeader(http.StatusNotModified)
 				return
 			}
-			w.Header().Set("Content-Type", tables.MediaType)
+			w.Header().Set("Content-Type", tables.DocumentMediaType)
 			w.Write(body)
 			return
 		}
--- a/internal/longpoll/longpoll_test.go
+++ b/internal/longpoll/longpoll_test.go
@@ -81,7 +81,7 @@
 }
 
 func document(step tables.Step, weight float64) *tables.Document {
-	d := &tables.Document{Pick: "lottery", Hash: tables.KeyHash, Routes: map[string]tables.Route{}, Masked: map[tables.Address]bool{},
+	d := &tables.Document{PickPolicy: "lottery", KeyHash: tables.KeyHash, Routes: map[string]tables.Route{}, Masked: map[tables.Address]bool{},
 		Hosts: map[tables.Address]tables.Host{}, Tables: map[string]*tables.Table{"0": {Lines: map[tables.Address]float64{"h:1": weight}}}}
 	for i := range 20 { // so that a difference is shorter than the whole
 		d.Hosts[tables.Address(fmt.Sprintf("10.0.0.%d:80", i))] = tables.Host{ID: "some host", Zone: "a"}
@@ -150,7 +150,7 @@
 		says    []string
 	}{
 		{"first poll", nil, control.Answer{Kind: control.Whole, Doc: next}, "200 OK",
-			[]string{"ETag: " + next.Tag().ETag(), "Content-Type: " + tables.MediaType, string(next.Whole())}},
+			[]string{"ETag: " + next.Tag().ETag(), "Content-Type: " + tables.DocumentMediaType, string(next.JSON())}},
 		{"unchanged", []string{"If-None-Match: " + next.Tag().ETag(), "Prefer: wait=7"}, control.Answer{Kind: control.Unchanged, Doc: next},
 			"304 Not Modified", []string{"ETag: " + next.Tag().ETag(), "Preference-Applied: wait=7"}},
 		{"difference", []string{"If-None-Match: " + base.Tag().ETag(), "A-IM: vcdiff, json-patch;q=0.5", "Prefer: respond-async, wait=90"},
@@ -207,7 +207,7 @@
 		t.Fatal(err)
 	}
 	body, err := io.ReadAll(res.Body)
-	if res.Body.Close(); err != nil || res.StatusCode != 200 || !bytes.Equal(body, doc.Whole()) || res.Header.Get("ETag") != doc.Tag().ETag() {
+	if res.Body.Close(); err != nil || res.StatusCode != 200 || !bytes.Equal(body, doc.JSON()) || res.Header.Get("ETag") != doc.Tag().ETag() {
 		t.Fatalf("%v, %v, %s", res, err, body)
 	}
 }
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -207,7 +207,7 @@
 
 func answer(w http.ResponseWriter) func(v any, err error) {
 	return func(v any, err error) {
-		var corrupt *store.Corrupt
+		var corrupt *store.CorruptError
 		switch {
 		case errors.Is(err, store.ErrNoVersion):
 			problem(w, http.StatusNotFound, err)
--- a/internal/park/lot_test.go
+++ b/internal/park/lot_test.go
@@ -13,7 +13,7 @@
 )
 
 func document(step tables.Step) *tables.Document {
-	d := &tables.Document{Pick: "lottery", Hosts: map[tables.Address]tables.Host{}, Masked: map[tables.Address]bool{}, Tables: map[string]*tables.Table{}}
+	d := &tables.Document{PickPolicy: "lottery", Hosts: map[tables.Address]tables.Host{}, Masked: map[tables.Address]bool{}, Tables: map[string]*tables.Table{}}
 	for i := range 20 { // so that a difference is shorter than the whole
 		d.Hosts[tables.Address(fmt.Sprintf("10.0.0.%d:80", i))] = tables.Host{ID: "some host", Zone: "a"}
 	}
--- a/internal/pins/pins.go
+++ b/internal/pins/pins.go
@@ -15,21 +15,21 @@
 
 // Host is what is known of one that is listed.
 type Host struct {
-	Up     bool // open: neither draining nor gone
-	Cold   bool // it may not be warm yet
-	Masked bool
+	Up        bool // open: neither draining nor gone
+	WarmingUp bool // it may not be warm yet
+	Masked    bool
 }
 
 // Fault is a line that could not be honoured.
-type Fault struct {
-	Host tables.Address `json:"host"`
-	Why  string         `json:"why"`
+type Deviation struct {
+	Host   tables.Address `json:"host"`
+	Reason string         `json:"why"`
 }
 
 // Mended is a table as it may be told.
-type Mended struct {
-	Lines  map[tables.Address]float64
-	Faults []Fault
+type Adjusted struct {
+	Lines      map[tables.Address]float64
+	Deviations []Deviation
 }
 
 // coldPart is what a cold host gets of its weight: all of it would push it over, and nothing would leave its keys to
@@ -38,7 +38,7 @@
 
 // Mend gives a pinned table's lines as the rules allow them. A host that drains or is gone goes out; a cold one is light;
 // where no warm host is left that is open, one is drawn from those that are listed, for each table its own.
-func Mend(id int, pinned map[tables.Address]float64, listed map[tables.Address]Host) (m Mended) {
+func Adjust(id int, pinned map[tables.Address]float64, listed map[tables.Address]Host) (m Adjusted) {
 	m.Lines = map[tables.Address]float64{}
 	warm, heaviest := false, 0.0
 	for _, a := range slices.Sorted(maps.Keys(pinned)) {
@@ -46,16 +46,16 @@
 		w := pinned[a]
 		switch {
 		case !known:
-			m.Faults = append(m.Faults, Fault{a, "no longer listed"})
+			m.Deviations = append(m.Deviations, Deviation{a, "no longer listed"})
 			continue
 		case !h.Up:
-			m.Faults = append(m.Faults, Fault{a, "drains or is gone"})
+			m.Deviations = append(m.Deviations, Deviation{a, "drains or is gone"})
 			continue
-		case h.Cold:
-			m.Faults = append(m.Faults, Fault{a, "has just started: a quarter of its weight"})
+		case h.WarmingUp:
+			m.Deviations = append(m.Deviations, Deviation{a, "has just started: a quarter of its weight"})
 			w *= coldPart
 		case h.Masked:
-			m.Faults = append(m.Faults, Fault{a, "masked"})
+			m.Deviations = append(m.Deviations, Deviation{a, "masked"})
 		default:
 			warm = true
 		}
@@ -67,7 +67,7 @@
 	}
 	best, most := tables.Address(""), uint64(0)
 	for _, a := range slices.Sorted(maps.Keys(listed)) {
-		if h := listed[a]; h.Up && !h.Cold && !h.Masked {
+		if h := listed[a]; h.Up && !h.WarmingUp && !h.Masked {
 			if score := xxhash.Sum64String(strconv.Itoa(id) + " " + string(a)); best == "" || score > most {
 				best, most = a, score
 			}
@@ -78,13 +78,13 @@
 			heaviest = 1
 		}
 		m.Lines[best] = heaviest
-		m.Faults = append(m.Faults, Fault{best, "added: no warm host was left"})
+		m.Deviations = append(m.Deviations, Deviation{best, "added: no warm host was left"})
 	}
 	return m
 }
 
 // Moved is the part of a table's calls that go to other hosts by a change.
-func Moved(from, to map[tables.Address]float64) float64 {
+func MovedFraction(from, to map[tables.Address]float64) float64 {
 	a, b := whole(from), whole(to)
 	if a == 0 || b == 0 {
 		return 0 // nothing went anywhere before, or nothing will
--- a/internal/pins/pins_test.go
+++ b/internal/pins/pins_test.go
@@ -20,28 +20,28 @@
 	rapid.Check(t, func(t *rapid.T) {
 		pinned := rapid.MapOfN(hosts, rapid.Float64Range(0.01, 5), 0, 4).Draw(t, "pinned")
 		listed := rapid.MapOfN(hosts, state, 0, 5).Draw(t, "listed")
-		m := Mend(rapid.IntRange(0, 50).Draw(t, "table"), pinned, listed)
+		m := Adjust(rapid.IntRange(0, 50).Draw(t, "table"), pinned, listed)
 		open, could, broken := false, false, false
 		for _, h := range listed {
-			could = could || h.Up && !h.Cold && !h.Masked
+			could = could || h.Up && !h.WarmingUp && !h.Masked
 		}
 		for a, w := range m.Lines {
 			h := listed[a]
 			if !h.Up || !(w > 0) {
 				t.Fatalf("%s, %+v, gets %v", a, h, w)
 			}
-			if h.Cold && w > pinned[a]*coldPart {
+			if h.WarmingUp && w > pinned[a]*coldPart {
 				t.Fatalf("%s is cold and gets %v of %v", a, w, pinned[a])
 			}
-			open = open || !h.Cold && !h.Masked
+			open = open || !h.WarmingUp && !h.Masked
 		}
 		if open != could {
 			t.Fatalf("open %v, could be %v: %v", open, could, m)
 		}
 		for a := range pinned {
-			broken = broken || !listed[a].Up || listed[a].Cold || listed[a].Masked
+			broken = broken || !listed[a].Up || listed[a].WarmingUp || listed[a].Masked
 		}
-		if !broken && len(pinned) > 0 && (len(m.Faults) > 0 || Moved(pinned, m.Lines) > 0) {
+		if !broken && len(pinned) > 0 && (len(m.Deviations) > 0 || MovedFraction(pinned, m.Lines) > 0) {
 			t.Fatalf("mended without need: %v", m)
 		}
 	})
@@ -57,7 +57,7 @@
 		{map[tables.Address]float64{"a": 1, "b": 1}, map[tables.Address]float64{"a": 1}, 0.5},
 		{nil, map[tables.Address]float64{"a": 1}, 0},
 	} {
-		if got := Moved(c.from, c.to); math.Abs(got-c.want) > 1e-9 {
+		if got := MovedFraction(c.from, c.to); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%v to %v: %v, wanted %v", c.from, c.to, got, c.want)
 		}
 	}
--- a/internal/rehearse/rogue_test.go
+++ b/internal/rehearse/rogue_test.go
@@ -86,10 +86,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	route := func(repeat string) tables.Route {
-		return tables.Route{Level: tables.Level{Level: 1, Tries: tries}, Repeat: repeat, SLOMs: 300, TimeLimitMs: 2000, Importance: 1}
+		return tables.Route{Level: tables.Level{Level: 1, Tries: tries}, Idempotency: repeat, SLOMs: 300, TimeLimitMs: 2000, Importance: 1}
 	}
 	from, to := tables.SliceRange(0, 1)
-	d := &tables.Document{Pick: "lottery", TryWait: 0.5, Hash: tables.KeyHash, Masked: map[tables.Address]bool{}, Hosts: map[tables.Address]tables.Host{},
+	d := &tables.Document{PickPolicy: "lottery", TryTimeoutShare: 0.5, KeyHash: tables.KeyHash, Masked: map[tables.Address]bool{}, Hosts: map[tables.Address]tables.Host{},
 		Routes: map[string]tables.Route{"read": route("repeatable"), "note": route(map[bool]string{true: "repeatable", false: "keyed"}[tries == 3])},
 		Tables: map[string]*tables.Table{"0": {From: &from, To: &to, Lines: lines}}}
 	for i := range 30 {
@@ -133,7 +133,7 @@
 	t.Parallel()
 	r := &rogue{t: t, book: &judge.Book{}, epoch: time.Now(), waiting: map[control.Ticket]control.Poll{}, kept: map[tables.Tag]*tables.Document{},
 		terms: judge.Terms{Slices: 1, Bare: 500, Grace: 500, Warm: 10 * time.Second, ColdFrom: 0.2, Tip: 3, Fall: time.Second, Queue: 60,
-			Head: 16, Messages: 8, MessageSpan: 10000, Routes: map[string]tables.Route{"read": {Repeat: "repeatable"}, "note": {Repeat: "keyed"}}}}
+			Head: 16, Messages: 8, MessageSpan: 10000, Routes: map[string]tables.Route{"read": {Idempotency: "repeatable"}, "note": {Idempotency: "keyed"}}}}
 	var err error
 	if r.registry, err = standin.NewRegistry("127.0.0.1:0", r.book, r.now, 0); err != nil {
 		t.Fatal(err)
--- a/internal/rehearse/stage.go
+++ b/internal/rehearse/stage.go
@@ -322,7 +322,7 @@
 		}
 		call := standin.Call{ID: fmt.Sprintf("%d-%d", i, serial), Route: route.Name,
 			Key: "key-" + strconv.FormatUint(zipf.Uint64(), 10), Work: float64(route.Work.Milliseconds()) * (0.5 + draw.Float64()),
-			Keyed: s.routes[route.Name].Repeat == "keyed", TimeLimit: time.Duration(s.routes[route.Name].TimeLimitMs * float64(time.Millisecond))}
+			Keyed: s.routes[route.Name].Idempotency == "keyed", TimeLimit: time.Duration(s.routes[route.Name].TimeLimitMs * float64(time.Millisecond))}
 		s.mu.Lock()
 		to := s.proxies[i]
 		for k := range s.proxies { // the clients of one that is down go to others
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -37,7 +37,7 @@
 			d = doc.Load()
 		}
 		w.Header().Set("ETag", d.Tag().ETag())
-		w.Write(d.Whole())
+		w.Write(d.JSON())
 	}))
 	t.Cleanup(s.CloseClientConnections)
 	return s.URL
@@ -45,15 +45,15 @@
 
 // three routes, one of each kind; two cells.
 func document(step tables.Step, tries int, hosts ...string) *tables.Document {
-	d := &tables.Document{Pick: "lottery", TryWait: 1, Masked: map[tables.Address]bool{}, Hosts: map[tables.Address]tables.Host{},
+	d := &tables.Document{PickPolicy: "lottery", TryTimeoutShare: 1, Masked: map[tables.Address]bool{}, Hosts: map[tables.Address]tables.Host{},
 		Routes: map[string]tables.Route{}, Tables: map[string]*tables.Table{"t": {Lines: map[tables.Address]float64{}}}}
 	for i, h := range hosts {
 		d.Tables["t"].Lines[tables.Address(h)] = 1
 		d.Hosts[tables.Address(h)] = tables.Host{ID: h, Zone: "a", Cell: fmt.Sprint(i)}
 	}
-	for _, r := range []tables.Route{{Repeat: "repeatable"}, {Repeat: "keyed", Reach: "cell", SpanMs: 4000}, {Repeat: "mutating"}} {
+	for _, r := range []tables.Route{{Idempotency: "repeatable"}, {Idempotency: "keyed", DedupScope: "cell", DedupWindowMs: 4000}, {Idempotency: "mutating"}} {
 		r.Level, r.Table, r.SLOMs, r.TimeLimitMs, r.Importance = tables.Level{Level: 1, Tries: tries}, "t", 150, 400, 1
-		d.Routes[r.Repeat] = r
+		d.Routes[r.Idempotency] = r
 	}
 	d.Seal(3, step, float64(step))
 	d.Tag()
@@ -255,7 +255,7 @@
 }
 
 func mustJSON(d *tables.Document) []byte {
-	return append([]byte(nil), d.Whole()...)
+	return append([]byte(nil), d.JSON()...)
 }
 
 // Answers that break the framing end as one clear answer, and the connection is not used again.
--- a/internal/relay/storm_test.go
+++ b/internal/relay/storm_test.go
@@ -52,7 +52,7 @@
 			hosts = append(hosts, ln.Addr().String())
 		}
 		doc := document(1, 3, hosts...)
-		doc.Ejects = 0 // the budget alone, not the avoiding
+		doc.EjectAfterFailures = 0 // the budget alone, not the avoiding
 		_, _, at := start(t, more, doc.Seal(3, 1, 2))
 		silent.Store(true)
 		calls := func(n int, every time.Duration) (answered int64) {
@@ -138,7 +138,7 @@
 			for i, text := range strings.Split(w, ",") {
 				doc.Tables["t"].Lines[tables.Address(hosts[i])], _ = strconv.ParseFloat(text, 64)
 			}
-			doc.Pick = os.Getenv("VETCHWOOD_TEST_PICK")
+			doc.PickPolicy = os.Getenv("VETCHWOOD_TEST_PICK")
 			parsed, err := tables.Parse(mustJSON(fresh(doc)))
 			if err != nil {
 				panic(err)
--- a/internal/settings/director.go
+++ b/internal/settings/director.go
@@ -162,7 +162,7 @@
 		IsWrite: r.Truth("writes", false)}
 	f.Routes = append(f.Routes, route)
 	out.Service.Routes = append(out.Service.Routes, control.RouteInfo{Name: name, Route: tables.Route{
-		Repeat: repeat, Reach: reach, SpanMs: float64(route.DedupWindow), SLOMs: float64(route.SLO),
+		Idempotency: repeat, DedupScope: reach, DedupWindowMs: float64(route.DedupWindow), SLOMs: float64(route.SLO),
 		TimeLimitMs: float64(route.TimeLimit), Importance: route.Importance, Writes: route.IsWrite,
 		OwnZone: route.OwnZone}})
 	r.Done()
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -30,14 +30,14 @@
 
 // Corrupt is a record whose content is not what was written. Whole is the newest version before it that can be read
 // without it; 0: none.
-type Corrupt struct {
-	Record string
-	Whole  tables.Step
+type CorruptError struct {
+	Record       string
+	LastReadable tables.Step
 }
 
-func (e *Corrupt) Error() string {
-	if e.Whole > 0 {
-		return fmt.Sprintf("record %s is not what was written; version %d, a whole snapshot, can be read", e.Record, e.Whole)
+func (e *CorruptError) Error() string {
+	if e.LastReadable > 0 {
+		return fmt.Sprintf("record %s is not what was written; version %d, a whole snapshot, can be read", e.Record, e.LastReadable)
 	}
 	return fmt.Sprintf("record %s is not what was written", e.Record)
 }
@@ -53,7 +53,7 @@
 
 func unseal(record string, b []byte, v any) error {
 	if len(b) < 8 || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[8:]) {
-		return &Corrupt{Record: record}
+		return &CorruptError{Record: record}
 	}
 	if err := json.Unmarshal(b[8:], v); err != nil {
 		return fmt.Errorf("record %s: %w", record, err)
@@ -212,7 +212,7 @@
 
 // offer names the newest whole snapshot up to a step.
 func offer(tx *bbolt.Tx, err error, upTo tables.Step) error {
-	var corrupt *Corrupt
+	var corrupt *CorruptError
 	if !errors.As(err, &corrupt) {
 		return err
 	}
@@ -220,7 +220,7 @@
 	for k, v := cur.Last(); k != nil; k, v = cur.Prev() {
 		var c content
 		if stepOf(k) <= upTo && unseal("", v, &c) == nil {
-			corrupt.Whole = stepOf(k)
+			corrupt.LastReadable = stepOf(k)
 			break
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -50,7 +50,7 @@
 			}
 		}
 		if tx.Bucket(meta).Get([]byte("line")) == nil {
-			return put(tx.Bucket(meta), "line", tables.Line(rand.Uint64()))
+			return put(tx.Bucket(meta), "line", tables.HistoryID(rand.Uint64()))
 		}
 		return together(tx)
 	})
@@ -62,7 +62,7 @@
 }
 
 // Keep says how much of the history is kept from now on.
-func (s *Store) Keep(keep Retention) { s.keep.Store(&keep) }
+func (s *Store) SetRetention(keep Retention) { s.keep.Store(&keep) }
 
 func (s *Store) Close() error { return s.db.Close() }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -169,8 +169,8 @@
 	})
 	for step, ok := range map[tables.Step]bool{99: true, 100: false, 120: false, 129: true, 150: true} {
 		got, err := s.At(step)
-		var corrupt *Corrupt
-		if ok && (err != nil || got.Tables[0].Lines["a:1"] != float64(step)) || !ok && (!errors.As(err, &corrupt) || corrupt.Record != "history/100" || corrupt.Whole != 65) {
+		var corrupt *CorruptError
+		if ok && (err != nil || got.Tables[0].Lines["a:1"] != float64(step)) || !ok && (!errors.As(err, &corrupt) || corrupt.Record != "history/100" || corrupt.LastReadable != 65) {
 			t.Errorf("version %d: %v, %v", step, got.Tables[0], err)
 		}
 	}
--- a/internal/subscribe/desk.go
+++ b/internal/subscribe/desk.go
@@ -338,9 +338,9 @@
 	doc := Document{tag: a.Doc.Tag(), Lease: a.Lease}
 	doc.Tag = doc.tag.ETag()
 	if a.Kind == control.Delta {
-		doc.Body, doc.Type, doc.Base = a.Patch, tables.PatchType, a.Base.Tag().ETag()
+		doc.Body, doc.Type, doc.Base = a.Patch, tables.PatchMediaType, a.Base.Tag().ETag()
 	} else {
-		doc.Body, doc.Type = a.Doc.Whole(), tables.MediaType
+		doc.Body, doc.Type = a.Doc.JSON(), tables.DocumentMediaType
 	}
 	if s.most > 0 && len(doc.Body)+len(s.topic)+packetHead > s.most {
 		d.leave(now, s, QuotaExceeded, "the document is longer than the packets that the client takes")
--- a/internal/tables/document.go
+++ b/internal/tables/document.go
@@ -16,15 +16,15 @@
 
 // MediaType is the content type of a whole document; PatchType that of a difference (RFC 6902).
 const (
-	MediaType = "application/vnd.vetchwood.tables+json"
-	PatchType = "application/json-patch+json"
+	DocumentMediaType = "application/vnd.vetchwood.tables+json"
+	PatchMediaType    = "application/json-patch+json"
 )
 
 type (
 	// Step counts the changes of one line of history; it never goes down, also over restarts.
 	Step uint64
 	// Line names the history that steps belong to; a store that was lost begins another.
-	Line uint64
+	HistoryID uint64
 	// Address is where a host listens, and its name in tables.
 	Address string
 )
@@ -45,15 +45,15 @@
 // Route is what holds for all calls of a route. Table names its table where proxies have tables of their own.
 type Route struct {
 	Level
-	Table       string  `json:"table,omitempty"`
-	Repeat      string  `json:"repeat"`
-	Reach       string  `json:"reach,omitempty"`
-	SpanMs      float64 `json:"span_ms,omitempty"`
-	SLOMs       float64 `json:"slo_ms"`
-	TimeLimitMs float64 `json:"time_limit_ms"`
-	Importance  float64 `json:"importance"`
-	Writes      bool    `json:"writes,omitempty"`
-	OwnZone     bool    `json:"own_zone,omitempty"`
+	Table         string  `json:"table,omitempty"`
+	Idempotency   string  `json:"repeat"`
+	DedupScope    string  `json:"reach,omitempty"`
+	DedupWindowMs float64 `json:"span_ms,omitempty"`
+	SLOMs         float64 `json:"slo_ms"`
+	TimeLimitMs   float64 `json:"time_limit_ms"`
+	Importance    float64 `json:"importance"`
+	Writes        bool    `json:"writes,omitempty"`
+	OwnZone       bool    `json:"own_zone,omitempty"`
 }
 
 // Table is the lines of one slice, or of the calls that a route binds to it. Keys whose hash lies in From..To
@@ -69,28 +69,28 @@
 
 // Source says which document a table of a merged one is from, and by which director of the proxy's list.
 type Source struct {
-	Doc  *Document
-	From int
+	Doc      *Document
+	Director int
 }
 
 // Document is all that a proxy is told, as of one step. What it points to is shared and never written again.
 type Document struct {
-	Version string  `json:"version"`
-	At      float64 `json:"at"` // when it was ordered, in Unix milliseconds
-	Pick    string  `json:"pick"`
-	Ejects  int     `json:"ejects,omitempty"`
-	TryWait float64 `json:"try_wait,omitempty"` // of the SLO time, for a try that another may follow
-	Hash    string  `json:"hash,omitempty"`
+	Version            string  `json:"version"`
+	At                 float64 `json:"at"` // when it was ordered, in Unix milliseconds
+	PickPolicy         string  `json:"pick"`
+	EjectAfterFailures int     `json:"ejects,omitempty"`
+	TryTimeoutShare    float64 `json:"try_wait,omitempty"` // of the SLO time, for a try that another may follow
+	KeyHash            string  `json:"hash,omitempty"`
 	// FullIsProof says that a host which turns a call away has not begun it.
-	FullIsProof bool              `json:"full_is_proof,omitempty"`
-	LevelsBy    string            `json:"levels_by,omitempty"` // share, rate or none
-	Routes      map[string]Route  `json:"routes"`
-	Hosts       map[Address]Host  `json:"hosts"`
-	Masked      map[Address]bool  `json:"masked"`
-	Tables      map[string]*Table `json:"tables"`
-
-	Line Line `json:"-"`
-	Step Step `json:"-"`
+	RejectedDidNotRun bool              `json:"full_is_proof,omitempty"`
+	LevelUnit         string            `json:"levels_by,omitempty"` // share, rate or none
+	Routes            map[string]Route  `json:"routes"`
+	Hosts             map[Address]Host  `json:"hosts"`
+	Masked            map[Address]bool  `json:"masked"`
+	Tables            map[string]*Table `json:"tables"`
+
+	History HistoryID `json:"-"`
+	Step    Step      `json:"-"`
 	// Sources is there in a document that a proxy merged of those of several directors: masks and levels hold for the
 	// tables of their own document alone.
 	Sources map[string]Source `json:"-"`
@@ -118,9 +118,9 @@
 const KeyHash = "xxh64"
 
 // Of gives the document that a table's masks and levels are in, and whose it is.
-func (d *Document) Of(table string) (*Document, int) {
+func (d *Document) SourceOf(table string) (*Document, int) {
 	if s, merged := d.Sources[table]; merged {
-		return s.Doc, s.From
+		return s.Doc, s.Director
 	}
 	return d, 0
 }
@@ -138,13 +138,13 @@
 
 // Tag names one content of one step: `line.step.digest`, in hexadecimal but for the step.
 type Tag struct {
-	Line   Line
-	Step   Step
-	Digest uint64
+	History HistoryID
+	Step    Step
+	Digest  uint64
 }
 
 func (t Tag) String() string {
-	return fmt.Sprintf("%x.%d.%x", uint64(t.Line), uint64(t.Step), t.Digest)
+	return fmt.Sprintf("%x.%d.%x", uint64(t.History), uint64(t.Step), t.Digest)
 }
 
 // ETag is the strong validator of RFC 9110 for it.
@@ -163,25 +163,25 @@
 	if err1 != nil || err2 != nil || err3 != nil {
 		return t, fmt.Errorf("entity tag %.60q: not line.step.digest", s)
 	}
-	return Tag{Line(line), Step(step), digest}, nil
+	return Tag{HistoryID(line), Step(step), digest}, nil
 }
 
 // Seal gives the document its version; it is not changed from then on.
-func (d *Document) Seal(line Line, step Step, at float64) *Document {
-	d.Line, d.Step, d.At = line, step, at
+func (d *Document) Seal(line HistoryID, step Step, at float64) *Document {
+	d.History, d.Step, d.At = line, step, at
 	d.Version = fmt.Sprintf("%x.%d", uint64(line), uint64(step))
 	return d
 }
 
 // Copy is another document of the same content, yet to be sealed.
 func (d *Document) Copy() *Document {
-	return &Document{At: d.At, Pick: d.Pick, Ejects: d.Ejects, TryWait: d.TryWait, Hash: d.Hash, FullIsProof: d.FullIsProof,
-		LevelsBy: d.LevelsBy, Routes: d.Routes, Hosts: d.Hosts, Masked: d.Masked, Tables: d.Tables, Sources: d.Sources}
+	return &Document{At: d.At, PickPolicy: d.PickPolicy, EjectAfterFailures: d.EjectAfterFailures, TryTimeoutShare: d.TryTimeoutShare, KeyHash: d.KeyHash, RejectedDidNotRun: d.RejectedDidNotRun,
+		LevelUnit: d.LevelUnit, Routes: d.Routes, Hosts: d.Hosts, Masked: d.Masked, Tables: d.Tables, Sources: d.Sources}
 }
 
 // Merged seals a document that a proxy made of several. It is encoded nowhere.
-func (d *Document) Merged(step Step) *Document {
-	d.Line, d.Step, d.Version = 0, step, "merged."+strconv.FormatUint(uint64(step), 10)
+func (d *Document) SealMerged(step Step) *Document {
+	d.History, d.Step, d.Version = 0, step, "merged."+strconv.FormatUint(uint64(step), 10)
 	return d
 }
 
@@ -200,13 +200,13 @@
 
 // set gives it its encoding. Where two cores do at the same time, it is the same.
 func (d *Document) set(whole []byte, digest uint64) {
-	e := &encoded{whole: whole, tag: Tag{d.Line, d.Step, digest}}
+	e := &encoded{whole: whole, tag: Tag{d.History, d.Step, digest}}
 	e.etag = e.tag.ETag()
 	d.made.all.CompareAndSwap(nil, e)
 }
 
 // Whole is the document's encoding.
-func (d *Document) Whole() []byte { return d.encode().whole }
+func (d *Document) JSON() []byte { return d.encode().whole }
 
 // Tag is the document's own.
 func (d *Document) Tag() Tag { return d.encode().tag }
@@ -215,7 +215,7 @@
 func (d *Document) ETag() string { return d.encode().etag }
 
 // After says which document this one follows.
-func (d *Document) After(before *Document) {
+func (d *Document) SetPrevious(before *Document) {
 	d.made.mu.Lock()
 	defer d.made.mu.Unlock()
 	d.made.before = before
@@ -233,7 +233,7 @@
 
 // Changes is the patch that makes d of base: composed of what the steps between them changed where those are known, and
 // by comparing the two where not.
-func (d *Document) Changes(base *Document) []Op {
+func (d *Document) PatchFrom(base *Document) []Op {
 	var steps [][]Op
 	at := d
 	for at != base {
@@ -263,11 +263,11 @@
 	if b, made := d.made.deltas.Load(base); made {
 		return b.([]byte)
 	}
-	b, err := json.Marshal(d.Changes(base))
+	b, err := json.Marshal(d.PatchFrom(base))
 	if err != nil {
 		panic(err)
 	}
-	if len(b) >= len(d.Whole()) {
+	if len(b) >= len(d.JSON()) {
 		b = nil
 	}
 	d.made.deltas.Store(base, b)
@@ -275,7 +275,7 @@
 }
 
 // Forget lets go of the differences, and so of the documents that they start from, and of those before.
-func (d *Document) Forget() {
+func (d *Document) ReleaseBases() {
 	d.made.mu.Lock()
 	defer d.made.mu.Unlock()
 	d.made.before, d.made.ops = nil, nil
@@ -294,7 +294,7 @@
 	if !found || err1 != nil || err2 != nil {
 		return nil, fmt.Errorf("tables document: field version: %.60q is not line.step", d.Version)
 	}
-	d.Line, d.Step = Line(l), Step(s)
+	d.History, d.Step = HistoryID(l), Step(s)
 	if err := d.check(); err != nil {
 		return nil, fmt.Errorf("tables document %s: %w", d.Version, err)
 	}
--- a/internal/tables/patch.go
+++ b/internal/tables/patch.go
@@ -72,8 +72,8 @@
 	if from.At != to.At {
 		p.put(from.At, to.At, "at")
 	}
-	if from.Pick != to.Pick || from.Ejects != to.Ejects || from.TryWait != to.TryWait || from.Hash != to.Hash ||
-		from.FullIsProof != to.FullIsProof || from.LevelsBy != to.LevelsBy {
+	if from.PickPolicy != to.PickPolicy || from.EjectAfterFailures != to.EjectAfterFailures || from.TryTimeoutShare != to.TryTimeoutShare || from.KeyHash != to.KeyHash ||
+		from.RejectedDidNotRun != to.RejectedDidNotRun || from.LevelUnit != to.LevelUnit {
 		return []Op{{Op: "replace", Value: to, was: from, whole: true}} // another deployment: nothing of the old is worth keeping
 	}
 	entries(&p, from.Hosts, to.Hosts, "hosts")
@@ -171,7 +171,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("patch on %s: %w", base.Version, err)
 	}
-	out, err := ops.Apply(base.Whole())
+	out, err := ops.Apply(base.JSON())
 	if err != nil {
 		return nil, fmt.Errorf("patch on %s: %w", base.Version, err)
 	}
--- a/internal/tables/tables_test.go
+++ b/internal/tables/tables_test.go
@@ -25,12 +25,12 @@
 		return &Table{From: &from, To: &n, Lines: rapid.MapOfN(hosts, rapid.Float64Range(1e-9, 1e9), 0, 4).Draw(t, "lines"),
 			Levels: rapid.MapOfN(rapid.SampledFrom([]string{"read", "note"}), levels, 0, 2).Draw(t, "levels")}
 	})
-	d := &Document{Pick: "lottery", Hash: KeyHash, Tables: rapid.MapOfN(names, table, 0, 5).Draw(t, "tables"),
+	d := &Document{PickPolicy: "lottery", KeyHash: KeyHash, Tables: rapid.MapOfN(names, table, 0, 5).Draw(t, "tables"),
 		Masked: rapid.MapOfN(hosts, rapid.Just(true), 0, 3).Draw(t, "masked"),
 		Hosts: rapid.MapOfN(hosts, rapid.Custom(func(t *rapid.T) Host {
 			return Host{ID: rapid.StringN(0, 4, 8).Draw(t, "id"), Zone: "z"}
 		}), 0, 4).Draw(t, "hosts"),
-		Routes: map[string]Route{"read": {Level: levels.Draw(t, "read"), Repeat: "repeatable", SLOMs: 1200, TimeLimitMs: 3000}}}
+		Routes: map[string]Route{"read": {Level: levels.Draw(t, "read"), Idempotency: "repeatable", SLOMs: 1200, TimeLimitMs: 3000}}}
 	if was != nil {
 		for name, table := range was.Tables {
 			if rapid.Bool().Draw(t, "kept") {
@@ -50,23 +50,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		before := bytes.Clone(a.Whole())
+		before := bytes.Clone(a.JSON())
 		got, err := Apply(a, patch)
 		if err != nil {
 			t.Fatalf("%v\n%s", err, patch)
 		}
 		if got.Tag() != b.Tag() {
-			t.Fatalf("tag %v, wanted %v\n%s\n%s\n%s", got.Tag(), b.Tag(), a.Whole(), patch, got.Whole())
+			t.Fatalf("tag %v, wanted %v\n%s\n%s\n%s", got.Tag(), b.Tag(), a.JSON(), patch, got.JSON())
 		}
 		other, err := jsonpatch.DecodePatch(patch)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out, err := other.Apply(a.Whole())
-		if err != nil || !jsonpatch.Equal(out, b.Whole()) {
+		out, err := other.Apply(a.JSON())
+		if err != nil || !jsonpatch.Equal(out, b.JSON()) {
 			t.Fatalf("another reader gets %s, %v", out, err)
 		}
-		if !bytes.Equal(before, a.Whole()) {
+		if !bytes.Equal(before, a.JSON()) {
 			t.Fatal("the base was written to")
 		}
 		if parsed, err := ParseETag(b.Tag().ETag()); err != nil || parsed != b.Tag() {
@@ -92,18 +92,18 @@
 				}
 				d.Tables = tables
 			}
-			d.After(was)
+			d.SetPrevious(was)
 			docs = append(docs, d)
 		}
 		base, target := docs[rapid.IntRange(0, len(docs)-2).Draw(t, "base")], docs[len(docs)-1]
-		ops := target.Changes(base)
+		ops := target.PatchFrom(base)
 		patch, err := json.Marshal(ops)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, err := Apply(base, patch)
 		if err != nil || got.Tag() != target.Tag() {
-			t.Fatalf("%v\n%s\n%s\n%s", err, base.Whole(), patch, target.Whole())
+			t.Fatalf("%v\n%s\n%s\n%s", err, base.JSON(), patch, target.JSON())
 		}
 		if plain := Diff(base, target); len(ops) != len(plain) {
 			t.Fatalf("%d operations, a comparison says %d\n%s", len(ops), len(plain), patch)
@@ -116,7 +116,7 @@
 func BenchmarkMissedSteps(b *testing.B) {
 	for _, lines := range []int{1000, 100000} {
 		build := func() *Document {
-			d := &Document{Pick: "pair", Hash: KeyHash, Routes: map[string]Route{}, Hosts: map[Address]Host{}, Masked: map[Address]bool{},
+			d := &Document{PickPolicy: "pair", KeyHash: KeyHash, Routes: map[string]Route{}, Hosts: map[Address]Host{}, Masked: map[Address]bool{},
 				Tables: map[string]*Table{}}
 			for i := range lines / 10 {
 				t := &Table{Lines: map[Address]float64{}}
@@ -138,14 +138,14 @@
 			for i := range 5 {
 				d.Tables[fmt.Sprint(int(step)*7+i)] = &Table{Lines: map[Address]float64{"10.9.9.9:80": float64(step)}}
 			}
-			d.Seal(1, step, float64(step)).After(was)
+			d.Seal(1, step, float64(step)).SetPrevious(was)
 			docs = append(docs, d)
 		}
 		target, copied := docs[len(docs)-1], build()
-		target.Changes(base)
+		target.PatchFrom(base)
 		b.Run(fmt.Sprintf("lines=%d/composed", lines), func(b *testing.B) {
 			for b.Loop() {
-				target.Changes(base)
+				target.PatchFrom(base)
 			}
 		})
 		b.Run(fmt.Sprintf("lines=%d/shared", lines), func(b *testing.B) {
@@ -223,7 +223,7 @@
 		`[{"op":"test","path":"/version","value":"7.3"}]`, `[{"op":"replace","path":"/version","value":"nothing"}]`, `[`,
 		`[{"op":"replace","path":"","value":[]}]`} {
 		if d, err := Apply(base, []byte(patch)); err == nil {
-			t.Errorf("%s gave %s", patch, d.Whole())
+			t.Errorf("%s gave %s", patch, d.JSON())
 		}
 	}
 }
@@ -251,7 +251,7 @@
 func BenchmarkDelta(b *testing.B) {
 	for _, tables := range []int{160, 1000} {
 		make := func(step Step) *Document {
-			d := &Document{Pick: "pair", Hash: KeyHash, Routes: map[string]Route{}, Hosts: map[Address]Host{}, Masked: map[Address]bool{},
+			d := &Document{PickPolicy: "pair", KeyHash: KeyHash, Routes: map[string]Route{}, Hosts: map[Address]Host{}, Masked: map[Address]bool{},
 				Tables: map[string]*Table{}}
 			for i := range tables {
 				d.Tables[fmt.Sprint(i)] = &Table{Lines: map[Address]float64{Address(fmt.Sprintf("10.0.0.%d:80", i%78)): 1,
--- a/internal/versions/index.go
+++ b/internal/versions/index.go
@@ -10,7 +10,7 @@
 
 // Member is somebody's place, within what it is of. The zero value is in no index.
 type Member[T any] struct {
-	Of         T
+	Value      T
 	at         *group[T]
 	next, prev *Member[T]
 }
@@ -44,7 +44,7 @@
 	if m.at != nil && m.at.step == to {
 		return
 	}
-	x.Drop(m)
+	x.Remove(m)
 	n := len(x.groups)
 	at := n - 1 // the newest, nearly always
 	if n == 0 || x.groups[at].step < to {
@@ -72,7 +72,7 @@
 }
 
 // Drop takes a member out.
-func (x *Index[T]) Drop(m *Member[T]) {
+func (x *Index[T]) Remove(m *Member[T]) {
 	g := m.at
 	if g == nil {
 		return
@@ -107,7 +107,7 @@
 }
 
 // Behind is how many stand on something older than a version.
-func (x *Index[T]) Behind(step tables.Step) (n int) {
+func (x *Index[T]) CountOlder(step tables.Step) (n int) {
 	for _, g := range x.groups {
 		if g.step >= step {
 			break
@@ -118,7 +118,7 @@
 }
 
 // Older hands over each that stands on something older than a version, the oldest first. It may be moved or dropped meanwhile.
-func (x *Index[T]) Older(step tables.Step, each func(*Member[T])) {
+func (x *Index[T]) VisitOlder(step tables.Step, each func(*Member[T])) {
 	var all []*Member[T]
 	for _, g := range x.groups {
 		if g.step >= step {
--- a/internal/versions/index_test.go
+++ b/internal/versions/index_test.go
@@ -14,12 +14,12 @@
 		var x Index[int]
 		members, plain := make([]Member[int], 12), map[int]tables.Step{}
 		for i := range members {
-			members[i].Of = i
+			members[i].Value = i
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			i := rapid.IntRange(0, 11).Draw(t, "who")
 			if rapid.IntRange(0, 4).Draw(t, "what") == 0 {
-				x.Drop(&members[i])
+				x.Remove(&members[i])
 				delete(plain, i)
 			} else {
 				plain[i] = tables.Step(rapid.IntRange(1, 9).Draw(t, "to"))
@@ -40,18 +40,18 @@
 					behind++
 				}
 			}
-			if n := x.Behind(limit); n != behind {
+			if n := x.CountOlder(limit); n != behind {
 				t.Fatalf("%d behind %d, not %d, of %v", n, limit, behind, plain)
 			}
-			x.Older(limit, func(m *Member[int]) {
+			x.VisitOlder(limit, func(m *Member[int]) {
 				at, in := m.Step()
-				if !in || at != plain[m.Of] || at >= limit || at < last {
-					t.Fatalf("%d stands on %d, after %d, of %v", m.Of, at, last, plain)
+				if !in || at != plain[m.Value] || at >= limit || at < last {
+					t.Fatalf("%d stands on %d, after %d, of %v", m.Value, at, last, plain)
 				}
 				last = at
 				behind--
-				if m.Of%2 == 0 { // it answers at once
-					plain[m.Of] = 20
+				if m.Value%2 == 0 { // it answers at once
+					plain[m.Value] = 20
 					x.Move(m, 20)
 				}
 			})
