--- a/cmd/vetchwood/watch.go
+++ b/cmd/vetchwood/watch.go
@@ -122,8 +122,8 @@
 	}
 	for _, r := range slices.Sorted(maps.Keys(u.Doc.Routes)) {
 		if before, now := was.Routes[r], u.Doc.Routes[r]; before.Level != now.Level {
-			say(change{Route: r, What: "level", From: fmt.Sprintf("%v, %d tries", before.Level.Level, before.Tries),
-				To: fmt.Sprintf("%v, %d tries", now.Level.Level, now.Tries)})
+			say(change{Route: r, What: "level", From: fmt.Sprintf("%v, %d tries", before.Level.Level, before.RetryMode),
+				To: fmt.Sprintf("%v, %d tries", now.Level.Level, now.RetryMode)})
 		}
 	}
 }
--- a/internal/carry/dispatcher.go
+++ b/internal/carry/dispatcher.go
@@ -159,7 +159,7 @@
 			if o := old[name]; o != nil {
 				level = o.levels[r]
 			}
-			updated.levels[r], updated.retryModes[r] = updateLevel(level, doc.LevelUnit, l.Level), l.Tries
+			updated.levels[r], updated.retryModes[r] = updateLevel(level, doc.LevelUnit, l.Level), l.RetryMode
 		}
 		updated.doc, updated.director = doc.SourceOf(name)
 		d.tables[name] = updated
@@ -283,7 +283,7 @@
 	if c.table != nil {
 		// The lower of the two levels applies, and the table's own retry mode.
 		if own := c.table.levels[c.Route]; own != nil {
-			if c.level.Tries = c.table.retryModes[c.Route]; own.Value() < level.Value() {
+			if c.level.RetryMode = c.table.retryModes[c.Route]; own.Value() < level.Value() {
 				level = own
 			}
 		}
@@ -400,7 +400,7 @@
 		idempotency = again.NonIdempotent
 	}
 	c.retry = again.NewState(again.Route{Idempotency: idempotency, DedupScope: r.DedupScope, DedupWindow: r.DedupWindowMs, SLO: r.SLOMs,
-		TryTimeoutShare: d.doc.TryTimeoutShare}, c.level.Tries, c.Deadline)
+		TryTimeoutShare: d.doc.TryTimeoutShare}, c.level.RetryMode, c.Deadline)
 	return d.pickHost(c, now)
 }
 
--- a/internal/carry/dispatcher_test.go
+++ b/internal/carry/dispatcher_test.go
@@ -17,8 +17,8 @@
 func newDocument(step tables.Step, change func(*tables.Document)) *tables.Document {
 	doc := &tables.Document{PickPolicy: "lottery", EjectAfterFailures: 3, TryTimeoutShare: 1, Masked: map[tables.Address]bool{}, Hosts: map[tables.Address]tables.Host{},
 		Routes: map[string]tables.Route{
-			"read": {Level: tables.Level{Level: 1, Tries: 2}, Idempotency: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1},
-			"note": {Level: tables.Level{Level: 1, Tries: 3}, Idempotency: "keyed", DedupScope: "cell", DedupWindowMs: 4000, SLOMs: 1000, TimeLimitMs: 3000, Importance: 3},
+			"read": {Level: tables.Level{Level: 1, RetryMode: 2}, Idempotency: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1},
+			"note": {Level: tables.Level{Level: 1, RetryMode: 3}, Idempotency: "keyed", DedupScope: "cell", DedupWindowMs: 4000, SLOMs: 1000, TimeLimitMs: 3000, Importance: 3},
 		}, Tables: map[string]*tables.Table{}}
 	for i := range 4 {
 		from, to := tables.SliceRange(i, 4)
@@ -179,7 +179,7 @@
 		r := doc.Routes["read"]
 		r.Level.Level = 0.5
 		doc.Routes["read"] = r
-		doc.Tables["0"].Levels = map[string]tables.Level{"read": {Level: 0, Tries: 1}}
+		doc.Tables["0"].Levels = map[string]tables.Level{"read": {Level: 0, RetryMode: 1}}
 	})
 	admitted, wrong := 0, 0
 	for i := range 2000 {
--- a/internal/checks/checks.go
+++ b/internal/checks/checks.go
@@ -34,7 +34,7 @@
 }
 
 // bare says whether a table has nothing to offer.
-func bare(t *tables.Table, masked map[tables.Address]bool) bool {
+func hasNoHost(t *tables.Table, masked map[tables.Address]bool) bool {
 	if t == nil {
 		return true
 	}
@@ -59,7 +59,7 @@
 		if was == is && !masks {
 			continue
 		}
-		if warm && bare(is, s.NextMasked) && !bare(was, s.PreviousMasked) {
+		if warm && hasNoHost(is, s.NextMasked) && !hasNoHost(was, s.PreviousMasked) {
 			faults = append(faults, Fault{Table: name, Reason: "left without a host, though a warm one is open"})
 		}
 		if was == is {
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -27,7 +27,7 @@
 
 func service(slices int) Service {
 	return Service{Zones: []string{"a", "b"}, Pick: "lottery", ProxyNames: regexp.MustCompile(`^p[0-9]$`), Lease: 2000,
-		LongestWait: 30000, Kept: 16, Routes: []RouteInfo{{"read", tables.Route{Level: tables.Level{Level: 1, Tries: 1},
+		LongestWait: 30000, Kept: 16, Routes: []RouteInfo{{"read", tables.Route{Level: tables.Level{Level: 1, RetryMode: 1},
 			Idempotency: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1}}},
 		Facts: logic.Config{Directors: 1, Proxies: 4, Slices: slices, LinesPerSecond: 1000, QueueLimit: 1000, MessageOverhead: 4,
 			Transit: 5, WorstTransit: 50, DrainGrace: 2000, WarmAfter: 10000, ColdFailAfter: 1500, ColdOverloadLimit: 3, ColdCapacity: 0.2,
--- a/internal/control/known.go
+++ b/internal/control/known.go
@@ -184,7 +184,7 @@
 		f.Slices = append(f.Slices, learn.Slice{Slice: int(t), Fence: c.world.tables[t].Fence, Version: c.world.step})
 	}
 	for r, l := range c.world.levels {
-		f.Levels = append(f.Levels, learn.Level{Route: c.svc.Routes[r].Name, Level: l.Level, Tries: l.Tries, Age: float64(now - k.levelsAt)})
+		f.Levels = append(f.Levels, learn.Level{Route: c.svc.Routes[r].Name, Level: l.Level, Tries: l.RetryMode, Age: float64(now - k.levelsAt)})
 	}
 	c.out = append(c.out, Answer{Ticket: q.Ticket, Kind: Told, Body: &f})
 }
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -73,7 +73,7 @@
 
 func service() control.Service {
 	return control.Service{Zones: []string{"a"}, Pick: "lottery", ProxyNames: regexp.MustCompile("p[0-9]"), Lease: 5000, LongestWait: 5000, Kept: 16,
-		Routes: []control.RouteInfo{{Name: "read", Route: tables.Route{Level: tables.Level{Level: 1, Tries: 1}, Idempotency: "repeatable", SLOMs: 1000, TimeLimitMs: 3000}}},
+		Routes: []control.RouteInfo{{Name: "read", Route: tables.Route{Level: tables.Level{Level: 1, RetryMode: 1}, Idempotency: "repeatable", SLOMs: 1000, TimeLimitMs: 3000}}},
 		Facts: logic.Config{Directors: 1, Proxies: 4, Slices: 8, LinesPerSecond: 5000, QueueLimit: 5000, MessageOverhead: 4, Transit: 5, WorstTransit: 50,
 			DrainGrace: 2000, WarmAfter: 10000, ColdFailAfter: 1500, ColdOverloadLimit: 3, ColdCapacity: 0.2, EmptyTableLimit: 2000, ReportInterval: 500, ReportLinesPerSecond: 100,
 			MessageWindow: 10000, Levels: logic.LevelShare, Routes: []logic.Route{{SLO: 1000, TimeLimit: 3000, Importance: 1, Idempotency: logic.Idempotent}}}}
--- a/internal/longpoll/cores_test.go
+++ b/internal/longpoll/cores_test.go
@@ -56,7 +56,7 @@
 // all gives a running director with a front, in which so many proxies have joined.
 func running(b testing.TB, proxies int) (*director.Director, *Server, string) {
 	svc := control.Service{Zones: []string{"a"}, Pick: "lottery", ProxyNames: regexp.MustCompile("^p[0-9]+$"), Lease: 600000, LongestWait: 600000, Kept: 16,
-		Routes: []control.RouteInfo{{Name: "read", Route: tables.Route{Level: tables.Level{Level: 1, Tries: 1}, Idempotency: "repeatable", SLOMs: 1000, TimeLimitMs: 3000}}},
+		Routes: []control.RouteInfo{{Name: "read", Route: tables.Route{Level: tables.Level{Level: 1, RetryMode: 1}, Idempotency: "repeatable", SLOMs: 1000, TimeLimitMs: 3000}}},
 		Facts: logic.Config{Directors: 1, Proxies: 65000, Slices: 160, LinesPerSecond: 1e7, QueueLimit: 1e8, MessageOverhead: 1, Transit: 1, WorstTransit: 50,
 			DrainGrace: 2000, WarmAfter: 1000, ColdFailAfter: 1500, ColdOverloadLimit: 3, ColdCapacity: 0.2, EmptyTableLimit: 2000, ReportInterval: 500, ReportLinesPerSecond: 100,
 			MessageWindow: 10000, Levels: logic.LevelShare, Routes: []logic.Route{{SLO: 1000, TimeLimit: 3000, Importance: 1, Idempotency: logic.Idempotent}}}}
--- a/internal/mqtt/mqtt_test.go
+++ b/internal/mqtt/mqtt_test.go
@@ -60,7 +60,7 @@
 // newDirector makes one of four hosts and eight slices.
 func newDirector(t testing.TB, proxies int, wait logic.Millis) *director.Director {
 	svc := control.Service{Zones: []string{"a"}, Pick: "lottery", ProxyNames: regexp.MustCompile(`^p[0-9]+$`), Lease: 3000, LongestWait: wait, Kept: 64,
-		Routes: []control.RouteInfo{{Name: "read", Route: tables.Route{Level: tables.Level{Level: 1, Tries: 1}, Idempotency: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1}}},
+		Routes: []control.RouteInfo{{Name: "read", Route: tables.Route{Level: tables.Level{Level: 1, RetryMode: 1}, Idempotency: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1}}},
 		Facts: logic.Config{Directors: 1, Proxies: proxies, Slices: 8, LinesPerSecond: 1e6, QueueLimit: 1e6, MessageOverhead: 4, Transit: 5, WorstTransit: 50,
 			DrainGrace: 2000, WarmAfter: 10000, ColdFailAfter: 1500, ColdOverloadLimit: 3, ColdCapacity: 0.2, EmptyTableLimit: 2000, ReportInterval: 500, ReportLinesPerSecond: 100,
 			MessageWindow: 10000, Levels: logic.LevelShare, Routes: []logic.Route{{SLO: 1000, TimeLimit: 3000, Importance: 1, Idempotency: logic.Idempotent}}}}
--- a/internal/pins/pins.go
+++ b/internal/pins/pins.go
@@ -34,7 +34,7 @@
 
 // coldPart is what a cold host gets of its weight: all of it would push it over, and nothing would leave its keys to
 // hosts that don't hold them.
-const coldPart = 0.25
+const warmUpWeightShare = 0.25
 
 // Mend gives a pinned table's lines as the rules allow them. A host that drains or is gone goes out; a cold one is light;
 // where no warm host is left that is open, one is drawn from those that are listed, for each table its own.
@@ -53,7 +53,7 @@
 			continue
 		case h.WarmingUp:
 			m.Deviations = append(m.Deviations, Deviation{a, "has just started: a quarter of its weight"})
-			w *= coldPart
+			w *= warmUpWeightShare
 		case h.Masked:
 			m.Deviations = append(m.Deviations, Deviation{a, "masked"})
 		default:
@@ -85,7 +85,7 @@
 
 // Moved is the part of a table's calls that go to other hosts by a change.
 func MovedFraction(from, to map[tables.Address]float64) float64 {
-	a, b := whole(from), whole(to)
+	a, b := totalWeight(from), totalWeight(to)
 	if a == 0 || b == 0 {
 		return 0 // nothing went anywhere before, or nothing will
 	}
@@ -96,7 +96,7 @@
 	return moved
 }
 
-func whole(lines map[tables.Address]float64) (sum float64) {
+func totalWeight(lines map[tables.Address]float64) (sum float64) {
 	for _, w := range lines {
 		sum += w
 	}
--- a/internal/pins/pins_test.go
+++ b/internal/pins/pins_test.go
@@ -12,7 +12,7 @@
 // Whatever is pinned and whatever has become of the hosts: nothing goes to one that drains or is gone, a cold one gets at
 // most a quarter of its weight, a table is bare of warm hosts only if there is none, and a table that breaks no rule stays
 // as it was pinned.
-func TestRulesStandAbovePins(t *testing.T) {
+func TestRulesOverridePins(t *testing.T) {
 	hosts := rapid.SampledFrom([]tables.Address{"a:1", "b:1", "c:1", "d:1", "e:1"})
 	state := rapid.Custom(func(t *rapid.T) Host {
 		return Host{rapid.Bool().Draw(t, "up"), rapid.Bool().Draw(t, "cold"), rapid.Bool().Draw(t, "masked")}
@@ -30,7 +30,7 @@
 			if !h.Up || !(w > 0) {
 				t.Fatalf("%s, %+v, gets %v", a, h, w)
 			}
-			if h.WarmingUp && w > pinned[a]*coldPart {
+			if h.WarmingUp && w > pinned[a]*warmUpWeightShare {
 				t.Fatalf("%s is cold and gets %v of %v", a, w, pinned[a])
 			}
 			open = open || !h.WarmingUp && !h.Masked
--- a/internal/rehearse/rogue_test.go
+++ b/internal/rehearse/rogue_test.go
@@ -86,7 +86,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	route := func(repeat string) tables.Route {
-		return tables.Route{Level: tables.Level{Level: 1, Tries: tries}, Idempotency: repeat, SLOMs: 300, TimeLimitMs: 2000, Importance: 1}
+		return tables.Route{Level: tables.Level{Level: 1, RetryMode: tries}, Idempotency: repeat, SLOMs: 300, TimeLimitMs: 2000, Importance: 1}
 	}
 	from, to := tables.SliceRange(0, 1)
 	d := &tables.Document{PickPolicy: "lottery", TryTimeoutShare: 0.5, KeyHash: tables.KeyHash, Masked: map[tables.Address]bool{}, Hosts: map[tables.Address]tables.Host{},
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -52,7 +52,7 @@
 		d.Hosts[tables.Address(h)] = tables.Host{ID: h, Zone: "a", Cell: fmt.Sprint(i)}
 	}
 	for _, r := range []tables.Route{{Idempotency: "repeatable"}, {Idempotency: "keyed", DedupScope: "cell", DedupWindowMs: 4000}, {Idempotency: "mutating"}} {
-		r.Level, r.Table, r.SLOMs, r.TimeLimitMs, r.Importance = tables.Level{Level: 1, Tries: tries}, "t", 150, 400, 1
+		r.Level, r.Table, r.SLOMs, r.TimeLimitMs, r.Importance = tables.Level{Level: 1, RetryMode: tries}, "t", 150, 400, 1
 		d.Routes[r.Idempotency] = r
 	}
 	d.Seal(3, step, float64(step))
--- a/internal/settings/director.go
+++ b/internal/settings/director.go
@@ -208,7 +208,7 @@
 	f.WriteLease = millis(r.Span("write_lease", 0, 0, time.Hour))
 	f.WriteSettle = millis(r.Span("write_settle", 0, 0, time.Hour))
 	for i := range out.Service.Routes {
-		out.Service.Routes[i].Level = tables.Level{Level: 1, Tries: f.DefaultRetries}
+		out.Service.Routes[i].Level = tables.Level{Level: 1, RetryMode: f.DefaultRetries}
 		if f.Levels == logic.LevelRate {
 			out.Service.Routes[i].Level.Level = 1e6
 		}
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -21,12 +21,12 @@
 }
 
 var (
-	history   = []byte("history")   // step -> what it changed
-	snapshots = []byte("snapshots") // step -> all of it
+	historyBucket   = []byte("history")   // step -> what it changed
+	snapshotsBucket = []byte("snapshots") // step -> all of it
 )
 
 // every is how many steps lie between two snapshots: so many changes at most are read to get any version.
-const every = 64
+const snapshotInterval = 64
 
 // Corrupt is a record whose content is not what was written. Whole is the newest version before it that can be read
 // without it; 0: none.
@@ -43,7 +43,7 @@
 }
 
 // seal puts a checksum before a record, and open takes it off.
-func seal(v any) ([]byte, error) {
+func encodeRecord(v any) ([]byte, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return nil, err
@@ -51,7 +51,7 @@
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(text)), text...), nil
 }
 
-func unseal(record string, b []byte, v any) error {
+func decodeRecord(record string, b []byte, v any) error {
 	if len(b) < 8 || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[8:]) {
 		return &CorruptError{Record: record}
 	}
@@ -63,10 +63,10 @@
 
 func stepKey(s tables.Step) []byte { return binary.BigEndian.AppendUint64(nil, uint64(s)) }
 
-func stepOf(key []byte) tables.Step { return tables.Step(binary.BigEndian.Uint64(key)) }
+func keyStep(key []byte) tables.Step { return tables.Step(binary.BigEndian.Uint64(key)) }
 
 // content is a version whole, as a snapshot holds it.
-type content struct {
+type snapshotRecord struct {
 	At     float64
 	Tables map[logic.TableID]*tables.Table
 	Masked map[tables.Address]bool
@@ -75,48 +75,48 @@
 }
 
 // record writes a step's change into the history, and every so often a snapshot.
-func record(tx *bbolt.Tx, c control.Change, keep Retention) error {
+func recordChange(tx *bbolt.Tx, c control.Change, keep Retention) error {
 	c.Named, c.Known, c.List = nil, nil, nil
-	b, err := seal(c)
+	b, err := encodeRecord(c)
 	if err != nil {
 		return err
 	}
-	h, s := tx.Bucket(history), tx.Bucket(snapshots)
+	h, s := tx.Bucket(historyBucket), tx.Bucket(snapshotsBucket)
 	if err := h.Put(stepKey(c.Step), b); err != nil {
 		return err
 	}
-	if last, _ := s.Cursor().Last(); last == nil || c.Step >= stepOf(last)+every {
+	if last, _ := s.Cursor().Last(); last == nil || c.Step >= keyStep(last)+snapshotInterval {
 		saved, err := load(tx)
 		if err != nil {
 			return err
 		}
-		b, err := seal(content{saved.At, saved.Tables, saved.Masked, saved.Levels, saved.Bound})
+		b, err := encodeRecord(snapshotRecord{saved.At, saved.Tables, saved.Masked, saved.Levels, saved.Bound})
 		if err != nil {
 			return err
 		}
 		if err := s.Put(stepKey(c.Step), b); err != nil {
 			return err
 		}
-		return trim(tx, c, keep)
+		return trimHistory(tx, c, keep)
 	}
 	return nil
 }
 
 // trim forgets whole stretches between snapshots that are too old by both measures, so that what stays can be read.
-func trim(tx *bbolt.Tx, now control.Change, keep Retention) error {
-	h, s := tx.Bucket(history), tx.Bucket(snapshots)
+func trimHistory(tx *bbolt.Tx, now control.Change, keep Retention) error {
+	h, s := tx.Bucket(historyBucket), tx.Bucket(snapshotsBucket)
 	if keep.Versions == 0 {
 		return nil
 	}
 	cut := tables.Step(0)
 	cur := s.Cursor()
 	for k, v := cur.First(); k != nil; k, v = cur.Next() {
-		step := stepOf(k)
+		step := keyStep(k)
 		if uint64(now.Step-step) < uint64(keep.Versions) || now.Least > 0 && step > now.Least {
 			break
 		}
-		var c content
-		if unseal("", v, &c) == nil && now.At-c.At < keep.AgeMs {
+		var c snapshotRecord
+		if decodeRecord("", v, &c) == nil && now.At-c.At < keep.AgeMs {
 			break
 		}
 		cut = step
@@ -124,7 +124,7 @@
 	for _, b := range []*bbolt.Bucket{h, s} {
 		var gone [][]byte
 		cur := b.Cursor()
-		for k, _ := cur.First(); k != nil && stepOf(k) < cut; k, _ = cur.Next() {
+		for k, _ := cur.First(); k != nil && keyStep(k) < cut; k, _ = cur.Next() {
 			gone = append(gone, append([]byte(nil), k...))
 		}
 		for _, k := range gone {
@@ -151,11 +151,11 @@
 // Versions gives the newest, the newest first.
 func (s *Store) Versions(most int) (out []Version, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		cur := tx.Bucket(history).Cursor()
+		cur := tx.Bucket(historyBucket).Cursor()
 		for k, v := cur.Last(); k != nil && len(out) < most; k, v = cur.Prev() {
 			var c control.Change
-			if err := unseal(fmt.Sprintf("history/%d", stepOf(k)), v, &c); err != nil {
-				out = append(out, Version{Step: stepOf(k), Why: err.Error()})
+			if err := decodeRecord(fmt.Sprintf("history/%d", keyStep(k)), v, &c); err != nil {
+				out = append(out, Version{Step: keyStep(k), Why: err.Error()})
 				continue
 			}
 			out = append(out, Version{c.Step, c.At, c.Who, c.Why, c.From, len(c.Tables), c.Masked != nil, c.Levels != nil})
@@ -171,20 +171,20 @@
 // At gives a version's content: the last snapshot before it, and what changed since.
 func (s *Store) At(step tables.Step) (saved control.Saved, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		cur := tx.Bucket(snapshots).Cursor()
+		cur := tx.Bucket(snapshotsBucket).Cursor()
 		k, v := cur.Seek(stepKey(step + 1))
 		if k == nil {
 			k, v = cur.Last()
 		} else {
 			k, v = cur.Prev()
 		}
-		if k == nil || tx.Bucket(history).Get(stepKey(step)) == nil {
+		if k == nil || tx.Bucket(historyBucket).Get(stepKey(step)) == nil {
 			return fmt.Errorf("version %d: %w", step, ErrNoVersion)
 		}
-		from := stepOf(k)
-		var c content
-		if err := unseal(fmt.Sprintf("snapshots/%d", from), v, &c); err != nil {
-			return offer(tx, err, from-1)
+		from := keyStep(k)
+		var c snapshotRecord
+		if err := decodeRecord(fmt.Sprintf("snapshots/%d", from), v, &c); err != nil {
+			return withLastReadable(tx, err, from-1)
 		}
 		saved = control.Saved{Step: from, At: c.At, Tables: c.Tables, Masked: c.Masked, Levels: c.Levels, Bound: c.Bound}
 		if saved.Tables == nil {
@@ -194,13 +194,13 @@
 			saved.Bound = map[logic.ProxyID][]logic.TableID{}
 		}
 		for next := from + 1; next <= step; next++ {
-			v := tx.Bucket(history).Get(stepKey(next))
+			v := tx.Bucket(historyBucket).Get(stepKey(next))
 			if v == nil {
 				return fmt.Errorf("version %d: step %d is missing: %w", step, next, ErrNoVersion)
 			}
 			var change control.Change
-			if err := unseal(fmt.Sprintf("history/%d", next), v, &change); err != nil {
-				return offer(tx, err, from)
+			if err := decodeRecord(fmt.Sprintf("history/%d", next), v, &change); err != nil {
+				return withLastReadable(tx, err, from)
 			}
 			change.Carried, change.Pinned = nil, nil // a snapshot has none, and a part of them would mislead
 			saved.Apply(change)
@@ -211,16 +211,16 @@
 }
 
 // offer names the newest whole snapshot up to a step.
-func offer(tx *bbolt.Tx, err error, upTo tables.Step) error {
+func withLastReadable(tx *bbolt.Tx, err error, upTo tables.Step) error {
 	var corrupt *CorruptError
 	if !errors.As(err, &corrupt) {
 		return err
 	}
-	cur := tx.Bucket(snapshots).Cursor()
+	cur := tx.Bucket(snapshotsBucket).Cursor()
 	for k, v := cur.Last(); k != nil; k, v = cur.Prev() {
-		var c content
-		if stepOf(k) <= upTo && unseal("", v, &c) == nil {
-			corrupt.LastReadable = stepOf(k)
+		var c snapshotRecord
+		if keyStep(k) <= upTo && decodeRecord("", v, &c) == nil {
+			corrupt.LastReadable = keyStep(k)
 			break
 		}
 	}
@@ -233,13 +233,13 @@
 		if _, err := load(tx); err != nil {
 			wrong = append(wrong, err)
 		}
-		for name, v := range map[string]func() any{"history": func() any { return &control.Change{} }, "snapshots": func() any { return &content{} }} {
+		for name, v := range map[string]func() any{"history": func() any { return &control.Change{} }, "snapshots": func() any { return &snapshotRecord{} }} {
 			var before tables.Step
 			tx.Bucket([]byte(name)).ForEach(func(k, b []byte) error {
 				records++
-				step := stepOf(k)
-				if err := unseal(fmt.Sprintf("%s/%d", name, step), b, v()); err != nil {
-					wrong = append(wrong, offer(tx, err, step-1))
+				step := keyStep(k)
+				if err := decodeRecord(fmt.Sprintf("%s/%d", name, step), b, v()); err != nil {
+					wrong = append(wrong, withLastReadable(tx, err, step-1))
 				}
 				if name == "history" && before > 0 && step != before+1 {
 					wrong = append(wrong, fmt.Errorf("history: version %d follows %d", step, before))
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,17 +19,17 @@
 )
 
 var (
-	meta    = []byte("meta")
-	tableOf = []byte("tables")
-	bound   = []byte("bound")
-	names   = []byte("names") // of proxies, by their numbers
-	buckets = [][]byte{meta, tableOf, bound, names, history, snapshots}
+	metaBucket   = []byte("meta")
+	tablesBucket = []byte("tables")
+	boundBucket  = []byte("bound")
+	namesBucket  = []byte("names") // of proxies, by their numbers
+	buckets      = [][]byte{metaBucket, tablesBucket, boundBucket, namesBucket, historyBucket, snapshotsBucket}
 )
 
 // Store is an open file.
 type Store struct {
-	db   *bbolt.DB
-	keep atomic.Pointer[Retention]
+	db        *bbolt.DB
+	retention atomic.Pointer[Retention]
 }
 
 // Open opens or makes the file.
@@ -42,17 +42,17 @@
 		return nil, fmt.Errorf("store %s: %w", path, err)
 	}
 	s := &Store{db: db}
-	s.keep.Store(&keep)
+	s.retention.Store(&keep)
 	err = db.Update(func(tx *bbolt.Tx) error {
 		for _, b := range buckets {
 			if _, err := tx.CreateBucketIfNotExists(b); err != nil {
 				return err
 			}
 		}
-		if tx.Bucket(meta).Get([]byte("line")) == nil {
-			return put(tx.Bucket(meta), "line", tables.HistoryID(rand.Uint64()))
+		if tx.Bucket(metaBucket).Get([]byte("line")) == nil {
+			return putRecord(tx.Bucket(metaBucket), "line", tables.HistoryID(rand.Uint64()))
 		}
-		return together(tx)
+		return migrateProxyNames(tx)
 	})
 	if err != nil {
 		db.Close()
@@ -62,31 +62,31 @@
 }
 
 // Keep says how much of the history is kept from now on.
-func (s *Store) SetRetention(keep Retention) { s.keep.Store(&keep) }
+func (s *Store) SetRetention(keep Retention) { s.retention.Store(&keep) }
 
 func (s *Store) Close() error { return s.db.Close() }
 
 // together takes apart the one record that an earlier version kept all proxies' names in: a fleet that joins writes each once, and
 // not all of them with each.
-func together(tx *bbolt.Tx) error {
-	b := tx.Bucket(meta).Get([]byte("proxies"))
+func migrateProxyNames(tx *bbolt.Tx) error {
+	b := tx.Bucket(metaBucket).Get([]byte("proxies"))
 	if b == nil {
 		return nil
 	}
 	var all map[string]logic.ProxyID
-	if err := unseal("meta/proxies", b, &all); err != nil {
-		return offer(tx, err, math.MaxUint64)
+	if err := decodeRecord("meta/proxies", b, &all); err != nil {
+		return withLastReadable(tx, err, math.MaxUint64)
 	}
 	for name, id := range all {
-		if err := put(tx.Bucket(names), strconv.Itoa(int(id)), name); err != nil {
+		if err := putRecord(tx.Bucket(namesBucket), strconv.Itoa(int(id)), name); err != nil {
 			return err
 		}
 	}
-	return tx.Bucket(meta).Delete([]byte("proxies"))
+	return tx.Bucket(metaBucket).Delete([]byte("proxies"))
 }
 
-func put(b *bbolt.Bucket, key string, v any) error {
-	text, err := seal(v)
+func putRecord(b *bbolt.Bucket, key string, v any) error {
+	text, err := encodeRecord(v)
 	if err != nil {
 		return err
 	}
@@ -111,16 +111,16 @@
 	for key, to := range map[string]any{"line": &saved.Line, "step": &saved.Step, "at": &saved.At,
 		"masked": &saved.Masked, "levels": &saved.Levels, "carried": &saved.Carried,
 		"known": &saved.Known, "list": &saved.List, "pinned": &saved.Pinned} {
-		if b := tx.Bucket(meta).Get([]byte(key)); b != nil {
-			if err := unseal("meta/"+key, b, to); err != nil {
-				return saved, offer(tx, err, math.MaxUint64)
+		if b := tx.Bucket(metaBucket).Get([]byte(key)); b != nil {
+			if err := decodeRecord("meta/"+key, b, to); err != nil {
+				return saved, withLastReadable(tx, err, math.MaxUint64)
 			}
 		}
 	}
-	err = tx.Bucket(tableOf).ForEach(func(k, b []byte) error {
+	err = tx.Bucket(tablesBucket).ForEach(func(k, b []byte) error {
 		t := &tables.Table{}
-		if err := unseal("tables/"+string(k), b, t); err != nil {
-			return offer(tx, err, math.MaxUint64)
+		if err := decodeRecord("tables/"+string(k), b, t); err != nil {
+			return withLastReadable(tx, err, math.MaxUint64)
 		}
 		if t.Lines == nil {
 			t.Lines = map[tables.Address]float64{}
@@ -133,10 +133,10 @@
 		return saved, err
 	}
 	saved.Proxies = map[string]logic.ProxyID{}
-	err = tx.Bucket(names).ForEach(func(k, b []byte) error {
+	err = tx.Bucket(namesBucket).ForEach(func(k, b []byte) error {
 		var name string
-		if err := unseal("names/"+string(k), b, &name); err != nil {
-			return offer(tx, err, math.MaxUint64)
+		if err := decodeRecord("names/"+string(k), b, &name); err != nil {
+			return withLastReadable(tx, err, math.MaxUint64)
 		}
 		n, err := strconv.Atoi(string(k))
 		saved.Proxies[name] = logic.ProxyID(n)
@@ -145,10 +145,10 @@
 	if err != nil {
 		return saved, err
 	}
-	return saved, tx.Bucket(bound).ForEach(func(k, b []byte) error {
+	return saved, tx.Bucket(boundBucket).ForEach(func(k, b []byte) error {
 		var by []logic.TableID
-		if err := unseal("bound/"+string(k), b, &by); err != nil {
-			return offer(tx, err, math.MaxUint64)
+		if err := decodeRecord("bound/"+string(k), b, &by); err != nil {
+			return withLastReadable(tx, err, math.MaxUint64)
 		}
 		n, err := strconv.Atoi(string(k))
 		saved.Bound[logic.ProxyID(n)] = by
@@ -164,7 +164,7 @@
 				return err
 			}
 			if c.Step > 0 {
-				if err := record(tx, c, *s.keep.Load()); err != nil {
+				if err := recordChange(tx, c, *s.retention.Load()); err != nil {
 					return err
 				}
 			}
@@ -178,7 +178,7 @@
 }
 
 func write(tx *bbolt.Tx, c control.Change) error {
-	m := tx.Bucket(meta)
+	m := tx.Bucket(metaBucket)
 	for _, part := range []struct {
 		key string
 		v   any
@@ -188,32 +188,32 @@
 		{"known", c.Known, c.Known != nil}, {"list", c.List, c.List != nil},
 		{"pinned", c.Pinned, c.Pinned != nil}} {
 		if part.set {
-			if err := put(m, part.key, part.v); err != nil {
+			if err := putRecord(m, part.key, part.v); err != nil {
 				return err
 			}
 		}
 	}
 	for id, t := range c.Tables {
-		if err := putOrDrop(tx.Bucket(tableOf), int(id), t, t == nil); err != nil {
+		if err := putOrDelete(tx.Bucket(tablesBucket), int(id), t, t == nil); err != nil {
 			return err
 		}
 	}
 	for id, name := range c.Named {
-		if err := put(tx.Bucket(names), strconv.Itoa(int(id)), name); err != nil {
+		if err := putRecord(tx.Bucket(namesBucket), strconv.Itoa(int(id)), name); err != nil {
 			return err
 		}
 	}
 	for id, by := range c.Bound {
-		if err := putOrDrop(tx.Bucket(bound), int(id), by, by == nil); err != nil {
+		if err := putOrDelete(tx.Bucket(boundBucket), int(id), by, by == nil); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func putOrDrop(b *bbolt.Bucket, key int, v any, gone bool) error {
+func putOrDelete(b *bbolt.Bucket, key int, v any, gone bool) error {
 	if gone {
 		return b.Delete([]byte(strconv.Itoa(key)))
 	}
-	return put(b, strconv.Itoa(key), v)
+	return putRecord(b, strconv.Itoa(key), v)
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	// A store of an earlier version kept all names in one record.
-	if err = s.db.Update(func(tx *bbolt.Tx) error { return put(tx.Bucket(meta), "proxies", map[string]int{"o": 1}) }); err != nil {
+	if err = s.db.Update(func(tx *bbolt.Tx) error { return putRecord(tx.Bucket(metaBucket), "proxies", map[string]int{"o": 1}) }); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -78,7 +78,7 @@
 }
 
 // drawnHistory writes a history and keeps what each version held.
-func drawnHistory(t *rapid.T, s *Store, steps int) map[tables.Step]string {
+func writeDrawnHistory(t *rapid.T, s *Store, steps int) map[tables.Step]string {
 	held := map[tables.Step]string{}
 	state := control.Saved{Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}
 	weight := rapid.Float64Range(0.01, 9)
@@ -123,7 +123,7 @@
 		}
 		s.db.NoSync = true
 		steps := rapid.IntRange(1, 160).Draw(t, "steps")
-		held := drawnHistory(t, s, steps)
+		held := writeDrawnHistory(t, s, steps)
 		s.Close()
 		if s, err = Open(path, Retention{Versions: 40}); err != nil {
 			t.Fatal(err)
@@ -139,7 +139,7 @@
 				t.Fatalf("version %d of %d: %v\n%+v\n%s", step, steps, err, tablesOf(got), want)
 			}
 		}
-		if _, wrong := s.Verify(); len(wrong) > 0 || kept > 40+2*every {
+		if _, wrong := s.Verify(); len(wrong) > 0 || kept > 40+2*snapshotInterval {
 			t.Fatalf("%v; %d kept", wrong, kept)
 		}
 		if _, err := s.At(tables.Step(steps + 1)); !errors.Is(err, ErrNoVersion) {
@@ -163,9 +163,9 @@
 		}
 	}
 	s.db.Update(func(tx *bbolt.Tx) error {
-		b := append([]byte(nil), tx.Bucket(history).Get(stepKey(100))...)
+		b := append([]byte(nil), tx.Bucket(historyBucket).Get(stepKey(100))...)
 		b[len(b)/2] ^= 1
-		return tx.Bucket(history).Put(stepKey(100), b)
+		return tx.Bucket(historyBucket).Put(stepKey(100), b)
 	})
 	for step, ok := range map[tables.Step]bool{99: true, 100: false, 120: false, 129: true, 150: true} {
 		got, err := s.At(step)
@@ -183,7 +183,7 @@
 }
 
 // A version that a proxy stands on stays, however old.
-func TestWhatAProxyStandsOnStays(t *testing.T) {
+func TestVersionHeldByAProxyIsRetained(t *testing.T) {
 	s, err := Open(filepath.Join(t.TempDir(), "d"), Retention{Versions: 10})
 	if err != nil {
 		t.Fatal(err)
@@ -205,17 +205,17 @@
 	}
 }
 
-func FuzzUnseal(f *testing.F) {
-	good, _ := seal(control.Change{Step: 3, Tables: map[logic.TableID]*tables.Table{1: {Lines: map[tables.Address]float64{"a:1": 1}}}})
+func FuzzDecodeRecord(f *testing.F) {
+	good, _ := encodeRecord(control.Change{Step: 3, Tables: map[logic.TableID]*tables.Table{1: {Lines: map[tables.Address]float64{"a:1": 1}}}})
 	f.Add(good)
 	f.Add(good[:9])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var c control.Change
-		if err := unseal("r", b, &c); err == nil {
-			again, err := seal(c)
+		if err := decodeRecord("r", b, &c); err == nil {
+			again, err := encodeRecord(c)
 			var d control.Change
-			if err != nil || unseal("r", again, &d) != nil {
+			if err != nil || decodeRecord("r", again, &d) != nil {
 				t.Fatalf("%v", err)
 			}
 		} else if !strings.Contains(err.Error(), "record r") {
--- a/internal/tables/document.go
+++ b/internal/tables/document.go
@@ -1,5 +1,5 @@
-// Package tables holds what a proxy is told: an immutable document with its version, the encodings of it, and
-// the differences between two of them. No I/O, no clock.
+// Package tables defines the routing tables document that directors publish to proxies: an immutable, versioned
+// document, its encodings, and the deltas between two documents. The package does no I/O and reads no clock.
 package tables
 
 import (
@@ -14,37 +14,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MediaType is the content type of a whole document; PatchType that of a difference (RFC 6902).
+// DocumentMediaType is the content type of a whole document, and PatchMediaType that of a delta (JSON Patch, RFC 6902).
 const (
 	DocumentMediaType = "application/vnd.vetchwood.tables+json"
 	PatchMediaType    = "application/json-patch+json"
 )
 
 type (
-	// Step counts the changes of one line of history; it never goes down, also over restarts.
+	// Step numbers the versions of one history. It never decreases, not even across restarts.
 	Step uint64
-	// Line names the history that steps belong to; a store that was lost begins another.
+	// HistoryID identifies the history that steps belong to. A director whose store was lost starts a new history.
 	HistoryID uint64
-	// Address is where a host listens, and its name in tables.
+	// Address is the address that a host listens on. It also identifies the host in tables.
 	Address string
 )
 
-// Host is what a table's reader may want to know of a host beside its address.
+// Host describes a host apart from its address.
 type Host struct {
 	ID   string `json:"id"`
 	Zone string `json:"zone"`
 	Cell string `json:"cell,omitempty"`
 }
 
-// Level is how much of a route is let in, and when a proxy tries again.
+// Level is the admission level and the retry mode of a route.
 type Level struct {
-	Level float64 `json:"level"`
-	Tries int     `json:"tries"`
+	// Level is in the unit that Document.LevelUnit names.
+	Level     float64 `json:"level"`
+	RetryMode int     `json:"tries"`
 }
 
-// Route is what holds for all calls of a route. Table names its table where proxies have tables of their own.
+// Route is the configuration of all calls of a route.
 type Route struct {
 	Level
+	// Table names the route's table in deployments that assign tables to each proxy instead of slicing the key space.
 	Table         string  `json:"table,omitempty"`
 	Idempotency   string  `json:"repeat"`
 	DedupScope    string  `json:"reach,omitempty"`
@@ -56,34 +58,36 @@
 	OwnZone       bool    `json:"own_zone,omitempty"`
 }
 
-// Table is the lines of one slice, or of the calls that a route binds to it. Keys whose hash lies in From..To
-// belong to it, both included, where there are slices.
+// Table holds the weighted lines of one slice, or of the routes that are bound to it.
 type Table struct {
+	// From and To bound the key hashes (upper 32 bits) of the slice, both inclusive. They are nil without slices.
 	From   *uint64             `json:"from,omitempty"`
 	To     *uint64             `json:"to,omitempty"`
 	Lines  map[Address]float64 `json:"lines"`
 	Levels map[string]Level    `json:"levels,omitempty"`
-	// Fence counts the slice's holders, where directors hold slices by lease: a greater one is a later holder's word.
+	// Fence counts the successive owners of the slice where directors own slices by lease. Of two tables of a slice,
+	// the one with the greater fence is from the later owner.
 	Fence uint64 `json:"fence,omitempty"`
 }
 
-// Source says which document a table of a merged one is from, and by which director of the proxy's list.
+// Source tells where a table of a merged document comes from.
 type Source struct {
 	Doc      *Document
-	Director int
+	Director int // index in the proxy's list of directors
 }
 
-// Document is all that a proxy is told, as of one step. What it points to is shared and never written again.
+// Document is the whole configuration that is published to a proxy at one step. The maps and tables that it refers to
+// are shared between documents and are not modified once the document is sealed.
 type Document struct {
 	Version            string  `json:"version"`
-	At                 float64 `json:"at"` // when it was ordered, in Unix milliseconds
+	At                 float64 `json:"at"` // when the decision module ordered it, in Unix milliseconds
 	PickPolicy         string  `json:"pick"`
 	EjectAfterFailures int     `json:"ejects,omitempty"`
-	TryTimeoutShare    float64 `json:"try_wait,omitempty"` // of the SLO time, for a try that another may follow
+	TryTimeoutShare    float64 `json:"try_wait,omitempty"` // time-out of a try that may be retried, as a share of the route's SLO
 	KeyHash            string  `json:"hash,omitempty"`
-	// FullIsProof says that a host which turns a call away has not begun it.
+	// RejectedDidNotRun tells that a host that rejects a call as overloaded has not begun to execute it.
 	RejectedDidNotRun bool              `json:"full_is_proof,omitempty"`
-	LevelUnit         string            `json:"levels_by,omitempty"` // share, rate or none
+	LevelUnit         string            `json:"levels_by,omitempty"` // "share", "rate" or "none"
 	Routes            map[string]Route  `json:"routes"`
 	Hosts             map[Address]Host  `json:"hosts"`
 	Masked            map[Address]bool  `json:"masked"`
@@ -91,33 +95,34 @@
 
 	History HistoryID `json:"-"`
 	Step    Step      `json:"-"`
-	// Sources is there in a document that a proxy merged of those of several directors: masks and levels hold for the
-	// tables of their own document alone.
+	// Sources is set only in a document that a proxy merged from the documents of several directors. Masks and levels
+	// apply only to the tables that come from the same document.
 	Sources map[string]Source `json:"-"`
 
-	made encodings
+	cache encodingCache
 }
 
-// encodings are made once for all that read the document, on whatever core they are; once made they are read without a lock.
-type encodings struct {
-	all    atomic.Pointer[encoded]
-	deltas sync.Map   // *Document -> []byte
-	delta  sync.Mutex // held while a difference is made
-	mu     sync.Mutex
-	before *Document // the step before, where that is known
-	ops    []Op      // what this one changed of it
+// encodingCache caches a document's encoding and deltas, so that each is computed once for all readers on all cores.
+// Cached values are read without a lock.
+type encodingCache struct {
+	own      atomic.Pointer[encoding]
+	deltas   sync.Map   // *Document -> []byte
+	deltaMu  sync.Mutex // held while a delta is computed
+	mu       sync.Mutex // guards previous and patch
+	previous *Document  // the preceding document, if known
+	patch    []Op       // from previous to this document
 }
 
-type encoded struct {
-	whole []byte
-	tag   Tag
-	etag  string
+type encoding struct {
+	text []byte
+	tag  Tag
+	etag string
 }
 
-// KeyHash is the hash that places keys; the first 32 bits of it choose the slice.
+// KeyHash names the hash function of keys. The upper 32 bits of a key's hash determine its slice.
 const KeyHash = "xxh64"
 
-// Of gives the document that a table's masks and levels are in, and whose it is.
+// SourceOf returns the document that holds a table's masks and levels, and the index of the director that published it.
 func (d *Document) SourceOf(table string) (*Document, int) {
 	if s, merged := d.Sources[table]; merged {
 		return s.Doc, s.Director
@@ -125,18 +130,19 @@
 	return d, 0
 }
 
-// SliceOf gives the slice of a key among that many.
+// SliceOf returns the slice of a key when the key space is divided into the given number of slices.
 func SliceOf(key string, slices int) int {
 	return int((xxhash.Sum64String(key) >> 32) * uint64(slices) >> 32)
 }
 
-// SliceRange gives the first and the last hash (upper 32 bits) of a slice.
+// SliceRange returns the first and the last hash (upper 32 bits) of a slice.
 func SliceRange(slice, slices int) (from, to uint64) {
-	at := func(i int) uint64 { return (uint64(i)<<32 + uint64(slices) - 1) / uint64(slices) }
-	return at(slice), at(slice+1) - 1
+	start := func(i int) uint64 { return (uint64(i)<<32 + uint64(slices) - 1) / uint64(slices) }
+	return start(slice), start(slice+1) - 1
 }
 
-// Tag names one content of one step: `line.step.digest`, in hexadecimal but for the step.
+// Tag identifies one content of one step. It is written history.step.digest, with the step in decimal and the rest in
+// hexadecimal.
 type Tag struct {
 	History HistoryID
 	Step    Step
@@ -147,104 +153,105 @@
 	return fmt.Sprintf("%x.%d.%x", uint64(t.History), uint64(t.Step), t.Digest)
 }
 
-// ETag is the strong validator of RFC 9110 for it.
+// ETag returns the tag as a strong entity tag (RFC 9110).
 func (t Tag) ETag() string { return `"` + t.String() + `"` }
 
-// ParseETag reads what ETag wrote.
+// ParseETag parses an entity tag that ETag returned.
 func ParseETag(s string) (t Tag, err error) {
 	if len(s) < 2 || s[0] != '"' || s[len(s)-1] != '"' {
 		return t, fmt.Errorf("entity tag %.60q: not a quoted strong validator", s)
 	}
-	first, rest, _ := strings.Cut(s[1:len(s)-1], ".")
-	second, third, _ := strings.Cut(rest, ".")
-	line, err1 := strconv.ParseUint(first, 16, 64)
-	step, err2 := strconv.ParseUint(second, 10, 64)
-	digest, err3 := strconv.ParseUint(third, 16, 64)
+	historyText, rest, _ := strings.Cut(s[1:len(s)-1], ".")
+	stepText, digestText, _ := strings.Cut(rest, ".")
+	history, err1 := strconv.ParseUint(historyText, 16, 64)
+	step, err2 := strconv.ParseUint(stepText, 10, 64)
+	digest, err3 := strconv.ParseUint(digestText, 16, 64)
 	if err1 != nil || err2 != nil || err3 != nil {
-		return t, fmt.Errorf("entity tag %.60q: not line.step.digest", s)
+		return t, fmt.Errorf("entity tag %.60q: not of the form history.step.digest", s)
 	}
-	return Tag{HistoryID(line), Step(step), digest}, nil
+	return Tag{HistoryID(history), Step(step), digest}, nil
 }
 
-// Seal gives the document its version; it is not changed from then on.
-func (d *Document) Seal(line HistoryID, step Step, at float64) *Document {
-	d.History, d.Step, d.At = line, step, at
-	d.Version = fmt.Sprintf("%x.%d", uint64(line), uint64(step))
+// Seal sets the document's version and time, and returns the document. A sealed document must not be modified.
+func (d *Document) Seal(history HistoryID, step Step, at float64) *Document {
+	d.History, d.Step, d.At = history, step, at
+	d.Version = fmt.Sprintf("%x.%d", uint64(history), uint64(step))
 	return d
 }
 
-// Copy is another document of the same content, yet to be sealed.
+// Copy returns an unsealed document with the same content.
 func (d *Document) Copy() *Document {
 	return &Document{At: d.At, PickPolicy: d.PickPolicy, EjectAfterFailures: d.EjectAfterFailures, TryTimeoutShare: d.TryTimeoutShare, KeyHash: d.KeyHash, RejectedDidNotRun: d.RejectedDidNotRun,
 		LevelUnit: d.LevelUnit, Routes: d.Routes, Hosts: d.Hosts, Masked: d.Masked, Tables: d.Tables, Sources: d.Sources}
 }
 
-// Merged seals a document that a proxy made of several. It is encoded nowhere.
+// SealMerged seals a document that a proxy merged from those of several directors. Merged documents are never encoded.
 func (d *Document) SealMerged(step Step) *Document {
 	d.History, d.Step, d.Version = 0, step, "merged."+strconv.FormatUint(uint64(step), 10)
 	return d
 }
 
-// encode gives the document's encoding, by which it is known from then on.
-func (d *Document) encode() *encoded {
-	if e := d.made.all.Load(); e != nil {
+// encode returns the document's encoding and computes it on the first call. The digest in the document's tag is that of
+// this encoding.
+func (d *Document) encode() *encoding {
+	if e := d.cache.own.Load(); e != nil {
 		return e
 	}
 	b, err := json.Marshal(d)
 	if err != nil {
-		panic(err) // all numbers were checked as they came in
+		panic(err) // cannot happen: all numbers were validated on input
 	}
-	d.set(b, xxhash.Sum64(b))
-	return d.made.all.Load()
+	d.setEncoding(b, xxhash.Sum64(b))
+	return d.cache.own.Load()
 }
 
-// set gives it its encoding. Where two cores do at the same time, it is the same.
-func (d *Document) set(whole []byte, digest uint64) {
-	e := &encoded{whole: whole, tag: Tag{d.History, d.Step, digest}}
+// setEncoding caches the document's encoding. Concurrent callers set the same encoding, so the first one is kept.
+func (d *Document) setEncoding(text []byte, digest uint64) {
+	e := &encoding{text: text, tag: Tag{d.History, d.Step, digest}}
 	e.etag = e.tag.ETag()
-	d.made.all.CompareAndSwap(nil, e)
+	d.cache.own.CompareAndSwap(nil, e)
 }
 
-// Whole is the document's encoding.
-func (d *Document) JSON() []byte { return d.encode().whole }
+// JSON returns the encoding of the whole document.
+func (d *Document) JSON() []byte { return d.encode().text }
 
-// Tag is the document's own.
+// Tag returns the tag of the document's step and encoding.
 func (d *Document) Tag() Tag { return d.encode().tag }
 
-// ETag is the validator of the document's tag.
+// ETag returns the document's tag as a strong entity tag.
 func (d *Document) ETag() string { return d.encode().etag }
 
-// After says which document this one follows.
-func (d *Document) SetPrevious(before *Document) {
-	d.made.mu.Lock()
-	defer d.made.mu.Unlock()
-	d.made.before = before
+// SetPrevious sets the document that precedes this one.
+func (d *Document) SetPrevious(previous *Document) {
+	d.cache.mu.Lock()
+	defer d.cache.mu.Unlock()
+	d.cache.previous = previous
 }
 
-// changed is what the document changed of the one before, nil where none is known.
-func (d *Document) changed() (*Document, []Op) {
-	d.made.mu.Lock()
-	defer d.made.mu.Unlock()
-	if d.made.before != nil && d.made.ops == nil {
-		d.made.ops = Diff(d.made.before, d)
+// patchFromPrevious returns the preceding document and the patch from it to this one, or nil if none is known.
+func (d *Document) patchFromPrevious() (*Document, []Op) {
+	d.cache.mu.Lock()
+	defer d.cache.mu.Unlock()
+	if d.cache.previous != nil && d.cache.patch == nil {
+		d.cache.patch = Diff(d.cache.previous, d)
 	}
-	return d.made.before, d.made.ops
+	return d.cache.previous, d.cache.patch
 }
 
-// Changes is the patch that makes d of base: composed of what the steps between them changed where those are known, and
-// by comparing the two where not.
+// PatchFrom returns the patch that turns base into d. It composes the patches of the steps between the two documents if
+// all of them are known and can be composed, and compares the two documents otherwise.
 func (d *Document) PatchFrom(base *Document) []Op {
 	var steps [][]Op
-	at := d
-	for at != base {
-		before, ops := at.changed()
-		if before == nil {
+	current := d
+	for current != base {
+		previous, ops := current.patchFromPrevious()
+		if previous == nil {
 			break
 		}
 		steps = append(steps, ops)
-		at = before
+		current = previous
 	}
-	if at == base && len(steps) > 0 {
+	if current == base && len(steps) > 0 {
 		slices.Reverse(steps)
 		if ops, composes := Compose(steps); composes {
 			return ops
@@ -253,14 +260,15 @@
 	return Diff(base, d)
 }
 
-// Delta is that patch, encoded once for all that hold the base. It is nil where the whole document is no longer than it.
+// Delta returns the encoded patch from base to d. It is computed once for all proxies that hold the base. Delta returns
+// nil if the patch is not shorter than the whole document.
 func (d *Document) Delta(base *Document) []byte {
-	if b, made := d.made.deltas.Load(base); made {
+	if b, cached := d.cache.deltas.Load(base); cached {
 		return b.([]byte)
 	}
-	d.made.delta.Lock() // the first to ask makes it, and the others wait for it
-	defer d.made.delta.Unlock()
-	if b, made := d.made.deltas.Load(base); made {
+	d.cache.deltaMu.Lock() // the first caller computes the delta while the others wait
+	defer d.cache.deltaMu.Unlock()
+	if b, cached := d.cache.deltas.Load(base); cached {
 		return b.([]byte)
 	}
 	b, err := json.Marshal(d.PatchFrom(base))
@@ -270,58 +278,59 @@
 	if len(b) >= len(d.JSON()) {
 		b = nil
 	}
-	d.made.deltas.Store(base, b)
+	d.cache.deltas.Store(base, b)
 	return b
 }
 
-// Forget lets go of the differences, and so of the documents that they start from, and of those before.
+// ReleaseBases drops the cached deltas and the link to the preceding document, so that earlier documents can be freed.
 func (d *Document) ReleaseBases() {
-	d.made.mu.Lock()
-	defer d.made.mu.Unlock()
-	d.made.before, d.made.ops = nil, nil
-	d.made.deltas.Clear()
+	d.cache.mu.Lock()
+	defer d.cache.mu.Unlock()
+	d.cache.previous, d.cache.patch = nil, nil
+	d.cache.deltas.Clear()
 }
 
-// Parse reads a whole document and refuses one that a proxy can't follow.
+// Parse decodes a whole document. It returns an error if a proxy could not apply the document.
 func Parse(text []byte) (*Document, error) {
 	var d Document
 	if err := json.Unmarshal(text, &d); err != nil {
 		return nil, fmt.Errorf("tables document: %w", err)
 	}
-	line, step, found := strings.Cut(d.Version, ".")
-	l, err1 := strconv.ParseUint(line, 16, 64)
-	s, err2 := strconv.ParseUint(step, 10, 64)
+	historyText, stepText, found := strings.Cut(d.Version, ".")
+	history, err1 := strconv.ParseUint(historyText, 16, 64)
+	step, err2 := strconv.ParseUint(stepText, 10, 64)
 	if !found || err1 != nil || err2 != nil {
-		return nil, fmt.Errorf("tables document: field version: %.60q is not line.step", d.Version)
+		return nil, fmt.Errorf("tables document: field version: %.60q is not of the form history.step", d.Version)
 	}
-	d.History, d.Step = HistoryID(l), Step(s)
-	if err := d.check(); err != nil {
+	d.History, d.Step = HistoryID(history), Step(step)
+	if err := d.validate(); err != nil {
 		return nil, fmt.Errorf("tables document %s: %w", d.Version, err)
 	}
-	d.set(text, xxhash.Sum64(text))
+	d.setEncoding(text, xxhash.Sum64(text))
 	return &d, nil
 }
 
-func (d *Document) check() error {
+// validate returns an error if the document has values that a proxy cannot apply.
+func (d *Document) validate() error {
 	for name, t := range d.Tables {
 		if t == nil || name == "" {
 			return fmt.Errorf("table %q: empty", name)
 		}
 		for a, w := range t.Lines {
 			if !(w > 0) || w > 1e9 {
-				return fmt.Errorf("table %q, line %q: weight %v is not above 0 and at most 1e9", name, a, w)
+				return fmt.Errorf("table %q, line %q: weight %v is out of range: it must be above 0 and at most 1e9", name, a, w)
 			}
 		}
 		if (t.From == nil) != (t.To == nil) || t.From != nil && (*t.From > *t.To || *t.To >= 1<<32) {
-			return fmt.Errorf("table %q: from and to are no range of hashes", name)
+			return fmt.Errorf("table %q: from and to are not a valid range of 32-bit hashes", name)
 		}
 	}
 	for name, r := range d.Routes {
 		if r.Table != "" && d.Tables[r.Table] == nil {
-			return fmt.Errorf("route %q: names table %q, which is not there", name, r.Table)
+			return fmt.Errorf("route %q: refers to table %q, which does not exist", name, r.Table)
 		}
-		if !(r.Level.Level >= 0) || r.Tries < 0 || r.Tries > 3 {
-			return fmt.Errorf("route %q: level %v, tries %d", name, r.Level.Level, r.Tries)
+		if !(r.Level.Level >= 0) || r.RetryMode < 0 || r.RetryMode > 3 {
+			return fmt.Errorf("route %q: level %v or tries %d is out of range: level must be at least 0, tries 0 to 3", name, r.Level.Level, r.RetryMode)
 		}
 	}
 	return nil
--- a/internal/tables/patch.go
+++ b/internal/tables/patch.go
@@ -15,131 +15,137 @@
 	Path  string `json:"path"`
 	Value any    `json:"value,omitempty"`
 
-	was   any  // what was there before; nil: nothing
-	whole bool // it writes what has paths of its own below it
+	old     any  // the value before the operation; nil if there was none
+	subtree bool // the value is an object whose members are also patched by paths of their own
 }
 
-var pointer = strings.NewReplacer("~", "~0", "/", "~1")
+// pointerEscaper escapes a key for a JSON Pointer (RFC 6901).
+var pointerEscaper = strings.NewReplacer("~", "~0", "/", "~1")
 
-type patch []Op
+// patchBuilder collects the operations of a patch.
+type patchBuilder []Op
 
-// put writes what was not there (was is nil) or was something else.
-func (p *patch) put(was, value any, path ...string) {
+// set appends the operation that sets a path to value: an add if old is nil, and a replace otherwise.
+func (p *patchBuilder) set(old, value any, path ...string) {
 	op := "add"
-	if was != nil {
+	if old != nil {
 		op = "replace"
 	}
-	*p = append(*p, Op{Op: op, Path: at(path), Value: value, was: was})
+	*p = append(*p, Op{Op: op, Path: jsonPointer(path), Value: value, old: old})
 }
 
-func (p *patch) drop(was any, path ...string) {
-	*p = append(*p, Op{Op: "remove", Path: at(path), was: was})
+// remove appends the operation that removes a path, which held the value old.
+func (p *patchBuilder) remove(old any, path ...string) {
+	*p = append(*p, Op{Op: "remove", Path: jsonPointer(path), old: old})
 }
 
-// above marks the last one as writing what has paths of its own below it.
-func (p *patch) above() { (*p)[len(*p)-1].whole = true }
+// markSubtree marks the last operation as one on an object whose members are also patched by paths of their own.
+func (p *patchBuilder) markSubtree() { (*p)[len(*p)-1].subtree = true }
 
-func at(path []string) string {
+// jsonPointer returns the JSON Pointer of a path.
+func jsonPointer(path []string) string {
 	var b strings.Builder
 	for _, s := range path {
 		b.WriteByte('/')
-		b.WriteString(pointer.Replace(s))
+		b.WriteString(pointerEscaper.Replace(s))
 	}
 	return b.String()
 }
 
-// entries writes what differs between two maps below a path, in the order of the keys.
-func entries[K ~string, V comparable](p *patch, from, to map[K]V, path ...string) {
-	under := func(k K) []string { return append(slices.Clone(path), string(k)) }
+// diffEntries appends the operations that turn one map below a path into another, ordered by key.
+func diffEntries[K ~string, V comparable](p *patchBuilder, from, to map[K]V, path ...string) {
+	pathOf := func(k K) []string { return append(slices.Clone(path), string(k)) }
 	for _, k := range slices.Sorted(maps.Keys(from)) {
 		if _, stays := to[k]; !stays {
-			p.drop(from[k], under(k)...)
+			p.remove(from[k], pathOf(k)...)
 		}
 	}
 	for _, k := range slices.Sorted(maps.Keys(to)) {
-		if was, known := from[k]; !known {
-			p.put(nil, to[k], under(k)...)
-		} else if was != to[k] {
-			p.put(was, to[k], under(k)...)
+		if old, found := from[k]; !found {
+			p.set(nil, to[k], pathOf(k)...)
+		} else if old != to[k] {
+			p.set(old, to[k], pathOf(k)...)
 		}
 	}
 }
 
-// Diff gives the patch from one document to another. Tables that both share are passed over unread.
+// Diff returns the patch from one document to another. Tables that both documents share by pointer are not compared.
 func Diff(from, to *Document) []Op {
-	p := patch{}
-	p.put(from.Version, to.Version, "version")
+	p := patchBuilder{}
+	p.set(from.Version, to.Version, "version")
 	if from.At != to.At {
-		p.put(from.At, to.At, "at")
+		p.set(from.At, to.At, "at")
 	}
-	if from.PickPolicy != to.PickPolicy || from.EjectAfterFailures != to.EjectAfterFailures || from.TryTimeoutShare != to.TryTimeoutShare || from.KeyHash != to.KeyHash ||
+	if from.PickPolicy != to.PickPolicy || from.EjectAfterFailures != to.EjectAfterFailures ||
+		from.TryTimeoutShare != to.TryTimeoutShare || from.KeyHash != to.KeyHash ||
 		from.RejectedDidNotRun != to.RejectedDidNotRun || from.LevelUnit != to.LevelUnit {
-		return []Op{{Op: "replace", Value: to, was: from, whole: true}} // another deployment: nothing of the old is worth keeping
+		return []Op{{Op: "replace", Value: to, old: from, subtree: true}} // the deployment's settings changed: nothing of the old document is worth keeping
 	}
-	entries(&p, from.Hosts, to.Hosts, "hosts")
-	entries(&p, from.Masked, to.Masked, "masked")
+	diffEntries(&p, from.Hosts, to.Hosts, "hosts")
+	diffEntries(&p, from.Masked, to.Masked, "masked")
 	for _, name := range slices.Sorted(maps.Keys(to.Tables)) {
-		was, is := from.Tables[name], to.Tables[name]
+		old, updated := from.Tables[name], to.Tables[name]
 		switch {
-		case was == is:
-		case was == nil || !same(was.From, is.From) || !same(was.To, is.To):
-			if was == nil {
-				p.put(nil, is, "tables", name)
+		case old == updated:
+		case old == nil || !equalBounds(old.From, updated.From) || !equalBounds(old.To, updated.To):
+			if old == nil {
+				p.set(nil, updated, "tables", name)
 			} else {
-				p.put(was, is, "tables", name)
+				p.set(old, updated, "tables", name)
 			}
-			p.above()
+			p.markSubtree()
 		default:
-			entries(&p, was.Lines, is.Lines, "tables", name, "lines")
+			diffEntries(&p, old.Lines, updated.Lines, "tables", name, "lines")
 			switch {
-			case was.Fence == is.Fence:
-			case was.Fence == 0:
-				p.put(nil, is.Fence, "tables", name, "fence")
-			case is.Fence == 0:
-				p.drop(was.Fence, "tables", name, "fence")
+			case old.Fence == updated.Fence:
+			case old.Fence == 0:
+				p.set(nil, updated.Fence, "tables", name, "fence")
+			case updated.Fence == 0:
+				p.remove(old.Fence, "tables", name, "fence")
 			default:
-				p.put(was.Fence, is.Fence, "tables", name, "fence")
+				p.set(old.Fence, updated.Fence, "tables", name, "fence")
 			}
 			switch {
-			case len(was.Levels) == 0 && len(is.Levels) == 0:
-			case len(was.Levels) == 0:
-				p.put(nil, is.Levels, "tables", name, "levels")
-				p.above()
-			case len(is.Levels) == 0:
-				p.drop(was.Levels, "tables", name, "levels")
-				p.above()
+			case len(old.Levels) == 0 && len(updated.Levels) == 0:
+			case len(old.Levels) == 0:
+				p.set(nil, updated.Levels, "tables", name, "levels")
+				p.markSubtree()
+			case len(updated.Levels) == 0:
+				p.remove(old.Levels, "tables", name, "levels")
+				p.markSubtree()
 			default:
-				entries(&p, was.Levels, is.Levels, "tables", name, "levels")
+				diffEntries(&p, old.Levels, updated.Levels, "tables", name, "levels")
 			}
 		}
 	}
-	entries(&p, from.Routes, to.Routes, "routes")
+	diffEntries(&p, from.Routes, to.Routes, "routes")
 	for _, name := range slices.Sorted(maps.Keys(from.Tables)) {
 		if to.Tables[name] == nil {
-			p.drop(from.Tables[name], "tables", name)
-			p.above()
+			p.remove(from.Tables[name], "tables", name)
+			p.markSubtree()
 		}
 	}
 	return p
 }
 
-// Compose makes one patch of the patches of steps that follow each other: for each path what was there before the
-// first and what is there after the last, and nothing where both are the same. It looks at what changed and not at the
-// documents. False where a step wrote something with paths of its own below it, which does not compose by path.
+// Compose combines the patches of consecutive steps into one. For each path it compares the value before the first step
+// with the value after the last, and omits the path if they are equal. Its cost depends on the number of operations and
+// not on the size of the documents. It returns false if a step changed an object whose members are also patched by paths
+// of their own, because such operations do not compose path by path.
 func Compose(steps [][]Op) ([]Op, bool) {
 	if len(steps) == 1 {
 		return steps[0], true
 	}
-	at := map[string]int{}
+	indexes := map[string]int{} // in out, by path
 	var out []Op
 	for _, ops := range steps {
 		for _, o := range ops {
-			if o.whole {
+			if o.subtree {
 				return nil, false
 			}
-			i, seen := at[o.Path]
-			if !seen {
-				at[o.Path] = len(out)
+			i, found := indexes[o.Path]
+			if !found {
+				indexes[o.Path] = len(out)
 				out = append(out, o)
 				continue
 			}
@@ -148,13 +154,13 @@
 	}
 	kept := out[:0]
 	for _, o := range out {
-		there := o.Op != "remove"
+		exists := o.Op != "remove"
 		switch {
-		case !there && o.was == nil, there && o.was != nil && o.was == o.Value:
-			continue // it came and went, or is what it was
-		case there && o.was == nil:
+		case !exists && o.old == nil, exists && o.old != nil && o.old == o.Value:
+			continue // added and removed again, or back at the old value
+		case exists && o.old == nil:
 			o.Op = "add"
-		case there:
+		case exists:
 			o.Op = "replace"
 		}
 		kept = append(kept, o)
@@ -162,10 +168,10 @@
 	return kept, true
 }
 
-func same(a, b *uint64) bool { return a == nil && b == nil || a != nil && b != nil && *a == *b }
+func equalBounds(a, b *uint64) bool { return a == nil && b == nil || a != nil && b != nil && *a == *b }
 
-// Apply makes a new document of a base and an encoded patch. The base stays as it is, whatever is wrong with
-// the patch.
+// Apply returns the document that results from applying an encoded patch to base. It never modifies base, even if the
+// patch is invalid.
 func Apply(base *Document, text []byte) (*Document, error) {
 	ops, err := jsonpatch.DecodePatch(text)
 	if err != nil {
@@ -179,6 +185,6 @@
 	if err != nil {
 		return nil, fmt.Errorf("patch on %s: %w", base.Version, err)
 	}
-	d.made.all.Store(nil) // its own encoding gives the digest that the director's has
+	d.cache.own.Store(nil) // the document is encoded anew when needed, which gives the same digest as at the director
 	return d, nil
 }
--- a/internal/tables/tables_test.go
+++ b/internal/tables/tables_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawn makes documents that share tables by pointer now and then, as the director's do.
-func drawn(t *rapid.T, was *Document, step Step) *Document {
+// drawDocument draws a document that may share tables by pointer with a previous one, as a director's documents do.
+func drawDocument(t *rapid.T, previous *Document, step Step) *Document {
 	names := rapid.SampledFrom([]string{"0", "1", "2", "a/b", "c~d", "~1"})
 	hosts := rapid.SampledFrom([]Address{"127.0.0.1:1", "127.0.0.1:2", "[::1]:3", "10.0.0.1:4"})
 	levels := rapid.Custom(func(t *rapid.T) Level {
@@ -31,8 +31,8 @@
 			return Host{ID: rapid.StringN(0, 4, 8).Draw(t, "id"), Zone: "z"}
 		}), 0, 4).Draw(t, "hosts"),
 		Routes: map[string]Route{"read": {Level: levels.Draw(t, "read"), Idempotency: "repeatable", SLOMs: 1200, TimeLimitMs: 3000}}}
-	if was != nil {
-		for name, table := range was.Tables {
+	if previous != nil {
+		for name, table := range previous.Tables {
 			if rapid.Bool().Draw(t, "kept") {
 				d.Tables[name] = table
 			}
@@ -41,11 +41,12 @@
 	return d.Seal(7, step, float64(step)*1.25)
 }
 
-// A patch must give just what the director encoded, by our own reader and by any other that knows RFC 6902.
+// Applying a patch must yield exactly the document that the director encoded, with Apply as well as with any other
+// implementation of RFC 6902.
 func TestDeltaGivesTheTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := drawn(t, nil, 1)
-		b := drawn(t, a, 2)
+		a := drawDocument(t, nil, 1)
+		b := drawDocument(t, a, 2)
 		patch, err := json.Marshal(Diff(a, b))
 		if err != nil {
 			t.Fatal(err)
@@ -64,10 +65,10 @@
 		}
 		out, err := other.Apply(a.JSON())
 		if err != nil || !jsonpatch.Equal(out, b.JSON()) {
-			t.Fatalf("another reader gets %s, %v", out, err)
+			t.Fatalf("plain RFC 6902 implementation: result %s, error %v", out, err)
 		}
 		if !bytes.Equal(before, a.JSON()) {
-			t.Fatal("the base was written to")
+			t.Fatal("Apply modified the base document")
 		}
 		if parsed, err := ParseETag(b.Tag().ETag()); err != nil || parsed != b.Tag() {
 			t.Fatalf("%v, %v", parsed, err)
@@ -75,24 +76,25 @@
 	})
 }
 
-// Over any number of steps the composed patch gives the target, and says no more than a comparison would.
+// A patch composed over any number of steps must yield the target document, with no more operations than a patch made by
+// comparing the two documents.
 func TestComposedDeltas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		docs := []*Document{drawn(t, nil, 1)}
+		docs := []*Document{drawDocument(t, nil, 1)}
 		last := Step(rapid.IntRange(2, 6).Draw(t, "steps"))
 		for step := Step(2); step <= last; step++ {
-			was := docs[len(docs)-1]
-			d := drawn(t, was, step)
-			if rapid.IntRange(0, 3).Draw(t, "odd") > 0 { // as a rule the same tables with other lines
+			previous := docs[len(docs)-1]
+			d := drawDocument(t, previous, step)
+			if rapid.IntRange(0, 3).Draw(t, "odd") > 0 { // in most cases the same tables with changed lines
 				tables := map[string]*Table{}
-				for name, table := range was.Tables {
+				for name, table := range previous.Tables {
 					if tables[name] = table; d.Tables[name] != nil && d.Tables[name] != table && len(table.Levels) == 0 {
 						tables[name] = &Table{From: table.From, To: table.To, Lines: d.Tables[name].Lines}
 					}
 				}
 				d.Tables = tables
 			}
-			d.SetPrevious(was)
+			d.SetPrevious(previous)
 			docs = append(docs, d)
 		}
 		base, target := docs[rapid.IntRange(0, len(docs)-2).Draw(t, "base")], docs[len(docs)-1]
@@ -103,16 +105,17 @@
 		}
 		got, err := Apply(base, patch)
 		if err != nil || got.Tag() != target.Tag() {
-			t.Fatalf("%v\n%s\n%s\n%s", err, base.JSON(), patch, target.JSON())
+			t.Fatalf("error %v, or the result is not the target\nbase %s\npatch %s\ntarget %s", err, base.JSON(), patch, target.JSON())
 		}
-		if plain := Diff(base, target); len(ops) != len(plain) {
-			t.Fatalf("%d operations, a comparison says %d\n%s", len(ops), len(plain), patch)
+		if compared := Diff(base, target); len(ops) != len(compared) {
+			t.Fatalf("composed patch has %d operations, wanted %d as by comparison\n%s", len(ops), len(compared), patch)
 		}
 	})
 }
 
-// A proxy that missed eight steps of a large deployment: what changed, composed; both documents compared, tables shared;
-// and compared line by line, as without any record of what changed.
+// BenchmarkMissedSteps computes the patch for a proxy that missed eight steps of a large deployment in three ways:
+// composed from the patches of the steps, by comparing documents that share unchanged tables by pointer, and by comparing
+// documents line by line.
 func BenchmarkMissedSteps(b *testing.B) {
 	for _, lines := range []int{1000, 100000} {
 		build := func() *Document {
@@ -130,15 +133,15 @@
 		base := build()
 		docs := []*Document{base}
 		for step := Step(2); step < 10; step++ {
-			was, d := docs[len(docs)-1], base.Copy()
+			previous, d := docs[len(docs)-1], base.Copy()
 			d.Tables = map[string]*Table{}
-			for name, table := range was.Tables {
+			for name, table := range previous.Tables {
 				d.Tables[name] = table
 			}
 			for i := range 5 {
 				d.Tables[fmt.Sprint(int(step)*7+i)] = &Table{Lines: map[Address]float64{"10.9.9.9:80": float64(step)}}
 			}
-			d.Seal(1, step, float64(step)).SetPrevious(was)
+			d.Seal(1, step, float64(step)).SetPrevious(previous)
 			docs = append(docs, d)
 		}
 		target, copied := docs[len(docs)-1], build()
@@ -167,21 +170,21 @@
 		for i := range n {
 			from, to := SliceRange(i, n)
 			if from != next || to < from {
-				t.Fatalf("slice %d of %d: %d..%d after %d", i, n, from, to, next)
+				t.Fatalf("slice %d of %d covers %d..%d, wanted a range that starts at %d", i, n, from, to, next)
 			}
 			next = to + 1
 			for _, h := range []uint64{from, to} {
 				if got := int(h * uint64(n) >> 32); got != i {
-					t.Fatalf("hash %x of %d slices is in %d, not %d", h, n, got, i)
+					t.Fatalf("hash %x of %d slices is in slice %d, wanted %d", h, n, got, i)
 				}
 			}
 		}
 		if next != 1<<32 {
-			t.Fatalf("%d slices end at %x", n, next)
+			t.Fatalf("%d slices cover hashes up to %x, wanted 1<<32", n, next)
 		}
 	}
 	if SliceOf("a key", 64) < 0 || SliceOf("a key", 64) > 63 {
-		t.Fatal("out of range")
+		t.Fatal("SliceOf returned a slice out of range")
 	}
 }
 
@@ -190,7 +193,7 @@
 	if _, err := Parse([]byte(ok)); err != nil {
 		t.Fatal(err)
 	}
-	for change, says := range map[string]string{
+	for change, message := range map[string]string{
 		`"7.2"|"7"`:                       "version",
 		`"7.2"|"x.2"`:                     "version",
 		`{"h":1}|{"h":0}`:                 "weight",
@@ -207,13 +210,13 @@
 	} {
 		from, to, _ := strings.Cut(change, "|")
 		_, err := Parse([]byte(strings.Replace(ok, from, to, 1)))
-		if err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%s: error %v, wanted one that says %s", change, err, says)
+		if err == nil || !strings.Contains(err.Error(), message) {
+			t.Errorf("%s: error %v, wanted one that contains %s", change, err, message)
 		}
 	}
 }
 
-// A patch that does not apply must leave the base in force and say why.
+// A patch that cannot be applied, or whose result is not a valid document, must be refused with an error.
 func TestPatchesThatDontApply(t *testing.T) {
 	base, err := Parse([]byte(`{"version":"7.2","at":1,"routes":{},"hosts":{},"masked":{},"tables":{"t":{"lines":{"h":1}}}}`))
 	if err != nil {
@@ -223,7 +226,7 @@
 		`[{"op":"test","path":"/version","value":"7.3"}]`, `[{"op":"replace","path":"/version","value":"nothing"}]`, `[`,
 		`[{"op":"replace","path":"","value":[]}]`} {
 		if d, err := Apply(base, []byte(patch)); err == nil {
-			t.Errorf("%s gave %s", patch, d.JSON())
+			t.Errorf("patch %s was accepted and gave %s", patch, d.JSON())
 		}
 	}
 }
@@ -240,17 +243,18 @@
 		for _, table := range d.Tables {
 			for _, w := range table.Lines {
 				if !(w > 0) || math.IsInf(w, 0) {
-					t.Fatalf("weight %v", w)
+					t.Fatalf("weight %v was accepted", w)
 				}
 			}
 		}
 	})
 }
 
-// One step of a large deployment: a few lines of 160 tables change.
+// BenchmarkDelta computes and encodes the patch for one step of a large deployment, in which 5 of 160 or 1000 tables
+// change, and encodes the whole document for comparison.
 func BenchmarkDelta(b *testing.B) {
 	for _, tables := range []int{160, 1000} {
-		make := func(step Step) *Document {
+		build := func(step Step) *Document {
 			d := &Document{PickPolicy: "pair", KeyHash: KeyHash, Routes: map[string]Route{}, Hosts: map[Address]Host{}, Masked: map[Address]bool{},
 				Tables: map[string]*Table{}}
 			for i := range tables {
@@ -259,7 +263,7 @@
 			}
 			return d.Seal(1, step, 1)
 		}
-		base, target := make(1), make(2)
+		base, target := build(1), build(2)
 		for name := range base.Tables {
 			target.Tables[name] = base.Tables[name]
 		}
--- a/internal/versions/index.go
+++ b/internal/versions/index.go
@@ -1,5 +1,7 @@
-// Package versions knows who stands on which version: the oldest that anybody holds, how many lag behind one, and who. Most stand on
-// the newest few, and all move on; a scan of everybody for each version costs with the fleet, this with what moved. No I/O, no clock.
+// Package versions tracks which member of a fleet holds which version: the oldest version held, and how many and which
+// members hold an older version than a given one. Most members hold one of the newest few versions and all of them move
+// on, so the index costs time in proportion to the members that move, where a scan for each version would cost time in
+// proportion to the fleet. The package does no I/O and reads no clock.
 package versions
 
 import (
@@ -8,57 +10,58 @@
 	"vetchwood/internal/tables"
 )
 
-// Member is somebody's place, within what it is of. The zero value is in no index.
+// Member is an entry of an Index; Value identifies what it tracks. The zero value is in no index.
 type Member[T any] struct {
 	Value      T
-	at         *group[T]
+	group      *group[T]
 	next, prev *Member[T]
 }
 
-// Step is the version that it stands on; false if it is in no index.
+// Step returns the version that the member holds, or false if the member is in no index.
 func (m *Member[T]) Step() (tables.Step, bool) {
-	if m.at == nil {
+	if m.group == nil {
 		return 0, false
 	}
-	return m.at.step, true
+	return m.group.step, true
 }
 
-// group is those of one version.
+// group lists the members that hold one version.
 type group[T any] struct {
 	step  tables.Step
 	count int
 	first *Member[T]
 }
 
-// Index is one owner's. Groups are in the order of their versions; those that nobody stands on any more are dropped.
+// Index is an ordered index of members by version. The zero value is empty and ready to use. An Index is not safe for
+// concurrent use.
 type Index[T any] struct {
-	groups []*group[T]
+	groups []*group[T] // in ascending order of version, none of them empty
 	count  int
 }
 
-// Len is how many are in it.
+// Len returns the number of members.
 func (x *Index[T]) Len() int { return x.count }
 
-// Move puts a member on a version, wherever it stood before.
+// Move records that a member holds a version. A member that is not in the index is added.
 func (x *Index[T]) Move(m *Member[T], to tables.Step) {
-	if m.at != nil && m.at.step == to {
+	if m.group != nil && m.group.step == to {
 		return
 	}
 	x.Remove(m)
 	n := len(x.groups)
-	at := n - 1 // the newest, nearly always
-	if n == 0 || x.groups[at].step < to {
-		at = n
-	} else if x.groups[at].step != to {
-		at = x.find(to)
+	i := n - 1 // nearly always the newest version
+	if n == 0 || x.groups[i].step < to {
+		i = n
+	} else if x.groups[i].step != to {
+		i = x.find(to)
 	}
-	if at == n || x.groups[at].step != to {
+	if i == n || x.groups[i].step != to {
 		x.groups = append(x.groups, nil)
-		copy(x.groups[at+1:], x.groups[at:])
-		x.groups[at] = &group[T]{step: to}
+		copy(x.groups[i+1:], x.groups[i:])
+		x.groups[i] = &group[T]{step: to}
 	}
-	g := x.groups[at]
-	if m.at, m.prev, m.next = g, nil, g.first; m.next != nil {
+	g := x.groups[i]
+	if m.group, m.prev, m.next = g, nil, g.first; m.next != nil {
 		m.next.prev = m
 	}
 	g.first = m
@@ -66,14 +69,14 @@
 	x.count++
 }
 
-// find is the place of the first group that is not older than a version.
+// find returns the index of the first group that is not older than a version.
 func (x *Index[T]) find(step tables.Step) int {
 	return sort.Search(len(x.groups), func(i int) bool { return x.groups[i].step >= step })
 }
 
-// Drop takes a member out.
+// Remove removes a member. It does nothing if the member is in no index.
 func (x *Index[T]) Remove(m *Member[T]) {
-	g := m.at
+	g := m.group
 	if g == nil {
 		return
 	}
@@ -85,20 +88,20 @@
 	if m.next != nil {
 		m.next.prev = m.prev
 	}
-	m.at, m.next, m.prev = nil, nil, nil
+	m.group, m.next, m.prev = nil, nil, nil
 	x.count--
 	if g.count--; g.count == 0 {
-		at := x.find(g.step)
-		if at == 0 {
+		i := x.find(g.step)
+		if i == 0 {
 			x.groups[0] = nil
 			x.groups = x.groups[1:]
 		} else {
-			x.groups = append(x.groups[:at], x.groups[at+1:]...)
+			x.groups = append(x.groups[:i], x.groups[i+1:]...)
 		}
 	}
 }
 
-// Oldest is the oldest version that anybody stands on.
+// Oldest returns the oldest version that a member holds, or false if the index is empty.
 func (x *Index[T]) Oldest() (tables.Step, bool) {
 	if len(x.groups) == 0 {
 		return 0, false
@@ -106,7 +109,7 @@
 	return x.groups[0].step, true
 }
 
-// Behind is how many stand on something older than a version.
+// CountOlder returns the number of members that hold an older version than step.
 func (x *Index[T]) CountOlder(step tables.Step) (n int) {
 	for _, g := range x.groups {
 		if g.step >= step {
@@ -117,8 +120,9 @@
 	return n
 }
 
-// Older hands over each that stands on something older than a version, the oldest first. It may be moved or dropped meanwhile.
-func (x *Index[T]) VisitOlder(step tables.Step, each func(*Member[T])) {
+// VisitOlder calls visit for each member that holds an older version than step, oldest version first. The function may
+// move or remove the member that it is called with.
+func (x *Index[T]) VisitOlder(step tables.Step, visit func(*Member[T])) {
 	var all []*Member[T]
 	for _, g := range x.groups {
 		if g.step >= step {
@@ -129,6 +133,6 @@
 		}
 	}
 	for _, m := range all {
-		each(m)
+		visit(m)
 	}
 }
--- a/internal/versions/index_test.go
+++ b/internal/versions/index_test.go
@@ -9,6 +9,7 @@
 	"vetchwood/internal/tables"
 )
 
+// After any sequence of operations the index must answer like a plain map that is scanned.
 func TestAgainstAPlainMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x Index[int]
@@ -25,13 +26,13 @@
 				plain[i] = tables.Step(rapid.IntRange(1, 9).Draw(t, "to"))
 				x.Move(&members[i], plain[i])
 			}
-			oldest, any := x.Oldest()
+			oldest, found := x.Oldest()
 			least := tables.Step(99)
 			for _, s := range plain {
 				least = min(least, s)
 			}
-			if any != (len(plain) > 0) || any && oldest != least || x.Len() != len(plain) {
-				t.Fatalf("oldest %d, %v, of %v", oldest, any, plain)
+			if found != (len(plain) > 0) || found && oldest != least || x.Len() != len(plain) {
+				t.Fatalf("oldest version %d, found %v, or a wrong length, of %v", oldest, found, plain)
 			}
 			limit := tables.Step(rapid.IntRange(0, 11).Draw(t, "limit"))
 			behind, last := 0, tables.Step(0)
@@ -41,29 +42,29 @@
 				}
 			}
 			if n := x.CountOlder(limit); n != behind {
-				t.Fatalf("%d behind %d, not %d, of %v", n, limit, behind, plain)
+				t.Fatalf("%d members older than version %d, wanted %d, of %v", n, limit, behind, plain)
 			}
 			x.VisitOlder(limit, func(m *Member[int]) {
 				at, in := m.Step()
 				if !in || at != plain[m.Value] || at >= limit || at < last {
-					t.Fatalf("%d stands on %d, after %d, of %v", m.Value, at, last, plain)
+					t.Fatalf("member %d visited with version %d after version %d, of %v", m.Value, at, last, plain)
 				}
 				last = at
 				behind--
-				if m.Value%2 == 0 { // it answers at once
+				if m.Value%2 == 0 { // moved during the visit
 					plain[m.Value] = 20
 					x.Move(m, 20)
 				}
 			})
 			if behind != 0 {
-				t.Fatalf("%d were not handed over", behind)
+				t.Fatalf("%d older members were not visited", behind)
 			}
 		}
 	})
 }
 
-// What a director does for each version: all move on to it one by one, and the oldest that is held is asked for. The plain way is a
-// map that is scanned for it.
+// BenchmarkOldest measures what a director does for each version: a hundredth of the fleet moves on to it, and the oldest
+// version held is looked up. It compares the index with a scan of a plain map.
 func BenchmarkOldest(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("scan/%d", n), func(b *testing.B) {
@@ -72,7 +73,7 @@
 				plain[i] = 1
 			}
 			step, i := tables.Step(1), 0
-			for b.Loop() { // a hundredth of the fleet moves on with each version
+			for b.Loop() {
 				step++
 				for range n / 100 {
 					plain[i%n] = step
