--- a/internal/checks/checks.go
+++ b/internal/checks/checks.go
@@ -1,4 +1,4 @@
-// Package checks looks at every version before it is published. No I/O, no clock.
+// Package checks validates each version before it is published. The package does no I/O and reads no clock.
 package checks
 
 import (
@@ -9,31 +9,34 @@
 	"vetchwood/internal/tables"
 )
 
-// Host is what is known of one.
+// Host is the condition of a host in the host list. Up means neither draining nor gone; WarmingUp means that the host
+// may still be in slow start.
 type Host struct {
 	Up, WarmingUp bool
 }
 
-// Fault is what is wrong with a version, and where.
+// Fault describes a fault of a version, and the table and host where it was found.
 type Fault struct {
 	Table  string         `json:"table,omitempty"`
 	Host   tables.Address `json:"host,omitempty"`
 	Reason string         `json:"why"`
 }
 
+// String returns the fault as text for the log.
 func (f Fault) String() string {
 	return fmt.Sprintf("table %s, host %s: %s", f.Table, f.Host, f.Reason)
 }
 
-// Step is a version beside the one before it. Tables that both share are passed over.
+// Transition holds the previous and the next version of the tables and masks. Tables that both versions share by
+// pointer are checked only if the masks changed.
 type Transition struct {
 	Previous, Next             map[string]*tables.Table
 	PreviousMasked, NextMasked map[tables.Address]bool
-	Known                      func(tables.Address) bool // ever listed
+	Known                      func(tables.Address) bool // whether the host was ever listed
 	Listed                     map[tables.Address]Host
 }
 
-// bare says whether a table has nothing to offer.
+// hasNoHost reports whether a table has no unmasked host.
 func hasNoHost(t *tables.Table, masked map[tables.Address]bool) bool {
 	if t == nil {
 		return true
@@ -46,38 +49,39 @@
 	return true
 }
 
-// Look finds what a version must not do: leave a table bare that was not while a warm host is open; bear a weight that is
-// none; name a host that no list ever named, or newly one that drains or is gone.
+// Validate returns the faults of the next version: a table that loses its last unmasked host while a warm, unmasked
+// host is listed, a weight out of range, a host that was never listed, and a listed, unmasked host that drains or is
+// gone and is added or gets more weight.
 func Validate(s Transition) (faults []Fault) {
-	warm := false
+	warmHostListed := false
 	for a, h := range s.Listed {
-		warm = warm || h.Up && !h.WarmingUp && !s.NextMasked[a]
+		warmHostListed = warmHostListed || h.Up && !h.WarmingUp && !s.NextMasked[a]
 	}
-	masks := !maps.Equal(s.PreviousMasked, s.NextMasked)
+	masksChanged := !maps.Equal(s.PreviousMasked, s.NextMasked)
 	for _, name := range slices.Sorted(maps.Keys(s.Next)) {
-		was, is := s.Previous[name], s.Next[name]
-		if was == is && !masks {
+		previous, next := s.Previous[name], s.Next[name]
+		if previous == next && !masksChanged {
 			continue
 		}
-		if warm && hasNoHost(is, s.NextMasked) && !hasNoHost(was, s.PreviousMasked) {
-			faults = append(faults, Fault{Table: name, Reason: "left without a host, though a warm one is open"})
+		if warmHostListed && hasNoHost(next, s.NextMasked) && !hasNoHost(previous, s.PreviousMasked) {
+			faults = append(faults, Fault{Table: name, Reason: "left without a host although a warm, unmasked host is listed"})
 		}
-		if was == is {
+		if previous == next {
 			continue
 		}
-		for _, a := range slices.Sorted(maps.Keys(is.Lines)) {
-			w := is.Lines[a]
-			old, stood := 0.0, false
-			if was != nil {
-				old, stood = was.Lines[a]
+		for _, a := range slices.Sorted(maps.Keys(next.Lines)) {
+			w := next.Lines[a]
+			previousWeight, existed := 0.0, false
+			if previous != nil {
+				previousWeight, existed = previous.Lines[a]
 			}
 			switch h, listed := s.Listed[a]; {
 			case !(w > 0) || w > 1e9:
-				faults = append(faults, Fault{name, a, fmt.Sprintf("weight %v is not above 0 and at most 1e9", w)})
+				faults = append(faults, Fault{name, a, fmt.Sprintf("weight %v is out of range: it must be above 0 and at most 1e9", w)})
 			case !s.Known(a):
-				faults = append(faults, Fault{name, a, "no list ever named it"})
-			case listed && !h.Up && (!stood || w > old) && !s.NextMasked[a]:
-				faults = append(faults, Fault{name, a, "it drains or is gone, and gets more than before"})
+				faults = append(faults, Fault{name, a, "host was never in the host list"})
+			case listed && !h.Up && (!existed || w > previousWeight) && !s.NextMasked[a]:
+				faults = append(faults, Fault{name, a, "host is draining or gone, but is added or gets more weight"})
 			}
 		}
 	}
--- a/internal/pins/pins.go
+++ b/internal/pins/pins.go
@@ -1,5 +1,5 @@
-// Package pins decides what a table that an operator holds says from moment to moment: what it was pinned to, mended by
-// the smallest change where the rules stand above it. No I/O, no clock.
+// Package pins computes the published content of tables that an operator has pinned: the pinned lines, with the
+// smallest changes that the rules for hosts require. The package does no I/O and reads no clock.
 package pins
 
 import (
@@ -13,63 +13,65 @@
 	"vetchwood/internal/tables"
 )
 
-// Host is what is known of one that is listed.
+// Host is the condition of a host in the host list.
 type Host struct {
-	Up        bool // open: neither draining nor gone
-	WarmingUp bool // it may not be warm yet
+	Up        bool // neither draining nor gone
+	WarmingUp bool // started recently, so it may still be in slow start
 	Masked    bool
 }
 
-// Fault is a line that could not be honoured.
+// Deviation is a line of a pinned table that cannot be honoured as pinned, or a host that was added to the table.
 type Deviation struct {
 	Host   tables.Address `json:"host"`
 	Reason string         `json:"why"`
 }
 
-// Mended is a table as it may be told.
+// Adjusted is a pinned table as it may be published.
 type Adjusted struct {
 	Lines      map[tables.Address]float64
 	Deviations []Deviation
 }
 
-// coldPart is what a cold host gets of its weight: all of it would push it over, and nothing would leave its keys to
-// hosts that don't hold them.
+// warmUpWeightShare is the share of its pinned weight that a host in slow start gets. The full weight would overload
+// the host, and no weight would move its keys to hosts that do not hold them.
 const warmUpWeightShare = 0.25
 
-// Mend gives a pinned table's lines as the rules allow them. A host that drains or is gone goes out; a cold one is light;
-// where no warm host is left that is open, one is drawn from those that are listed, for each table its own.
+// Adjust returns the lines of a pinned table as the rules allow them. Hosts that drain or are gone are removed, and
+// hosts in slow start get a reduced weight. If no line with a warm, unmasked host is left, Adjust adds such a host from
+// the host list. It is chosen by rendezvous hashing with the table's number, so that different tables get different
+// hosts.
 func Adjust(id int, pinned map[tables.Address]float64, listed map[tables.Address]Host) (m Adjusted) {
 	m.Lines = map[tables.Address]float64{}
-	warm, heaviest := false, 0.0
+	hasWarmHost, heaviest := false, 0.0
 	for _, a := range slices.Sorted(maps.Keys(pinned)) {
 		h, known := listed[a]
 		w := pinned[a]
 		switch {
 		case !known:
-			m.Deviations = append(m.Deviations, Deviation{a, "no longer listed"})
+			m.Deviations = append(m.Deviations, Deviation{a, "no longer in the host list"})
 			continue
 		case !h.Up:
-			m.Deviations = append(m.Deviations, Deviation{a, "drains or is gone"})
+			m.Deviations = append(m.Deviations, Deviation{a, "draining or gone"})
 			continue
 		case h.WarmingUp:
-			m.Deviations = append(m.Deviations, Deviation{a, "has just started: a quarter of its weight"})
+			m.Deviations = append(m.Deviations, Deviation{a, "in slow start: gets a quarter of its weight"})
 			w *= warmUpWeightShare
 		case h.Masked:
 			m.Deviations = append(m.Deviations, Deviation{a, "masked"})
 		default:
-			warm = true
+			hasWarmHost = true
 		}
 		m.Lines[a] = w
 		heaviest = max(heaviest, pinned[a])
 	}
-	if warm {
+	if hasWarmHost {
 		return m
 	}
-	best, most := tables.Address(""), uint64(0)
+	best, highest := tables.Address(""), uint64(0)
 	for _, a := range slices.Sorted(maps.Keys(listed)) {
 		if h := listed[a]; h.Up && !h.WarmingUp && !h.Masked {
-			if score := xxhash.Sum64String(strconv.Itoa(id) + " " + string(a)); best == "" || score > most {
-				best, most = a, score
+			if score := xxhash.Sum64String(strconv.Itoa(id) + " " + string(a)); best == "" || score > highest {
+				best, highest = a, score
 			}
 		}
 	}
@@ -78,20 +80,20 @@
 			heaviest = 1
 		}
 		m.Lines[best] = heaviest
-		m.Deviations = append(m.Deviations, Deviation{best, "added: no warm host was left"})
+		m.Deviations = append(m.Deviations, Deviation{best, "added: the pinned table has no warm, unmasked host left"})
 	}
 	return m
 }
 
-// Moved is the part of a table's calls that go to other hosts by a change.
+// MovedFraction returns the fraction of a table's calls that a change of its lines moves to other hosts.
 func MovedFraction(from, to map[tables.Address]float64) float64 {
-	a, b := totalWeight(from), totalWeight(to)
-	if a == 0 || b == 0 {
-		return 0 // nothing went anywhere before, or nothing will
+	fromTotal, toTotal := totalWeight(from), totalWeight(to)
+	if fromTotal == 0 || toTotal == 0 {
+		return 0 // the table sends no calls before or after the change
 	}
 	moved := 0.0
 	for host, w := range to {
-		moved += math.Max(0, w/b-from[host]/a)
+		moved += math.Max(0, w/toTotal-from[host]/fromTotal)
 	}
 	return moved
 }
--- a/internal/pins/pins_test.go
+++ b/internal/pins/pins_test.go
@@ -9,9 +9,9 @@
 	"vetchwood/internal/tables"
 )
 
-// Whatever is pinned and whatever has become of the hosts: nothing goes to one that drains or is gone, a cold one gets at
-// most a quarter of its weight, a table is bare of warm hosts only if there is none, and a table that breaks no rule stays
-// as it was pinned.
+// For any pinned table and any condition of the hosts: hosts that drain or are gone get no calls, a host in slow start
+// gets at most a quarter of its weight, a table has a warm, unmasked host if one is listed, and a pinned table that
+// breaks no rule is unchanged.
 func TestRulesOverridePins(t *testing.T) {
 	hosts := rapid.SampledFrom([]tables.Address{"a:1", "b:1", "c:1", "d:1", "e:1"})
 	state := rapid.Custom(func(t *rapid.T) Host {
@@ -21,28 +21,28 @@
 		pinned := rapid.MapOfN(hosts, rapid.Float64Range(0.01, 5), 0, 4).Draw(t, "pinned")
 		listed := rapid.MapOfN(hosts, state, 0, 5).Draw(t, "listed")
 		m := Adjust(rapid.IntRange(0, 50).Draw(t, "table"), pinned, listed)
-		open, could, broken := false, false, false
+		hasWarm, warmListed, breaksRule := false, false, false
 		for _, h := range listed {
-			could = could || h.Up && !h.WarmingUp && !h.Masked
+			warmListed = warmListed || h.Up && !h.WarmingUp && !h.Masked
 		}
 		for a, w := range m.Lines {
 			h := listed[a]
 			if !h.Up || !(w > 0) {
-				t.Fatalf("%s, %+v, gets %v", a, h, w)
+				t.Fatalf("host %s in condition %+v gets weight %v", a, h, w)
 			}
 			if h.WarmingUp && w > pinned[a]*warmUpWeightShare {
-				t.Fatalf("%s is cold and gets %v of %v", a, w, pinned[a])
+				t.Fatalf("host %s is in slow start and gets weight %v of pinned %v", a, w, pinned[a])
 			}
-			open = open || !h.WarmingUp && !h.Masked
+			hasWarm = hasWarm || !h.WarmingUp && !h.Masked
 		}
-		if open != could {
-			t.Fatalf("open %v, could be %v: %v", open, could, m)
+		if hasWarm != warmListed {
+			t.Fatalf("table has a warm, unmasked host: %v, one is listed: %v: %v", hasWarm, warmListed, m)
 		}
 		for a := range pinned {
-			broken = broken || !listed[a].Up || listed[a].WarmingUp || listed[a].Masked
+			breaksRule = breaksRule || !listed[a].Up || listed[a].WarmingUp || listed[a].Masked
 		}
-		if !broken && len(pinned) > 0 && (len(m.Deviations) > 0 || MovedFraction(pinned, m.Lines) > 0) {
-			t.Fatalf("mended without need: %v", m)
+		if !breaksRule && len(pinned) > 0 && (len(m.Deviations) > 0 || MovedFraction(pinned, m.Lines) > 0) {
+			t.Fatalf("a table that breaks no rule was adjusted: %v", m)
 		}
 	})
 }
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -13,8 +13,9 @@
 	"vetchwood/logic"
 )
 
-// Versions of a large deployment, 160 slices and 78 hosts: five tables change in each, now and then masks. Each is durable
-// before the next. Then the time to start over, and to read a version from amid them.
+// BenchmarkVersions writes versions of a large deployment with 160 slices and 78 hosts, each durable before the next:
+// five tables change in each version, and the masks in every fourth. It then measures the time to reopen and load the
+// store, and the time to read a version from the middle of the history.
 func BenchmarkVersions(b *testing.B) {
 	path := filepath.Join(b.TempDir(), "d")
 	s, err := Open(path, Retention{})
@@ -51,11 +52,11 @@
 	}
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "versions/s")
 	s.Close()
-	i, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.ReportMetric(float64(i.Size())/float64(step), "B/version")
+	b.ReportMetric(float64(info.Size())/float64(step), "B/version")
 	began := time.Now()
 	if s, err = Open(path, Retention{}); err != nil {
 		b.Fatal(err)
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -14,35 +14,37 @@
 	"vetchwood/logic"
 )
 
-// Retention says how much of the history is kept.
+// Retention limits the history. A version is removed only when it exceeds both limits, and together with all versions
+// up to a snapshot.
 type Retention struct {
-	Versions int
-	AgeMs    float64
+	Versions int     // number of versions to retain; 0 retains all
+	AgeMs    float64 // age up to which versions are retained, in milliseconds
 }
 
 var (
-	historyBucket   = []byte("history")   // step -> what it changed
-	snapshotsBucket = []byte("snapshots") // step -> all of it
+	historyBucket   = []byte("history")   // step -> control.Change
+	snapshotsBucket = []byte("snapshots") // step -> snapshotRecord
 )
 
-// every is how many steps lie between two snapshots: so many changes at most are read to get any version.
+// snapshotInterval is the number of steps between two snapshots. It bounds the changes that are read to restore a
+// version.
 const snapshotInterval = 64
 
-// Corrupt is a record whose content is not what was written. Whole is the newest version before it that can be read
-// without it; 0: none.
+// CorruptError reports a record whose content does not match its checksum.
 type CorruptError struct {
 	Record       string
-	LastReadable tables.Step
+	LastReadable tables.Step // newest snapshot that can be read without the record; 0 if there is none
 }
 
+// Error names the corrupt record and the version to fall back to, if there is one.
 func (e *CorruptError) Error() string {
 	if e.LastReadable > 0 {
-		return fmt.Sprintf("record %s is not what was written; version %d, a whole snapshot, can be read", e.Record, e.LastReadable)
+		return fmt.Sprintf("record %s is corrupt: checksum mismatch; version %d can be read from an intact snapshot", e.Record, e.LastReadable)
 	}
-	return fmt.Sprintf("record %s is not what was written", e.Record)
+	return fmt.Sprintf("record %s is corrupt: checksum mismatch", e.Record)
 }
 
-// seal puts a checksum before a record, and open takes it off.
+// encodeRecord encodes v as JSON, preceded by a checksum of 8 bytes.
 func encodeRecord(v any) ([]byte, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -51,6 +53,7 @@
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(text)), text...), nil
 }
 
+// decodeRecord verifies the checksum of a record and decodes the record into v. The name of the record is for errors.
 func decodeRecord(record string, b []byte, v any) error {
 	if len(b) < 8 || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[8:]) {
 		return &CorruptError{Record: record}
@@ -63,9 +66,9 @@
 
 func stepKey(s tables.Step) []byte { return binary.BigEndian.AppendUint64(nil, uint64(s)) }
 
-func keyStep(key []byte) tables.Step { return tables.Step(binary.BigEndian.Uint64(key)) }
+func parseStepKey(key []byte) tables.Step { return tables.Step(binary.BigEndian.Uint64(key)) }
 
-// content is a version whole, as a snapshot holds it.
+// snapshotRecord is the content of a whole version, as stored in a snapshot.
 type snapshotRecord struct {
 	At     float64
 	Tables map[logic.TableID]*tables.Table
@@ -74,18 +77,19 @@
 	Bound  map[logic.ProxyID][]logic.TableID
 }
 
-// record writes a step's change into the history, and every so often a snapshot.
-func recordChange(tx *bbolt.Tx, c control.Change, keep Retention) error {
+// recordChange adds a step's change to the history. Every snapshotInterval steps it also writes a snapshot and trims
+// the history.
+func recordChange(tx *bbolt.Tx, c control.Change, retention Retention) error {
 	c.Named, c.Known, c.List = nil, nil, nil
 	b, err := encodeRecord(c)
 	if err != nil {
 		return err
 	}
-	h, s := tx.Bucket(historyBucket), tx.Bucket(snapshotsBucket)
-	if err := h.Put(stepKey(c.Step), b); err != nil {
+	history, snapshots := tx.Bucket(historyBucket), tx.Bucket(snapshotsBucket)
+	if err := history.Put(stepKey(c.Step), b); err != nil {
 		return err
 	}
-	if last, _ := s.Cursor().Last(); last == nil || c.Step >= keyStep(last)+snapshotInterval {
+	if last, _ := snapshots.Cursor().Last(); last == nil || c.Step >= parseStepKey(last)+snapshotInterval {
 		saved, err := load(tx)
 		if err != nil {
 			return err
@@ -94,40 +98,41 @@
 		if err != nil {
 			return err
 		}
-		if err := s.Put(stepKey(c.Step), b); err != nil {
+		if err := snapshots.Put(stepKey(c.Step), b); err != nil {
 			return err
 		}
-		return trimHistory(tx, c, keep)
+		return trimHistory(tx, c, retention)
 	}
 	return nil
 }
 
-// trim forgets whole stretches between snapshots that are too old by both measures, so that what stays can be read.
-func trimHistory(tx *bbolt.Tx, now control.Change, keep Retention) error {
-	h, s := tx.Bucket(historyBucket), tx.Bucket(snapshotsBucket)
-	if keep.Versions == 0 {
+// trimHistory removes the versions that exceed both limits of the retention and that no joined proxy needs. It removes
+// whole ranges up to a snapshot, so that every remaining version can still be restored.
+func trimHistory(tx *bbolt.Tx, now control.Change, retention Retention) error {
+	history, snapshots := tx.Bucket(historyBucket), tx.Bucket(snapshotsBucket)
+	if retention.Versions == 0 {
 		return nil
 	}
-	cut := tables.Step(0)
-	cur := s.Cursor()
+	first := tables.Step(0) // first step to retain
+	cur := snapshots.Cursor()
 	for k, v := cur.First(); k != nil; k, v = cur.Next() {
-		step := keyStep(k)
-		if uint64(now.Step-step) < uint64(keep.Versions) || now.Least > 0 && step > now.Least {
+		step := parseStepKey(k)
+		if uint64(now.Step-step) < uint64(retention.Versions) || now.Least > 0 && step > now.Least {
 			break
 		}
 		var c snapshotRecord
-		if decodeRecord("", v, &c) == nil && now.At-c.At < keep.AgeMs {
+		if decodeRecord("", v, &c) == nil && now.At-c.At < retention.AgeMs {
 			break
 		}
-		cut = step
+		first = step
 	}
-	for _, b := range []*bbolt.Bucket{h, s} {
-		var gone [][]byte
+	for _, b := range []*bbolt.Bucket{history, snapshots} {
+		var expired [][]byte
 		cur := b.Cursor()
-		for k, _ := cur.First(); k != nil && keyStep(k) < cut; k, _ = cur.Next() {
-			gone = append(gone, append([]byte(nil), k...))
+		for k, _ := cur.First(); k != nil && parseStepKey(k) < first; k, _ = cur.Next() {
+			expired = append(expired, append([]byte(nil), k...))
 		}
-		for _, k := range gone {
+		for _, k := range expired {
 			if err := b.Delete(k); err != nil {
 				return err
 			}
@@ -136,26 +141,27 @@
 	return nil
 }
 
-// Version tells of one without its content.
+// Version describes a version without its content. Who and Why are set for changes by operators; Why holds the error
+// for a version whose record is corrupt.
 type Version struct {
 	Step   tables.Step `json:"step"`
-	At     float64     `json:"at"`
+	At     float64     `json:"at"` // in Unix milliseconds
 	Who    string      `json:"who,omitempty"`
 	Why    string      `json:"why,omitempty"`
-	From   tables.Step `json:"from,omitempty"`
-	Tables int         `json:"tables"`
-	Masks  bool        `json:"masks"`
-	Levels bool        `json:"levels"`
+	From   tables.Step `json:"from,omitempty"` // the version that a rollback restored
+	Tables int         `json:"tables"`         // number of tables changed
+	Masks  bool        `json:"masks"`          // whether masks changed
+	Levels bool        `json:"levels"`         // whether admission levels changed
 }
 
-// Versions gives the newest, the newest first.
-func (s *Store) Versions(most int) (out []Version, err error) {
+// Versions returns up to limit versions, newest first.
+func (s *Store) Versions(limit int) (out []Version, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		cur := tx.Bucket(historyBucket).Cursor()
-		for k, v := cur.Last(); k != nil && len(out) < most; k, v = cur.Prev() {
+		for k, v := cur.Last(); k != nil && len(out) < limit; k, v = cur.Prev() {
 			var c control.Change
-			if err := decodeRecord(fmt.Sprintf("history/%d", keyStep(k)), v, &c); err != nil {
-				out = append(out, Version{Step: keyStep(k), Why: err.Error()})
+			if err := decodeRecord(fmt.Sprintf("history/%d", parseStepKey(k)), v, &c); err != nil {
+				out = append(out, Version{Step: parseStepKey(k), Why: err.Error()})
 				continue
 			}
 			out = append(out, Version{c.Step, c.At, c.Who, c.Why, c.From, len(c.Tables), c.Masked != nil, c.Levels != nil})
@@ -165,10 +171,10 @@
 	return out, err
 }
 
-// ErrNoVersion says that a version is not kept.
-var ErrNoVersion = errors.New("no such version is kept")
+// ErrNoVersion is returned for a version that the history does not hold.
+var ErrNoVersion = errors.New("no such version in the stored history")
 
-// At gives a version's content: the last snapshot before it, and what changed since.
+// At returns the content of a version: that of the last snapshot up to it, with the changes since applied.
 func (s *Store) At(step tables.Step) (saved control.Saved, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		cur := tx.Bucket(snapshotsBucket).Cursor()
@@ -181,7 +187,7 @@
 		if k == nil || tx.Bucket(historyBucket).Get(stepKey(step)) == nil {
 			return fmt.Errorf("version %d: %w", step, ErrNoVersion)
 		}
-		from := keyStep(k)
+		from := parseStepKey(k)
 		var c snapshotRecord
 		if err := decodeRecord(fmt.Sprintf("snapshots/%d", from), v, &c); err != nil {
 			return withLastReadable(tx, err, from-1)
@@ -196,13 +202,13 @@
 		for next := from + 1; next <= step; next++ {
 			v := tx.Bucket(historyBucket).Get(stepKey(next))
 			if v == nil {
-				return fmt.Errorf("version %d: step %d is missing: %w", step, next, ErrNoVersion)
+				return fmt.Errorf("version %d: change of step %d is missing: %w", step, next, ErrNoVersion)
 			}
 			var change control.Change
 			if err := decodeRecord(fmt.Sprintf("history/%d", next), v, &change); err != nil {
 				return withLastReadable(tx, err, from)
 			}
-			change.Carried, change.Pinned = nil, nil // a snapshot has none, and a part of them would mislead
+			change.Carried, change.Pinned = nil, nil // snapshots do not hold these: the result would be partial
 			saved.Apply(change)
 		}
 		return nil
@@ -210,7 +216,8 @@
 	return saved, err
 }
 
-// offer names the newest whole snapshot up to a step.
+// withLastReadable sets LastReadable of a CorruptError to the newest intact snapshot up to a step. It returns other
+// errors unchanged.
 func withLastReadable(tx *bbolt.Tx, err error, upTo tables.Step) error {
 	var corrupt *CorruptError
 	if !errors.As(err, &corrupt) {
@@ -219,39 +226,39 @@
 	cur := tx.Bucket(snapshotsBucket).Cursor()
 	for k, v := cur.Last(); k != nil; k, v = cur.Prev() {
 		var c snapshotRecord
-		if keyStep(k) <= upTo && decodeRecord("", v, &c) == nil {
-			corrupt.LastReadable = keyStep(k)
+		if parseStepKey(k) <= upTo && decodeRecord("", v, &c) == nil {
+			corrupt.LastReadable = parseStepKey(k)
 			break
 		}
 	}
 	return corrupt
 }
 
-// Verify reads every record and gives what is wrong, and how many there are.
-func (s *Store) Verify() (records int, wrong []error) {
+// Verify reads every record. It returns the number of records in the history and the snapshots, and all errors found.
+func (s *Store) Verify() (records int, faults []error) {
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		if _, err := load(tx); err != nil {
-			wrong = append(wrong, err)
+			faults = append(faults, err)
 		}
 		for name, v := range map[string]func() any{"history": func() any { return &control.Change{} }, "snapshots": func() any { return &snapshotRecord{} }} {
-			var before tables.Step
+			var previous tables.Step
 			tx.Bucket([]byte(name)).ForEach(func(k, b []byte) error {
 				records++
-				step := keyStep(k)
+				step := parseStepKey(k)
 				if err := decodeRecord(fmt.Sprintf("%s/%d", name, step), b, v()); err != nil {
-					wrong = append(wrong, withLastReadable(tx, err, step-1))
+					faults = append(faults, withLastReadable(tx, err, step-1))
 				}
-				if name == "history" && before > 0 && step != before+1 {
-					wrong = append(wrong, fmt.Errorf("history: version %d follows %d", step, before))
+				if name == "history" && previous > 0 && step != previous+1 {
+					faults = append(faults, fmt.Errorf("history: version %d follows version %d", step, previous))
 				}
-				before = step
+				previous = step
 				return nil
 			})
 		}
 		return nil
 	})
 	if err != nil {
-		wrong = append(wrong, err)
+		faults = append(faults, err)
 	}
-	return records, wrong
+	return records, faults
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
-// Package store keeps a director's state on disk, so that what proxies were told outlives a kill. One file, one
-// process; each write is durable when it returns.
+// Package store keeps a director's state in a file on disk, so that what was published to proxies survives a crash. One
+// process at a time can open the file, and each write is durable when it returns.
 package store
 
 import (
@@ -19,30 +19,31 @@
 )
 
 var (
-	metaBucket   = []byte("meta")
-	tablesBucket = []byte("tables")
-	boundBucket  = []byte("bound")
-	namesBucket  = []byte("names") // of proxies, by their numbers
+	metaBucket   = []byte("meta")   // the other parts of the latest state, by name
+	tablesBucket = []byte("tables") // table number -> tables.Table
+	boundBucket  = []byte("bound")  // proxy number -> numbers of the tables bound to its routes
+	namesBucket  = []byte("names")  // proxy number -> proxy name
 	buckets      = [][]byte{metaBucket, tablesBucket, boundBucket, namesBucket, historyBucket, snapshotsBucket}
 )
 
-// Store is an open file.
+// Store is an open store file.
 type Store struct {
 	db        *bbolt.DB
 	retention atomic.Pointer[Retention]
 }
 
-// Open opens or makes the file.
-func Open(path string, keep Retention) (*Store, error) {
+// Open opens the store file, and creates it if it does not exist. A new store starts a new history with a random
+// identifier.
+func Open(path string, retention Retention) (*Store, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, FreelistType: bbolt.FreelistMapType})
 	if errors.Is(err, bbolt.ErrTimeout) {
-		return nil, fmt.Errorf("store %s: another process holds it", path)
+		return nil, fmt.Errorf("store %s: the file is locked by another process", path)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", path, err)
 	}
 	s := &Store{db: db}
-	s.retention.Store(&keep)
+	s.retention.Store(&retention)
 	err = db.Update(func(tx *bbolt.Tx) error {
 		for _, b := range buckets {
 			if _, err := tx.CreateBucketIfNotExists(b); err != nil {
@@ -61,13 +62,14 @@
 	return s, nil
 }
 
-// Keep says how much of the history is kept from now on.
-func (s *Store) SetRetention(keep Retention) { s.retention.Store(&keep) }
+// SetRetention changes the limits of the history for later writes.
+func (s *Store) SetRetention(retention Retention) { s.retention.Store(&retention) }
 
+// Close closes the file and releases its lock.
 func (s *Store) Close() error { return s.db.Close() }
 
-// together takes apart the one record that an earlier version kept all proxies' names in: a fleet that joins writes each once, and
-// not all of them with each.
+// migrateProxyNames splits the single record in which an earlier release kept the names of all proxies into one record
+// for each proxy. With a single record, each proxy that joined caused all names to be written again.
 func migrateProxyNames(tx *bbolt.Tx) error {
 	b := tx.Bucket(metaBucket).Get([]byte("proxies"))
 	if b == nil {
@@ -85,15 +87,16 @@
 	return tx.Bucket(metaBucket).Delete([]byte("proxies"))
 }
 
+// putRecord encodes v and stores it under a key.
 func putRecord(b *bbolt.Bucket, key string, v any) error {
-	text, err := encodeRecord(v)
+	encoded, err := encodeRecord(v)
 	if err != nil {
 		return err
 	}
-	return b.Put([]byte(key), text)
+	return b.Put([]byte(key), encoded)
 }
 
-// Load reads all that is stored.
+// Load returns the latest stored state.
 func (s *Store) Load() (saved control.Saved, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) (err error) {
 		saved, err = load(tx)
@@ -105,6 +108,7 @@
 	return saved, nil
 }
 
+// load reads the latest state within a transaction.
 func load(tx *bbolt.Tx) (saved control.Saved, err error) {
 	saved.Tables = map[logic.TableID]*tables.Table{}
 	saved.Bound = map[logic.ProxyID][]logic.TableID{}
@@ -146,17 +150,17 @@
 		return saved, err
 	}
 	return saved, tx.Bucket(boundBucket).ForEach(func(k, b []byte) error {
-		var by []logic.TableID
-		if err := decodeRecord("bound/"+string(k), b, &by); err != nil {
+		var bound []logic.TableID
+		if err := decodeRecord("bound/"+string(k), b, &bound); err != nil {
 			return withLastReadable(tx, err, math.MaxUint64)
 		}
 		n, err := strconv.Atoi(string(k))
-		saved.Bound[logic.ProxyID(n)] = by
+		saved.Bound[logic.ProxyID(n)] = bound
 		return err
 	})
 }
 
-// Write makes changes durable, all or none.
+// Write stores changes durably in one transaction: either all of them or none.
 func (s *Store) Write(changes []control.Change) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		for _, c := range changes {
@@ -177,18 +181,19 @@
 	return nil
 }
 
+// write stores the parts of the latest state that a change sets.
 func write(tx *bbolt.Tx, c control.Change) error {
-	m := tx.Bucket(metaBucket)
+	meta := tx.Bucket(metaBucket)
 	for _, part := range []struct {
-		key string
-		v   any
-		set bool
+		key   string
+		value any
+		set   bool
 	}{{"step", c.Step, c.Step > 0}, {"at", c.At, c.Step > 0}, {"masked", c.Masked, c.Masked != nil},
 		{"levels", c.Levels, c.Levels != nil}, {"carried", c.Carried, c.Carried != nil},
 		{"known", c.Known, c.Known != nil}, {"list", c.List, c.List != nil},
 		{"pinned", c.Pinned, c.Pinned != nil}} {
 		if part.set {
-			if err := putRecord(m, part.key, part.v); err != nil {
+			if err := putRecord(meta, part.key, part.value); err != nil {
 				return err
 			}
 		}
@@ -203,16 +208,17 @@
 			return err
 		}
 	}
-	for id, by := range c.Bound {
-		if err := putOrDelete(tx.Bucket(boundBucket), int(id), by, by == nil); err != nil {
+	for id, bound := range c.Bound {
+		if err := putOrDelete(tx.Bucket(boundBucket), int(id), bound, bound == nil); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func putOrDelete(b *bbolt.Bucket, key int, v any, gone bool) error {
-	if gone {
+// putOrDelete stores v under a numeric key, or deletes the key.
+func putOrDelete(b *bbolt.Bucket, key int, v any, remove bool) error {
+	if remove {
 		return b.Delete([]byte(strconv.Itoa(key)))
 	}
 	return putRecord(b, strconv.Itoa(key), v)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -34,12 +34,12 @@
 		{Step: 2, At: 6, Tables: map[logic.TableID]*tables.Table{4: nil}, Bound: map[logic.ProxyID][]logic.TableID{2: nil}},
 		{List: []control.Listed{{ID: "h", Address: "a:1", State: logic.Draining, Born: 12.5}},
 			Known: map[tables.Address]control.KnownHost{"a:1": {Number: 9}}, Named: map[logic.ProxyID]string{3: "q"}},
-		{Named: map[logic.ProxyID]string{3: "p"}}, // the number went to another
+		{Named: map[logic.ProxyID]string{3: "p"}}, // the number is reassigned to another proxy
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A store of an earlier version kept all names in one record.
+	// Stores of an earlier release hold all proxy names in one record.
 	if err = s.db.Update(func(tx *bbolt.Tx) error { return putRecord(tx.Bucket(metaBucket), "proxies", map[string]int{"o": 1}) }); err != nil {
 		t.Fatal(err)
 	}
@@ -57,29 +57,29 @@
 		t.Fatalf("%v\n%+v\n%+v", err, got, want)
 	}
 	if _, err := Open(path, Retention{}); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Fatalf("a second opener got %v", err)
+		t.Fatalf("opening an open store: error %v, wanted one that names another process", err)
 	}
 }
 
 func TestARecordThatCantBeReadIsNamed(t *testing.T) {
-	for bucket, says := range map[string]string{"meta": "meta/levels", "tables": "tables/7", "bound": "bound/7"} {
+	for bucket, record := range map[string]string{"meta": "meta/levels", "tables": "tables/7", "bound": "bound/7"} {
 		path := filepath.Join(t.TempDir(), "d.db")
 		s, err := Open(path, Retention{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		key := says[len(bucket)+1:]
+		key := record[len(bucket)+1:]
 		s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket([]byte(bucket)).Put([]byte(key), []byte("{torn")) })
-		if _, err := s.Load(); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%v", err)
+		if _, err := s.Load(); err == nil || !strings.Contains(err.Error(), record) {
+			t.Errorf("error %v, wanted one that names the unreadable record", err)
 		}
 		s.Close()
 	}
 }
 
-// drawnHistory writes a history and keeps what each version held.
+// writeDrawnHistory writes a drawn history to the store and returns the content of each version as text.
 func writeDrawnHistory(t *rapid.T, s *Store, steps int) map[tables.Step]string {
-	held := map[tables.Step]string{}
+	contents := map[tables.Step]string{}
 	state := control.Saved{Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}
 	weight := rapid.Float64Range(0.01, 9)
 	for step := tables.Step(1); step <= tables.Step(steps); step++ {
@@ -97,11 +97,12 @@
 			t.Fatal(err)
 		}
 		state.Apply(c)
-		held[step] = fmt.Sprintf("%+v %v", tablesOf(state), state.Masked)
+		contents[step] = fmt.Sprintf("%+v %v", tablesOf(state), state.Masked)
 	}
-	return held
+	return contents
 }
 
+// tablesOf returns the tables by value, so that they are formatted by content and not by pointer.
 func tablesOf(s control.Saved) map[logic.TableID]tables.Table {
 	out := map[logic.TableID]tables.Table{}
 	for id, t := range s.Tables {
@@ -110,7 +111,8 @@
 	return out
 }
 
-// Every version that is kept is read as it was, over snapshots and a reopening; what is too old is gone as a whole.
+// Every retained version must be read as it was written, across snapshots and a restart, and versions beyond the
+// retention must be reported as not stored.
 func TestEveryKeptVersionIsReadAsItWas(t *testing.T) {
 	dir := t.TempDir()
 	n := 0
@@ -123,32 +125,33 @@
 		}
 		s.db.NoSync = true
 		steps := rapid.IntRange(1, 160).Draw(t, "steps")
-		held := writeDrawnHistory(t, s, steps)
+		contents := writeDrawnHistory(t, s, steps)
 		s.Close()
 		if s, err = Open(path, Retention{Versions: 40}); err != nil {
 			t.Fatal(err)
 		}
 		defer s.Close()
-		kept := 0
-		for step, want := range held {
+		retained := 0
+		for step, want := range contents {
 			got, err := s.At(step)
 			if errors.Is(err, ErrNoVersion) && int(step) <= steps-40 {
 				continue
 			}
-			if kept++; err != nil || fmt.Sprintf("%+v %v", tablesOf(got), got.Masked) != want {
+			if retained++; err != nil || fmt.Sprintf("%+v %v", tablesOf(got), got.Masked) != want {
 				t.Fatalf("version %d of %d: %v\n%+v\n%s", step, steps, err, tablesOf(got), want)
 			}
 		}
-		if _, wrong := s.Verify(); len(wrong) > 0 || kept > 40+2*snapshotInterval {
-			t.Fatalf("%v; %d kept", wrong, kept)
+		if _, faults := s.Verify(); len(faults) > 0 || retained > 40+2*snapshotInterval {
+			t.Fatalf("faults %v; %d versions retained", faults, retained)
 		}
 		if _, err := s.At(tables.Step(steps + 1)); !errors.Is(err, ErrNoVersion) {
-			t.Fatalf("a version to come: %v", err)
+			t.Fatalf("reading a version that is not written yet: error %v, wanted ErrNoVersion", err)
 		}
 	})
 }
 
-// A record that was changed is named, the versions that need it are refused, and a whole snapshot before it is offered.
+// If a record is corrupt, reading a version that depends on it must fail with an error that names the record and the
+// last intact snapshot before it, while all other versions remain readable.
 func TestACorruptVersionIsRefused(t *testing.T) {
 	s, err := Open(filepath.Join(t.TempDir(), "d"), Retention{})
 	if err != nil {
@@ -174,15 +177,15 @@
 			t.Errorf("version %d: %v, %v", step, got.Tables[0], err)
 		}
 	}
-	if n, wrong := s.Verify(); n < 150 || len(wrong) != 1 || !strings.Contains(wrong[0].Error(), "history/100") {
-		t.Errorf("%d records, wrong: %v", n, wrong)
+	if n, faults := s.Verify(); n < 150 || len(faults) != 1 || !strings.Contains(faults[0].Error(), "history/100") {
+		t.Errorf("%d records, faults: %v", n, faults)
 	}
 	if all, err := s.Versions(60); err != nil || len(all) != 60 || all[50].Step != 100 || !strings.Contains(all[50].Why, "history/100") {
-		t.Errorf("%v", err)
+		t.Errorf("Versions does not report the corrupt record: %v", err)
 	}
 }
 
-// A version that a proxy stands on stays, however old.
+// A version that a joined proxy holds must be retained, however old it is.
 func TestVersionHeldByAProxyIsRetained(t *testing.T) {
 	s, err := Open(filepath.Join(t.TempDir(), "d"), Retention{Versions: 10})
 	if err != nil {
@@ -199,8 +202,8 @@
 			t.Fatal(err)
 		}
 		_, err := s.At(100)
-		if (err == nil) != (step >= 100 && step < 321) { // the next snapshot after 300 trims
-			t.Fatalf("after %d: version 100 is read with %v", step, err)
+		if (err == nil) != (step >= 100 && step < 321) { // the first snapshot after step 300 trims the history
+			t.Fatalf("after step %d: reading version 100: %v", step, err)
 		}
 	}
 }
@@ -219,7 +222,7 @@
 				t.Fatalf("%v", err)
 			}
 		} else if !strings.Contains(err.Error(), "record r") {
-			t.Fatalf("the place is not named: %v", err)
+			t.Fatalf("the error does not name the record: %v", err)
 		}
 	})
 }
--- a/internal/tables/document.go
+++ b/internal/tables/document.go
@@ -39,8 +39,10 @@
 // Level is the admission level and the retry mode of a route.
 type Level struct {
 	// Level is in the unit that Document.LevelUnit names.
-	Level     float64 `json:"level"`
-	RetryMode int     `json:"tries"`
+	Level float64 `json:"level"`
+	// RetryMode tells when a failed call is tried again: 0 never, 1 once if the first try certainly never ran, 2 once
+	// after any failure, 3 twice after any failure.
+	RetryMode int `json:"tries"`
 }
 
 // Route is the configuration of all calls of a route.
@@ -83,8 +85,8 @@
 	At                 float64 `json:"at"` // when the decision module ordered it, in Unix milliseconds
 	PickPolicy         string  `json:"pick"`
 	EjectAfterFailures int     `json:"ejects,omitempty"`
-	TryTimeoutShare    float64 `json:"try_wait,omitempty"` // time-out of a try that may be retried, as a share of the route's SLO
-	KeyHash            string  `json:"hash,omitempty"`
+	TryTimeoutShare    float64 `json:"try_wait,omitempty"` // timeout of a try that may be retried, as a share of the SLO
+	KeyHash            string  `json:"hash,omitempty"`     // the hash function of keys; empty without slices
 	// RejectedDidNotRun tells that a host that rejects a call as overloaded has not begun to execute it.
 	RejectedDidNotRun bool              `json:"full_is_proof,omitempty"`
 	LevelUnit         string            `json:"levels_by,omitempty"` // "share", "rate" or "none"
@@ -149,6 +151,7 @@
 	Digest  uint64
 }
 
+// String returns the tag as history.step.digest.
 func (t Tag) String() string {
 	return fmt.Sprintf("%x.%d.%x", uint64(t.History), uint64(t.Step), t.Digest)
 }
--- a/internal/tables/patch.go
+++ b/internal/tables/patch.go
@@ -79,7 +79,8 @@
 	if from.PickPolicy != to.PickPolicy || from.EjectAfterFailures != to.EjectAfterFailures ||
 		from.TryTimeoutShare != to.TryTimeoutShare || from.KeyHash != to.KeyHash ||
 		from.RejectedDidNotRun != to.RejectedDidNotRun || from.LevelUnit != to.LevelUnit {
-		return []Op{{Op: "replace", Value: to, old: from, subtree: true}} // the deployment's settings changed: nothing of the old document is worth keeping
+		// The deployment's settings changed: nothing of the old document is worth keeping.
+		return []Op{{Op: "replace", Value: to, old: from, subtree: true}}
 	}
 	diffEntries(&p, from.Hosts, to.Hosts, "hosts")
 	diffEntries(&p, from.Masked, to.Masked, "masked")
@@ -130,8 +131,8 @@
 
 // Compose combines the patches of consecutive steps into one. For each path it compares the value before the first step
 // with the value after the last, and omits the path if they are equal. Its cost depends on the number of operations and
-// not on the size of the documents. It returns false if a step changed an object whose members are also patched by paths
-// of their own, because such operations do not compose path by path.
+// not on the size of the documents. It returns false if a step changed an object whose members are also patched by
+// paths of their own, because such operations do not compose path by path.
 func Compose(steps [][]Op) ([]Op, bool) {
 	if len(steps) == 1 {
 		return steps[0], true
--- a/internal/tables/tables_test.go
+++ b/internal/tables/tables_test.go
@@ -76,8 +76,8 @@
 	})
 }
 
-// A patch composed over any number of steps must yield the target document, with no more operations than a patch made by
-// comparing the two documents.
+// A patch composed over any number of steps must yield the target document, with no more operations than a patch made
+// by comparing the two documents.
 func TestComposedDeltas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		docs := []*Document{drawDocument(t, nil, 1)}
@@ -114,8 +114,8 @@
 }
 
 // BenchmarkMissedSteps computes the patch for a proxy that missed eight steps of a large deployment in three ways:
-// composed from the patches of the steps, by comparing documents that share unchanged tables by pointer, and by comparing
-// documents line by line.
+// composed from the patches of the steps, by comparing documents that share unchanged tables by pointer, and by
+// comparing documents line by line.
 func BenchmarkMissedSteps(b *testing.B) {
 	for _, lines := range []int{1000, 100000} {
 		build := func() *Document {
--- a/internal/versions/index_test.go
+++ b/internal/versions/index_test.go
@@ -63,8 +63,8 @@
 	})
 }
 
-// BenchmarkOldest measures what a director does for each version: a hundredth of the fleet moves on to it, and the oldest
-// version held is looked up. It compares the index with a scan of a plain map.
+// BenchmarkOldest measures what a director does for each version: a hundredth of the fleet moves on to it, and the
+// oldest version held is looked up. It compares the index with a scan of a plain map.
 func BenchmarkOldest(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("scan/%d", n), func(b *testing.B) {
