--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -20,7 +20,7 @@
 	svc              Service
 	module           *logic.Director
 	ids              *idRegistry
-	line             tables.Line
+	line             tables.HistoryID
 	current          *snapshot      // state as of the newest ordered step
 	stored           *snapshot      // state as of the newest durable step
 	firstStep        tables.Step    // the first step of this start
@@ -443,7 +443,7 @@
 	s.Step, s.Stored, s.Joined = c.current.step, c.stored.step, len(c.joined)
 	s.Hosts, s.Masked = len(c.listed), len(c.current.masked)
 	s.OldestHeld, _ = c.heldSteps.Oldest()
-	s.ProxiesBehind = c.heldSteps.Behind(c.stored.step)
+	s.ProxiesBehind = c.heldSteps.CountOlder(c.stored.step)
 	s.Slices = len(c.current.tables)
 	s.QueuedLines, s.MaxQueuedLines, s.QueueLimit = c.channel.QueuedLines(), c.channel.MaxQueuedLines(), c.svc.Config.QueueLimit
 	s.MaxMessagesInWindow, s.PendingReportLines = c.channel.MaxMessagesInWindow(), c.aggregator.Pending()
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -29,8 +29,8 @@
 // testService returns the settings of a service with one route and four proxies.
 func testService(slices int) Service {
 	return Service{Zones: []string{"a", "b"}, Pick: "lottery", ProxyNames: regexp.MustCompile(`^p[0-9]$`), Lease: 2000,
-		MaxWait: 30000, MaxBases: 16, Routes: []RouteInfo{{"read", tables.Route{Level: tables.Level{Level: 1, Tries: 1},
-			Repeat: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1}}},
+		MaxWait: 30000, MaxBases: 16, Routes: []RouteInfo{{"read", tables.Route{Level: tables.Level{Level: 1, RetryMode: 1},
+			Idempotency: "repeatable", SLOMs: 1000, TimeLimitMs: 3000, Importance: 1}}},
 		Config: logic.Config{Directors: 1, Proxies: 4, Slices: slices, LinesPerSecond: 1000, QueueLimit: 1000, MessageOverhead: 4,
 			Transit: 5, WorstTransit: 50, DrainGrace: 2000, WarmAfter: 10000, ColdFailAfter: 1500, ColdOverloadLimit: 3, ColdCapacity: 0.2,
 			EmptyTableLimit: 2000, ReportInterval: 500, ReportLinesPerSecond: 100, MessageWindow: 10000, Levels: logic.LevelShare,
@@ -208,7 +208,7 @@
 	if !got.Masked["10.0.0.0:80"] {
 		for _, table := range got.Tables {
 			if table.Lines["10.0.0.0:80"] > 0 {
-				t.Fatalf("the draining host is still in a table: %s", got.Whole())
+				t.Fatalf("the draining host is still in a table: %s", got.JSON())
 			}
 		}
 	}
@@ -286,7 +286,7 @@
 		}
 	}
 	// A proxy whose version is no longer kept as a base gets the full document.
-	again.wantAnswer(again.poll("p2", 0, tables.Tag{Line: 42, Step: 1, Digest: 1}), Full)
+	again.wantAnswer(again.poll("p2", 0, tables.Tag{History: 42, Step: 1, Digest: 1}), Full)
 }
 
 func TestANewerPollTakesThePlaceOfTheOneThatWaits(t *testing.T) {
@@ -399,16 +399,16 @@
 	h.advance(2000)
 	d := h.answers[pending].Doc
 	if d == nil || d.Routes["read"].Table == "" || len(d.Tables[d.Routes["read"].Table].Lines) == 0 {
-		t.Fatalf("proxy not bound to a table: %s", first.Whole())
+		t.Fatalf("proxy not bound to a table: %s", first.JSON())
 	}
 	again := newHarness(t, svc, h.store)
 	got := again.wantAnswer(again.poll("p1", 0, d.Tag()), Full)
 	if got.Routes["read"].Table != "was-read" || len(got.Tables["was-read"].Lines) == 0 || got.Step <= d.Step {
-		t.Fatalf("proxy lost its table at a restart: %s", got.Whole())
+		t.Fatalf("proxy lost its table at a restart: %s", got.JSON())
 	}
 	twice := newHarness(t, svc, again.store) // also after two restarts in a row
 	if got = twice.wantAnswer(twice.poll("p1", 0), Full); len(got.Tables["was-read"].Lines) == 0 {
-		t.Fatalf("proxy lost its table after two restarts: %s", got.Whole())
+		t.Fatalf("proxy lost its table after two restarts: %s", got.JSON())
 	}
 	pending = twice.poll("p1", 20000, got.Tag())
 	twice.handle(HostList{upHosts(5)})
@@ -428,7 +428,7 @@
 			h.handle(HostList{list})
 			h.advance(2000)
 		}
-		return string(h.c.document(h.c.current, 0).Whole()) + fmt.Sprint(len(h.answers))
+		return string(h.c.document(h.c.current, 0).JSON()) + fmt.Sprint(len(h.answers))
 	}
 	if a, b := play(), play(); a != b {
 		t.Fatalf("%s\n%s", a, b)
@@ -524,7 +524,7 @@
 	again.handle(HostList{list})
 	again.advance(3000)
 	if got := again.wantAnswer(again.poll("p1", 0), Full); len(again.c.pinned) != 8 || got.Tables["0"].Lines["10.0.0.1:80"] > 0 {
-		t.Fatalf("%d tables are pinned after a restart: %s", len(again.c.pinned), got.Whole())
+		t.Fatalf("%d tables are pinned after a restart: %s", len(again.c.pinned), got.JSON())
 	}
 	again.ticket++
 	again.handle(Release{Ticket: again.ticket, Who: "ann", Why: "test"})
--- a/internal/control/known.go
+++ b/internal/control/known.go
@@ -184,7 +184,7 @@
 		f.Slices = append(f.Slices, learn.Slice{Slice: int(t), Fence: c.current.tables[t].Fence, Version: c.current.step})
 	}
 	for r, l := range c.current.levels {
-		f.Levels = append(f.Levels, learn.Level{Route: c.svc.Routes[r].Name, Level: l.Level, Tries: l.Tries, Age: float64(now - k.levelsAt)})
+		f.Levels = append(f.Levels, learn.Level{Route: c.svc.Routes[r].Name, Level: l.Level, Tries: l.RetryMode, Age: float64(now - k.levelsAt)})
 	}
 	c.out = append(c.out, Answer{Ticket: q.Ticket, Kind: FactsReply, Body: &f})
 }
--- a/internal/control/proxies.go
+++ b/internal/control/proxies.go
@@ -48,7 +48,7 @@
 		c.removeProxy(id, "joined again")
 	}
 	p := &joinedProxy{name: j.Proxy, zone: j.Zone, visit: j.Session, catchUpTo: c.current.step}
-	p.heldStep.Of = id
+	p.heldStep.Value = id
 	c.proxies[id] = p
 	at, _ := slices.BinarySearch(c.joined, id)
 	c.joined = slices.Insert(c.joined, at, id)
@@ -89,7 +89,7 @@
 		return
 	}
 	if p.acknowledged = h.Step; h.Step == 0 {
-		c.heldSteps.Drop(&p.heldStep)
+		c.heldSteps.Remove(&p.heldStep)
 		return
 	}
 	c.heldSteps.Move(&p.heldStep, h.Step)
@@ -116,7 +116,7 @@
 // removeProxy removes a joined proxy and drops its queued messages.
 func (c *Core) removeProxy(id logic.ProxyID, why string) {
 	p := c.proxies[id]
-	c.heldSteps.Drop(&p.heldStep)
+	c.heldSteps.Remove(&p.heldStep)
 	delete(c.proxies, id)
 	delete(c.catchingUp, id)
 	if at, found := slices.BinarySearch(c.joined, id); found {
@@ -242,11 +242,11 @@
 	}
 	c.bases[tag], c.view.dirty = d, true
 	if c.svc.Config.Slices > 0 && (c.newestBase == nil || d.Step > c.newestBase.Step) {
-		d.After(c.newestBase) // all proxies get the same sequence of documents
+		d.SetPrevious(c.newestBase) // all proxies get the same sequence of documents
 		c.newestBase = d
 	}
 	if c.baseTags = append(c.baseTags, tag); len(c.baseTags) > c.svc.MaxBases {
-		c.bases[c.baseTags[0]].Forget()
+		c.bases[c.baseTags[0]].ReleaseBases()
 		delete(c.bases, c.baseTags[0])
 		c.baseTags = c.baseTags[1:]
 	}
--- a/internal/control/types.go
+++ b/internal/control/types.go
@@ -136,7 +136,7 @@
 	From        tables.Step           `json:",omitempty"` // the version that a rollback restores
 	OldestInUse tables.Step           `json:"-"`          // the oldest version held by a joined proxy; kept in the history
 	Pinned      map[logic.TableID]Pin // all pins, where one has changed
-	Line        tables.Line
+	Line        tables.HistoryID
 	Step        tables.Step
 	At          float64
 	Tables      map[logic.TableID]*tables.Table // nil: the table is deleted
@@ -200,7 +200,7 @@
 
 // SavedState is the complete stored state.
 type SavedState struct {
-	Line    tables.Line
+	Line    tables.HistoryID
 	Step    tables.Step
 	At      float64
 	Tables  map[logic.TableID]*tables.Table
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -66,7 +66,7 @@
 	}
 	plan = reload.Compare(before, s.Written)
 	ledger.SetResources(limits)
-	st.Keep(s.History)
+	st.SetRetention(s.History)
 	front.SetLimits(s.Front)
 	for _, c := range plan.Live {
 		log.Info("reload.changed", "what", c.String())
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -57,7 +57,7 @@
 	maxTurnUs       atomic.Int64 // longest turn of the loop, in microseconds
 	maxTimerDelayUs atomic.Int64 // longest delay of a timer of the core, in microseconds
 
-	line          tables.Line
+	line          tables.HistoryID
 	record        func(control.SliceRecord)
 	askPeers      func(context.Context)
 	writes        chan control.Change
@@ -89,7 +89,7 @@
 }
 
 // Line returns the identifier of the store's history. A new store begins another line.
-func (d *Director) Line() tables.Line { return d.line }
+func (d *Director) Line() tables.HistoryID { return d.line }
 
 // OnRecord sets the function that stores the state from which a slice's next holder starts. It must be called before
 // Run.
--- a/internal/longpoll/ask.go
+++ b/internal/longpoll/ask.go
@@ -252,11 +252,11 @@
 		var body []byte
 		switch kind {
 		case control.Full:
-			body = a.Doc.Whole()
-			h.finish(tables.MediaType, len(body))
+			body = a.Doc.JSON()
+			h.finish(tables.DocumentMediaType, len(body))
 		case control.Delta:
 			body = a.Patch
-			h.finish(tables.PatchType, len(body))
+			h.finish(tables.PatchMediaType, len(body))
 		default:
 			h.finish("", 0)
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -37,7 +37,7 @@
 			d = doc.Load()
 		}
 		w.Header().Set("ETag", d.Tag().ETag())
-		w.Write(d.Whole())
+		w.Write(d.JSON())
 	}))
 	t.Cleanup(s.CloseClientConnections)
 	return s.URL
@@ -46,15 +46,15 @@
 // newDocument returns a document with three routes, one for each idempotency, that share one table. Each host is in a
 // cell of its own.
 func newDocument(step tables.Step, tries int, hosts ...string) *tables.Document {
-	d := &tables.Document{Pick: "lottery", TryWait: 1, Masked: map[tables.Address]bool{}, Hosts: map[tables.Address]tables.Host{},
+	d := &tables.Document{PickPolicy: "lottery", TryTimeoutShare: 1, Masked: map[tables.Address]bool{}, Hosts: map[tables.Address]tables.Host{},
 		Routes: map[string]tables.Route{}, Tables: map[string]*tables.Table{"t": {Lines: map[tables.Address]float64{}}}}
 	for i, h := range hosts {
 		d.Tables["t"].Lines[tables.Address(h)] = 1
 		d.Hosts[tables.Address(h)] = tables.Host{ID: h, Zone: "a", Cell: fmt.Sprint(i)}
 	}
-	for _, r := range []tables.Route{{Repeat: "repeatable"}, {Repeat: "keyed", Reach: "cell", SpanMs: 4000}, {Repeat: "mutating"}} {
-		r.Level, r.Table, r.SLOMs, r.TimeLimitMs, r.Importance = tables.Level{Level: 1, Tries: tries}, "t", 150, 400, 1
-		d.Routes[r.Repeat] = r
+	for _, r := range []tables.Route{{Idempotency: "repeatable"}, {Idempotency: "keyed", DedupScope: "cell", DedupWindowMs: 4000}, {Idempotency: "mutating"}} {
+		r.Level, r.Table, r.SLOMs, r.TimeLimitMs, r.Importance = tables.Level{Level: 1, RetryMode: tries}, "t", 150, 400, 1
+		d.Routes[r.Idempotency] = r
 	}
 	d.Seal(3, step, float64(step))
 	d.Tag()
@@ -259,7 +259,7 @@
 }
 
 func documentJSON(d *tables.Document) []byte {
-	return append([]byte(nil), d.Whole()...)
+	return append([]byte(nil), d.JSON()...)
 }
 
 // A response with broken framing becomes one well-formed error response, and the connection is not reused.
--- a/internal/relay/storm_test.go
+++ b/internal/relay/storm_test.go
@@ -53,7 +53,7 @@
 			hosts = append(hosts, ln.Addr().String())
 		}
 		doc := newDocument(1, 3, hosts...)
-		doc.Ejects = 0 // only the retry budget is tested: hosts are not ejected
+		doc.EjectAfterFailures = 0 // only the retry budget is tested: hosts are not ejected
 		_, _, address := startRelay(t, extraSettings, doc.Seal(3, 1, 2))
 		isSilent.Store(true)
 		calls := func(n int, interval time.Duration) (answered int64) {
@@ -140,7 +140,7 @@
 			for i, text := range strings.Split(weights, ",") {
 				doc.Tables["t"].Lines[tables.Address(hosts[i])], _ = strconv.ParseFloat(text, 64)
 			}
-			doc.Pick = os.Getenv("VETCHWOOD_TEST_PICK")
+			doc.PickPolicy = os.Getenv("VETCHWOOD_TEST_PICK")
 			parsed, err := tables.Parse(documentJSON(resealed(doc)))
 			if err != nil {
 				panic(err)
--- a/internal/settings/director.go
+++ b/internal/settings/director.go
@@ -162,7 +162,7 @@
 		IsWrite: r.Truth("writes", false)}
 	f.Routes = append(f.Routes, route)
 	out.Service.Routes = append(out.Service.Routes, control.RouteInfo{Name: name, Route: tables.Route{
-		Repeat: repeat, Reach: reach, SpanMs: float64(route.DedupWindow), SLOMs: float64(route.SLO),
+		Idempotency: repeat, DedupScope: reach, DedupWindowMs: float64(route.DedupWindow), SLOMs: float64(route.SLO),
 		TimeLimitMs: float64(route.TimeLimit), Importance: route.Importance, Writes: route.IsWrite,
 		OwnZone: route.OwnZone}})
 	r.Done()
@@ -208,7 +208,7 @@
 	f.WriteLease = millis(r.Span("write_lease", 0, 0, time.Hour))
 	f.WriteSettle = millis(r.Span("write_settle", 0, 0, time.Hour))
 	for i := range out.Service.Routes {
-		out.Service.Routes[i].Level = tables.Level{Level: 1, Tries: f.DefaultRetries}
+		out.Service.Routes[i].Level = tables.Level{Level: 1, RetryMode: f.DefaultRetries}
 		if f.Levels == logic.LevelRate {
 			out.Service.Routes[i].Level.Level = 1e6
 		}
