--- a/internal/custody/custody.go
+++ b/internal/custody/custody.go
@@ -12,7 +12,7 @@
 
 type (
 	// Name is a director's.
-	Name string
+	DirectorName string
 	// Slice is a slice's number.
 	Slice int
 	// Fence counts the holders of a slice: the store gives each a greater one than the one before.
@@ -25,14 +25,14 @@
 // Spread says who should have each slice. Every director comes to the same answer from the same set, whatever the order
 // in which it learnt of the members, and few slices move when one comes or goes: each slice ranks all directors by a
 // hash of its own and goes to the first that is not full.
-func Spread(n int, members []Name) []Name {
+func Assign(n int, members []DirectorName) []DirectorName {
 	members = slices.Compact(slices.Sorted(slices.Values(members)))
-	out := make([]Name, n)
+	out := make([]DirectorName, n)
 	if len(members) == 0 {
 		return out
 	}
 	room := int(math.Ceil(float64(n) / float64(len(members)) * uneven))
-	load := map[Name]int{}
+	load := map[DirectorName]int{}
 	rank := make([]ranked, len(members))
 	for s := range n {
 		for i, m := range members {
@@ -60,7 +60,7 @@
 
 type ranked struct {
 	score uint64
-	name  Name
+	name  DirectorName
 }
 
 // Session is a director's standing with the store, by the published rules of sessions with a time to live: the store ends
@@ -79,18 +79,18 @@
 }
 
 // Renewed tells that a renewal which was sent then was answered.
-func (s *Session) Renewed(sent float64) {
+func (s *Session) MarkRenewed(sent float64) {
 	if s.alive {
 		s.sent = max(s.sent, sent)
 	}
 }
 
 // Ended tells that the store knows the session no more. It does not come back: a new one has locks of its own.
-func (s *Session) Ended() { s.alive = false }
+func (s *Session) MarkEnded() { s.alive = false }
 
 // Until is how long the director may act for what it holds without hearing from the store again. A process that was
 // paused finds the time past when it goes on, and acts for nothing.
-func (s *Session) Until() float64 {
+func (s *Session) Deadline() float64 {
 	if !s.alive {
 		return math.Inf(-1)
 	}
@@ -101,11 +101,11 @@
 func (s *Session) RenewAt() float64 { return s.sent + s.ttl/3 }
 
 // Seen is the highest fence of a slice that a proxy has followed.
-type Seen map[Slice]Fence
+type HighestFences map[Slice]Fence
 
 // Accepts says whether a proxy takes a word on a slice that bears a fence, and keeps the highest. A director that was
 // deposed and has not noticed, or whose messages were long on the way, bears a lower one than its successor.
-func (s Seen) Accepts(slice Slice, f Fence) bool {
+func (s HighestFences) Accept(slice Slice, f Fence) bool {
 	if f < s[slice] {
 		return false
 	}
--- a/internal/custody/custody_test.go
+++ b/internal/custody/custody_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-func names(n int) (out []Name) {
+func names(n int) (out []DirectorName) {
 	for i := range n {
-		out = append(out, Name(fmt.Sprint("d", i)))
+		out = append(out, DirectorName(fmt.Sprint("d", i)))
 	}
 	return out
 }
@@ -21,10 +21,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n, k := rapid.IntRange(1, 200).Draw(t, "slices"), rapid.IntRange(1, 6).Draw(t, "directors")
 		members := names(k)
-		was := Spread(n, members)
+		was := Assign(n, members)
 		mixed := rapid.Permutation(members).Draw(t, "order")
-		load := map[Name]int{}
-		for s, name := range Spread(n, append(mixed, mixed[0])) {
+		load := map[DirectorName]int{}
+		for s, name := range Assign(n, append(mixed, mixed[0])) {
 			if name != was[s] || name == "" {
 				t.Fatalf("slice %d: %q or %q", s, name, was[s])
 			}
@@ -40,14 +40,14 @@
 			return
 		}
 		gone := members[rapid.IntRange(0, k-1).Draw(t, "gone")]
-		var left []Name
+		var left []DirectorName
 		for _, m := range members {
 			if m != gone {
 				left = append(left, m)
 			}
 		}
 		moved := 0
-		for s, name := range Spread(n, left) {
+		for s, name := range Assign(n, left) {
 			if was[s] != gone && name != was[s] {
 				moved++
 			}
@@ -60,16 +60,16 @@
 
 func TestASession(t *testing.T) {
 	s := NewSession(10000, 500, 1000)
-	if s.Until() != 10500 || s.RenewAt() > 4334 {
-		t.Fatalf("until %v", s.Until())
+	if s.Deadline() != 10500 || s.RenewAt() > 4334 {
+		t.Fatalf("until %v", s.Deadline())
 	}
-	s.Renewed(5000)
-	s.Renewed(4000) // an older one that was answered later
-	if s.Until() != 14500 {
-		t.Fatalf("until %v", s.Until())
+	s.MarkRenewed(5000)
+	s.MarkRenewed(4000) // an older one that was answered later
+	if s.Deadline() != 14500 {
+		t.Fatalf("until %v", s.Deadline())
 	}
-	s.Ended()
-	if s.Renewed(20000); !math.IsInf(s.Until(), -1) {
+	s.MarkEnded()
+	if s.MarkRenewed(20000); !math.IsInf(s.Deadline(), -1) {
 		t.Fatal("acts after its session ended")
 	}
 }
--- a/internal/custody/keeper.go
+++ b/internal/custody/keeper.go
@@ -9,8 +9,8 @@
 
 // Keeper is one director's part in custody: when to renew, what to take, what to hand to whom, and what it may act for.
 // What comes back from the store is an input, at the time of the director's own steady clock in milliseconds.
-type Keeper struct {
-	me      Name
+type Coordinator struct {
+	me      DirectorName
 	slices  int
 	ttl     float64
 	margin  float64
@@ -20,7 +20,7 @@
 	busy    map[string]float64
 	retry   float64 // no session is asked for before
 	fails   int
-	board   Board
+	board   Snapshot
 	leases  map[Slice]Lease
 	since   map[string]float64 // sessions of members, first seen
 	free    map[Slice]float64  // first seen without a holder
@@ -34,19 +34,19 @@
 type (
 	// Lease is what the store says of a slice. Count is how many holders it has had, Change when it last changed.
 	Lease struct {
-		Slice   Slice
-		Session string
-		Count   uint64
-		Change  uint64
+		Slice       Slice
+		Session     string
+		LockIndex   uint64
+		ModifyIndex uint64
 	}
 	// Member is a director's entry. Its own session stands behind it, or it is dead.
 	Member struct {
-		Name    Name
+		Name    DirectorName
 		Session string
 		Leaving bool
 	}
 	// Board is all that the store says, as of one change.
-	Board struct {
+	Snapshot struct {
 		Index   uint64
 		Members []Member
 		Leases  []Lease
@@ -56,63 +56,63 @@
 // Inputs.
 type (
 	// Opened tells of a session that was asked for, or of one of an earlier start that goes on.
-	Opened struct {
-		ID   string
-		Sent float64
-		Base Fence
+	SessionOpened struct {
+		ID        string
+		SentAt    float64
+		FenceBase Fence
 	}
 	// Failed tells that something asked for was not answered, or refused.
-	Failed struct{ What string }
+	RequestFailed struct{ Request string }
 	// Renewed tells that a renewal was answered.
-	Renewed struct {
-		ID   string
-		Sent float64
+	SessionRenewed struct {
+		ID     string
+		SentAt float64
 	}
 	// Unknown tells that the store does not know the session.
-	Unknown struct{ ID string }
+	SessionUnknown struct{ ID string }
 	// Moved tells what became of leases that were asked for or given away.
-	Moved struct {
-		What   string
-		Leases []Lease
+	LeasesChanged struct {
+		Request string
+		Leases  []Lease
 	}
 	// Leave begins to give all away.
-	Leave struct{}
+	LeaveRequested struct{}
 )
 
 // Outputs.
 type (
 	// Open asks for a session. Over is what its fences must be above.
-	Open struct{ Over Fence }
+	OpenSession struct{ FenceFloor Fence }
 	// Renew asks for more time.
-	Renew struct{ ID string }
+	RenewSession struct{ ID string }
 	// Take asks for slices that nobody holds.
-	Take struct {
-		ID     string
-		Slices []Slice
+	AcquireSlices struct {
+		Session string
+		Slices  []Slice
 	}
 	// Hand gives slices to another session in one step; to "" it lets them go.
-	Hand struct {
-		ID, To string
-		Slices []Slice
+	TransferSlices struct {
+		From, To string
+		Slices   []Slice
 	}
 	// Charge and Discharge tell the director what it holds.
-	Charge struct {
+	SliceGranted struct {
 		Slice Slice
 		Fence Fence
 	}
-	Discharge struct{ Slice Slice }
+	SliceRevoked struct{ Slice Slice }
 	// Guard says until when it may act for what it holds.
-	Guard struct{ Until float64 }
+	LeaseDeadline struct{ Until float64 }
 	// Gone says that nothing is held any more, after Leave.
-	Gone struct{}
+	AllReleased struct{}
 )
 
 // What is asked for, so that it is not asked for twice at once.
 const (
-	Opening  = "open"
-	Renewing = "renew"
-	Taking   = "take"
-	Handing  = "hand"
+	RequestOpen     = "open"
+	RequestRenew    = "renew"
+	RequestAcquire  = "take"
+	RequestTransfer = "hand"
 )
 
 // Patience in times to live. A member is steady, and gets slices that others hold, once its session has lasted so long:
@@ -128,24 +128,24 @@
 // for each slice.
 const mostMoved = 32
 
-func NewKeeper(me Name, slices int, ttl, margin float64) *Keeper {
-	k := &Keeper{me: me, slices: slices, ttl: ttl, margin: margin, busy: map[string]float64{}}
+func NewCoordinator(me DirectorName, slices int, ttl, margin float64) *Coordinator {
+	k := &Coordinator{me: me, slices: slices, ttl: ttl, margin: margin, busy: map[string]float64{}}
 	k.forget()
 	k.held, k.settled = map[Slice]Fence{}, map[Slice]float64{}
 	return k
 }
 
 // forget is for a store that is another than before.
-func (k *Keeper) forget() {
-	k.board, k.leases = Board{}, map[Slice]Lease{}
+func (k *Coordinator) forget() {
+	k.board, k.leases = Snapshot{}, map[Slice]Lease{}
 	k.since, k.free = map[string]float64{}, map[Slice]float64{}
 }
 
 // Holds gives what is held.
-func (k *Keeper) Holds() map[Slice]Fence { return maps.Clone(k.held) }
+func (k *Coordinator) Held() map[Slice]Fence { return maps.Clone(k.held) }
 
 // Alive are the members that the store believes in, me among them if so.
-func (k *Keeper) Alive() (out []Member) {
+func (k *Coordinator) LiveMembers() (out []Member) {
 	for _, m := range k.board.Members {
 		if m.Session != "" {
 			out = append(out, m)
@@ -155,7 +155,7 @@
 }
 
 // Handle takes what happened up to now and says what to do.
-func (k *Keeper) Handle(now float64, in ...any) []any {
+func (k *Coordinator) Handle(now float64, in ...any) []any {
 	for _, i := range in {
 		k.take(now, i)
 	}
@@ -165,74 +165,74 @@
 	return out
 }
 
-func (k *Keeper) say(what any) { k.out = append(k.out, what) }
+func (k *Coordinator) say(what any) { k.out = append(k.out, what) }
 
-func (k *Keeper) take(now float64, in any) {
+func (k *Coordinator) take(now float64, in any) {
 	switch in := in.(type) {
-	case Opened:
-		delete(k.busy, Opening)
+	case SessionOpened:
+		delete(k.busy, RequestOpen)
 		if k.id != "" && k.id != in.ID {
 			k.lose()
 		}
-		if in.Base != k.base {
+		if in.FenceBase != k.base {
 			k.forget()
 		}
-		k.id, k.base, k.fails, k.session = in.ID, in.Base, 0, NewSession(k.ttl, k.margin, in.Sent)
-		k.top = max(k.top, in.Base)
-		k.say(Guard{k.session.Until()})
+		k.id, k.base, k.fails, k.session = in.ID, in.FenceBase, 0, NewSession(k.ttl, k.margin, in.SentAt)
+		k.top = max(k.top, in.FenceBase)
+		k.say(LeaseDeadline{k.session.Deadline()})
 		k.settle(now)
-	case Renewed:
-		delete(k.busy, Renewing)
+	case SessionRenewed:
+		delete(k.busy, RequestRenew)
 		if in.ID == k.id {
-			k.session.Renewed(in.Sent)
+			k.session.MarkRenewed(in.SentAt)
 			k.fails = 0
-			k.say(Guard{k.session.Until()})
+			k.say(LeaseDeadline{k.session.Deadline()})
 		}
-	case Unknown:
-		delete(k.busy, Renewing)
+	case SessionUnknown:
+		delete(k.busy, RequestRenew)
 		if in.ID == k.id && k.id != "" {
 			k.lose()
 		}
-	case Failed:
-		delete(k.busy, in.What)
+	case RequestFailed:
+		delete(k.busy, in.Request)
 		k.fails++
 		wait := firstRetry
 		for range min(k.fails, 10) - 1 {
 			wait = min(longRetry, 2*wait)
 		}
 		k.retry = now + min(wait, k.ttl/6)
-	case Board:
+	case Snapshot:
 		k.see(now, in)
-	case Moved:
-		delete(k.busy, in.What)
+	case LeasesChanged:
+		delete(k.busy, in.Request)
 		for _, l := range in.Leases {
 			k.learn(now, l)
 		}
 		k.settle(now)
-	case Leave:
+	case LeaveRequested:
 		k.leaving = true
 	}
 }
 
 // lose is the end of the session, and of all that was held by it.
-func (k *Keeper) lose() {
-	k.session.Ended()
+func (k *Coordinator) lose() {
+	k.session.MarkEnded()
 	k.id = ""
-	k.say(Guard{math.Inf(-1)})
+	k.say(LeaseDeadline{math.Inf(-1)})
 	for _, s := range slices.Sorted(maps.Keys(k.held)) {
 		k.drop(s)
 	}
 }
 
-func (k *Keeper) drop(s Slice) {
+func (k *Coordinator) drop(s Slice) {
 	delete(k.held, s)
 	delete(k.settled, s)
-	k.say(Discharge{s})
+	k.say(SliceRevoked{s})
 }
 
 // see takes the store's word on everything. What is older than what is known of a slice is passed over: an answer may
 // have been overtaken on its way.
-func (k *Keeper) see(now float64, b Board) {
+func (k *Coordinator) see(now float64, b Snapshot) {
 	if b.Index < k.board.Index {
 		k.leases, k.free = map[Slice]Lease{}, map[Slice]float64{} // it started over
 	}
@@ -257,15 +257,15 @@
 	k.settle(now)
 }
 
-func (k *Keeper) learn(now float64, l Lease) {
+func (k *Coordinator) learn(now float64, l Lease) {
 	if int(l.Slice) >= k.slices || l.Slice < 0 {
 		return
 	}
-	if was, known := k.leases[l.Slice]; known && l.Change < was.Change {
+	if was, known := k.leases[l.Slice]; known && l.ModifyIndex < was.ModifyIndex {
 		return
 	}
 	k.leases[l.Slice] = l
-	k.top = max(k.top, k.base+Fence(l.Count))
+	k.top = max(k.top, k.base+Fence(l.LockIndex))
 	if l.Session == "" {
 		k.unheld(now, l.Slice)
 	} else {
@@ -273,33 +273,33 @@
 	}
 }
 
-func (k *Keeper) unheld(now float64, s Slice) {
+func (k *Coordinator) unheld(now float64, s Slice) {
 	if _, known := k.free[s]; !known {
 		k.free[s] = now
 	}
 }
 
 // settle tells the director what of the store's word concerns it.
-func (k *Keeper) settle(now float64) {
+func (k *Coordinator) settle(now float64) {
 	for s := range Slice(k.slices) {
 		l, has := k.leases[s], k.held[s]
 		mine := k.id != "" && l.Session == k.id
-		switch fence := k.base + Fence(l.Count); {
+		switch fence := k.base + Fence(l.LockIndex); {
 		case mine && has != fence:
 			k.held[s], k.settled[s] = fence, now
-			k.say(Charge{s, fence})
+			k.say(SliceGranted{s, fence})
 		case !mine && has > 0 && l.Session != "":
 			k.drop(s)
-		case !mine && has > 0 && l.Session == "" && l.Change > 0:
+		case !mine && has > 0 && l.Session == "" && l.ModifyIndex > 0:
 			k.drop(s)
 		}
 	}
 }
 
 // steady are the directors that slices are spread over. At the start of all, none has lasted yet, and all count.
-func (k *Keeper) steady(now float64) (names []Name, session map[Name]string) {
-	session = map[Name]string{}
-	var young []Name
+func (k *Coordinator) steady(now float64) (names []DirectorName, session map[DirectorName]string) {
+	session = map[DirectorName]string{}
+	var young []DirectorName
 	for _, m := range k.board.Members {
 		if m.Session == "" || m.Leaving || k.leaving && m.Name == k.me {
 			continue
@@ -317,23 +317,23 @@
 	return names, session
 }
 
-func (k *Keeper) act(now float64) {
+func (k *Coordinator) act(now float64) {
 	if k.id == "" {
 		if k.leaving {
-			k.say(Gone{})
-		} else if now >= k.retry && k.start(now, Opening) {
-			k.say(Open{k.top})
+			k.say(AllReleased{})
+		} else if now >= k.retry && k.start(now, RequestOpen) {
+			k.say(OpenSession{k.top})
 		}
 		return
 	}
-	if now >= k.session.RenewAt() && now >= k.retry && k.start(now, Renewing) {
-		k.say(Renew{k.id})
+	if now >= k.session.RenewAt() && now >= k.retry && k.start(now, RequestRenew) {
+		k.say(RenewSession{k.id})
 	}
-	if now >= k.session.Until() {
+	if now >= k.session.Deadline() {
 		return // what the store thinks of us is not known
 	}
 	names, sessions := k.steady(now)
-	should := Spread(k.slices, names)
+	should := Assign(k.slices, names)
 	if k.leaving {
 		k.leave(now, should, sessions)
 		return
@@ -353,10 +353,10 @@
 			ask = append(ask, s)
 		}
 	}
-	if ask = ask[:min(len(ask), mostMoved)]; len(ask) > 0 && now >= k.retry && k.start(now, Taking) {
-		k.say(Take{k.id, ask})
+	if ask = ask[:min(len(ask), mostMoved)]; len(ask) > 0 && now >= k.retry && k.start(now, RequestAcquire) {
+		k.say(AcquireSlices{k.id, ask})
 	}
-	give := map[Name][]Slice{}
+	give := map[DirectorName][]Slice{}
 	for s := range k.held {
 		to := should[s]
 		if id := sessions[to]; to != k.me && id != "" && now-k.settled[s] >= steadyAfter*k.ttl {
@@ -367,12 +367,12 @@
 }
 
 // leave gives each slice to whom it will belong, or to nobody if there is nobody.
-func (k *Keeper) leave(now float64, should []Name, sessions map[Name]string) {
+func (k *Coordinator) leave(now float64, should []DirectorName, sessions map[DirectorName]string) {
 	if len(k.held) == 0 {
-		k.say(Gone{})
+		k.say(AllReleased{})
 		return
 	}
-	give := map[Name][]Slice{}
+	give := map[DirectorName][]Slice{}
 	for s := range k.held {
 		give[should[s]] = append(give[should[s]], s)
 	}
@@ -380,18 +380,18 @@
 }
 
 // hand gives a batch to one of those that should have them.
-func (k *Keeper) hand(now float64, give map[Name][]Slice, sessions map[Name]string) {
-	if len(give) == 0 || now < k.retry || !k.start(now, Handing) {
+func (k *Coordinator) hand(now float64, give map[DirectorName][]Slice, sessions map[DirectorName]string) {
+	if len(give) == 0 || now < k.retry || !k.start(now, RequestTransfer) {
 		return
 	}
-	to := slices.MinFunc(slices.Collect(maps.Keys(give)), cmp.Compare[Name])
+	to := slices.MinFunc(slices.Collect(maps.Keys(give)), cmp.Compare[DirectorName])
 	some := slices.Sorted(slices.Values(give[to]))
-	k.say(Hand{k.id, sessions[to], some[:min(len(some), mostMoved)]})
+	k.say(TransferSlices{k.id, sessions[to], some[:min(len(some), mostMoved)]})
 }
 
 // start says whether something may be asked for now: it is not on its way already, or has been for so long that its
 // answer is lost.
-func (k *Keeper) start(now float64, what string) bool {
+func (k *Coordinator) start(now float64, what string) bool {
 	if at, busy := k.busy[what]; busy && now < at+k.ttl {
 		return false
 	}
@@ -400,9 +400,9 @@
 }
 
 // Wake is when Handle must be called again at the latest.
-func (k *Keeper) Wake(now float64) float64 {
+func (k *Coordinator) NextWakeup(now float64) float64 {
 	at := now + k.ttl/8
-	if k.id != "" && k.busy[Renewing] == 0 {
+	if k.id != "" && k.busy[RequestRenew] == 0 {
 		at = min(at, max(k.session.RenewAt(), k.retry))
 	}
 	if k.id == "" {
--- a/internal/custody/keeper_test.go
+++ b/internal/custody/keeper_test.go
@@ -13,10 +13,10 @@
 	change  uint64
 	serial  int
 	ends    map[string]float64
-	members map[Name]Member
+	members map[DirectorName]Member
 	leases  map[Slice]Lease
 	ttl     float64
-	gave    map[Slice]map[Name]bool // who gave it away, since somebody took it, and may not have heard of that
+	gave    map[Slice]map[DirectorName]bool // who gave it away, since somebody took it, and may not have heard of that
 }
 
 func (b *board) expire(now float64) {
@@ -37,12 +37,12 @@
 	}
 	for s, l := range b.leases {
 		if l.Session == id {
-			b.leases[s] = Lease{s, "", l.Count, b.change}
+			b.leases[s] = Lease{s, "", l.LockIndex, b.change}
 		}
 	}
 }
 
-func (b *board) all() (out Board) {
+func (b *board) all() (out Snapshot) {
 	out.Index = b.change
 	for _, m := range b.members {
 		out.Members = append(out.Members, m)
@@ -56,40 +56,40 @@
 func (b *board) do(now float64, me *player, o any) any {
 	b.change++
 	switch o := o.(type) {
-	case Open:
+	case OpenSession:
 		b.serial++
 		id := fmt.Sprint(me.name, "-", b.serial)
 		if m := b.members[me.name]; m.Session != "" {
 			b.end(m.Session) // the same store stands behind it: it knows that its former self is gone
 		}
 		b.ends[id], b.members[me.name] = now+b.ttl, Member{Name: me.name, Session: id}
-		return Opened{ID: id, Sent: now, Base: 1000}
-	case Renew:
+		return SessionOpened{ID: id, SentAt: now, FenceBase: 1000}
+	case RenewSession:
 		if _, known := b.ends[o.ID]; !known {
-			return Unknown{o.ID}
+			return SessionUnknown{o.ID}
 		}
 		b.ends[o.ID] = now + b.ttl
-		return Renewed{o.ID, now}
-	case Take:
-		m := Moved{What: Taking}
+		return SessionRenewed{o.ID, now}
+	case AcquireSlices:
+		m := LeasesChanged{Request: RequestAcquire}
 		for _, s := range o.Slices {
-			if l := b.leases[s]; l.Session == "" && b.ends[o.ID] > 0 {
-				b.leases[s] = Lease{s, o.ID, l.Count + 1, b.change}
+			if l := b.leases[s]; l.Session == "" && b.ends[o.Session] > 0 {
+				b.leases[s] = Lease{s, o.Session, l.LockIndex + 1, b.change}
 				delete(b.gave, s)
 				m.Leases = append(m.Leases, b.leases[s])
 			}
 		}
 		return m
-	case Hand:
-		m := Moved{What: Handing}
+	case TransferSlices:
+		m := LeasesChanged{Request: RequestTransfer}
 		for _, s := range o.Slices {
-			if l := b.leases[s]; l.Session == o.ID && (o.To == "" || b.ends[o.To] > 0) {
-				n := Lease{s, o.To, l.Count, b.change}
+			if l := b.leases[s]; l.Session == o.From && (o.To == "" || b.ends[o.To] > 0) {
+				n := Lease{s, o.To, l.LockIndex, b.change}
 				if o.To != "" {
-					n.Count++
+					n.LockIndex++
 				}
 				if b.leases[s] = n; b.gave[s] == nil {
-					b.gave[s] = map[Name]bool{}
+					b.gave[s] = map[DirectorName]bool{}
 				}
 				b.gave[s][me.name] = true
 				m.Leases = append(m.Leases, n)
@@ -101,8 +101,8 @@
 }
 
 type player struct {
-	name   Name
-	k      *Keeper
+	name   DirectorName
+	k      *Coordinator
 	paused float64
 	guard  float64
 	skew   float64 // its clock's lead over the store's
@@ -118,10 +118,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const n, ttl = 12, 1000.0
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		b := &board{ends: map[string]float64{}, members: map[Name]Member{}, leases: map[Slice]Lease{}, gave: map[Slice]map[Name]bool{}, ttl: ttl}
+		b := &board{ends: map[string]float64{}, members: map[DirectorName]Member{}, leases: map[Slice]Lease{}, gave: map[Slice]map[DirectorName]bool{}, ttl: ttl}
 		var all []*player
 		for i := range 3 {
-			p := &player{name: Name(fmt.Sprint("d", i)), k: NewKeeper(Name(fmt.Sprint("d", i)), n, ttl, 50), skew: float64(random.IntN(100000))}
+			p := &player{name: DirectorName(fmt.Sprint("d", i)), k: NewCoordinator(DirectorName(fmt.Sprint("d", i)), n, ttl, 50), skew: float64(random.IntN(100000))}
 			p.lossy = []float64{0, 0.3}[random.IntN(2)]
 			all = append(all, p)
 		}
@@ -140,7 +140,7 @@
 					continue
 				}
 				if now == 6000 && i == leaver {
-					p.in, p.at = append(p.in, Leave{}), append(p.at, now)
+					p.in, p.at = append(p.in, LeaveRequested{}), append(p.at, now)
 				}
 				var in []any
 				for j := 0; j < len(p.in); j++ {
@@ -155,54 +155,54 @@
 				}
 				for _, o := range p.k.Handle(clock, in...) {
 					switch o := o.(type) {
-					case Guard:
+					case LeaseDeadline:
 						p.guard = o.Until - p.skew
-					case Charge:
+					case SliceGranted:
 						if o.Fence < fences[o.Slice] && now < p.guard { // past its guard it only hears late of what it had
 							t.Fatalf("%s got slice %d with fence %d after %d", p.name, o.Slice, o.Fence, fences[o.Slice])
 						}
 						fences[o.Slice] = max(fences[o.Slice], o.Fence)
-					case Discharge:
-					case Gone:
+					case SliceRevoked:
+					case AllReleased:
 						p.gone = true
 					default:
-						what := map[bool]string{true: Opening}[false]
+						what := map[bool]string{true: RequestOpen}[false]
 						switch o.(type) {
-						case Open:
-							what = Opening
-						case Renew:
-							what = Renewing
-						case Take:
-							what = Taking
-						case Hand:
-							what = Handing
+						case OpenSession:
+							what = RequestOpen
+						case RenewSession:
+							what = RequestRenew
+						case AcquireSlices:
+							what = RequestAcquire
+						case TransferSlices:
+							what = RequestTransfer
 						}
 						lost := !calm && random.Float64() < p.lossy
 						if lost && random.Float64() < 0.5 { // the request is lost
-							p.in, p.at = append(p.in, Failed{what}), append(p.at, now+250)
+							p.in, p.at = append(p.in, RequestFailed{what}), append(p.at, now+250)
 							continue
 						}
 						answer := b.do(now, p, o)
 						switch a := answer.(type) {
-						case Opened:
-							a.Sent = clock
+						case SessionOpened:
+							a.SentAt = clock
 							answer = a
-						case Renewed:
-							a.Sent = clock
+						case SessionRenewed:
+							a.SentAt = clock
 							answer = a
 						}
 						if lost { // its answer is
-							answer = Failed{what}
+							answer = RequestFailed{what}
 						}
 						p.in, p.at = append(p.in, answer), append(p.at, now+random.Float64()*200)
 					}
 				}
 			}
 			for _, p := range all {
-				for s, f := range p.k.Holds() {
+				for s, f := range p.k.Held() {
 					// Within its guard it acts for what the store says it has; but for what it gave away itself and has not heard of.
 					l := b.leases[s]
-					if l.Session == p.k.id && f == 1000+Fence(l.Count) {
+					if l.Session == p.k.id && f == 1000+Fence(l.LockIndex) {
 						delete(b.gave[s], p.name) // it has heard
 					} else if now < p.guard && !p.gone && !b.gave[s][p.name] {
 						t.Fatalf("%v: %s acts for slice %d with fence %d: %+v", now, p.name, s, f, l)
@@ -210,11 +210,11 @@
 				}
 			}
 		}
-		count := map[Name]int{}
+		count := map[DirectorName]int{}
 		for s := range Slice(n) {
-			holder := Name("")
+			holder := DirectorName("")
 			for _, p := range all {
-				if !p.gone && p.k.Holds()[s] > 0 && p.k.id == b.leases[s].Session {
+				if !p.gone && p.k.Held()[s] > 0 && p.k.id == b.leases[s].Session {
 					holder = p.name
 				}
 			}
@@ -233,9 +233,9 @@
 
 // One that flaps gets nothing that others hold until it has lasted.
 func TestAFlappingDirectorMovesNothing(t *testing.T) {
-	k := NewKeeper("a", 4, 1000, 50)
-	k.Handle(0, Opened{ID: "A", Base: 10})
-	b := Board{Index: 1, Members: []Member{{Name: "a", Session: "A"}}}
+	k := NewCoordinator("a", 4, 1000, 50)
+	k.Handle(0, SessionOpened{ID: "A", FenceBase: 10})
+	b := Snapshot{Index: 1, Members: []Member{{Name: "a", Session: "A"}}}
 	for s := range Slice(4) {
 		b.Leases = append(b.Leases, Lease{s, "A", 1, 1})
 	}
@@ -244,10 +244,10 @@
 		for now := from; now < to; now += 50 {
 			b.Index++
 			b.Members = []Member{{Name: "a", Session: "A"}, {Name: "b", Session: session(now)}}
-			for _, o := range k.Handle(now, Renewed{"A", now}, b) {
-				if h, is := o.(Hand); is {
+			for _, o := range k.Handle(now, SessionRenewed{"A", now}, b) {
+				if h, is := o.(TransferSlices); is {
 					n += len(h.Slices)
-					k.Handle(now, Moved{What: Handing})
+					k.Handle(now, LeasesChanged{Request: RequestTransfer})
 				}
 			}
 		}
--- a/internal/custody/model_test.go
+++ b/internal/custody/model_test.go
@@ -79,7 +79,7 @@
 		// To publish takes two steps, and a pause of any length may lie between them.
 		for i := range slicesOf {
 			session := NewSession(ttl, 0, float64(s.sent[d])-1)
-			may := s.holds[d][i] > 0 && s.sent[d] > 0 && (!r.guard || float64(s.tick) < session.Until())
+			may := s.holds[d][i] > 0 && s.sent[d] > 0 && (!r.guard || float64(s.tick) < session.Deadline())
 			if may && s.decided[d] == 0 {
 				add(func(n *state) { n.decided[d] = uint8(i + 1) })
 			}
@@ -103,8 +103,8 @@
 		add(func(n *state) { n.way[w] = message{} }) // lost
 		add(func(n *state) {
 			n.way[w] = message{}
-			seen := Seen{Slice(m.slice): Fence(n.seen[m.slice])}
-			if r.fencing && !seen.Accepts(Slice(m.slice), Fence(m.fence)) {
+			seen := HighestFences{Slice(m.slice): Fence(n.seen[m.slice])}
+			if r.fencing && !seen.Accept(Slice(m.slice), Fence(m.fence)) {
 				return
 			}
 			if n.ofFence[m.slice] > m.fence {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -39,14 +39,14 @@
 	if err != nil {
 		return err
 	}
-	var holder *lease.Holder
+	var holder *lease.Manager
 	if s.Custody != nil {
 		terms := *s.Custody
-		terms.Epoch = func() float64 { return float64(time.Now().UnixMilli()) }
+		terms.UnixMillis = func() float64 { return float64(time.Now().UnixMilli()) }
 		if holder, err = lease.New(s.Name, d.Line(), terms, d.Now, d.Post, log); err != nil {
 			return err
 		}
-		d.Record(holder.Record)
+		d.Record(holder.StoreRecord)
 		d.Peers(peers(holder, d, log))
 	}
 	ledger, err := memory(ctx, s)
@@ -126,7 +126,7 @@
 			wait, end := context.WithTimeout(ctx, min(10*time.Second, s.Custody.TTL))
 			holder.Leave(wait)
 			end()
-			log.Info("director.handed_over", "slices_left", holder.Held(), "after", time.Since(begun).String())
+			log.Info("director.handed_over", "slices_left", holder.HeldSlices(), "after", time.Since(begun).String())
 		}
 	case err = <-failed:
 	case err = <-ran:
--- a/internal/daemon/meters.go
+++ b/internal/daemon/meters.go
@@ -22,7 +22,7 @@
 )
 
 // serveAdmin serves metrics, health and operators.
-func serveAdmin(address string, d *director.Director, front *longpoll.Server, second *mqtt.Server, st *store.Store, holder *lease.Holder, ledger *budget.Ledger) (*http.Server, error) {
+func serveAdmin(address string, d *director.Director, front *longpoll.Server, second *mqtt.Server, st *store.Store, holder *lease.Manager, ledger *budget.Ledger) (*http.Server, error) {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	gauge := func(name, help string, of func(control.Stats) float64) {
@@ -72,10 +72,10 @@
 		counter("mqtt_taken_over", "Subscriptions that another connection or front of the proxy took over.", func(control.Stats) uint64 { return second.Figures().TakenOver })
 	}
 	if holder != nil {
-		gauge("slices_held", "Slices whose lease this director holds.", func(control.Stats) float64 { return float64(holder.Held()) })
+		gauge("slices_held", "Slices whose lease this director holds.", func(control.Stats) float64 { return float64(holder.HeldSlices()) })
 		gauge("peers_alive", "Other directors that the store of leases believes in.", func(control.Stats) float64 { return float64(len(holder.Peers())) })
 		counter("hosts_learnt", "Hosts whose state another director knew first.", func(f control.Stats) uint64 { return f.HostsLearnt })
-		counter("slices_moved", "Slices that came to this director or went from it.", func(control.Stats) uint64 { return holder.Moves() })
+		counter("slices_moved", "Slices that came to this director or went from it.", func(control.Stats) uint64 { return holder.OwnershipChanges() })
 	}
 	gauge("inflow_pressure", "How far the door is closed: 0 all come in, 1 those that look on are out, 2 reports too, 3 new polls too.",
 		func(control.Stats) float64 { return d.Inflow().Press })
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -25,7 +25,7 @@
 const peerPatience = 700 * time.Millisecond
 
 // peers asks all other directors at once for what they know, and passes on what comes, each by itself.
-func peers(holder *lease.Holder, d *director.Director, log *slog.Logger) func(context.Context) {
+func peers(holder *lease.Manager, d *director.Director, log *slog.Logger) func(context.Context) {
 	client := &http.Client{Timeout: peerPatience, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second,
 		DialContext: (&net.Dialer{Timeout: peerPatience / 2}).DialContext}}
 	return func(ctx context.Context) {
--- a/internal/following/merge.go
+++ b/internal/following/merge.go
@@ -11,7 +11,7 @@
 // masks and levels of that holder's document. A slice that its last holder tells of no more stands as it was until the
 // next one's word.
 type Merge struct {
-	seen    custody.Seen
+	seen    custody.HighestFences
 	tables  map[string]*tables.Table
 	sources map[string]tables.Source
 	slices  map[string]custody.Slice
@@ -20,7 +20,7 @@
 }
 
 func NewMerge() *Merge {
-	return &Merge{seen: custody.Seen{}, tables: map[string]*tables.Table{}, sources: map[string]tables.Source{},
+	return &Merge{seen: custody.HighestFences{}, tables: map[string]*tables.Table{}, sources: map[string]tables.Source{},
 		slices: map[string]custody.Slice{}}
 }
 
@@ -35,7 +35,7 @@
 			s = custody.Slice(len(m.slices))
 			m.slices[name] = s
 		}
-		if !m.seen.Accepts(s, custody.Fence(t.Fence)) {
+		if !m.seen.Accept(s, custody.Fence(t.Fence)) {
 			m.refused++
 			continue
 		}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -26,17 +26,17 @@
 )
 
 // Terms are what a lease is held by.
-type Terms struct {
-	Consul    string // URL
-	Prefix    string // of the keys
-	TTL       time.Duration
-	LockDelay time.Duration
-	URL       string // where peers and proxies reach this director
-	Slices    int
+type Config struct {
+	ConsulURL    string // URL
+	KeyPrefix    string // of the keys
+	TTL          time.Duration
+	LockDelay    time.Duration
+	AdvertiseURL string // where peers and proxies reach this director
+	SliceCount   int
 	// Epoch is what the clock says, in Unix milliseconds, for the base of the fences of a new store.
-	Epoch func() float64
+	UnixMillis func() float64
 	// Through carries the requests; nil is the usual way.
-	Through http.RoundTripper
+	Transport http.RoundTripper
 }
 
 // Peer is another director, as the store knows it.
@@ -49,11 +49,11 @@
 }
 
 // Holder keeps what it can of the slices. Its steady clock is the director's.
-type Holder struct {
-	terms  Terms
+type Manager struct {
+	terms  Config
 	me     Peer
 	client *api.Client
-	keeper *custody.Keeper
+	keeper *custody.Coordinator
 	now    func() logic.Millis
 	tell   func(any)
 	log    *slog.Logger
@@ -77,17 +77,17 @@
 const marginPart = 0.05
 
 // New prepares a holder; tell passes on control.Given, Withdrawn and Guard.
-func New(name string, line tables.Line, terms Terms, now func() logic.Millis, tell func(any), log *slog.Logger) (*Holder, error) {
-	if terms.Through == nil {
-		terms.Through = &http.Transport{MaxIdleConnsPerHost: 4, DialContext: (&net.Dialer{Timeout: terms.TTL / 4}).DialContext}
+func New(name string, line tables.Line, terms Config, now func() logic.Millis, tell func(any), log *slog.Logger) (*Manager, error) {
+	if terms.Transport == nil {
+		terms.Transport = &http.Transport{MaxIdleConnsPerHost: 4, DialContext: (&net.Dialer{Timeout: terms.TTL / 4}).DialContext}
 	}
-	client, err := api.NewClient(&api.Config{Address: terms.Consul, HttpClient: &http.Client{Transport: terms.Through}})
+	client, err := api.NewClient(&api.Config{Address: terms.ConsulURL, HttpClient: &http.Client{Transport: terms.Transport}})
 	if err != nil {
 		return nil, err
 	}
 	ttl := float64(terms.TTL.Microseconds()) / 1000
-	h := &Holder{terms: terms, me: Peer{Name: name, URL: terms.URL, Line: line}, client: client, now: now, tell: tell, log: log,
-		keeper: custody.NewKeeper(custody.Name(name), terms.Slices, ttl, ttl*marginPart), box: make(chan any, 1024),
+	h := &Manager{terms: terms, me: Peer{Name: name, URL: terms.AdvertiseURL, Line: line}, client: client, now: now, tell: tell, log: log,
+		keeper: custody.NewCoordinator(custody.DirectorName(name), terms.SliceCount, ttl, ttl*marginPart), box: make(chan any, 1024),
 		leaving: make(chan struct{}), left: make(chan struct{}), records: map[logic.TableID]control.SliceRecord{},
 		more: make(chan struct{}, 1)}
 	h.peers.Store(&[]Peer{})
@@ -95,14 +95,14 @@
 }
 
 // Peers are the other directors that are alive, as far as the store knows.
-func (h *Holder) Peers() []Peer { return *h.peers.Load() }
+func (h *Manager) Peers() []Peer { return *h.peers.Load() }
 
 // Held is how many slices are held, and Moves how many came or went.
-func (h *Holder) Held() int     { return int(h.held.Load()) }
-func (h *Holder) Moves() uint64 { return h.moves.Load() }
+func (h *Manager) HeldSlices() int          { return int(h.held.Load()) }
+func (h *Manager) OwnershipChanges() uint64 { return h.moves.Load() }
 
 // Leave gives all away, and returns when nothing is held or the context ends.
-func (h *Holder) Leave(ctx context.Context) {
+func (h *Manager) Leave(ctx context.Context) {
 	h.once.Do(func() { close(h.leaving) })
 	select {
 	case <-h.left:
@@ -111,7 +111,7 @@
 }
 
 // Record puts a slice's newest lines where its next holder finds them.
-func (h *Holder) Record(r control.SliceRecord) {
+func (h *Manager) StoreRecord(r control.SliceRecord) {
 	h.mu.Lock()
 	h.records[r.Slice] = r
 	h.mu.Unlock()
@@ -121,7 +121,7 @@
 	}
 }
 
-func (h *Holder) clock() float64 { return float64(h.now()) }
+func (h *Manager) clock() float64 { return float64(h.now()) }
 
 // read is what came of a look for the lines of slices that were just taken.
 type read struct {
@@ -130,7 +130,7 @@
 }
 
 // Run keeps the leases until the context ends. Then the session runs out by itself, unless Leave was called before.
-func (h *Holder) Run(ctx context.Context) {
+func (h *Manager) Run(ctx context.Context) {
 	go h.watch(ctx)
 	go h.write(ctx)
 	timer := time.NewTimer(0)
@@ -144,7 +144,7 @@
 		case <-timer.C:
 		case <-leaving:
 			leaving = nil
-			in = append(in, custody.Leave{})
+			in = append(in, custody.LeaveRequested{})
 			h.announce(ctx)
 		case i := <-h.box:
 			in = append(in, i)
@@ -171,34 +171,34 @@
 		if len(given) > 0 {
 			go h.read(ctx, given)
 		}
-		h.held.Store(int64(len(h.keeper.Holds())))
-		timer.Reset(time.Duration(max(1, h.keeper.Wake(h.clock())-h.clock()) * float64(time.Millisecond)))
+		h.held.Store(int64(len(h.keeper.Held())))
+		timer.Reset(time.Duration(max(1, h.keeper.NextWakeup(h.clock())-h.clock()) * float64(time.Millisecond)))
 	}
 }
 
-func (h *Holder) carryOut(ctx context.Context, o any, given map[logic.TableID]uint64) {
+func (h *Manager) carryOut(ctx context.Context, o any, given map[logic.TableID]uint64) {
 	switch o := o.(type) {
-	case custody.Open:
-		go h.open(ctx, o.Over)
-	case custody.Renew:
+	case custody.OpenSession:
+		go h.open(ctx, o.FenceFloor)
+	case custody.RenewSession:
 		go h.renew(ctx, o.ID)
-	case custody.Take:
-		go h.move(ctx, custody.Taking, h.locks(o.ID, o.Slices))
-	case custody.Hand:
+	case custody.AcquireSlices:
+		go h.move(ctx, custody.RequestAcquire, h.locks(o.Session, o.Slices))
+	case custody.TransferSlices:
 		go func() { // what was told last goes on record before the next one reads it
 			h.flush(ctx)
-			h.move(ctx, custody.Handing, h.hands(o))
+			h.move(ctx, custody.RequestTransfer, h.hands(o))
 		}()
-	case custody.Charge:
+	case custody.SliceGranted:
 		h.moves.Add(1)
 		given[logic.TableID(o.Slice)] = uint64(o.Fence)
-	case custody.Discharge:
+	case custody.SliceRevoked:
 		h.moves.Add(1)
 		delete(given, logic.TableID(o.Slice))
 		h.tell(control.SliceRevoked{Slice: logic.TableID(o.Slice)})
-	case custody.Guard:
+	case custody.LeaseDeadline:
 		h.tell(control.LeaseDeadline{Until: logic.Millis(o.Until)})
-	case custody.Gone:
+	case custody.AllReleased:
 		h.gone.Do(func() {
 			go func() {
 				h.end(ctx)
@@ -208,7 +208,7 @@
 	}
 }
 
-func (h *Holder) post(ctx context.Context, in any) {
+func (h *Manager) post(ctx context.Context, in any) {
 	select {
 	case h.box <- in:
 	case <-ctx.Done():
@@ -216,40 +216,42 @@
 }
 
 // patience is how long one request may take; several fit in a time to live.
-func (h *Holder) patience(ctx context.Context) (context.Context, context.CancelFunc) {
+func (h *Manager) patience(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, h.terms.TTL/4)
 }
 
-func (h *Holder) key(parts ...string) string { return h.terms.Prefix + "/" + strings.Join(parts, "/") }
+func (h *Manager) key(parts ...string) string {
+	return h.terms.KeyPrefix + "/" + strings.Join(parts, "/")
+}
 
-func (h *Holder) sliceKey(s custody.Slice) string { return h.key("slices", fmt.Sprintf("%05d", s)) }
+func (h *Manager) sliceKey(s custody.Slice) string { return h.key("slices", fmt.Sprintf("%05d", s)) }
 
-func (h *Holder) recordKey(t logic.TableID) string {
-	return h.terms.Prefix + ".tables/" + fmt.Sprintf("%05d", t)
+func (h *Manager) recordKey(t logic.TableID) string {
+	return h.terms.KeyPrefix + ".tables/" + fmt.Sprintf("%05d", t)
 }
 
 var errTaken = errors.New("another director of this name is alive")
 
 // open begins a session, or goes on with that of an earlier start: the same store of its own stands behind both, and
 // only one process can have that open.
-func (h *Holder) open(ctx context.Context, over custody.Fence) {
+func (h *Manager) open(ctx context.Context, over custody.Fence) {
 	sent := h.clock()
 	id, base, err := h.opened(ctx, over)
 	if err != nil {
 		if ctx.Err() == nil {
 			h.log.Warn("lease.not_opened", "error", err)
 		}
-		h.post(ctx, custody.Failed{What: custody.Opening})
+		h.post(ctx, custody.RequestFailed{Request: custody.RequestOpen})
 		return
 	}
 	h.mu.Lock()
 	h.session = id
 	h.mu.Unlock()
 	h.log.Info("lease.opened", "session", id, "base", uint64(base))
-	h.post(ctx, custody.Opened{ID: id, Sent: sent, Base: base})
+	h.post(ctx, custody.SessionOpened{ID: id, SentAt: sent, FenceBase: base})
 }
 
-func (h *Holder) opened(ctx context.Context, over custody.Fence) (id string, base custody.Fence, err error) {
+func (h *Manager) opened(ctx context.Context, over custody.Fence) (id string, base custody.Fence, err error) {
 	ctx, cancel := h.patience(ctx)
 	defer cancel()
 	q, w := (&api.QueryOptions{}).WithContext(ctx), (&api.WriteOptions{}).WithContext(ctx)
@@ -269,7 +271,7 @@
 		}
 	}
 	if id == "" {
-		id, _, err = h.client.Session().CreateNoChecks(&api.SessionEntry{Name: h.terms.Prefix + " " + h.me.Name, TTL: h.terms.TTL.String(),
+		id, _, err = h.client.Session().CreateNoChecks(&api.SessionEntry{Name: h.terms.KeyPrefix + " " + h.me.Name, TTL: h.terms.TTL.String(),
 			Behavior: api.SessionBehaviorRelease, LockDelay: max(time.Millisecond, h.terms.LockDelay)}, w)
 		if err != nil {
 			return "", 0, err
@@ -289,7 +291,7 @@
 }
 
 // base is what fences count from. A store that was lost begins another, above all that was seen of the one before.
-func (h *Holder) base(q *api.QueryOptions, over custody.Fence) (custody.Fence, error) {
+func (h *Manager) base(q *api.QueryOptions, over custody.Fence) (custody.Fence, error) {
 	for range 3 {
 		pair, _, err := h.client.KV().Get(h.key("epoch"), q)
 		if err != nil {
@@ -299,7 +301,7 @@
 			n, err := strconv.ParseUint(string(pair.Value), 10, 64)
 			return custody.Fence(n), err
 		}
-		n := max(custody.Fence(h.terms.Epoch()), over+1)
+		n := max(custody.Fence(h.terms.UnixMillis()), over+1)
 		if _, _, _, err := h.client.Txn().Txn(api.TxnOps{{KV: &api.KVTxnOp{Verb: api.KVCAS, Key: h.key("epoch"),
 			Value: []byte(strconv.FormatUint(uint64(n), 10))}}}, q); err != nil {
 			return 0, err
@@ -316,7 +318,7 @@
 }
 
 // announce tells all that this director leaves, so that nothing is given to it any more.
-func (h *Holder) announce(ctx context.Context) {
+func (h *Manager) announce(ctx context.Context) {
 	h.mu.Lock()
 	id := h.session
 	h.mu.Unlock()
@@ -335,7 +337,7 @@
 }
 
 // end tells the store that the session is over, so that nobody waits for it to run out.
-func (h *Holder) end(ctx context.Context) {
+func (h *Manager) end(ctx context.Context) {
 	h.mu.Lock()
 	id := h.session
 	h.mu.Unlock()
@@ -346,7 +348,7 @@
 	}
 }
 
-func (h *Holder) renew(ctx context.Context, id string) {
+func (h *Manager) renew(ctx context.Context, id string) {
 	sent := h.clock()
 	wait, cancel := h.patience(ctx)
 	defer cancel()
@@ -356,16 +358,16 @@
 		if ctx.Err() == nil {
 			h.log.Warn("lease.not_renewed", "error", err)
 		}
-		h.post(ctx, custody.Failed{What: custody.Renewing})
+		h.post(ctx, custody.RequestFailed{Request: custody.RequestRenew})
 	case e == nil:
 		h.log.Warn("lease.lost", "session", id)
-		h.post(ctx, custody.Unknown{ID: id})
+		h.post(ctx, custody.SessionUnknown{ID: id})
 	default:
-		h.post(ctx, custody.Renewed{ID: id, Sent: sent})
+		h.post(ctx, custody.SessionRenewed{ID: id, SentAt: sent})
 	}
 }
 
-func (h *Holder) locks(id string, take []custody.Slice) (ops [][]*api.KVTxnOp) {
+func (h *Manager) locks(id string, take []custody.Slice) (ops [][]*api.KVTxnOp) {
 	for _, s := range take {
 		ops = append(ops, []*api.KVTxnOp{{Verb: api.KVLock, Key: h.sliceKey(s), Value: []byte(h.me.Name), Session: id}})
 	}
@@ -373,7 +375,7 @@
 }
 
 // hands gives slices away so that at no moment nobody has them.
-func (h *Holder) hands(o custody.Hand) (ops [][]*api.KVTxnOp) {
+func (h *Manager) hands(o custody.TransferSlices) (ops [][]*api.KVTxnOp) {
 	to := ""
 	for _, p := range h.Peers() {
 		if p.Session == o.To {
@@ -381,7 +383,7 @@
 		}
 	}
 	for _, s := range o.Slices {
-		both := []*api.KVTxnOp{{Verb: api.KVUnlock, Key: h.sliceKey(s), Session: o.ID}}
+		both := []*api.KVTxnOp{{Verb: api.KVUnlock, Key: h.sliceKey(s), Session: o.From}}
 		if o.To != "" {
 			both = append(both, &api.KVTxnOp{Verb: api.KVLock, Key: h.sliceKey(s), Value: []byte(to), Session: o.To})
 		}
@@ -391,7 +393,7 @@
 }
 
 // move does what it can of some changes: those that the store refuses are left out and the rest is tried again.
-func (h *Holder) move(ctx context.Context, what string, changes [][]*api.KVTxnOp) {
+func (h *Manager) move(ctx context.Context, what string, changes [][]*api.KVTxnOp) {
 	wait, cancel := h.patience(ctx)
 	defer cancel()
 	for range 4 {
@@ -419,7 +421,7 @@
 					last[r.KV.Key] = l
 				}
 			}
-			m := custody.Moved{What: what}
+			m := custody.LeasesChanged{Request: what}
 			for _, l := range last {
 				m.Leases = append(m.Leases, l)
 			}
@@ -443,14 +445,14 @@
 			break
 		}
 	}
-	h.post(ctx, custody.Failed{What: what})
+	h.post(ctx, custody.RequestFailed{Request: what})
 }
 
-func (h *Holder) lease(p *api.KVPair) (custody.Lease, bool) {
+func (h *Manager) lease(p *api.KVPair) (custody.Lease, bool) {
 	rest, is := strings.CutPrefix(p.Key, h.key("slices")+"/")
 	n, err := strconv.Atoi(rest)
 	if !is || err != nil {
 		return custody.Lease{}, false
 	}
-	return custody.Lease{Slice: custody.Slice(n), Session: p.Session, Count: p.LockIndex, Change: p.ModifyIndex}, true
+	return custody.Lease{Slice: custody.Slice(n), Session: p.Session, LockIndex: p.LockIndex, ModifyIndex: p.ModifyIndex}, true
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -199,7 +199,7 @@
 type fleet struct {
 	registry *standin.Registry
 	doors    []*standin.Door
-	holders  []*lease.Holder
+	holders  []*lease.Manager
 	history  *history
 	mu       sync.Mutex
 	given    []map[logic.TableID]uint64
@@ -242,8 +242,8 @@
 		f.given, f.stops = append(f.given, map[logic.TableID]uint64{}), append(f.stops, nil)
 	}
 	began := time.Now().Add(-time.Duration(i+1) * time.Hour) // each has a clock of its own
-	h, err := lease.New(fmt.Sprint("d", i), 7, lease.Terms{Consul: f.doors[i].URL(), Prefix: "p", TTL: ttl, Slices: nSlices, URL: "http://x",
-		Epoch: func() float64 { return 1e6 }, Through: &through{f.history, i, &http.Transport{}}},
+	h, err := lease.New(fmt.Sprint("d", i), 7, lease.Config{ConsulURL: f.doors[i].URL(), KeyPrefix: "p", TTL: ttl, SliceCount: nSlices, AdvertiseURL: "http://x",
+		UnixMillis: func() float64 { return 1e6 }, Transport: &through{f.history, i, &http.Transport{}}},
 		func() logic.Millis { return logic.Millis(float64(time.Since(began).Microseconds()) / 1000) }, func(in any) { f.hear(i, in) },
 		slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -386,8 +386,8 @@
 		t.Errorf("held %v before the start over and %v after", was, f.given[1])
 	}
 	f.mu.Unlock()
-	other, err := lease.New("d1", 8, lease.Terms{Consul: f.doors[0].URL(), Prefix: "p", TTL: ttl, Slices: nSlices, URL: "http://x",
-		Epoch: func() float64 { return 1 }}, func() logic.Millis { return logic.Millis(time.Now().UnixMicro()) / 1000 },
+	other, err := lease.New("d1", 8, lease.Config{ConsulURL: f.doors[0].URL(), KeyPrefix: "p", TTL: ttl, SliceCount: nSlices, AdvertiseURL: "http://x",
+		UnixMillis: func() float64 { return 1 }}, func() logic.Millis { return logic.Millis(time.Now().UnixMicro()) / 1000 },
 		func(in any) {
 			if _, is := in.(control.SliceGrants); is {
 				t.Error("a second director of one name was given slices")
--- a/internal/lease/watch.go
+++ b/internal/lease/watch.go
@@ -15,11 +15,11 @@
 )
 
 // watch follows all members and leases by blocking queries.
-func (h *Holder) watch(ctx context.Context) {
+func (h *Manager) watch(ctx context.Context) {
 	index, failures := uint64(0), 0
 	for ctx.Err() == nil {
 		wait, cancel := context.WithTimeout(ctx, 2*h.terms.TTL)
-		pairs, meta, err := h.client.KV().List(h.terms.Prefix+"/", (&api.QueryOptions{WaitIndex: index, WaitTime: h.terms.TTL}).WithContext(wait))
+		pairs, meta, err := h.client.KV().List(h.terms.KeyPrefix+"/", (&api.QueryOptions{WaitIndex: index, WaitTime: h.terms.TTL}).WithContext(wait))
 		cancel()
 		if err != nil {
 			if failures++; ctx.Err() == nil {
@@ -42,8 +42,8 @@
 	}
 }
 
-func (h *Holder) board(index uint64, pairs api.KVPairs) custody.Board {
-	b := custody.Board{Index: index}
+func (h *Manager) board(index uint64, pairs api.KVPairs) custody.Snapshot {
+	b := custody.Snapshot{Index: index}
 	peers := []Peer{}
 	for _, p := range pairs {
 		if l, is := h.lease(p); is {
@@ -59,7 +59,7 @@
 			h.log.Warn("lease.member_unreadable", "name", name, "error", err)
 		}
 		peer.Name, peer.Session = name, p.Session
-		b.Members = append(b.Members, custody.Member{Name: custody.Name(name), Session: p.Session, Leaving: peer.Leaving})
+		b.Members = append(b.Members, custody.Member{Name: custody.DirectorName(name), Session: p.Session, Leaving: peer.Leaving})
 		if name != h.me.Name {
 			peers = append(peers, peer)
 		}
@@ -72,7 +72,7 @@
 const most = 64
 
 // read looks up the lines that earlier holders left. Where the store does not answer, the slice is given without.
-func (h *Holder) read(ctx context.Context, fences map[logic.TableID]uint64) {
+func (h *Manager) read(ctx context.Context, fences map[logic.TableID]uint64) {
 	r := read{fences: fences, records: map[logic.TableID]*control.SliceRecord{}}
 	var ops api.TxnOps
 	ask := func() {
@@ -109,8 +109,8 @@
 }
 
 // give tells the director of slices, with what was found of them, if they are still held.
-func (h *Holder) give(r read) {
-	holds := h.keeper.Holds()
+func (h *Manager) give(r read) {
+	holds := h.keeper.Held()
 	var all control.SliceGrants
 	for t, fence := range r.fences {
 		if holds[custody.Slice(t)] == custody.Fence(fence) {
@@ -124,7 +124,7 @@
 
 // write puts records into the store, each behind a check that the slice is still this session's: a director that was
 // deposed and does not know can't write over its successor's.
-func (h *Holder) write(ctx context.Context) {
+func (h *Manager) write(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -141,13 +141,13 @@
 }
 
 // flush writes all that waits, once.
-func (h *Holder) flush(ctx context.Context) {
+func (h *Manager) flush(ctx context.Context) {
 	for tries := 0; tries < 8 && h.writeSome(ctx); tries++ {
 	}
 }
 
 // writeSome writes as many records as go at once; false if there are none.
-func (h *Holder) writeSome(ctx context.Context) bool {
+func (h *Manager) writeSome(ctx context.Context) bool {
 	h.mu.Lock()
 	id := h.session
 	batch := map[logic.TableID]control.SliceRecord{}
@@ -166,7 +166,7 @@
 	return len(batch) > 0
 }
 
-func (h *Holder) put(ctx context.Context, id string, batch map[logic.TableID]control.SliceRecord) {
+func (h *Manager) put(ctx context.Context, id string, batch map[logic.TableID]control.SliceRecord) {
 	for range 3 {
 		var ops api.TxnOps
 		var of []logic.TableID
@@ -206,7 +206,7 @@
 }
 
 // again puts back what was not written, but for what has changed since.
-func (h *Holder) again(batch map[logic.TableID]control.SliceRecord) {
+func (h *Manager) again(batch map[logic.TableID]control.SliceRecord) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for t, r := range batch {
--- a/internal/roster/follow.go
+++ b/internal/roster/follow.go
@@ -28,7 +28,7 @@
 )
 
 // Maintenance is how check ids begin where a host was told to take no more: it drains.
-const Maintenance = "_service_maintenance:"
+const MaintenanceCheckPrefix = "_service_maintenance:"
 
 // Follow tells each list as it comes, until the context ends. It asks again after failures, each time later; after the
 // second it says that the list is lost. The next list ends that, so it is told again then.
@@ -104,7 +104,7 @@
 func state(checks api.HealthChecks) logic.HostState {
 	state := logic.Up
 	for _, c := range checks {
-		if strings.HasPrefix(c.CheckID, Maintenance) || c.CheckID == "_node_maintenance" {
+		if strings.HasPrefix(c.CheckID, MaintenanceCheckPrefix) || c.CheckID == "_node_maintenance" {
 			return logic.Draining
 		}
 		if c.Status == api.HealthCritical {
--- a/internal/settings/director.go
+++ b/internal/settings/director.go
@@ -31,8 +31,8 @@
 	History       store.Retention
 	ProbePath     string
 	ProbeTimeout  time.Duration
-	Custody       *lease.Terms // nil: all slices are this director's
-	MQTT          *MQTT        // nil: the first front alone
+	Custody       *lease.Config // nil: all slices are this director's
+	MQTT          *MQTT         // nil: the first front alone
 }
 
 // MQTT is the second front's.
@@ -290,14 +290,14 @@
 		return
 	}
 	in := all[0]
-	t := &lease.Terms{Consul: in.Text("consul", out.Roster.Consul), Prefix: in.Text("prefix", "vetchwood"),
+	t := &lease.Config{ConsulURL: in.Text("consul", out.Roster.Consul), KeyPrefix: in.Text("prefix", "vetchwood"),
 		TTL: in.Span("ttl", 10*time.Second, 200*time.Millisecond, time.Hour), LockDelay: in.Span("lock_delay", 0, 0, time.Minute),
-		URL: in.Text("advertise", "http://"+out.Listen), Slices: f.Slices}
-	if u, err := url.Parse(t.Consul); err != nil || t.Consul != "" && (u.Host == "" || u.Scheme != "http") {
-		in.Fail("consul", "%q is no http URL", t.Consul)
+		AdvertiseURL: in.Text("advertise", "http://"+out.Listen), SliceCount: f.Slices}
+	if u, err := url.Parse(t.ConsulURL); err != nil || t.ConsulURL != "" && (u.Host == "" || u.Scheme != "http") {
+		in.Fail("consul", "%q is no http URL", t.ConsulURL)
 	}
-	if u, err := url.Parse(t.URL); err != nil || u.Host == "" || u.Scheme != "http" {
-		in.Fail("advertise", "%q is no http URL", t.URL)
+	if u, err := url.Parse(t.AdvertiseURL); err != nil || u.Host == "" || u.Scheme != "http" {
+		in.Fail("advertise", "%q is no http URL", t.AdvertiseURL)
 	}
 	if f.Slices == 0 {
 		in.Fail("", "custody takes slices: without them each director has tables of its own for the proxies that poll it")
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -85,7 +85,7 @@
 	e := &api.ServiceEntry{Node: &api.Node{Node: "node", Address: "127.0.0.1"}, Service: s, Checks: api.HealthChecks{check}}
 	switch state {
 	case logic.Draining:
-		e.Checks = append(e.Checks, &api.HealthCheck{Node: "node", CheckID: roster.Maintenance + s.ID, ServiceID: s.ID,
+		e.Checks = append(e.Checks, &api.HealthCheck{Node: "node", CheckID: roster.MaintenanceCheckPrefix + s.ID, ServiceID: s.ID,
 			Status: api.HealthCritical})
 	case logic.Gone:
 		check.Status = api.HealthCritical
@@ -156,7 +156,7 @@
 		h := judge.ToldHost{Address: tables.Address(net.JoinHostPort(e.Service.Address, strconv.Itoa(e.Service.Port)))}
 		h.Born, _ = strconv.ParseFloat(e.Service.Meta[roster.MetaStarted], 64)
 		for _, c := range e.Checks {
-			if strings.HasPrefix(c.CheckID, roster.Maintenance) {
+			if strings.HasPrefix(c.CheckID, roster.MaintenanceCheckPrefix) {
 				h.State = logic.Draining
 			} else if c.Status == api.HealthCritical && h.State == logic.Up {
 				h.State = logic.Gone
