--- a/internal/custody/custody.go
+++ b/internal/custody/custody.go
@@ -1,5 +1,6 @@
-// Package custody decides which director should have which slice, how long it may act for it, and whose word on a slice
-// a proxy takes. No I/O, no clock. The store that holds the leases is elsewhere; here is what it may be relied on for.
+// Package custody decides which director should own which slice, how long an owner may act for its slices, and which
+// director's table for a slice a proxy accepts. It performs no I/O and reads no clock. Package lease sends the requests
+// to the store that holds the leases; the guarantees that this package relies on are stated here.
 package custody
 
 import (
@@ -11,34 +12,37 @@
 )
 
 type (
-	// Name is a director's.
+	// DirectorName is the configured name of a director.
 	DirectorName string
-	// Slice is a slice's number.
+	// Slice is the number of a slice, counted from 0.
 	Slice int
-	// Fence counts the holders of a slice: the store gives each a greater one than the one before.
+	// Fence is the fencing token of a slice's lease. The store gives each owner of a slice a higher fence than its
+	// predecessor.
 	Fence uint64
 )
 
-// Uneven is how far past an even part a director may go: tighter would move more slices when the set changes.
-const uneven = 1.25
+// maxLoadFactor bounds a director's load as a multiple of the even share. A tighter bound would move more slices when
+// the set of directors changes.
+const maxLoadFactor = 1.25
 
-// Spread says who should have each slice. Every director comes to the same answer from the same set, whatever the order
-// in which it learnt of the members, and few slices move when one comes or goes: each slice ranks all directors by a
-// hash of its own and goes to the first that is not full.
+// Assign returns the director that should own each of n slices, or empty names if there are no members. It uses
+// rendezvous hashing with bounded loads: each slice ranks all directors by a hash of director and slice, and goes to
+// the first that is not full. The result depends only on the set of members and not on their order, so all directors
+// compute the same assignment. Few slices move when a director joins or leaves.
 func Assign(n int, members []DirectorName) []DirectorName {
 	members = slices.Compact(slices.Sorted(slices.Values(members)))
-	out := make([]DirectorName, n)
+	owners := make([]DirectorName, n)
 	if len(members) == 0 {
-		return out
+		return owners
 	}
-	room := int(math.Ceil(float64(n) / float64(len(members)) * uneven))
+	capacity := int(math.Ceil(float64(n) / float64(len(members)) * maxLoadFactor))
 	load := map[DirectorName]int{}
-	rank := make([]ranked, len(members))
+	rank := make([]scoredDirector, len(members))
 	for s := range n {
 		for i, m := range members {
-			rank[i] = ranked{xxhash.Sum64String(string(m) + " " + strconv.Itoa(s)), m}
+			rank[i] = scoredDirector{xxhash.Sum64String(string(m) + " " + strconv.Itoa(s)), m}
 		}
-		slices.SortFunc(rank, func(a, b ranked) int {
+		slices.SortFunc(rank, func(a, b scoredDirector) int {
 			switch {
 			case a.score > b.score:
 				return -1
@@ -48,67 +52,70 @@
 			return 0
 		})
 		for _, r := range rank {
-			if load[r.name] < room {
-				out[s] = r.name
-				load[r.name]++
+			if load[r.director] < capacity {
+				owners[s] = r.director
+				load[r.director]++
 				break
 			}
 		}
 	}
-	return out
+	return owners
 }
 
-type ranked struct {
-	score uint64
-	name  DirectorName
+type scoredDirector struct {
+	score    uint64
+	director DirectorName
 }
 
-// Session is a director's standing with the store, by the published rules of sessions with a time to live: the store ends
-// it no sooner than its time to live after the last renewal reached it, and gives its locks to nobody for the lock delay
-// after that. Times are milliseconds of the director's own clock.
+// Session is the director's view of its session with the store. By Consul's published rules for sessions with a time to
+// live (TTL), the store ends a session no sooner than one TTL after it received the last renewal, and grants the
+// session's locks to nobody during the lock delay after that. Times are milliseconds of the director's own clock.
 type Session struct {
-	ttl, margin float64
-	sent        float64 // when the last renewal that was answered was sent: the store got it no sooner
-	alive       bool
+	ttl, margin   float64
+	renewalSentAt float64 // when the last answered renewal was sent; the store received it no sooner
+	alive         bool
 }
 
-// NewSession begins one that was asked for at sent. Margin is for clocks that run apart: what this clock takes for the
-// whole time to live, the store's may take for a little less.
+// NewSession returns a session whose creation was requested at the time sent. The margin allows for clock drift: by the
+// store's clock, the TTL may end a little earlier than by this one.
 func NewSession(ttl, margin, sent float64) Session {
-	return Session{ttl: ttl, margin: margin, sent: sent, alive: true}
+	return Session{ttl: ttl, margin: margin, renewalSentAt: sent, alive: true}
 }
 
-// Renewed tells that a renewal which was sent then was answered.
+// MarkRenewed records that a renewal sent at the given time was answered.
 func (s *Session) MarkRenewed(sent float64) {
 	if s.alive {
-		s.sent = max(s.sent, sent)
+		s.renewalSentAt = max(s.renewalSentAt, sent)
 	}
 }
 
-// Ended tells that the store knows the session no more. It does not come back: a new one has locks of its own.
+// MarkEnded records that the store no longer knows the session. An ended session is never revived: a new session takes
+// locks of its own.
 func (s *Session) MarkEnded() { s.alive = false }
 
-// Until is how long the director may act for what it holds without hearing from the store again. A process that was
-// paused finds the time past when it goes on, and acts for nothing.
+// Deadline returns the time until which the director may act for its slices without a further answer from the store. A
+// process that was paused past the deadline finds it expired when it resumes, and stops acting.
 func (s *Session) Deadline() float64 {
 	if !s.alive {
 		return math.Inf(-1)
 	}
-	return s.sent + s.ttl - s.margin
+	return s.renewalSentAt + s.ttl - s.margin
 }
 
-// RenewAt is when to renew next: a third of the time to live leaves two more tries before it is over.
-func (s *Session) RenewAt() float64 { return s.sent + s.ttl/3 }
+// RenewAt returns the time of the next renewal. One third of the TTL leaves two further tries before the session
+// expires.
+func (s *Session) RenewAt() float64 { return s.renewalSentAt + s.ttl/3 }
 
-// Seen is the highest fence of a slice that a proxy has followed.
+// HighestFences holds, for each slice, the highest fence that a proxy has accepted.
 type HighestFences map[Slice]Fence
 
-// Accepts says whether a proxy takes a word on a slice that bears a fence, and keeps the highest. A director that was
-// deposed and has not noticed, or whose messages were long on the way, bears a lower one than its successor.
-func (s HighestFences) Accept(slice Slice, f Fence) bool {
-	if f < s[slice] {
+// Accept reports whether a proxy accepts a table of the slice that carries fence f, and records f if so. It rejects a
+// fence below the highest one: that table comes from a director that lost the slice and has not noticed yet, or whose
+// message was delayed.
+func (h HighestFences) Accept(slice Slice, f Fence) bool {
+	if f < h[slice] {
 		return false
 	}
-	s[slice] = f
+	h[slice] = f
 	return true
 }
--- a/internal/custody/custody_test.go
+++ b/internal/custody/custody_test.go
@@ -8,68 +8,68 @@
 	"pgregory.net/rapid"
 )
 
-func names(n int) (out []DirectorName) {
+func directorNames(n int) (names []DirectorName) {
 	for i := range n {
-		out = append(out, DirectorName(fmt.Sprint("d", i)))
+		names = append(names, DirectorName(fmt.Sprint("d", i)))
 	}
-	return out
+	return names
 }
 
-// Every slice has a director, none has much more than its part, the order of learning does not matter, and when one goes
-// little moves beside what it had.
-func TestSpread(t *testing.T) {
+// Every slice is assigned, no director exceeds its bounded load, the order of the members does not matter, and when a
+// director leaves, few slices move besides its own.
+func TestAssign(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, k := rapid.IntRange(1, 200).Draw(t, "slices"), rapid.IntRange(1, 6).Draw(t, "directors")
-		members := names(k)
-		was := Assign(n, members)
-		mixed := rapid.Permutation(members).Draw(t, "order")
+		members := directorNames(k)
+		before := Assign(n, members)
+		shuffled := rapid.Permutation(members).Draw(t, "order")
 		load := map[DirectorName]int{}
-		for s, name := range Assign(n, append(mixed, mixed[0])) {
-			if name != was[s] || name == "" {
-				t.Fatalf("slice %d: %q or %q", s, name, was[s])
+		for s, name := range Assign(n, append(shuffled, shuffled[0])) {
+			if name != before[s] || name == "" {
+				t.Fatalf("slice %d: assigned to %q with the members in another order, else to %q", s, name, before[s])
 			}
 			load[name]++
 		}
-		most := int(math.Ceil(float64(n) / float64(k) * uneven))
+		limit := int(math.Ceil(float64(n) / float64(k) * maxLoadFactor))
 		for name, l := range load {
-			if l > most {
-				t.Fatalf("%s has %d of %d", name, l, n)
+			if l > limit {
+				t.Fatalf("%s owns %d of %d slices, more than the bound allows", name, l, n)
 			}
 		}
 		if k < 2 {
 			return
 		}
-		gone := members[rapid.IntRange(0, k-1).Draw(t, "gone")]
-		var left []DirectorName
+		departed := members[rapid.IntRange(0, k-1).Draw(t, "gone")]
+		var remaining []DirectorName
 		for _, m := range members {
-			if m != gone {
-				left = append(left, m)
+			if m != departed {
+				remaining = append(remaining, m)
 			}
 		}
 		moved := 0
-		for s, name := range Assign(n, left) {
-			if was[s] != gone && name != was[s] {
+		for s, name := range Assign(n, remaining) {
+			if before[s] != departed && name != before[s] {
 				moved++
 			}
 		}
 		if moved > n/4+2 {
-			t.Fatalf("%d of %d slices move beside the %d that must", moved, n, load[gone])
+			t.Fatalf("%d of %d slices move besides the %d of the director that left", moved, n, load[departed])
 		}
 	})
 }
 
-func TestASession(t *testing.T) {
+func TestSessionDeadline(t *testing.T) {
 	s := NewSession(10000, 500, 1000)
 	if s.Deadline() != 10500 || s.RenewAt() > 4334 {
-		t.Fatalf("until %v", s.Deadline())
+		t.Fatalf("new session: want a deadline of 10500 ms and a renewal before 4334 ms; deadline is %v ms", s.Deadline())
 	}
 	s.MarkRenewed(5000)
-	s.MarkRenewed(4000) // an older one that was answered later
+	s.MarkRenewed(4000) // sent earlier, answered later
 	if s.Deadline() != 14500 {
-		t.Fatalf("until %v", s.Deadline())
+		t.Fatalf("renewed session: deadline %v ms, want 14500 ms", s.Deadline())
 	}
 	s.MarkEnded()
 	if s.MarkRenewed(20000); !math.IsInf(s.Deadline(), -1) {
-		t.Fatal("acts after its session ended")
+		t.Fatal("a renewal revived a session that had ended")
 	}
 }
--- a/internal/custody/model_test.go
+++ b/internal/custody/model_test.go
@@ -5,39 +5,39 @@
 	"testing"
 )
 
-// A plain breadth-first look at every state that three directors, a store and a proxy can come to over two slices. Time
-// is steps of a clock; a director can be paused at any point and go on later, its messages can take any time and come in
-// any order. What it uses of the protocol are the functions of this package.
+// This file is a model checker: a breadth-first search of the states that three directors, a store and a proxy can
+// reach with two slices. Time advances in ticks. A director may pause at any point and resume later; its messages may
+// be delayed without bound and reordered. The rules of the protocol are the functions of this package.
 
 const (
-	directors = 3
-	slicesOf  = 2
-	ttl       = 2 // ticks
-	lastTick  = 4
-	mostSent  = 2 // messages on their way
+	directors   = 3
+	sliceCount  = 2
+	ttlTicks    = 2
+	lastTick    = 4
+	maxMessages = 2 // messages in flight
 )
 
 type message struct{ from, slice, fence uint8 }
 
 type state struct {
-	tick     uint8
-	session  [directors]uint8           // tick at which the store will end it; 0: none
-	sent     [directors]uint8           // when the director's last answered renewal was sent, plus 1
-	decided  [directors]uint8           // slice that it has decided to publish and has not yet: a pause may lie between; 0: none
-	holds    [directors][slicesOf]uint8 // the fence that it believes it holds
-	holder   [slicesOf]uint8            // by the store, plus 1
-	fence    [slicesOf]uint8            // the last given out
-	way      [mostSent]message          // on their way to the proxy; fence 0: free
-	seen     [slicesOf]uint8            // highest fence that the proxy has followed
-	follows  [slicesOf]uint8            // whose word is in force, plus 1
-	ofFence  [slicesOf]uint8            // and its fence
-	backward bool                       // a word of a deposed director took the place of its successor's
+	tick          uint8
+	session       [directors]uint8             // tick at which the store ends it; 0: no session
+	renewalSentAt [directors]uint8             // tick at which the last answered renewal was sent, plus 1
+	publishing    [directors]uint8             // slice that the director has yet to publish, plus 1; 0: none
+	believedFence [directors][sliceCount]uint8 // fence of each slice that the director believes it owns; 0: none
+	holder        [sliceCount]uint8            // owner according to the store, plus 1; 0: none
+	lastFence     [sliceCount]uint8            // last fence that the store issued
+	inFlight      [maxMessages]message         // messages to the proxy; fence 0: free entry
+	highestFence  [sliceCount]uint8            // highest fence that the proxy accepted
+	appliedFrom   [sliceCount]uint8            // director whose table the proxy uses, plus 1
+	appliedFence  [sliceCount]uint8            // fence of that table
+	regressed     bool                         // a table of a deposed director replaced its successor's
 }
 
-type rules struct{ fencing, guard bool }
+type protocol struct{ fencing, deadline bool }
 
-// next gives all states that can follow.
-func (r rules) next(s state) (out []state) {
+// successors returns all states that can follow s.
+func (r protocol) successors(s state) (out []state) {
 	add := func(change func(*state)) {
 		n := s
 		change(&n)
@@ -46,10 +46,10 @@
 	if s.tick < lastTick {
 		add(func(n *state) {
 			n.tick++
-			for d := range directors { // the store ends sessions, and their locks with them
+			for d := range directors { // the store ends expired sessions and releases their locks
 				if n.session[d] != 0 && n.session[d] <= n.tick {
 					n.session[d] = 0
-					for i := range slicesOf {
+					for i := range sliceCount {
 						if n.holder[i] == uint8(d+1) {
 							n.holder[i] = 0
 						}
@@ -60,107 +60,109 @@
 	}
 	for d := range directors {
 		if s.session[d] == 0 {
-			add(func(n *state) { // a new session; what was held under the old one is no longer believed
-				n.session[d], n.sent[d], n.holds[d] = s.tick+ttl, s.tick+1, [slicesOf]uint8{}
+			add(func(n *state) { // a new session; the slices of the old one are given up
+				n.session[d], n.renewalSentAt[d], n.believedFence[d] = s.tick+ttlTicks, s.tick+1, [sliceCount]uint8{}
 			})
 		} else {
-			add(func(n *state) { n.session[d], n.sent[d] = s.tick+ttl, s.tick+1 }) // renewed, and answered at once
-			add(func(n *state) { n.session[d] = s.tick + ttl })                    // renewed, and the answer was lost
-			for i := range slicesOf {
+			// A renewal that is answered at once, and one whose answer is lost.
+			add(func(n *state) { n.session[d], n.renewalSentAt[d] = s.tick+ttlTicks, s.tick+1 })
+			add(func(n *state) { n.session[d] = s.tick + ttlTicks })
+			for i := range sliceCount {
 				if s.holder[i] == 0 {
 					add(func(n *state) {
 						n.holder[i] = uint8(d + 1)
-						n.fence[i]++
-						n.holds[d][i] = n.fence[i]
+						n.lastFence[i]++
+						n.believedFence[d][i] = n.lastFence[i]
 					})
 				}
 			}
 		}
-		// To publish takes two steps, and a pause of any length may lie between them.
-		for i := range slicesOf {
-			session := NewSession(ttl, 0, float64(s.sent[d])-1)
-			may := s.holds[d][i] > 0 && s.sent[d] > 0 && (!r.guard || float64(s.tick) < session.Deadline())
-			if may && s.decided[d] == 0 {
-				add(func(n *state) { n.decided[d] = uint8(i + 1) })
+		// Publishing takes two steps, the decision and the sending, with a pause of any length between them.
+		for i := range sliceCount {
+			session := NewSession(ttlTicks, 0, float64(s.renewalSentAt[d])-1)
+			mayPublish := s.believedFence[d][i] > 0 && s.renewalSentAt[d] > 0 && (!r.deadline || float64(s.tick) < session.Deadline())
+			if mayPublish && s.publishing[d] == 0 {
+				add(func(n *state) { n.publishing[d] = uint8(i + 1) })
 			}
 		}
-		if i := int(s.decided[d]) - 1; i >= 0 {
-			for w := range mostSent {
-				if s.way[w].fence == 0 && s.holds[d][i] > 0 {
+		if i := int(s.publishing[d]) - 1; i >= 0 {
+			for w := range maxMessages {
+				if s.inFlight[w].fence == 0 && s.believedFence[d][i] > 0 {
 					add(func(n *state) {
-						n.way[w], n.decided[d] = message{uint8(d + 1), uint8(i), s.holds[d][i]}, 0
+						n.inFlight[w], n.publishing[d] = message{uint8(d + 1), uint8(i), s.believedFence[d][i]}, 0
 					})
 					break
 				}
 			}
 		}
 	}
-	for w := range mostSent {
-		m := s.way[w]
+	for w := range maxMessages {
+		m := s.inFlight[w]
 		if m.fence == 0 {
 			continue
 		}
-		add(func(n *state) { n.way[w] = message{} }) // lost
+		add(func(n *state) { n.inFlight[w] = message{} }) // lost
 		add(func(n *state) {
-			n.way[w] = message{}
-			seen := HighestFences{Slice(m.slice): Fence(n.seen[m.slice])}
-			if r.fencing && !seen.Accept(Slice(m.slice), Fence(m.fence)) {
+			n.inFlight[w] = message{}
+			fences := HighestFences{Slice(m.slice): Fence(n.highestFence[m.slice])}
+			if r.fencing && !fences.Accept(Slice(m.slice), Fence(m.fence)) {
 				return
 			}
-			if n.ofFence[m.slice] > m.fence {
-				n.backward = true
+			if n.appliedFence[m.slice] > m.fence {
+				n.regressed = true
 			}
-			n.seen[m.slice] = max(n.seen[m.slice], m.fence)
-			n.follows[m.slice], n.ofFence[m.slice] = m.from, m.fence
+			n.highestFence[m.slice] = max(n.highestFence[m.slice], m.fence)
+			n.appliedFrom[m.slice], n.appliedFence[m.slice] = m.from, m.fence
 		})
 	}
 	return out
 }
 
-// explore looks at every state within so many, and gives the first that breaks the rule with the way to it.
-func (r rules) explore(most int) (states int, broken []state) {
-	type from struct {
+// explore searches up to limit states. It returns how many it reached and the first path, from its end to its start, to
+// a state in which the proxy went back to an older fence.
+func (r protocol) explore(limit int) (states int, path []state) {
+	type node struct {
 		s    state
 		prev int
 	}
-	all := []from{{prev: -1}}
+	all := []node{{prev: -1}}
 	seen := map[state]bool{{}: true}
-	for at := 0; at < len(all) && len(all) < most; at++ {
-		for _, n := range r.next(all[at].s) {
+	for at := 0; at < len(all) && len(all) < limit; at++ {
+		for _, n := range r.successors(all[at].s) {
 			if seen[n] {
 				continue
 			}
 			seen[n] = true
-			all = append(all, from{n, at})
-			if n.backward {
+			all = append(all, node{n, at})
+			if n.regressed {
 				for i := len(all) - 1; i >= 0; i = all[i].prev {
-					broken = append(broken, all[i].s)
+					path = append(path, all[i].s)
 				}
-				return len(all), broken
+				return len(all), path
 			}
 		}
 	}
 	return len(all), nil
 }
 
-// With fencing no proxy goes back to a deposed director's word, whatever is paused, lost or late. Without it the look
-// finds a way, also when each director minds the time of its session: a pause may lie between the look at the clock and
-// the sending.
-func TestNoWordOfADeposedDirector(t *testing.T) {
-	if n, broken := (rules{fencing: true, guard: true}).explore(500000); broken != nil {
-		t.Fatalf("after %d states: %+v", n, broken)
+// With fencing, no proxy goes back to a deposed director's table, whatever is paused, lost or late. Without fencing the
+// search finds a path to that fault, even when each director checks the deadline of its session: it may pause between
+// the check and the sending.
+func TestNoTableFromADeposedDirector(t *testing.T) {
+	if n, path := (protocol{fencing: true, deadline: true}).explore(500000); path != nil {
+		t.Fatalf("fencing and deadline: proxy went back to an older fence after %d states: %+v", n, path)
 	} else {
-		t.Logf("%d states with fencing", n)
+		t.Logf("fencing and deadline: no fault in %d states", n)
 	}
-	if n, broken := (rules{fencing: true}).explore(500000); broken != nil {
-		t.Fatalf("fencing alone, after %d states: %+v", n, broken)
+	if n, path := (protocol{fencing: true}).explore(500000); path != nil {
+		t.Fatalf("fencing alone: proxy went back to an older fence after %d states: %+v", n, path)
 	}
-	for _, r := range []rules{{guard: true}, {}} {
-		n, broken := r.explore(500000)
-		if broken == nil {
-			t.Errorf("%+v: the seeded fault is not found in %d states", r, n)
+	for _, r := range []protocol{{deadline: true}, {}} {
+		n, path := r.explore(500000)
+		if path == nil {
+			t.Errorf("%+v: the search missed the fault in %d states", r, n)
 			continue
 		}
-		t.Log(fmt.Sprintf("%+v: found after %d states, in %d steps", r, n, len(broken)))
+		t.Log(fmt.Sprintf("%+v: fault found after %d states, on a path of %d", r, n, len(path)))
 	}
 }
