--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,5 +1,5 @@
-// Package lease holds slices for a director through Consul's published sessions, locks and blocking queries, by its
-// official client. What to hold, give and take is decided in package custody; here are the requests.
+// Package lease holds the leases of a director's slices in Consul, by sessions, locks and blocking queries through the
+// official client. Package custody decides which slices to acquire, hold and transfer; this package sends the requests.
 package lease
 
 import (
@@ -25,117 +25,121 @@
 	"vetchwood/logic"
 )
 
-// Terms are what a lease is held by.
+// Config configures a Manager.
 type Config struct {
-	ConsulURL    string // URL
-	KeyPrefix    string // of the keys
-	TTL          time.Duration
+	ConsulURL    string
+	KeyPrefix    string        // prefix of all keys in the store
+	TTL          time.Duration // time to live of the session
 	LockDelay    time.Duration
 	AdvertiseURL string // where peers and proxies reach this director
 	SliceCount   int
-	// Epoch is what the clock says, in Unix milliseconds, for the base of the fences of a new store.
+	// UnixMillis returns the wall-clock time in Unix milliseconds. The fence base of a new store is derived from it.
 	UnixMillis func() float64
-	// Through carries the requests; nil is the usual way.
+	// Transport carries the requests to Consul. If nil, New sets an http.Transport with a dial timeout of a quarter of
+	// the TTL.
 	Transport http.RoundTripper
 }
 
-// Peer is another director, as the store knows it.
+// Peer is another director, as its member entry in the store describes it.
 type Peer struct {
 	Name    string      `json:"name"`
 	URL     string      `json:"url"`
-	Line    tables.Line `json:"line"` // of its own store: the same line is the same director, also after a restart
+	Line    tables.Line `json:"line"` // history of its local store; identifies the director across restarts
 	Leaving bool        `json:"leaving,omitempty"`
 	Session string      `json:"-"`
 }
 
-// Holder keeps what it can of the slices. Its steady clock is the director's.
+// Manager keeps the leases of one director. It uses the director's monotonic clock.
 type Manager struct {
-	terms  Config
-	me     Peer
-	client *api.Client
-	keeper *custody.Coordinator
-	now    func() logic.Millis
-	tell   func(any)
-	log    *slog.Logger
-
-	box     chan any
-	leaving chan struct{}
-	left    chan struct{}
-	once    sync.Once
-	gone    sync.Once
-	peers   atomic.Pointer[[]Peer]
-	held    atomic.Int64
-	moves   atomic.Uint64
-
-	mu      sync.Mutex
-	session string
-	records map[logic.TableID]control.SliceRecord // to be written
-	more    chan struct{}
+	config      Config
+	self        Peer
+	client      *api.Client
+	coordinator *custody.Coordinator
+	now         func() logic.Millis
+	notify      func(any)
+	log         *slog.Logger
+
+	inbox        chan any
+	leaving      chan struct{} // closed by Leave
+	released     chan struct{} // closed when no slice is held after Leave
+	leaveOnce    sync.Once
+	releasedOnce sync.Once
+	peers        atomic.Pointer[[]Peer]
+	heldCount    atomic.Int64
+	changeCount  atomic.Uint64
+
+	mu             sync.Mutex
+	sessionID      string
+	pendingRecords map[logic.TableID]control.SliceRecord // not yet written to the store
+	recordsPending chan struct{}                         // signals writeRecords that pendingRecords is not empty
 }
 
-// marginPart of the time to live is left for a clock that runs at another pace than the store's.
-const marginPart = 0.05
+// clockDriftFraction is the part of the TTL that is kept as a margin for drift between this clock and the store's.
+const clockDriftFraction = 0.05
 
-// New prepares a holder; tell passes on control.Given, Withdrawn and Guard.
-func New(name string, line tables.Line, terms Config, now func() logic.Millis, tell func(any), log *slog.Logger) (*Manager, error) {
-	if terms.Transport == nil {
-		terms.Transport = &http.Transport{MaxIdleConnsPerHost: 4, DialContext: (&net.Dialer{Timeout: terms.TTL / 4}).DialContext}
+// New returns a Manager of the director with the given name and store history. It calls notify with
+// control.SliceGrants, control.SliceRevoked and control.LeaseDeadline.
+func New(name string, line tables.Line, config Config, now func() logic.Millis, notify func(any), log *slog.Logger) (*Manager, error) {
+	if config.Transport == nil {
+		config.Transport = &http.Transport{MaxIdleConnsPerHost: 4, DialContext: (&net.Dialer{Timeout: config.TTL / 4}).DialContext}
 	}
-	client, err := api.NewClient(&api.Config{Address: terms.ConsulURL, HttpClient: &http.Client{Transport: terms.Transport}})
+	client, err := api.NewClient(&api.Config{Address: config.ConsulURL, HttpClient: &http.Client{Transport: config.Transport}})
 	if err != nil {
 		return nil, err
 	}
-	ttl := float64(terms.TTL.Microseconds()) / 1000
-	h := &Manager{terms: terms, me: Peer{Name: name, URL: terms.AdvertiseURL, Line: line}, client: client, now: now, tell: tell, log: log,
-		keeper: custody.NewCoordinator(custody.DirectorName(name), terms.SliceCount, ttl, ttl*marginPart), box: make(chan any, 1024),
-		leaving: make(chan struct{}), left: make(chan struct{}), records: map[logic.TableID]control.SliceRecord{},
-		more: make(chan struct{}, 1)}
-	h.peers.Store(&[]Peer{})
-	return h, nil
+	ttl := float64(config.TTL.Microseconds()) / 1000
+	m := &Manager{config: config, self: Peer{Name: name, URL: config.AdvertiseURL, Line: line}, client: client, now: now, notify: notify, log: log,
+		coordinator: custody.NewCoordinator(custody.DirectorName(name), config.SliceCount, ttl, ttl*clockDriftFraction), inbox: make(chan any, 1024),
+		leaving: make(chan struct{}), released: make(chan struct{}), pendingRecords: map[logic.TableID]control.SliceRecord{},
+		recordsPending: make(chan struct{}, 1)}
+	m.peers.Store(&[]Peer{})
+	return m, nil
 }
 
-// Peers are the other directors that are alive, as far as the store knows.
-func (h *Manager) Peers() []Peer { return *h.peers.Load() }
+// Peers returns the other live directors according to the store.
+func (m *Manager) Peers() []Peer { return *m.peers.Load() }
 
-// Held is how many slices are held, and Moves how many came or went.
-func (h *Manager) HeldSlices() int          { return int(h.held.Load()) }
-func (h *Manager) OwnershipChanges() uint64 { return h.moves.Load() }
+// HeldSlices returns the number of slices that this director owns.
+func (m *Manager) HeldSlices() int { return int(m.heldCount.Load()) }
 
-// Leave gives all away, and returns when nothing is held or the context ends.
-func (h *Manager) Leave(ctx context.Context) {
-	h.once.Do(func() { close(h.leaving) })
+// OwnershipChanges returns the number of slices granted and revoked so far.
+func (m *Manager) OwnershipChanges() uint64 { return m.changeCount.Load() }
+
+// Leave transfers all slices to other directors. It returns when none is held any more or when the context ends.
+func (m *Manager) Leave(ctx context.Context) {
+	m.leaveOnce.Do(func() { close(m.leaving) })
 	select {
-	case <-h.left:
+	case <-m.released:
 	case <-ctx.Done():
 	}
 }
 
-// Record puts a slice's newest lines where its next holder finds them.
-func (h *Manager) StoreRecord(r control.SliceRecord) {
-	h.mu.Lock()
-	h.records[r.Slice] = r
-	h.mu.Unlock()
+// StoreRecord queues the current state of a slice for the store, where the slice's next owner reads it.
+func (m *Manager) StoreRecord(r control.SliceRecord) {
+	m.mu.Lock()
+	m.pendingRecords[r.Slice] = r
+	m.mu.Unlock()
 	select {
-	case h.more <- struct{}{}:
+	case m.recordsPending <- struct{}{}:
 	default:
 	}
 }
 
-func (h *Manager) clock() float64 { return float64(h.now()) }
+func (m *Manager) nowMs() float64 { return float64(m.now()) }
 
-// read is what came of a look for the lines of slices that were just taken.
-type read struct {
+// recordsRead is an event of the inbox: the stored records, where found, of slices that were just granted.
+type recordsRead struct {
 	fences  map[logic.TableID]uint64
 	records map[logic.TableID]*control.SliceRecord
 }
 
-// Run keeps the leases until the context ends. Then the session runs out by itself, unless Leave was called before.
-func (h *Manager) Run(ctx context.Context) {
-	go h.watch(ctx)
-	go h.write(ctx)
+// Run keeps the leases until the context ends. The session then expires by itself, unless Leave ended it before.
+func (m *Manager) Run(ctx context.Context) {
+	go m.watchStore(ctx)
+	go m.writeRecords(ctx)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	leaving := h.leaving
+	leaving := m.leaving
 	for {
 		var in []any
 		select {
@@ -145,155 +149,158 @@
 		case <-leaving:
 			leaving = nil
 			in = append(in, custody.LeaveRequested{})
-			h.announce(ctx)
-		case i := <-h.box:
+			m.announceLeaving(ctx)
+		case i := <-m.inbox:
 			in = append(in, i)
 		}
 		for more := true; more; {
 			select {
-			case i := <-h.box:
+			case i := <-m.inbox:
 				in = append(in, i)
 			default:
 				more = false
 			}
 		}
-		given := map[logic.TableID]uint64{}
+		granted := map[logic.TableID]uint64{}
 		in = slices.DeleteFunc(in, func(i any) bool {
-			if r, is := i.(read); is {
-				h.give(r)
+			if r, is := i.(recordsRead); is {
+				m.notifyGrants(r)
 			}
-			_, is := i.(read)
+			_, is := i.(recordsRead)
 			return is
 		})
-		for _, o := range h.keeper.Handle(h.clock(), in...) {
-			h.carryOut(ctx, o, given)
+		for _, o := range m.coordinator.Handle(m.nowMs(), in...) {
+			m.execute(ctx, o, granted)
 		}
-		if len(given) > 0 {
-			go h.read(ctx, given)
+		if len(granted) > 0 {
+			go m.readRecords(ctx, granted)
 		}
-		h.held.Store(int64(len(h.keeper.Held())))
-		timer.Reset(time.Duration(max(1, h.keeper.NextWakeup(h.clock())-h.clock()) * float64(time.Millisecond)))
+		m.heldCount.Store(int64(len(m.coordinator.Held())))
+		timer.Reset(time.Duration(max(1, m.coordinator.NextWakeup(m.nowMs())-m.nowMs()) * float64(time.Millisecond)))
 	}
 }
 
-func (h *Manager) carryOut(ctx context.Context, o any, given map[logic.TableID]uint64) {
+func (m *Manager) execute(ctx context.Context, o any, granted map[logic.TableID]uint64) {
 	switch o := o.(type) {
 	case custody.OpenSession:
-		go h.open(ctx, o.FenceFloor)
+		go m.openSession(ctx, o.FenceFloor)
 	case custody.RenewSession:
-		go h.renew(ctx, o.ID)
+		go m.renewSession(ctx, o.ID)
 	case custody.AcquireSlices:
-		go h.move(ctx, custody.RequestAcquire, h.locks(o.Session, o.Slices))
+		go m.changeLeases(ctx, custody.RequestAcquire, m.lockOps(o.Session, o.Slices))
 	case custody.TransferSlices:
-		go func() { // what was told last goes on record before the next one reads it
-			h.flush(ctx)
-			h.move(ctx, custody.RequestTransfer, h.hands(o))
+		go func() { // pending records are written before the next owner reads them
+			m.flushRecords(ctx)
+			m.changeLeases(ctx, custody.RequestTransfer, m.transferOps(o))
 		}()
 	case custody.SliceGranted:
-		h.moves.Add(1)
-		given[logic.TableID(o.Slice)] = uint64(o.Fence)
+		m.changeCount.Add(1)
+		granted[logic.TableID(o.Slice)] = uint64(o.Fence)
 	case custody.SliceRevoked:
-		h.moves.Add(1)
-		delete(given, logic.TableID(o.Slice))
-		h.tell(control.SliceRevoked{Slice: logic.TableID(o.Slice)})
+		m.changeCount.Add(1)
+		delete(granted, logic.TableID(o.Slice))
+		m.notify(control.SliceRevoked{Slice: logic.TableID(o.Slice)})
 	case custody.LeaseDeadline:
-		h.tell(control.LeaseDeadline{Until: logic.Millis(o.Until)})
+		m.notify(control.LeaseDeadline{Until: logic.Millis(o.Until)})
 	case custody.AllReleased:
-		h.gone.Do(func() {
+		m.releasedOnce.Do(func() {
 			go func() {
-				h.end(ctx)
-				close(h.left)
+				m.destroySession(ctx)
+				close(m.released)
 			}()
 		})
 	}
 }
 
-func (h *Manager) post(ctx context.Context, in any) {
+func (m *Manager) enqueue(ctx context.Context, in any) {
 	select {
-	case h.box <- in:
+	case m.inbox <- in:
 	case <-ctx.Done():
 	}
 }
 
-// patience is how long one request may take; several fit in a time to live.
-func (h *Manager) patience(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, h.terms.TTL/4)
+// requestContext limits one request to a quarter of the TTL, so that several attempts fit in a TTL.
+func (m *Manager) requestContext(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, m.config.TTL/4)
 }
 
-func (h *Manager) key(parts ...string) string {
-	return h.terms.KeyPrefix + "/" + strings.Join(parts, "/")
+func (m *Manager) key(parts ...string) string {
+	return m.config.KeyPrefix + "/" + strings.Join(parts, "/")
 }
 
-func (h *Manager) sliceKey(s custody.Slice) string { return h.key("slices", fmt.Sprintf("%05d", s)) }
+func (m *Manager) sliceKey(s custody.Slice) string { return m.key("slices", fmt.Sprintf("%05d", s)) }
 
-func (h *Manager) recordKey(t logic.TableID) string {
-	return h.terms.KeyPrefix + ".tables/" + fmt.Sprintf("%05d", t)
+func (m *Manager) recordKey(t logic.TableID) string {
+	return m.config.KeyPrefix + ".tables/" + fmt.Sprintf("%05d", t)
 }
 
-var errTaken = errors.New("another director of this name is alive")
+var errNameInUse = errors.New("another live director has the same name")
 
-// open begins a session, or goes on with that of an earlier start: the same store of its own stands behind both, and
-// only one process can have that open.
-func (h *Manager) open(ctx context.Context, over custody.Fence) {
-	sent := h.clock()
-	id, base, err := h.opened(ctx, over)
+// openSession opens a session and reports the result to the coordinator.
+func (m *Manager) openSession(ctx context.Context, fenceFloor custody.Fence) {
+	sent := m.nowMs()
+	id, base, err := m.establishSession(ctx, fenceFloor)
 	if err != nil {
 		if ctx.Err() == nil {
-			h.log.Warn("lease.not_opened", "error", err)
+			m.log.Warn("lease.not_opened", "error", err)
 		}
-		h.post(ctx, custody.RequestFailed{Request: custody.RequestOpen})
+		m.enqueue(ctx, custody.RequestFailed{Request: custody.RequestOpen})
 		return
 	}
-	h.mu.Lock()
-	h.session = id
-	h.mu.Unlock()
-	h.log.Info("lease.opened", "session", id, "base", uint64(base))
-	h.post(ctx, custody.SessionOpened{ID: id, SentAt: sent, FenceBase: base})
+	m.mu.Lock()
+	m.sessionID = id
+	m.mu.Unlock()
+	m.log.Info("lease.opened", "session", id, "base", uint64(base))
+	m.enqueue(ctx, custody.SessionOpened{ID: id, SentAt: sent, FenceBase: base})
 }
 
-func (h *Manager) opened(ctx context.Context, over custody.Fence) (id string, base custody.Fence, err error) {
-	ctx, cancel := h.patience(ctx)
+// establishSession creates a session or continues the one of an earlier run of this director, and locks the director's
+// member entry with it. An entry with the same store history is of an earlier run that has ended, because only one
+// process can have the local store open.
+func (m *Manager) establishSession(ctx context.Context, fenceFloor custody.Fence) (id string, base custody.Fence, err error) {
+	ctx, cancel := m.requestContext(ctx)
 	defer cancel()
 	q, w := (&api.QueryOptions{}).WithContext(ctx), (&api.WriteOptions{}).WithContext(ctx)
-	pair, _, err := h.client.KV().Get(h.key("members", h.me.Name), q)
+	pair, _, err := m.client.KV().Get(m.key("members", m.self.Name), q)
 	if err != nil {
 		return "", 0, err
 	}
 	if pair != nil && pair.Session != "" {
-		var was Peer
-		if err := json.Unmarshal(pair.Value, &was); err != nil || was.Line != h.me.Line {
-			return "", 0, errTaken
+		var previous Peer
+		if err := json.Unmarshal(pair.Value, &previous); err != nil || previous.Line != m.self.Line {
+			return "", 0, errNameInUse
 		}
-		if e, _, err := h.client.Session().Renew(pair.Session, w); err != nil {
+		if e, _, err := m.client.Session().Renew(pair.Session, w); err != nil {
 			return "", 0, err
 		} else if e != nil {
 			id = pair.Session
 		}
 	}
 	if id == "" {
-		id, _, err = h.client.Session().CreateNoChecks(&api.SessionEntry{Name: h.terms.KeyPrefix + " " + h.me.Name, TTL: h.terms.TTL.String(),
-			Behavior: api.SessionBehaviorRelease, LockDelay: max(time.Millisecond, h.terms.LockDelay)}, w)
+		id, _, err = m.client.Session().CreateNoChecks(&api.SessionEntry{Name: m.config.KeyPrefix + " " + m.self.Name, TTL: m.config.TTL.String(),
+			Behavior: api.SessionBehaviorRelease, LockDelay: max(time.Millisecond, m.config.LockDelay)}, w)
 		if err != nil {
 			return "", 0, err
 		}
 	}
-	value, _ := json.Marshal(h.me)
-	ok, res, _, err := h.client.Txn().Txn(api.TxnOps{{KV: &api.KVTxnOp{Verb: api.KVLock, Key: h.key("members", h.me.Name),
+	value, _ := json.Marshal(m.self)
+	ok, res, _, err := m.client.Txn().Txn(api.TxnOps{{KV: &api.KVTxnOp{Verb: api.KVLock, Key: m.key("members", m.self.Name),
 		Value: value, Session: id}}}, q)
 	if err != nil {
 		return "", 0, err
 	} else if !ok {
-		h.client.Session().Destroy(id, w)
-		return "", 0, fmt.Errorf("%w: %s", errTaken, why(res))
+		m.client.Session().Destroy(id, w)
+		return "", 0, fmt.Errorf("%w: %s", errNameInUse, refusalReason(res))
 	}
-	base, err = h.base(q, over)
+	base, err = m.fenceBase(q, fenceFloor)
 	return id, base, err
 }
 
-// base is what fences count from. A store that was lost begins another, above all that was seen of the one before.
-func (h *Manager) base(q *api.QueryOptions, over custody.Fence) (custody.Fence, error) {
+// fenceBase returns the number that the store's fences count from, and creates it if there is none. After the store
+// lost its data, the new base is above fenceFloor, the highest fence seen before.
+func (m *Manager) fenceBase(q *api.QueryOptions, fenceFloor custody.Fence) (custody.Fence, error) {
 	for range 3 {
-		pair, _, err := h.client.KV().Get(h.key("epoch"), q)
+		pair, _, err := m.client.KV().Get(m.key("epoch"), q)
 		if err != nil {
 			return 0, err
 		}
@@ -301,156 +308,161 @@
 			n, err := strconv.ParseUint(string(pair.Value), 10, 64)
 			return custody.Fence(n), err
 		}
-		n := max(custody.Fence(h.terms.UnixMillis()), over+1)
-		if _, _, _, err := h.client.Txn().Txn(api.TxnOps{{KV: &api.KVTxnOp{Verb: api.KVCAS, Key: h.key("epoch"),
+		n := max(custody.Fence(m.config.UnixMillis()), fenceFloor+1)
+		if _, _, _, err := m.client.Txn().Txn(api.TxnOps{{KV: &api.KVTxnOp{Verb: api.KVCAS, Key: m.key("epoch"),
 			Value: []byte(strconv.FormatUint(uint64(n), 10))}}}, q); err != nil {
 			return 0, err
 		}
 	}
-	return 0, errors.New("the epoch comes and goes")
+	return 0, errors.New("no fence base: the epoch key is still missing after 3 attempts to create it")
 }
 
-func why(res *api.TxnResponse) string {
+// refusalReason returns the store's first error text for a transaction that it refused.
+func refusalReason(res *api.TxnResponse) string {
 	if res != nil && len(res.Errors) > 0 {
 		return res.Errors[0].What
 	}
 	return "refused"
 }
 
-// announce tells all that this director leaves, so that nothing is given to it any more.
-func (h *Manager) announce(ctx context.Context) {
-	h.mu.Lock()
-	id := h.session
-	h.mu.Unlock()
+// announceLeaving marks this director's member entry as leaving, so that no slice is transferred to it any more.
+func (m *Manager) announceLeaving(ctx context.Context) {
+	m.mu.Lock()
+	id := m.sessionID
+	m.mu.Unlock()
 	if id == "" {
 		return
 	}
-	leaving := h.me
+	leaving := m.self
 	leaving.Leaving = true
 	value, _ := json.Marshal(leaving)
-	ctx, cancel := h.patience(ctx)
+	ctx, cancel := m.requestContext(ctx)
 	defer cancel()
-	if _, _, _, err := h.client.Txn().Txn(api.TxnOps{{KV: &api.KVTxnOp{Verb: api.KVLock, Key: h.key("members", h.me.Name), Value: value,
+	if _, _, _, err := m.client.Txn().Txn(api.TxnOps{{KV: &api.KVTxnOp{Verb: api.KVLock, Key: m.key("members", m.self.Name), Value: value,
 		Session: id}}}, (&api.QueryOptions{}).WithContext(ctx)); err != nil {
-		h.log.Warn("lease.not_announced", "error", err)
+		m.log.Warn("lease.not_announced", "error", err)
 	}
 }
 
-// end tells the store that the session is over, so that nobody waits for it to run out.
-func (h *Manager) end(ctx context.Context) {
-	h.mu.Lock()
-	id := h.session
-	h.mu.Unlock()
-	wait, cancel := h.patience(ctx)
+// destroySession ends the session in the store, so that nobody has to wait until it expires.
+func (m *Manager) destroySession(ctx context.Context) {
+	m.mu.Lock()
+	id := m.sessionID
+	m.mu.Unlock()
+	wait, cancel := m.requestContext(ctx)
 	defer cancel()
-	if _, err := h.client.Session().Destroy(id, (&api.WriteOptions{}).WithContext(wait)); err != nil && id != "" {
-		h.log.Warn("lease.not_ended", "error", err)
+	if _, err := m.client.Session().Destroy(id, (&api.WriteOptions{}).WithContext(wait)); err != nil && id != "" {
+		m.log.Warn("lease.not_ended", "error", err)
 	}
 }
 
-func (h *Manager) renew(ctx context.Context, id string) {
-	sent := h.clock()
-	wait, cancel := h.patience(ctx)
+func (m *Manager) renewSession(ctx context.Context, id string) {
+	sent := m.nowMs()
+	wait, cancel := m.requestContext(ctx)
 	defer cancel()
-	e, _, err := h.client.Session().Renew(id, (&api.WriteOptions{}).WithContext(wait))
+	e, _, err := m.client.Session().Renew(id, (&api.WriteOptions{}).WithContext(wait))
 	switch {
 	case err != nil:
 		if ctx.Err() == nil {
-			h.log.Warn("lease.not_renewed", "error", err)
+			m.log.Warn("lease.not_renewed", "error", err)
 		}
-		h.post(ctx, custody.RequestFailed{Request: custody.RequestRenew})
+		m.enqueue(ctx, custody.RequestFailed{Request: custody.RequestRenew})
 	case e == nil:
-		h.log.Warn("lease.lost", "session", id)
-		h.post(ctx, custody.SessionUnknown{ID: id})
+		m.log.Warn("lease.lost", "session", id)
+		m.enqueue(ctx, custody.SessionUnknown{ID: id})
 	default:
-		h.post(ctx, custody.SessionRenewed{ID: id, SentAt: sent})
+		m.enqueue(ctx, custody.SessionRenewed{ID: id, SentAt: sent})
 	}
 }
 
-func (h *Manager) locks(id string, take []custody.Slice) (ops [][]*api.KVTxnOp) {
-	for _, s := range take {
-		ops = append(ops, []*api.KVTxnOp{{Verb: api.KVLock, Key: h.sliceKey(s), Value: []byte(h.me.Name), Session: id}})
+// lockOps returns, for each slice, the operation that locks it for the session.
+func (m *Manager) lockOps(id string, wanted []custody.Slice) (ops [][]*api.KVTxnOp) {
+	for _, s := range wanted {
+		ops = append(ops, []*api.KVTxnOp{{Verb: api.KVLock, Key: m.sliceKey(s), Value: []byte(m.self.Name), Session: id}})
 	}
 	return ops
 }
 
-// hands gives slices away so that at no moment nobody has them.
-func (h *Manager) hands(o custody.TransferSlices) (ops [][]*api.KVTxnOp) {
-	to := ""
-	for _, p := range h.Peers() {
+// transferOps returns, for each slice, the operations that unlock it and lock it for the next owner. Both are in one
+// transaction, so that the slice is never without an owner.
+func (m *Manager) transferOps(o custody.TransferSlices) (ops [][]*api.KVTxnOp) {
+	toName := ""
+	for _, p := range m.Peers() {
 		if p.Session == o.To {
-			to = p.Name
+			toName = p.Name
 		}
 	}
 	for _, s := range o.Slices {
-		both := []*api.KVTxnOp{{Verb: api.KVUnlock, Key: h.sliceKey(s), Session: o.From}}
+		pair := []*api.KVTxnOp{{Verb: api.KVUnlock, Key: m.sliceKey(s), Session: o.From}}
 		if o.To != "" {
-			both = append(both, &api.KVTxnOp{Verb: api.KVLock, Key: h.sliceKey(s), Value: []byte(to), Session: o.To})
+			pair = append(pair, &api.KVTxnOp{Verb: api.KVLock, Key: m.sliceKey(s), Value: []byte(toName), Session: o.To})
 		}
-		ops = append(ops, both)
+		ops = append(ops, pair)
 	}
 	return ops
 }
 
-// move does what it can of some changes: those that the store refuses are left out and the rest is tried again.
-func (h *Manager) move(ctx context.Context, what string, changes [][]*api.KVTxnOp) {
-	wait, cancel := h.patience(ctx)
+// changeLeases sends the changes in one transaction. The changes that the store refuses are removed and the others sent
+// again, up to 4 times in all. Each change is a list of operations on one slice.
+func (m *Manager) changeLeases(ctx context.Context, request string, changes [][]*api.KVTxnOp) {
+	wait, cancel := m.requestContext(ctx)
 	defer cancel()
 	for range 4 {
 		var ops api.TxnOps
-		var of []int
+		var changeOf []int // by operation, the index of its change
 		for i, c := range changes {
 			for _, op := range c {
-				ops, of = append(ops, &api.TxnOp{KV: op}), append(of, i)
+				ops, changeOf = append(ops, &api.TxnOp{KV: op}), append(changeOf, i)
 			}
 		}
 		if len(ops) == 0 {
 			break
 		}
-		ok, res, _, err := h.client.Txn().Txn(ops, (&api.QueryOptions{}).WithContext(wait))
+		ok, res, _, err := m.client.Txn().Txn(ops, (&api.QueryOptions{}).WithContext(wait))
 		if err != nil || res == nil {
 			if ctx.Err() == nil {
-				h.log.Warn("lease.not_moved", "what", what, "error", err)
+				m.log.Warn("lease.not_moved", "what", request, "error", err)
 			}
 			break
 		}
 		if ok {
 			last := map[string]custody.Lease{}
 			for _, r := range res.Results {
-				if l, is := h.lease(r.KV); is {
+				if l, is := m.parseLease(r.KV); is {
 					last[r.KV.Key] = l
 				}
 			}
-			m := custody.LeasesChanged{Request: what}
+			changed := custody.LeasesChanged{Request: request}
 			for _, l := range last {
-				m.Leases = append(m.Leases, l)
+				changed.Leases = append(changed.Leases, l)
 			}
-			h.log.Info("lease.moved", "what", what, "slices", len(last))
-			h.post(ctx, m)
+			m.log.Info("lease.moved", "what", request, "slices", len(last))
+			m.enqueue(ctx, changed)
 			return
 		}
 		refused := map[int]bool{}
 		for _, e := range res.Errors {
-			if e.OpIndex < len(of) {
-				refused[of[e.OpIndex]] = true
+			if e.OpIndex < len(changeOf) {
+				refused[changeOf[e.OpIndex]] = true
 			}
 		}
-		rest := changes[:0:0]
+		remaining := changes[:0:0]
 		for i, c := range changes {
 			if !refused[i] {
-				rest = append(rest, c)
+				remaining = append(remaining, c)
 			}
 		}
-		if changes = rest; len(refused) == 0 {
+		if changes = remaining; len(refused) == 0 {
 			break
 		}
 	}
-	h.post(ctx, custody.RequestFailed{Request: what})
+	m.enqueue(ctx, custody.RequestFailed{Request: request})
 }
 
-func (h *Manager) lease(p *api.KVPair) (custody.Lease, bool) {
-	rest, is := strings.CutPrefix(p.Key, h.key("slices")+"/")
-	n, err := strconv.Atoi(rest)
+// parseLease returns the lease that a key-value pair holds, or false if its key is not that of a slice.
+func (m *Manager) parseLease(p *api.KVPair) (custody.Lease, bool) {
+	number, is := strings.CutPrefix(p.Key, m.key("slices")+"/")
+	n, err := strconv.Atoi(number)
 	if !is || err != nil {
 		return custody.Lease{}, false
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	nSlices = 6
-	ttl     = 300 * time.Millisecond
+	sliceCount = 6
+	ttl        = 300 * time.Millisecond
 )
 
-// history is what was asked of the store and what it said, slice by slice.
+// history records the operations on slices that were sent to the store, with its responses.
 type history struct {
 	mu     sync.Mutex
 	epoch  time.Time
@@ -40,7 +40,7 @@
 
 func (h *history) now() int64 { return time.Since(h.epoch).Nanoseconds() }
 
-func (h *history) add(client int, key string, in asked, call int64, out said, end int64) {
+func (h *history) add(client int, key string, in request, call int64, out response, end int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if in.key = key; !h.closed {
@@ -49,25 +49,25 @@
 }
 
 type (
-	asked struct{ key, what, session, to string }
-	said  struct {
-		fate    string // ok, refused or unknown
-		session string
-		count   uint64
+	request  struct{ key, op, session, to string }
+	response struct {
+		outcome   string // ok, refused or unknown
+		session   string
+		lockIndex uint64
 	}
-	// leased is the state of one slice that every history must have come from.
-	leased struct {
-		session string
-		count   uint64
+	// lockState is the state of one slice's lock in the model.
+	lockState struct {
+		session   string
+		lockIndex uint64
 	}
 )
 
-// model is the published lock: one holder, a count that grows with each.
-var model = porcupine.NondeterministicModel{
+// lockModel is Consul's published lock: at most one session holds it, and each acquisition increments the lock index.
+var lockModel = porcupine.NondeterministicModel{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
 		for _, o := range all {
-			by[o.Input.(asked).key] = append(by[o.Input.(asked).key], o)
+			by[o.Input.(request).key] = append(by[o.Input.(request).key], o)
 		}
 		var out [][]porcupine.Operation
 		for _, ops := range by {
@@ -75,14 +75,14 @@
 		}
 		return out
 	},
-	Init: func() []any { return []any{leased{}} },
+	Init: func() []any { return []any{lockState{}} },
 	Step: func(state, input, output any) []any {
-		s, in, out := state.(leased), input.(asked), output.(said)
-		done := s
+		s, in, out := state.(lockState), input.(request), output.(response)
+		next := s
 		possible := false
-		switch in.what {
+		switch in.op {
 		case "read":
-			if s.session == out.session && s.count == out.count {
+			if s.session == out.session && s.lockIndex == out.lockIndex {
 				return []any{s}
 			}
 			return nil
@@ -90,26 +90,26 @@
 			if s.session != in.session {
 				return nil
 			}
-			return []any{leased{"", s.count}}
+			return []any{lockState{"", s.lockIndex}}
 		case "take":
 			if possible = s.session == "" || s.session == in.session; possible && s.session == "" {
-				done = leased{in.session, s.count + 1}
+				next = lockState{in.session, s.lockIndex + 1}
 			}
 		case "hand":
 			if possible = s.session == in.session; possible {
-				if done.session = in.to; in.to != "" {
-					done.count++
+				if next.session = in.to; in.to != "" {
+					next.lockIndex++
 				}
 			}
 		}
 		switch {
-		case out.fate == "ok" && possible && (out.session == "" || out.session == done.session && out.count == done.count):
-			return []any{done}
-		case out.fate == "refused":
+		case out.outcome == "ok" && possible && (out.session == "" || out.session == next.session && out.lockIndex == next.lockIndex):
+			return []any{next}
+		case out.outcome == "refused":
 			return []any{s}
-		case out.fate == "unknown" && possible:
-			return []any{s, done}
-		case out.fate == "unknown":
+		case out.outcome == "unknown" && possible:
+			return []any{s, next}
+		case out.outcome == "unknown":
 			return []any{s}
 		}
 		return nil
@@ -117,21 +117,21 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// through records what goes to the store and comes back.
-type through struct {
-	h      *history
-	client int
-	way    http.RoundTripper
+// recordingTransport records the requests to the store and its responses in a history.
+type recordingTransport struct {
+	history *history
+	client  int
+	next    http.RoundTripper
 }
 
-func (r *through) RoundTrip(q *http.Request) (*http.Response, error) {
+func (r *recordingTransport) RoundTrip(q *http.Request) (*http.Response, error) {
 	var body []byte
 	if q.Body != nil {
 		body, _ = io.ReadAll(q.Body)
 		q.Body = io.NopCloser(bytes.NewReader(body))
 	}
-	call := r.h.now()
-	res, err := r.way.RoundTrip(q)
+	call := r.history.now()
+	res, err := r.next.RoundTrip(q)
 	var text []byte
 	if err == nil {
 		text, err = io.ReadAll(res.Body)
@@ -140,45 +140,45 @@
 	}
 	switch {
 	case q.URL.Path == "/v1/txn":
-		r.txn(body, call, res, text, err)
+		r.recordTxn(body, call, res, text, err)
 	case strings.HasPrefix(q.URL.Path, "/v1/kv/") && q.URL.Query().Has("recurse") && err == nil && res.StatusCode == http.StatusOK:
 		var pairs api.KVPairs
 		json.Unmarshal(text, &pairs)
 		for _, p := range pairs {
 			if strings.Contains(p.Key, "/slices/") {
-				// A blocking query reads when something has changed, some time before it answers.
-				r.h.add(100+r.client, p.Key, asked{what: "read"}, call, said{"ok", p.Session, p.LockIndex}, r.h.now())
+				// A blocking query reads the store at some time between its request and its answer.
+				r.history.add(100+r.client, p.Key, request{op: "read"}, call, response{"ok", p.Session, p.LockIndex}, r.history.now())
 			}
 		}
 	}
 	return res, err
 }
 
-func (r *through) txn(body []byte, call int64, res *http.Response, text []byte, err error) {
+func (r *recordingTransport) recordTxn(body []byte, call int64, res *http.Response, text []byte, err error) {
 	var ops []struct{ KV *api.KVTxnOp }
 	json.Unmarshal(body, &ops)
-	all := map[string]asked{}
+	all := map[string]request{}
 	for _, o := range ops {
 		if !strings.Contains(o.KV.Key, "/slices/") {
 			continue
 		}
 		switch in := all[o.KV.Key]; {
 		case o.KV.Verb == api.KVUnlock:
-			all[o.KV.Key] = asked{what: "hand", session: o.KV.Session}
-		case o.KV.Verb == api.KVLock && in.what == "hand":
+			all[o.KV.Key] = request{op: "hand", session: o.KV.Session}
+		case o.KV.Verb == api.KVLock && in.op == "hand":
 			in.to = o.KV.Session
 			all[o.KV.Key] = in
 		case o.KV.Verb == api.KVLock:
-			all[o.KV.Key] = asked{what: "take", session: o.KV.Session}
+			all[o.KV.Key] = request{op: "take", session: o.KV.Session}
 		}
 	}
-	fate, end := "ok", r.h.now()
+	outcome, end := "ok", r.history.now()
 	results := map[string]*api.KVPair{}
 	switch {
 	case err != nil || res.StatusCode >= 500:
-		fate, end = "unknown", math.MaxInt64
+		outcome, end = "unknown", math.MaxInt64
 	case res.StatusCode != http.StatusOK:
-		fate = "refused"
+		outcome = "refused"
 	default:
 		var out struct{ Results []struct{ KV *api.KVPair } }
 		json.Unmarshal(text, &out)
@@ -187,41 +187,41 @@
 		}
 	}
 	for key, in := range all {
-		out := said{fate: fate}
+		out := response{outcome: outcome}
 		if p := results[key]; p != nil {
-			out.session, out.count = p.Session, p.LockIndex
+			out.session, out.lockIndex = p.Session, p.LockIndex
 		}
-		r.h.add(r.client, key, in, call, out, end)
+		r.history.add(r.client, key, in, call, out, end)
 	}
 }
 
-// fleet is so many holders over one store.
+// fleet is a set of managers over one store, with the fences that were granted to each.
 type fleet struct {
-	registry *standin.Registry
-	doors    []*standin.Door
-	holders  []*lease.Manager
-	history  *history
-	mu       sync.Mutex
-	given    []map[logic.TableID]uint64
-	top      map[logic.TableID]uint64
-	stops    []context.CancelFunc
+	registry     *standin.Registry
+	connections  []*standin.Door
+	managers     []*lease.Manager
+	history      *history
+	mu           sync.Mutex
+	granted      []map[logic.TableID]uint64
+	highestFence map[logic.TableID]uint64
+	stops        []context.CancelFunc
 }
 
-func raise(t *testing.T, n int) *fleet {
-	f := &fleet{history: &history{epoch: time.Now()}, top: map[logic.TableID]uint64{}}
+func startFleet(t *testing.T, n int) *fleet {
+	f := &fleet{history: &history{epoch: time.Now()}, highestFence: map[logic.TableID]uint64{}}
 	var err error
 	if f.registry, err = standin.NewRegistry("127.0.0.1:0", nil, func() float64 { return 0 }, 0); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.registry.Close)
-	sessions := map[string]string{} // last known holder of a key
-	f.registry.Locks.Changed = func(key, session, holder string, count uint64, _ func(string) string) {
+	sessions := map[string]string{} // by key, the last known session
+	f.registry.Locks.Changed = func(key, session, holder string, lockIndex uint64, _ func(string) string) {
 		if !strings.Contains(key, "/slices/") {
 			return
 		}
-		if was := sessions[key]; session == "" && was != "" && holder == standin.Ended {
+		if previous := sessions[key]; session == "" && previous != "" && holder == standin.Ended {
 			at := f.history.now()
-			f.history.add(200, key, asked{what: "end", session: was}, at, said{fate: "ok"}, at)
+			f.history.add(200, key, request{op: "end", session: previous}, at, response{outcome: "ok"}, at)
 		}
 		sessions[key] = session
 	}
@@ -232,56 +232,57 @@
 }
 
 func (f *fleet) start(t *testing.T, i int) {
-	if len(f.doors) == i {
+	if len(f.connections) == i {
 		d, err := f.registry.Open(fmt.Sprint("d", i), uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(d.Close)
-		f.doors, f.holders = append(f.doors, d), append(f.holders, nil)
-		f.given, f.stops = append(f.given, map[logic.TableID]uint64{}), append(f.stops, nil)
+		f.connections, f.managers = append(f.connections, d), append(f.managers, nil)
+		f.granted, f.stops = append(f.granted, map[logic.TableID]uint64{}), append(f.stops, nil)
 	}
-	began := time.Now().Add(-time.Duration(i+1) * time.Hour) // each has a clock of its own
-	h, err := lease.New(fmt.Sprint("d", i), 7, lease.Config{ConsulURL: f.doors[i].URL(), KeyPrefix: "p", TTL: ttl, SliceCount: nSlices, AdvertiseURL: "http://x",
-		UnixMillis: func() float64 { return 1e6 }, Transport: &through{f.history, i, &http.Transport{}}},
-		func() logic.Millis { return logic.Millis(float64(time.Since(began).Microseconds()) / 1000) }, func(in any) { f.hear(i, in) },
+	began := time.Now().Add(-time.Duration(i+1) * time.Hour) // each has its own clock
+	m, err := lease.New(fmt.Sprint("d", i), 7, lease.Config{ConsulURL: f.connections[i].URL(), KeyPrefix: "p", TTL: ttl, SliceCount: sliceCount,
+		AdvertiseURL: "http://x",
+		UnixMillis:   func() float64 { return 1e6 }, Transport: &recordingTransport{f.history, i, &http.Transport{}}},
+		func() logic.Millis { return logic.Millis(float64(time.Since(began).Microseconds()) / 1000) }, func(in any) { f.handle(i, in) },
 		slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	f.holders[i], f.stops[i] = h, stop
-	go h.Run(ctx)
+	f.managers[i], f.stops[i] = m, stop
+	go m.Run(ctx)
 }
 
-func (f *fleet) hear(i int, in any) {
+func (f *fleet) handle(i int, in any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch in := in.(type) {
 	case control.SliceGrants:
 		for _, g := range in.Grants {
-			f.given[i][g.Slice] = g.Fence
-			f.top[g.Slice] = max(f.top[g.Slice], g.Fence)
+			f.granted[i][g.Slice] = g.Fence
+			f.highestFence[g.Slice] = max(f.highestFence[g.Slice], g.Fence)
 		}
 	case control.SliceRevoked:
-		delete(f.given[i], in.Slice)
+		delete(f.granted[i], in.Slice)
 	}
 }
 
-// settled waits until each slice is one holder's, by what they were told.
-func (f *fleet) settled(t *testing.T, among ...int) {
+// awaitOwnership waits until each slice is granted to exactly one of the given managers and each of them has a slice.
+func (f *fleet) awaitOwnership(t *testing.T, among ...int) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		f.mu.Lock()
-		has, each := map[logic.TableID]int{}, true
+		owners, allHaveSlices := map[logic.TableID]int{}, true
 		for _, i := range among {
-			each = each && len(f.given[i]) > 0
-			for s := range f.given[i] {
-				has[s]++
+			allHaveSlices = allHaveSlices && len(f.granted[i]) > 0
+			for s := range f.granted[i] {
+				owners[s]++
 			}
 		}
-		single := len(has) == nSlices && each
-		for _, n := range has {
+		single := len(owners) == sliceCount && allHaveSlices
+		for _, n := range owners {
 			single = single && n == 1
 		}
 		f.mu.Unlock()
@@ -289,71 +290,72 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not settled: %v", f.given)
+			t.Fatalf("not every slice has a single owner after 10 s; granted slices by manager: %v", f.granted)
 		}
 	}
 }
 
-// Three directors over a store that is cut, slow and lossy for each of them, ends sessions and is away: what they asked and
-// were told is a history that a lock with one holder can have had. A store that breaks its promise is found.
+// Three directors use a store whose connections are cut, slow and lossy, which ends sessions and is at times
+// unavailable. The recorded history must be linearizable for a lock with a single holder. With a store that grants
+// locks which others hold, the check must find the violation.
 func TestLeaseHistories(t *testing.T) {
 	t.Parallel()
-	for _, careless := range []bool{false, true} {
-		t.Run(fmt.Sprint("careless=", careless), func(t *testing.T) {
+	for _, breaksLocks := range []bool{false, true} {
+		t.Run(fmt.Sprint("careless=", breaksLocks), func(t *testing.T) {
 			t.Parallel()
-			f := raise(t, 3)
-			f.settled(t, 0, 1, 2)
-			f.registry.Locks.Promise(!careless)
+			f := startFleet(t, 3)
+			f.awaitOwnership(t, 0, 1, 2)
+			f.registry.Locks.Promise(!breaksLocks)
 			draw := rand.New(rand.NewPCG(11, 5))
 			for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 				i := draw.IntN(3)
 				switch draw.IntN(6) {
 				case 0:
-					f.doors[i].Set(standin.DoorFaults{Cut: true})
+					f.connections[i].Set(standin.DoorFaults{Cut: true})
 				case 1:
-					f.doors[i].Set(standin.DoorFaults{Lose: 0.3})
+					f.connections[i].Set(standin.DoorFaults{Lose: 0.3})
 				case 2:
-					f.doors[i].Set(standin.DoorFaults{Slow: 60 * time.Millisecond, Lose: 0.1})
+					f.connections[i].Set(standin.DoorFaults{Slow: 60 * time.Millisecond, Lose: 0.1})
 				case 3:
 					f.registry.Locks.End(fmt.Sprint("p d", i))
 				case 4:
 					f.registry.Locks.Away(draw.IntN(2) == 0)
 				default:
-					f.doors[i].Set(standin.DoorFaults{})
+					f.connections[i].Set(standin.DoorFaults{})
 				}
 			}
 			f.registry.Locks.Away(false)
-			for _, d := range f.doors {
+			for _, d := range f.connections {
 				d.Set(standin.DoorFaults{})
 			}
-			f.settled(t, 0, 1, 2)
-			f.thief(t)
+			f.awaitOwnership(t, 0, 1, 2)
+			f.requestHeldSlices(t)
 			f.history.mu.Lock()
 			f.history.closed = true
 			ops := f.history.ops
 			f.history.mu.Unlock()
 			count := map[string]int{}
 			for _, o := range ops {
-				count[o.Input.(asked).what+" "+o.Output.(said).fate]++
+				count[o.Input.(request).op+" "+o.Output.(response).outcome]++
 			}
-			m := model.ToModel()
+			m := lockModel.ToModel()
 			res := porcupine.CheckOperationsTimeout(m, ops, 30*time.Second)
 			t.Logf("%d operations, %v: %s", len(ops), count, res)
 			switch {
-			case careless && res != porcupine.Illegal:
-				t.Fatal("a store that locks what another holds is not found")
-			case !careless && res != porcupine.Ok:
-				t.Fatal("no lock can have had this history")
-			case !careless && (count["take ok"] < 10 || count["end ok"] < 5 || count["read ok"] < 50):
-				t.Fatalf("too little happened: %v", count)
+			case breaksLocks && res != porcupine.Illegal:
+				t.Fatal("the check missed a store that grants locks which others hold")
+			case !breaksLocks && res != porcupine.Ok:
+				t.Fatal("the history is not linearizable for a lock with a single holder")
+			case !breaksLocks && (count["take ok"] < 10 || count["end ok"] < 5 || count["read ok"] < 50):
+				t.Fatalf("too few operations for a meaningful check: %v", count)
 			}
 		})
 	}
 }
 
-// thief asks for slices that others hold.
-func (f *fleet) thief(t *testing.T) {
-	c, err := api.NewClient(&api.Config{Address: f.registry.URL(), HttpClient: &http.Client{Transport: &through{f.history, 50, &http.Transport{}}}})
+// requestHeldSlices tries to lock slices that others hold, from a session of its own.
+func (f *fleet) requestHeldSlices(t *testing.T) {
+	c, err := api.NewClient(&api.Config{Address: f.registry.URL(), HttpClient: &http.Client{Transport: &recordingTransport{f.history, 50, &http.Transport{}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -361,36 +363,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for s := range nSlices {
+	for s := range sliceCount {
 		if _, _, _, err := c.Txn().Txn(api.TxnOps{{KV: &api.KVTxnOp{Verb: api.KVLock, Key: fmt.Sprintf("p/slices/%05d", s), Session: id}}}, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// One that goes down and comes up within its lease goes on with its session, its slices and their fences; the same name
-// with another store behind it gets nothing while the first lives; what leaves is another's at once.
-func TestStartOverAndLeave(t *testing.T) {
+// A director that restarts within its lease keeps its session, slices and fences. A second director with the same name
+// and another local store is granted nothing while the first is alive. When a director leaves, others own its slices at
+// once.
+func TestRestartAndLeave(t *testing.T) {
 	t.Parallel()
-	f := raise(t, 2)
-	f.settled(t, 0, 1)
+	f := startFleet(t, 2)
+	f.awaitOwnership(t, 0, 1)
 	f.mu.Lock()
-	was := maps.Clone(f.given[1])
-	f.given[1] = map[logic.TableID]uint64{}
+	before := maps.Clone(f.granted[1])
+	f.granted[1] = map[logic.TableID]uint64{}
 	f.mu.Unlock()
 	f.stops[1]()
 	f.start(t, 1)
-	f.settled(t, 0, 1)
+	f.awaitOwnership(t, 0, 1)
 	f.mu.Lock()
-	if !maps.Equal(was, f.given[1]) {
-		t.Errorf("held %v before the start over and %v after", was, f.given[1])
+	if !maps.Equal(before, f.granted[1]) {
+		t.Errorf("slices and fences were %v before the restart and %v after it", before, f.granted[1])
 	}
 	f.mu.Unlock()
-	other, err := lease.New("d1", 8, lease.Config{ConsulURL: f.doors[0].URL(), KeyPrefix: "p", TTL: ttl, SliceCount: nSlices, AdvertiseURL: "http://x",
-		UnixMillis: func() float64 { return 1 }}, func() logic.Millis { return logic.Millis(time.Now().UnixMicro()) / 1000 },
+	other, err := lease.New("d1", 8, lease.Config{ConsulURL: f.connections[0].URL(), KeyPrefix: "p", TTL: ttl, SliceCount: sliceCount,
+		AdvertiseURL: "http://x",
+		UnixMillis:   func() float64 { return 1 }}, func() logic.Millis { return logic.Millis(time.Now().UnixMicro()) / 1000 },
 		func(in any) {
 			if _, is := in.(control.SliceGrants); is {
-				t.Error("a second director of one name was given slices")
+				t.Error("a second director with the same name was granted slices")
 			}
 		}, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -400,29 +404,29 @@
 	defer stop()
 	other.Run(ctx)
 	began := time.Now()
-	f.holders[1].Leave(t.Context())
-	f.settled(t, 0)
+	f.managers[1].Leave(t.Context())
+	f.awaitOwnership(t, 0)
 	if took := time.Since(began); took > ttl {
-		t.Errorf("handing over took %v", took)
+		t.Errorf("transferring the slices took %v, more than the TTL", took)
 	}
 }
 
-// A store that is raised anew, empty: fences go on above all that were given out before.
-func TestAStoreThatLostAll(t *testing.T) {
+// After the store loses all its data, new fences are above all those issued before.
+func TestFencesGrowAfterStoreLoss(t *testing.T) {
 	t.Parallel()
-	f := raise(t, 2)
-	f.settled(t, 0, 1)
+	f := startFleet(t, 2)
+	f.awaitOwnership(t, 0, 1)
 	f.mu.Lock()
-	was := maps.Clone(f.top)
+	before := maps.Clone(f.highestFence)
 	f.mu.Unlock()
 	f.registry.Locks.Wipe()
 	time.Sleep(ttl / 2)
-	f.settled(t, 0, 1)
+	f.awaitOwnership(t, 0, 1)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for s, fence := range was {
-		if f.top[s] <= fence {
-			t.Errorf("slice %d: fence %d after %d", s, f.top[s], fence)
+	for s, fence := range before {
+		if f.highestFence[s] <= fence {
+			t.Errorf("slice %d: fence %d after the data loss, not above %d before it", s, f.highestFence[s], fence)
 		}
 	}
 }
--- a/internal/lease/watch.go
+++ b/internal/lease/watch.go
@@ -14,16 +14,16 @@
 	"vetchwood/logic"
 )
 
-// watch follows all members and leases by blocking queries.
-func (h *Manager) watch(ctx context.Context) {
+// watchStore follows all members and leases by blocking queries and reports each snapshot to the coordinator.
+func (m *Manager) watchStore(ctx context.Context) {
 	index, failures := uint64(0), 0
 	for ctx.Err() == nil {
-		wait, cancel := context.WithTimeout(ctx, 2*h.terms.TTL)
-		pairs, meta, err := h.client.KV().List(h.terms.KeyPrefix+"/", (&api.QueryOptions{WaitIndex: index, WaitTime: h.terms.TTL}).WithContext(wait))
+		wait, cancel := context.WithTimeout(ctx, 2*m.config.TTL)
+		pairs, meta, err := m.client.KV().List(m.config.KeyPrefix+"/", (&api.QueryOptions{WaitIndex: index, WaitTime: m.config.TTL}).WithContext(wait))
 		cancel()
 		if err != nil {
 			if failures++; ctx.Err() == nil {
-				h.log.Warn("lease.watch_failed", "error", err, "failures", failures)
+				m.log.Warn("lease.watch_failed", "error", err, "failures", failures)
 			}
 			index = 0
 			select {
@@ -34,54 +34,57 @@
 		}
 		failures = 0
 		if meta.LastIndex < index {
-			index = 0 // it started over; the next query must not block
+			index = 0 // the store restarted with a lower index; the next query must not block
 		} else {
 			index = meta.LastIndex
 		}
-		h.post(ctx, h.board(meta.LastIndex, pairs))
+		m.enqueue(ctx, m.parseSnapshot(meta.LastIndex, pairs))
 	}
 }
 
-func (h *Manager) board(index uint64, pairs api.KVPairs) custody.Snapshot {
-	b := custody.Snapshot{Index: index}
+// parseSnapshot returns the members and leases among the pairs, and updates the list of peers.
+func (m *Manager) parseSnapshot(index uint64, pairs api.KVPairs) custody.Snapshot {
+	snapshot := custody.Snapshot{Index: index}
 	peers := []Peer{}
 	for _, p := range pairs {
-		if l, is := h.lease(p); is {
-			b.Leases = append(b.Leases, l)
+		if l, is := m.parseLease(p); is {
+			snapshot.Leases = append(snapshot.Leases, l)
 			continue
 		}
-		name, is := strings.CutPrefix(p.Key, h.key("members")+"/")
+		name, is := strings.CutPrefix(p.Key, m.key("members")+"/")
 		if !is || p.Session == "" {
 			continue
 		}
 		peer := Peer{}
 		if err := json.Unmarshal(p.Value, &peer); err != nil {
-			h.log.Warn("lease.member_unreadable", "name", name, "error", err)
+			m.log.Warn("lease.member_unreadable", "name", name, "error", err)
 		}
 		peer.Name, peer.Session = name, p.Session
-		b.Members = append(b.Members, custody.Member{Name: custody.DirectorName(name), Session: p.Session, Leaving: peer.Leaving})
-		if name != h.me.Name {
+		snapshot.Members = append(snapshot.Members, custody.Member{Name: custody.DirectorName(name), Session: p.Session, Leaving: peer.Leaving})
+		if name != m.self.Name {
 			peers = append(peers, peer)
 		}
 	}
-	h.peers.Store(&peers)
-	return b
+	m.peers.Store(&peers)
+	return snapshot
 }
 
-// most is how many operations go in one transaction; a check and a write are needed for each record.
-const most = 64
+// maxTxnOps is Consul's published limit of operations in a transaction. Writing a record takes two: a check and a
+// write.
+const maxTxnOps = 64
 
-// read looks up the lines that earlier holders left. Where the store does not answer, the slice is given without.
-func (h *Manager) read(ctx context.Context, fences map[logic.TableID]uint64) {
-	r := read{fences: fences, records: map[logic.TableID]*control.SliceRecord{}}
+// readRecords reads the records that the previous owners of the granted slices stored. If the store does not answer,
+// the slice is granted without a record.
+func (m *Manager) readRecords(ctx context.Context, fences map[logic.TableID]uint64) {
+	read := recordsRead{fences: fences, records: map[logic.TableID]*control.SliceRecord{}}
 	var ops api.TxnOps
-	ask := func() {
+	readBatch := func() {
 		for tries := 0; tries < 2 && len(ops) > 0; tries++ {
-			wait, cancel := h.patience(ctx)
-			ok, res, _, err := h.client.Txn().Txn(ops, (&api.QueryOptions{}).WithContext(wait))
+			wait, cancel := m.requestContext(ctx)
+			ok, res, _, err := m.client.Txn().Txn(ops, (&api.QueryOptions{}).WithContext(wait))
 			cancel()
 			if err != nil || !ok || res == nil {
-				h.log.Warn("lease.records_not_read", "error", err, "slices", len(ops))
+				m.log.Warn("lease.records_not_read", "error", err, "slices", len(ops))
 				continue
 			}
 			for _, x := range res.Results {
@@ -90,48 +93,49 @@
 					continue
 				}
 				if err := json.Unmarshal(x.KV.Value, &rec); err != nil {
-					h.log.Warn("lease.record_unreadable", "key", x.KV.Key, "error", err)
+					m.log.Warn("lease.record_unreadable", "key", x.KV.Key, "error", err)
 					continue
 				}
-				r.records[rec.Slice] = &rec
+				read.records[rec.Slice] = &rec
 			}
 			break
 		}
 		ops = nil
 	}
 	for t := range fences {
-		if ops = append(ops, &api.TxnOp{KV: &api.KVTxnOp{Verb: api.KVGetOrEmpty, Key: h.recordKey(t)}}); len(ops) == most {
-			ask()
+		if ops = append(ops, &api.TxnOp{KV: &api.KVTxnOp{Verb: api.KVGetOrEmpty, Key: m.recordKey(t)}}); len(ops) == maxTxnOps {
+			readBatch()
 		}
 	}
-	ask()
-	h.post(ctx, r)
+	readBatch()
+	m.enqueue(ctx, read)
 }
 
-// give tells the director of slices, with what was found of them, if they are still held.
-func (h *Manager) give(r read) {
-	holds := h.keeper.Held()
-	var all control.SliceGrants
+// notifyGrants grants slices to the director, with the records that were found, if they are still held.
+func (m *Manager) notifyGrants(r recordsRead) {
+	held := m.coordinator.Held()
+	var batch control.SliceGrants
 	for t, fence := range r.fences {
-		if holds[custody.Slice(t)] == custody.Fence(fence) {
-			all.Grants = append(all.Grants, control.SliceGrant{Slice: t, Fence: fence, Record: r.records[t]})
+		if held[custody.Slice(t)] == custody.Fence(fence) {
+			batch.Grants = append(batch.Grants, control.SliceGrant{Slice: t, Fence: fence, Record: r.records[t]})
 		}
 	}
-	if len(all.Grants) > 0 {
-		h.tell(all)
+	if len(batch.Grants) > 0 {
+		m.notify(batch)
 	}
 }
 
-// write puts records into the store, each behind a check that the slice is still this session's: a director that was
-// deposed and does not know can't write over its successor's.
-func (h *Manager) write(ctx context.Context) {
+// writeRecords writes pending records to the store until the context ends. Each write is in a transaction with a check
+// that this session still holds the slice, so that a deposed director that has not noticed cannot overwrite its
+// successor's record.
+func (m *Manager) writeRecords(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-h.more:
+		case <-m.recordsPending:
 		}
-		for ctx.Err() == nil && h.writeSome(ctx) {
+		for ctx.Err() == nil && m.writeBatch(ctx) {
 			select {
 			case <-ctx.Done():
 			case <-time.After(10 * time.Millisecond):
@@ -140,82 +144,84 @@
 	}
 }
 
-// flush writes all that waits, once.
-func (h *Manager) flush(ctx context.Context) {
-	for tries := 0; tries < 8 && h.writeSome(ctx); tries++ {
+// flushRecords writes the pending records, in up to 8 batches.
+func (m *Manager) flushRecords(ctx context.Context) {
+	for tries := 0; tries < 8 && m.writeBatch(ctx); tries++ {
 	}
 }
 
-// writeSome writes as many records as go at once; false if there are none.
-func (h *Manager) writeSome(ctx context.Context) bool {
-	h.mu.Lock()
-	id := h.session
+// writeBatch writes as many pending records as fit in a transaction. It reports whether there were any.
+func (m *Manager) writeBatch(ctx context.Context) bool {
+	m.mu.Lock()
+	id := m.sessionID
 	batch := map[logic.TableID]control.SliceRecord{}
-	for t, r := range h.records {
-		if batch[t] = r; len(batch) == most/2 {
+	for t, r := range m.pendingRecords {
+		if batch[t] = r; len(batch) == maxTxnOps/2 {
 			break
 		}
 	}
 	for t := range batch {
-		delete(h.records, t)
+		delete(m.pendingRecords, t)
 	}
-	h.mu.Unlock()
+	m.mu.Unlock()
 	if len(batch) > 0 {
-		h.put(ctx, id, batch)
+		m.storeBatch(ctx, id, batch)
 	}
 	return len(batch) > 0
 }
 
-func (h *Manager) put(ctx context.Context, id string, batch map[logic.TableID]control.SliceRecord) {
+// storeBatch writes a batch of records in one transaction. Records of slices that the session no longer holds are
+// dropped, and the others sent again, up to 3 times in all. If the store does not answer, the batch is queued again.
+func (m *Manager) storeBatch(ctx context.Context, id string, batch map[logic.TableID]control.SliceRecord) {
 	for range 3 {
 		var ops api.TxnOps
-		var of []logic.TableID
+		var sliceOf []logic.TableID // by operation, its slice
 		for t, r := range batch {
 			text, err := json.Marshal(r)
 			if err != nil {
-				h.log.Error("lease.record_unwritable", "slice", int(t), "error", err)
+				m.log.Error("lease.record_unwritable", "slice", int(t), "error", err)
 				continue
 			}
-			ops = append(ops, &api.TxnOp{KV: &api.KVTxnOp{Verb: api.KVCheckSession, Key: h.sliceKey(custody.Slice(t)), Session: id}},
-				&api.TxnOp{KV: &api.KVTxnOp{Verb: api.KVSet, Key: h.recordKey(t), Value: text}})
-			of = append(of, t, t)
+			ops = append(ops, &api.TxnOp{KV: &api.KVTxnOp{Verb: api.KVCheckSession, Key: m.sliceKey(custody.Slice(t)), Session: id}},
+				&api.TxnOp{KV: &api.KVTxnOp{Verb: api.KVSet, Key: m.recordKey(t), Value: text}})
+			sliceOf = append(sliceOf, t, t)
 		}
 		if len(ops) == 0 {
 			return
 		}
-		wait, cancel := h.patience(ctx)
-		ok, res, _, err := h.client.Txn().Txn(ops, (&api.QueryOptions{}).WithContext(wait))
+		wait, cancel := m.requestContext(ctx)
+		ok, res, _, err := m.client.Txn().Txn(ops, (&api.QueryOptions{}).WithContext(wait))
 		cancel()
 		switch {
 		case ctx.Err() != nil || ok:
 			return
 		case err != nil || res == nil:
-			h.again(batch)
+			m.requeueRecords(batch)
 			select {
 			case <-ctx.Done():
-			case <-time.After(h.terms.TTL / 8):
+			case <-time.After(m.config.TTL / 8):
 			}
 			return
 		}
-		for _, e := range res.Errors { // not ours any more
-			if e.OpIndex < len(of) {
-				delete(batch, of[e.OpIndex])
+		for _, e := range res.Errors { // these slices are no longer held by this session
+			if e.OpIndex < len(sliceOf) {
+				delete(batch, sliceOf[e.OpIndex])
 			}
 		}
 	}
 }
 
-// again puts back what was not written, but for what has changed since.
-func (h *Manager) again(batch map[logic.TableID]control.SliceRecord) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// requeueRecords puts unwritten records back into the queue, except those with a newer one there.
+func (m *Manager) requeueRecords(batch map[logic.TableID]control.SliceRecord) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for t, r := range batch {
-		if _, newer := h.records[t]; !newer {
-			h.records[t] = r
+		if _, newer := m.pendingRecords[t]; !newer {
+			m.pendingRecords[t] = r
 		}
 	}
 	select {
-	case h.more <- struct{}{}:
+	case m.recordsPending <- struct{}{}:
 	default:
 	}
 }
--- a/internal/roster/follow.go
+++ b/internal/roster/follow.go
@@ -1,5 +1,5 @@
-// Package roster follows the list of hosts where Consul's published HTTP interface keeps it: the health endpoint
-// with blocking queries. It passes on what it is told, late or wrong as it may be.
+// Package roster follows the list of hosts in Consul, by blocking queries to the health endpoint of its HTTP API. It
+// does not check whether a list is current or correct.
 package roster
 
 import (
@@ -20,25 +20,27 @@
 	"vetchwood/logic"
 )
 
-// Names of the service's metadata that are read.
+// Keys of the service metadata that describe a host.
 const (
 	MetaZone    = "zone"
 	MetaCell    = "cell"
 	MetaStarted = "started_unix_ms"
 )
 
-// Maintenance is how check ids begin where a host was told to take no more: it drains.
+// MaintenanceCheckPrefix is the prefix of the IDs of the checks that Consul adds to a service in maintenance mode. Such
+// a host drains.
 const MaintenanceCheckPrefix = "_service_maintenance:"
 
-// Follow tells each list as it comes, until the context ends. It asks again after failures, each time later; after the
-// second it says that the list is lost. The next list ends that, so it is told again then.
-func Follow(ctx context.Context, url, service string, wait time.Duration, tell func([]control.HostEntry), lost func(), log *slog.Logger) error {
+// Follow calls notify with the host list whenever it changes, until the context ends. Each blocking query lasts up to
+// wait. After failures it retries with backoff; after the second failure in a row it calls lost. The next list that
+// arrives is passed on even if it is unchanged, because it ends that state.
+func Follow(ctx context.Context, url, service string, wait time.Duration, notify func([]control.HostEntry), lost func(), log *slog.Logger) error {
 	client, err := api.NewClient(&api.Config{Address: url})
 	if err != nil {
 		return err
 	}
 	index, failures := uint64(0), 0
-	var told []control.HostEntry
+	var notified []control.HostEntry
 	first := true
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -56,27 +58,29 @@
 			turns.Pause(ctx, turns.Backoff(failures, 100*time.Millisecond, rand.Float64()))
 			continue
 		}
-		failed := failures >= 2
+		wasLost := failures >= 2
 		failures = 0
-		// An index that goes back means that the server started over: the next query must not block.
+		// A lower index means that the server restarted: the next query must not block.
 		if meta.LastIndex < index || meta.LastIndex == 0 {
 			log.Warn("roster.index_reset", "was", index, "is", meta.LastIndex)
 			index = 0
 		} else {
 			index = meta.LastIndex
 		}
-		if hosts := read(entries, log); first || failed || !slices.Equal(hosts, told) {
-			tell(hosts)
-			told, first = hosts, false
+		if hosts := parseHosts(entries, log); first || wasLost || !slices.Equal(hosts, notified) {
+			notify(hosts)
+			notified, first = hosts, false
 		}
 		if spent := time.Since(began); index == 0 && spent < 100*time.Millisecond {
-			turns.Pause(ctx, 100*time.Millisecond-spent) // a server that never blocks is not asked without end
+			turns.Pause(ctx, 100*time.Millisecond-spent) // limits the query rate to a server that never blocks
 		}
 	}
 	return ctx.Err()
 }
 
-func read(entries []*api.ServiceEntry, log *slog.Logger) (out []control.HostEntry) {
+// parseHosts returns the hosts of a health response, sorted by address. It skips entries without a valid address and
+// port.
+func parseHosts(entries []*api.ServiceEntry, log *slog.Logger) (hosts []control.HostEntry) {
 	for _, e := range entries {
 		if e.Service == nil {
 			continue
@@ -89,19 +93,20 @@
 			log.Warn("roster.entry_skipped", "id", e.Service.ID, "address", address, "port", e.Service.Port)
 			continue
 		}
-		l := control.HostEntry{ID: e.Service.ID, Address: tables.Address(net.JoinHostPort(address, strconv.Itoa(e.Service.Port))),
+		h := control.HostEntry{ID: e.Service.ID, Address: tables.Address(net.JoinHostPort(address, strconv.Itoa(e.Service.Port))),
 			Zone: e.Service.Meta[MetaZone], Cell: e.Service.Meta[MetaCell], Weight: float64(e.Service.Weights.Passing),
-			State: state(e.Checks)}
+			State: hostState(e.Checks)}
 		if ms, err := strconv.ParseFloat(e.Service.Meta[MetaStarted], 64); err == nil && ms > 0 {
-			l.Born = ms
+			h.Born = ms
 		}
-		out = append(out, l)
+		hosts = append(hosts, h)
 	}
-	slices.SortFunc(out, func(a, b control.HostEntry) int { return strings.Compare(string(a.Address), string(b.Address)) })
-	return out
+	slices.SortFunc(hosts, func(a, b control.HostEntry) int { return strings.Compare(string(a.Address), string(b.Address)) })
+	return hosts
 }
 
-func state(checks api.HealthChecks) logic.HostState {
+// hostState returns Draining for a host in maintenance, Gone for one with a critical check, and Up otherwise.
+func hostState(checks api.HealthChecks) logic.HostState {
 	state := logic.Up
 	for _, c := range checks {
 		if strings.HasPrefix(c.CheckID, MaintenanceCheckPrefix) || c.CheckID == "_node_maintenance" {
