--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -41,14 +41,14 @@
 	if err != nil {
 		return err
 	}
-	var holder *lease.Holder
+	var holder *lease.Manager
 	if s.Custody != nil {
 		terms := *s.Custody
-		terms.Epoch = func() float64 { return float64(time.Now().UnixMilli()) }
+		terms.UnixMillis = func() float64 { return float64(time.Now().UnixMilli()) }
 		if holder, err = lease.New(s.Name, d.Line(), terms, d.Now, d.Post, log); err != nil {
 			return err
 		}
-		d.OnRecord(holder.Record)
+		d.OnRecord(holder.StoreRecord)
 		d.OnAskPeers(peerQuery(holder, d, log))
 	}
 	ledger, err := setUpMemory(ctx, s)
@@ -128,7 +128,7 @@
 			wait, cancelWait := context.WithTimeout(ctx, min(10*time.Second, s.Custody.TTL))
 			holder.Leave(wait)
 			cancelWait()
-			log.Info("director.handed_over", "slices_left", holder.Held(), "after", time.Since(began).String())
+			log.Info("director.handed_over", "slices_left", holder.HeldSlices(), "after", time.Since(began).String())
 		}
 	case err = <-failed:
 	case err = <-ran:
--- a/internal/daemon/meters.go
+++ b/internal/daemon/meters.go
@@ -22,7 +22,7 @@
 )
 
 // serveAdmin serves metrics, health, profiles and the operators' interface.
-func serveAdmin(address string, d *director.Director, front *longpoll.Server, mqttFront *mqtt.Server, st *store.Store, holder *lease.Holder, ledger *budget.Budget) (*http.Server, error) {
+func serveAdmin(address string, d *director.Director, front *longpoll.Server, mqttFront *mqtt.Server, st *store.Store, holder *lease.Manager, ledger *budget.Budget) (*http.Server, error) {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	gauge := func(name, help string, of func(control.Stats) float64) {
@@ -72,10 +72,10 @@
 		counter("mqtt_taken_over", "Subscriptions taken over by another connection or front of the same proxy.", func(control.Stats) uint64 { return mqttFront.Figures().TakenOver })
 	}
 	if holder != nil {
-		gauge("slices_held", "Slices whose lease this director holds.", func(control.Stats) float64 { return float64(holder.Held()) })
+		gauge("slices_held", "Slices whose lease this director holds.", func(control.Stats) float64 { return float64(holder.HeldSlices()) })
 		gauge("peers_alive", "Other directors that are alive by the lease store.", func(control.Stats) float64 { return float64(len(holder.Peers())) })
 		counter("hosts_learnt", "Hosts whose state was learnt from another director.", func(f control.Stats) uint64 { return f.HostsLearnt })
-		counter("slices_moved", "Slices acquired or released by this director.", func(control.Stats) uint64 { return holder.Moves() })
+		counter("slices_moved", "Slices acquired or released by this director.", func(control.Stats) uint64 { return holder.OwnershipChanges() })
 	}
 	gauge("inflow_pressure", "Load shedding: 0 admits all requests, 1 rejects watchers, 2 also reports, 3 also new polls.",
 		func(control.Stats) float64 { return d.AdmissionStats().Press })
