--- a/cmd/vetchwood/watch.go
+++ b/cmd/vetchwood/watch.go
@@ -31,8 +31,8 @@
 		defer end()
 	}
 	var was *tables.Document
-	f := follow.New(follow.Source{Directors: []string{c.Director}, Proxy: fmt.Sprintf("watch-%08x", rand.Uint32()), Watch: true, Wait: 20 * time.Second,
-		Log: log, Seen: func(u follow.Update) {
+	f := follow.New(follow.Config{Directors: []string{c.Director}, Proxy: fmt.Sprintf("watch-%08x", rand.Uint32()), Watch: true, MaxWait: 20 * time.Second,
+		Log: log, OnUpdate: func(u follow.Update) {
 			c.print(out, was, u)
 			was = u.Doc
 		}})
--- a/internal/daemon/meters.go
+++ b/internal/daemon/meters.go
@@ -66,7 +66,7 @@
 		gauge("mqtt_sessions", "MQTT sessions, with those whose connection is gone.", func(control.Stats) float64 { return float64(second.Figures().Sessions) })
 		gauge("mqtt_unacknowledged", "Documents on their way to MQTT subscribers.", func(control.Stats) float64 { return float64(second.Figures().InFlight) })
 		counter("mqtt_delivered", "Documents and differences sent by MQTT.", func(control.Stats) uint64 { return second.Figures().Delivered })
-		counter("mqtt_redelivered", "Those sent again as a session went on.", func(control.Stats) uint64 { return second.Figures().Redelived })
+		counter("mqtt_redelivered", "Those sent again as a session went on.", func(control.Stats) uint64 { return second.Figures().Redelivered })
 		counter("mqtt_refused", "Connections, filters and packets refused by reason code.", func(control.Stats) uint64 { return second.Figures().Refused + second.Failed() })
 		counter("mqtt_busy", "Connections told to come later, as too many came at once.", func(control.Stats) uint64 { return second.Figures().Busy })
 		counter("mqtt_taken_over", "Subscriptions that another connection or front of the proxy took over.", func(control.Stats) uint64 { return second.Figures().TakenOver })
@@ -78,7 +78,7 @@
 		counter("slices_moved", "Slices that came to this director or went from it.", func(control.Stats) uint64 { return holder.Moves() })
 	}
 	gauge("inflow_pressure", "How far the door is closed: 0 all come in, 1 those that look on are out, 2 reports too, 3 new polls too.",
-		func(control.Stats) float64 { return d.Inflow().Press })
+		func(control.Stats) float64 { return d.Inflow().Pressure })
 	counter("inflow_shed", "Requests sent away as the director had more to do than it can.", func(control.Stats) (n uint64) {
 		for _, x := range d.Inflow().Shed {
 			n += x
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -48,7 +48,7 @@
 	tickets atomic.Uint64
 	askers  sync.Map // control.Ticket -> chan control.Answer
 
-	door   *inflow.Door
+	door   *inflow.Shedder
 	doorMu sync.Mutex
 	opens  tables.Step // the version that this start begins with
 	seen   atomic.Pointer[control.Stats]
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	d := &Director{store: store, probe: probe, log: log, Clock: turns.NewClock(), Inbox: turns.NewInbox(),
-		line: saved.Line, door: inflow.NewDoor(rand.Float64), writes: make(chan control.Change, 4096), running: make(chan struct{})}
+		line: saved.Line, door: inflow.NewShedder(rand.Float64), writes: make(chan control.Change, 4096), running: make(chan struct{})}
 	d.bays = newBays(svc, d.Now())
 	d.core, d.first = control.New(rand.Uint64(), d.Now(), svc, saved)
 	f := d.core.Stats()
@@ -143,7 +143,7 @@
 	}
 	d.doorMu.Lock()
 	defer d.doorMu.Unlock()
-	d.door.Turn(d.Elapsed(), waited, len(in))
+	d.door.ObserveTurn(d.Elapsed(), waited, len(in))
 }
 
 // Admit says after how long a request that is no poll may come again, where its client asks too often or the director has more to do
@@ -168,7 +168,7 @@
 	length, since := d.Queue()
 	q := inflow.Queue{Length: length}
 	if length > 0 {
-		q.Standing = time.Since(since) - batchFor
+		q.OldestWait = time.Since(since) - batchFor
 	}
 	d.doorMu.Lock()
 	defer d.doorMu.Unlock()
@@ -179,10 +179,10 @@
 }
 
 // Inflow are the door's figures.
-func (d *Director) Inflow() inflow.Figures {
+func (d *Director) Inflow() inflow.Stats {
 	d.doorMu.Lock()
 	defer d.doorMu.Unlock()
-	return d.door.Figures()
+	return d.door.Stats()
 }
 
 // Ask puts a question into the inbox and waits for its answer; for operators, of whom there are few.
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -195,7 +195,7 @@
 			}
 		}
 	}
-	t.Logf("%d came in, %d were sent away; longest turn %v; pressure %.2f", in, away, d.LongestTurn(), d.Inflow().Press)
+	t.Logf("%d came in, %d were sent away; longest turn %v; pressure %.2f", in, away, d.LongestTurn(), d.Inflow().Pressure)
 	stop()
 	<-ran
 	if kept != acknowledged || away == 0 {
--- a/internal/director/lots.go
+++ b/internal/director/lots.go
@@ -20,7 +20,7 @@
 type bay struct {
 	mu      sync.Mutex
 	lot     *park.Lot
-	allow   *inflow.Allowances
+	allow   *inflow.ClientLimiter
 	flights [2]flights // answers that are not written yet, by the epoch they were given in
 	epoch   int
 	saw     *park.View
@@ -45,7 +45,7 @@
 	out := make([]*bay, n)
 	terms := park.Terms{LongestWait: svc.MaxWait, Lease: svc.Lease, Zones: svc.Zones}
 	for i := range out {
-		out[i] = &bay{lot: park.NewLot(i, n, terms, now), allow: inflow.NewAllowances(rand.Float64, mostClients/n)}
+		out[i] = &bay{lot: park.NewLot(i, n, terms, now), allow: inflow.NewClientLimiter(rand.Float64, mostClients/n)}
 	}
 	return out
 }
@@ -229,7 +229,7 @@
 	for _, b := range d.bays {
 		b.mu.Lock()
 		x := b.lot.Figures()
-		f.Limited += b.allow.Limited()
+		f.Limited += b.allow.Rejected()
 		b.mu.Unlock()
 		f.Seats += x.Seats
 		f.Parked += x.Parked
--- a/internal/fault/between_test.go
+++ b/internal/fault/between_test.go
@@ -129,7 +129,7 @@
 	mu.Unlock()
 	at, log := between(t, s.Listener.Addr().String(), fmt.Sprintf("rule \"bit\" {\n kind = \"garble\"\n after = %d\n connection = 1\n}\n", place))
 	var seen []tables.Tag
-	f := follow.New(follow.Source{Directors: []string{"http://" + at}, Proxy: "p", Wait: time.Second, Seen: func(u follow.Update) {
+	f := follow.New(follow.Config{Directors: []string{"http://" + at}, Proxy: "p", MaxWait: time.Second, OnUpdate: func(u follow.Update) {
 		mu.Lock()
 		defer mu.Unlock()
 		seen = append(seen, u.Doc.Tag())
@@ -137,7 +137,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
 	go f.Run(ctx)
-	for ctx.Err() == nil && (f.Held() == nil || f.Held().Step < 2) {
+	for ctx.Err() == nil && (f.Document() == nil || f.Document().Step < 2) {
 		time.Sleep(5 * time.Millisecond)
 	}
 	mu.Lock()
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -32,31 +32,31 @@
 type Update struct {
 	Doc   *tables.Document
 	Lines int // operations of the difference, or lines of a whole document
-	Whole bool
+	Full  bool
 	// From is the director's place in the list, where all of them are followed; Raw is its own document then, and Doc what
 	// came of all.
-	From int
-	Raw  *tables.Document
+	DirectorIndex int
+	Raw           *tables.Document
 }
 
 // Source is where to poll, and as whom.
-type Source struct {
+type Config struct {
 	Directors []string // base URLs
 	Proxy     string
 	Zone      string
 	Rate      float64
-	Wait      time.Duration
+	MaxWait   time.Duration
 	Watch     bool   // look on: follow what all proxies are told, without being one
-	Kept      string // file that the document in force is kept in; empty: none
+	CacheFile string // file that the document in force is kept in; empty: none
 	// Seen hears of each update before the next poll, Joined of each change between being joined and not.
-	Seen   func(Update)
-	Joined func(director string, on bool)
-	Log    *slog.Logger
+	OnUpdate     func(Update)
+	OnJoinChange func(director string, on bool)
+	Log          *slog.Logger
 }
 
 // Follower is a running one.
 type Follower struct {
-	src       Source
+	src       Config
 	client    *http.Client
 	reports   *http.Client
 	epoch     time.Time
@@ -82,7 +82,7 @@
 
 const mostDocument = 64 << 20
 
-func New(src Source) *Follower {
+func New(src Config) *Follower {
 	if src.Log == nil {
 		src.Log = slog.New(slog.DiscardHandler)
 	}
@@ -95,7 +95,7 @@
 }
 
 // Held is the document in force, nil before the first.
-func (f *Follower) Held() *tables.Document { return f.held.Load() }
+func (f *Follower) Document() *tables.Document { return f.held.Load() }
 
 // Director is the one polled last.
 func (f *Follower) Director() string {
@@ -103,7 +103,7 @@
 }
 
 // Cut keeps it from its directors for a while.
-func (f *Follower) Cut(long time.Duration) {
+func (f *Follower) DisconnectFor(long time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.cut = time.Now().Add(long); f.end != nil {
@@ -140,16 +140,16 @@
 		end()
 		switch {
 		case errors.Is(err, errStale):
-			f.chooser.Answered(director)
+			f.chooser.Succeeded(director)
 		case err == nil:
-			f.chooser.Answered(director)
+			f.chooser.Succeeded(director)
 			f.keep(false)
 		case ctx.Err() == nil:
 			f.join(false)
 			f.chooser.Failed(director, f.now(), rand.Float64())
 			var later *laterError
 			if errors.As(err, &later) {
-				f.chooser.Later(director, f.now(), later.wait)
+				f.chooser.Defer(director, f.now(), later.wait)
 			}
 			f.src.Log.Warn("follow.failed", "proxy", f.src.Proxy, "director", f.src.Directors[director], "error", err)
 		}
@@ -159,8 +159,8 @@
 func (f *Follower) join(on bool) {
 	if f.joined != on {
 		f.joined = on
-		if f.src.Joined != nil {
-			f.src.Joined(f.Director(), on)
+		if f.src.OnJoinChange != nil {
+			f.src.OnJoinChange(f.Director(), on)
 		}
 	}
 }
@@ -168,7 +168,7 @@
 func (f *Follower) poll(ctx context.Context, director string) error {
 	held := f.held.Load()
 	// A director that is gone without a word must not hold the poll for ever.
-	ctx, cancel := context.WithTimeout(ctx, f.src.Wait+3*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, f.src.MaxWait+3*time.Second)
 	defer cancel()
 	at := f.path(director)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil)
@@ -178,7 +178,7 @@
 	if held != nil && !f.whole {
 		req.Header.Set("If-None-Match", held.Tag().ETag())
 		req.Header.Set("A-IM", "json-patch")
-		req.Header.Set("Prefer", "wait="+strconv.Itoa(int(f.src.Wait.Seconds())))
+		req.Header.Set("Prefer", "wait="+strconv.Itoa(int(f.src.MaxWait.Seconds())))
 	}
 	sent := time.Now()
 	res, err := f.client.Do(req)
@@ -191,7 +191,7 @@
 		return err
 	}
 	if lease, err := strconv.Atoi(res.Header.Get(leaseHeader)); err == nil && res.StatusCode != http.StatusNotModified &&
-		!following.Covered(float64(lease), float64(time.Since(sent).Microseconds())/1000) {
+		!following.WithinLease(float64(lease), float64(time.Since(sent).Microseconds())/1000) {
 		// It may have come long after it was written, from a director that holds nothing any more: a new poll tells.
 		f.stale.Add(1)
 		return errStale
@@ -224,7 +224,7 @@
 
 // contact polls a director once, or subscribes to it until the connection ends, by its URL.
 func (f *Follower) contact(ctx context.Context, director string) error {
-	if u, err := url.Parse(director); err == nil && u.Scheme == Scheme {
+	if u, err := url.Parse(director); err == nil && u.Scheme == MQTTScheme {
 		return f.subscribe(ctx, u)
 	}
 	return f.poll(ctx, director)
@@ -257,7 +257,7 @@
 
 // Report sends sums to the director that is followed, and gives the status by which they were taken.
 func (f *Follower) Report(ctx context.Context, director, key string, body []byte) (status int, text string, err error) {
-	if u, err := url.Parse(director); err == nil && u.Scheme == Scheme {
+	if u, err := url.Parse(director); err == nil && u.Scheme == MQTTScheme {
 		return f.publish(ctx, key, body)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, director+"/v1/proxies/"+url.PathEscape(f.src.Proxy)+"/reports", bytes.NewReader(body))
@@ -290,40 +290,40 @@
 	return fmt.Errorf(format, args...)
 }
 
-func version(d *tables.Document) following.Held {
-	return following.Held{Line: d.Line, Step: d.Step, At: d.At}
+func version(d *tables.Document) following.Version {
+	return following.Version{Line: d.Line, Step: d.Step, At: d.At}
 }
 
 func (f *Follower) take(told string, d *tables.Document, n int, whole bool) error {
 	if tag := d.Tag().ETag(); tag != told {
 		return f.refuse("the content of %.80s has the tag %s", told, tag)
 	}
-	var held *following.Held
+	var held *following.Version
 	if was := f.held.Load(); was != nil {
 		v := version(was)
 		held = &v
 	}
-	switch following.Judge(held, version(d)) {
+	switch following.Evaluate(held, version(d)) {
 	case following.Older:
 		return fmt.Errorf("version %s is older than %s, which is held", d.Version, f.held.Load().Version)
-	case following.Repeat:
+	case following.Duplicate:
 		f.join(true)
 		return nil
 	}
 	f.held.Store(d)
 	f.join(true)
-	if f.src.Seen != nil {
-		f.src.Seen(Update{Doc: d, Raw: d, Lines: n, Whole: whole})
+	if f.src.OnUpdate != nil {
+		f.src.OnUpdate(Update{Doc: d, Raw: d, Lines: n, Full: whole})
 	}
 	return nil
 }
 
 // load starts from the document that was kept, if there is one that can be followed.
 func (f *Follower) load() {
-	if f.src.Kept == "" || f.held.Load() != nil {
+	if f.src.CacheFile == "" || f.held.Load() != nil {
 		return
 	}
-	text, err := os.ReadFile(f.src.Kept)
+	text, err := os.ReadFile(f.src.CacheFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
@@ -332,31 +332,31 @@
 		d, err = tables.Parse(text)
 	}
 	if err != nil {
-		f.src.Log.Warn("follow.kept_unreadable", "file", f.src.Kept, "error", err)
+		f.src.Log.Warn("follow.kept_unreadable", "file", f.src.CacheFile, "error", err)
 		return
 	}
 	f.src.Log.Info("follow.kept", "version", d.Version, "age", time.Since(time.UnixMilli(int64(d.At))).Round(time.Second).String())
 	f.held.Store(d)
 	f.kept = d
-	if f.src.Seen != nil {
-		f.src.Seen(Update{Doc: d, Raw: d, Lines: lines(d), Whole: true})
+	if f.src.OnUpdate != nil {
+		f.src.OnUpdate(Update{Doc: d, Raw: d, Lines: lines(d), Full: true})
 	}
 }
 
 // keep writes the document in force, now and then; a file is replaced whole or not at all.
 func (f *Follower) keep(last bool) {
 	d := f.held.Load()
-	if f.src.Kept == "" || d == nil || d == f.kept || !last && time.Since(f.keptAt) < time.Second {
+	if f.src.CacheFile == "" || d == nil || d == f.kept || !last && time.Since(f.keptAt) < time.Second {
 		return
 	}
 	f.kept, f.keptAt = d, time.Now()
-	next := f.src.Kept + ".next"
+	next := f.src.CacheFile + ".next"
 	err := os.WriteFile(next, d.Whole(), 0o600)
 	if err == nil {
-		err = os.Rename(next, f.src.Kept)
+		err = os.Rename(next, f.src.CacheFile)
 	}
 	if err != nil {
-		f.src.Log.Warn("follow.not_kept", "file", f.src.Kept, "error", err)
+		f.src.Log.Warn("follow.not_kept", "file", f.src.CacheFile, "error", err)
 	}
 }
 
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -76,7 +76,7 @@
 
 func start(t *testing.T, kept string, directors ...*scripted) *run {
 	r := &run{}
-	src := Source{Proxy: "p", Wait: time.Second, Kept: kept, Seen: func(u Update) {
+	src := Config{Proxy: "p", MaxWait: time.Second, CacheFile: kept, OnUpdate: func(u Update) {
 		r.mu.Lock()
 		r.seen = append(r.seen, u.Doc.Step)
 		r.mu.Unlock()
@@ -95,11 +95,11 @@
 func (r *run) await(t *testing.T, what string, is func(*tables.Document) bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
-		if d := r.Held(); d != nil && is(d) {
+		if d := r.Document(); d != nil && is(d) {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s; held %+v", what, r.Held())
+			t.Fatalf("not in time: %s; held %+v", what, r.Document())
 		}
 	}
 }
@@ -110,7 +110,7 @@
 
 // Differences on the wrong base, that don't apply, or whose outcome is not what the tag says: refused, what is held stays
 // in force, and the next poll brings the whole.
-func TestWrongDifferences(t *testing.T) {
+func TestInvalidDeltas(t *testing.T) {
 	base, next := document(5, 1, 1), document(5, 2, 2)
 	patch := string(next.Delta(base))
 	if patch == "" {
@@ -164,8 +164,8 @@
 	a.does(refuses)
 	b.does(whole(old))
 	time.Sleep(300 * time.Millisecond)
-	if r.Held().Step != 4 {
-		t.Fatalf("taken back to %d", r.Held().Step)
+	if r.Document().Step != 4 {
+		t.Fatalf("taken back to %d", r.Document().Step)
 	}
 	b.does(whole(new)) // the same again, through another path
 	time.Sleep(100 * time.Millisecond)
@@ -188,15 +188,15 @@
 	d.does(refuses)
 	before := d.asked.Load()
 	time.Sleep(1200 * time.Millisecond)
-	if n := d.asked.Load() - before; n > 12 || r.Held().Step != 7 {
-		t.Fatalf("asked %d times in 1.2 s; holds %d", n, r.Held().Step)
+	if n := d.asked.Load() - before; n > 12 || r.Document().Step != 7 {
+		t.Fatalf("asked %d times in 1.2 s; holds %d", n, r.Document().Step)
 	}
 	again := start(t, kept, d)
 	again.await(t, "what was kept", at(7))
 	os.WriteFile(kept, []byte(`{"version":`), 0o600) // torn: named in the log, and passed over
 	torn := start(t, kept, d)
 	time.Sleep(50 * time.Millisecond)
-	if torn.Held() != nil {
+	if torn.Document() != nil {
 		t.Fatal("a torn file was followed")
 	}
 	d.does(whole(document(5, 8, 8)))
@@ -216,7 +216,7 @@
 		}
 		whole(next)(w, r)
 	})
-	f := NewSeveral(Source{Directors: []string{s.URL}, Proxy: "p", Wait: time.Second, Seen: func(u Update) {
+	f := NewGroup(Config{Directors: []string{s.URL}, Proxy: "p", MaxWait: time.Second, OnUpdate: func(u Update) {
 		if u.Raw.Step == 1 {
 			t.Error("an answer past its lease took effect")
 		}
@@ -224,7 +224,7 @@
 	ctx, stop := context.WithTimeout(t.Context(), 700*time.Millisecond)
 	defer stop()
 	f.Run(ctx)
-	if d := f.Of(0); d == nil || d.Step != 2 || f.Stale() != 1 {
-		t.Fatalf("%+v, %d stale", d, f.Stale())
+	if d := f.DirectorDocument(0); d == nil || d.Step != 2 || f.StaleResponses() != 1 {
+		t.Fatalf("%+v, %d stale", d, f.StaleResponses())
 	}
 }
--- a/internal/follow/several.go
+++ b/internal/follow/several.go
@@ -13,61 +13,61 @@
 )
 
 // Several follows a director, or each of several that share the slices.
-type Several struct {
-	src   Source
+type Group struct {
+	src   Config
 	parts []*Follower
 	held  atomic.Pointer[tables.Document]
 
 	mu    sync.Mutex
-	merge *following.Merge // nil: one is followed
+	merge *following.Merger // nil: one is followed
 }
 
 // NewSeveral follows all directors of the source at once, or one of them and the next when it fails.
-func NewSeveral(src Source, all bool) *Several {
-	s := &Several{src: src}
+func NewGroup(src Config, all bool) *Group {
+	s := &Group{src: src}
 	if !all {
 		own := src
-		own.Seen = func(u Update) { s.held.Store(u.Doc); s.seen(u) }
+		own.OnUpdate = func(u Update) { s.held.Store(u.Doc); s.seen(u) }
 		s.parts = []*Follower{New(own)}
 		return s
 	}
-	s.merge = following.NewMerge()
+	s.merge = following.NewMerger()
 	for i, d := range src.Directors {
 		part := src
-		if part.Directors = []string{d}; src.Kept != "" {
-			part.Kept = src.Kept + "." + strconv.Itoa(i+1)
+		if part.Directors = []string{d}; src.CacheFile != "" {
+			part.CacheFile = src.CacheFile + "." + strconv.Itoa(i+1)
 		}
-		part.Seen = func(u Update) { s.take(i, u) }
+		part.OnUpdate = func(u Update) { s.take(i, u) }
 		f := New(part)
-		f.chooser.Shared()
+		f.chooser.SetSlicesShared()
 		s.parts = append(s.parts, f)
 	}
 	return s
 }
 
-func (s *Several) seen(u Update) {
-	if s.src.Seen != nil {
-		s.src.Seen(u)
+func (s *Group) seen(u Update) {
+	if s.src.OnUpdate != nil {
+		s.src.OnUpdate(u)
 	}
 }
 
-func (s *Several) take(from int, u Update) {
+func (s *Group) take(from int, u Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	u.From, u.Raw = from, u.Doc
-	u.Doc = s.merge.Take(from, u.Raw)
+	u.DirectorIndex, u.Raw = from, u.Doc
+	u.Doc = s.merge.Add(from, u.Raw)
 	s.held.Store(u.Doc)
 	s.seen(u)
 }
 
 // Held is the document in force, nil before the first.
-func (s *Several) Held() *tables.Document { return s.held.Load() }
+func (s *Group) Document() *tables.Document { return s.held.Load() }
 
 // Of is the newest document of one director.
-func (s *Several) Of(i int) *tables.Document { return s.parts[i].Held() }
+func (s *Group) DirectorDocument(i int) *tables.Document { return s.parts[i].Document() }
 
 // Directors are those that reports go to, by their place in the list.
-func (s *Several) Directors() (out []string) {
+func (s *Group) Directors() (out []string) {
 	if s.merge == nil {
 		return []string{s.parts[0].Director()}
 	}
@@ -78,37 +78,37 @@
 }
 
 // Report sends sums to one of them.
-func (s *Several) Report(ctx context.Context, i int, to, key string, body []byte) (status int, text string, err error) {
+func (s *Group) Report(ctx context.Context, i int, to, key string, body []byte) (status int, text string, err error) {
 	return s.parts[i].Report(ctx, to, key, body)
 }
 
 // Stale is how many answers came when the lease that they were given under was over, and Refused how many tables of
 // deposed directors were offered.
-func (s *Several) Stale() (n uint64) {
+func (s *Group) StaleResponses() (n uint64) {
 	for _, f := range s.parts {
 		n += f.stale.Load()
 	}
 	return n
 }
 
-func (s *Several) Refused() int {
+func (s *Group) RejectedTables() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.merge == nil {
 		return 0
 	}
-	return s.merge.Refused()
+	return s.merge.Rejected()
 }
 
 // Cut keeps it from its directors for a while.
-func (s *Several) Cut(long time.Duration) {
+func (s *Group) DisconnectFor(long time.Duration) {
 	for _, f := range s.parts {
-		f.Cut(long)
+		f.DisconnectFor(long)
 	}
 }
 
 // Run polls until the context ends.
-func (s *Several) Run(ctx context.Context) {
+func (s *Group) Run(ctx context.Context) {
 	var all sync.WaitGroup
 	for _, f := range s.parts {
 		all.Go(func() { f.Run(ctx) })
--- a/internal/follow/subscriber.go
+++ b/internal/follow/subscriber.go
@@ -17,7 +17,7 @@
 )
 
 // Scheme of directors that are subscribed to; all others are polled.
-const Scheme = "mqtt"
+const MQTTScheme = "mqtt"
 
 // Of a subscription, in seconds.
 const (
@@ -65,7 +65,7 @@
 		return err
 	}
 	f.join(true)
-	f.chooser.Answered(int(f.at.Load()))
+	f.chooser.Succeeded(int(f.at.Load()))
 	for {
 		select {
 		case <-ctx.Done():
@@ -77,7 +77,7 @@
 		case p := <-came:
 			props := p.Properties
 			if lease, err := strconv.Atoi(props.User.Get(subscribe.PropertyLease)); err == nil &&
-				!following.Covered(float64(lease), float64(time.Since(asked).Microseconds())/1000) {
+				!following.WithinLease(float64(lease), float64(time.Since(asked).Microseconds())/1000) {
 				// Written under a lease that may be over: asked for again, it comes with what is left now.
 				f.stale.Add(1)
 				if err := f.ask(ctx, client, true); err != nil {
@@ -120,11 +120,11 @@
 func (f *Follower) ask(ctx context.Context, client *paho.Client, again bool) error {
 	props := &paho.SubscribeProperties{}
 	if again {
-		props.User.Add(subscribe.PropertyAgain, "lease")
+		props.User.Add(subscribe.PropertyResend, "lease")
 	}
-	topic := subscribe.TablesOf(f.src.Proxy)
+	topic := subscribe.TablesTopic(f.src.Proxy)
 	if f.src.Watch {
-		topic = subscribe.AllTables
+		topic = subscribe.AllTablesTopic
 	}
 	ack, err := client.Subscribe(ctx, &paho.Subscribe{Properties: props, Subscriptions: []paho.SubscribeOptions{{Topic: topic, QoS: 1}}})
 	if err != nil && ack != nil && ack.Properties != nil {
@@ -157,12 +157,12 @@
 	}
 	props := &paho.PublishProperties{ContentType: "application/json"}
 	props.User.Add(subscribe.PropertyKey, key)
-	res, err := client.Publish(ctx, &paho.Publish{Topic: subscribe.ReportsOf(f.src.Proxy), QoS: 1, Payload: body, Properties: props})
+	res, err := client.Publish(ctx, &paho.Publish{Topic: subscribe.ReportsTopic(f.src.Proxy), QoS: 1, Payload: body, Properties: props})
 	if res == nil {
 		return 0, "", err
 	}
-	status, known := map[subscribe.Code]int{subscribe.Success: 204, subscribe.NoMatching: 204, subscribe.NotAuthorized: 404,
-		subscribe.QuotaExceeded: 503}[subscribe.Code(res.ReasonCode)]
+	status, known := map[subscribe.ReasonCode]int{subscribe.Success: 204, subscribe.NoMatchingSubscribers: 204, subscribe.NotAuthorized: 404,
+		subscribe.QuotaExceeded: 503}[subscribe.ReasonCode(res.ReasonCode)]
 	if !known {
 		status = 400
 	}
--- a/internal/following/following.go
+++ b/internal/following/following.go
@@ -26,7 +26,7 @@
 }
 
 // Shared says that the director holds slices of its own: no other can stand in for it.
-func (c *Chooser) Shared() { c.shared = true }
+func (c *Chooser) SetSlicesShared() { c.shared = true }
 
 // Next is whom to poll, and when.
 func (c *Chooser) Next(now float64) (director int, when float64) {
@@ -34,7 +34,7 @@
 }
 
 // Answered tells that a director answered as it should.
-func (c *Chooser) Answered(director int) { c.fails[director], c.until[director] = 0, 0 }
+func (c *Chooser) Succeeded(director int) { c.fails[director], c.until[director] = 0, 0 }
 
 // Failed tells that it did not: no answer, a wrong one, or one that is behind what is held. The next is the one that
 // may be asked first, and of those the next in turn.
@@ -59,7 +59,7 @@
 }
 
 // Later tells that a director asked to be left alone for a while.
-func (c *Chooser) Later(director int, now, wait float64) {
+func (c *Chooser) Defer(director int, now, wait float64) {
 	c.until[director] = max(c.until[director], now+min(wait, mostLater))
 }
 
@@ -67,7 +67,7 @@
 const mostLater = 60000.0
 
 // Held says which version is in force.
-type Held struct {
+type Version struct {
 	Line tables.Line
 	Step tables.Step
 	At   float64 // when it was ordered, Unix milliseconds
@@ -77,30 +77,30 @@
 type Verdict string
 
 const (
-	Take   Verdict = "take"
-	Repeat Verdict = "repeat" // it is in force already, and takes no effect again
-	Older  Verdict = "older"
+	Accept    Verdict = "take"
+	Duplicate Verdict = "repeat" // it is in force already, and takes no effect again
+	Older     Verdict = "older"
 )
 
 // Judge compares an offer with what is held; nil holds nothing. Within a line the greater step is newer. Another line
 // is the history of a store that was lost or that is another's: it takes over only if it was ordered later.
-func Judge(held *Held, offer Held) Verdict {
+func Evaluate(held *Version, offer Version) Verdict {
 	switch {
 	case held == nil:
-		return Take
+		return Accept
 	case held.Line != offer.Line:
 		if offer.At > held.At {
-			return Take
+			return Accept
 		}
 		return Older
 	case offer.Step == held.Step:
-		return Repeat
+		return Duplicate
 	case offer.Step < held.Step:
 		return Older
 	}
-	return Take
+	return Accept
 }
 
 // Covered says whether an answer may take effect: it came within the time that its director's lease left, counted from
 // when the poll was sent, which is before the director looked at its clock. No clock is compared with another's.
-func Covered(lease, sinceSent float64) bool { return sinceSent < lease }
+func WithinLease(lease, sinceSent float64) bool { return sinceSent < lease }
--- a/internal/following/following_test.go
+++ b/internal/following/following_test.go
@@ -12,18 +12,18 @@
 // is older, and in the end the newest that was offered is in force.
 func TestTheNewestEndsInForce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var held *Held
-		var newest Held
+		var held *Version
+		var newest Version
 		effects := map[[2]uint64]int{}
 		for range rapid.IntRange(1, 60).Draw(t, "offers") {
 			line := tables.Line(rapid.IntRange(1, 2).Draw(t, "line"))
 			step := tables.Step(rapid.IntRange(1, 12).Draw(t, "step"))
-			offer := Held{line, step, float64(line)*1000 + float64(step)} // the second line begins after the first
+			offer := Version{line, step, float64(line)*1000 + float64(step)} // the second line begins after the first
 			if offer.At > newest.At {
 				newest = offer
 			}
-			switch Judge(held, offer) {
-			case Take:
+			switch Evaluate(held, offer) {
+			case Accept:
 				if held != nil && offer.At <= held.At {
 					t.Fatalf("%v replaced %v", offer, *held)
 				}
@@ -31,7 +31,7 @@
 					t.Fatalf("%v took effect twice", offer)
 				}
 				held = &offer
-			case Repeat:
+			case Duplicate:
 				if *held != offer {
 					t.Fatalf("%v is taken for %v", offer, *held)
 				}
@@ -52,7 +52,7 @@
 	if d, when := c.Next(5); d != 1 || when != 5 {
 		t.Fatal("does not go on to the next", d, when)
 	}
-	c.Answered(1)
+	c.Succeeded(1)
 	c.Failed(1, 10, 0.5)
 	if d, _ := c.Next(10); d != 2 {
 		t.Fatal(d)
@@ -69,7 +69,7 @@
 		n := rapid.IntRange(1, 3).Draw(t, "directors")
 		c, now, polls, most := NewChooser(n), 0.0, 0, n*80
 		if n == 1 && rapid.Bool().Draw(t, "shared") {
-			c.Shared()
+			c.SetSlicesShared()
 			most = 220
 		}
 		for now < 60000 {
--- a/internal/following/merge.go
+++ b/internal/following/merge.go
@@ -10,7 +10,7 @@
 // Merge makes one document of those of several directors: for each slice the word of its latest holder, and with it the
 // masks and levels of that holder's document. A slice that its last holder tells of no more stands as it was until the
 // next one's word.
-type Merge struct {
+type Merger struct {
 	seen    custody.Seen
 	tables  map[string]*tables.Table
 	sources map[string]tables.Source
@@ -19,16 +19,16 @@
 	refused int
 }
 
-func NewMerge() *Merge {
-	return &Merge{seen: custody.Seen{}, tables: map[string]*tables.Table{}, sources: map[string]tables.Source{},
+func NewMerger() *Merger {
+	return &Merger{seen: custody.Seen{}, tables: map[string]*tables.Table{}, sources: map[string]tables.Source{},
 		slices: map[string]custody.Slice{}}
 }
 
 // Refused is how many tables of deposed directors were offered.
-func (m *Merge) Refused() int { return m.refused }
+func (m *Merger) Rejected() int { return m.refused }
 
 // Take brings a director's newest document and gives the merged one.
-func (m *Merge) Take(from int, d *tables.Document) *tables.Document {
+func (m *Merger) Add(from int, d *tables.Document) *tables.Document {
 	for name, t := range d.Tables {
 		s, known := m.slices[name]
 		if !known {
--- a/internal/following/merge_test.go
+++ b/internal/following/merge_test.go
@@ -13,7 +13,7 @@
 // came, with that director's masks, and none is ever lost.
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := NewMerge()
+		m := NewMerger()
 		top := map[string]uint64{}
 		host := func(from int) tables.Address { return tables.Address(fmt.Sprint("h", from)) }
 		var out *tables.Document
@@ -27,7 +27,7 @@
 					d.Tables[fmt.Sprint(s)] = &tables.Table{Fence: fence, Lines: map[tables.Address]float64{host(from): 1}}
 				}
 			}
-			out = m.Take(from, d.Seal(tables.Line(from), tables.Step(step), 0))
+			out = m.Add(from, d.Seal(tables.Line(from), tables.Step(step), 0))
 			for name, table := range d.Tables {
 				top[name] = max(top[name], table.Fence)
 			}
--- a/internal/inflow/allowance.go
+++ b/internal/inflow/allowance.go
@@ -9,7 +9,7 @@
 )
 
 // Allowances are those of a part of the clients: a broken one harms none, whatever the state of the director.
-type Allowances struct {
+type ClientLimiter struct {
 	chance  func() float64
 	most    int
 	clients map[string]*client
@@ -23,12 +23,12 @@
 }
 
 // NewAllowances remembers so many clients at most. Those that ask little are forgotten first.
-func NewAllowances(chance func() float64, most int) *Allowances {
-	return &Allowances{chance: chance, most: most, clients: map[string]*client{}}
+func NewClientLimiter(chance func() float64, most int) *ClientLimiter {
+	return &ClientLimiter{chance: chance, most: most, clients: map[string]*client{}}
 }
 
 // Admit takes a request from a client's allowance; if it has none left, the request may come again later.
-func (a *Allowances) Admit(now time.Duration, name string) (in bool, later time.Duration) {
+func (a *ClientLimiter) Admit(now time.Duration, name string) (in bool, later time.Duration) {
 	if a.has(now, name) {
 		return true, 0
 	}
@@ -37,9 +37,9 @@
 }
 
 // Limited counts requests that were sent away.
-func (a *Allowances) Limited() uint64 { return a.limited }
+func (a *ClientLimiter) Rejected() uint64 { return a.limited }
 
-func (a *Allowances) has(now time.Duration, name string) bool {
+func (a *ClientLimiter) has(now time.Duration, name string) bool {
 	c := a.clients[name]
 	if c == nil {
 		if len(a.clients) >= a.most {
@@ -61,7 +61,7 @@
 }
 
 // sweep forgets clients whose allowance is whole again: they are as good as new.
-func (a *Allowances) sweep(now, quiet time.Duration) {
+func (a *ClientLimiter) sweep(now, quiet time.Duration) {
 	a.swept = now
 	for name, c := range a.clients {
 		if c.credit+clientRate*(now-c.at).Seconds() >= clientBurst && now-c.at >= quiet {
--- a/internal/inflow/inflow.go
+++ b/internal/inflow/inflow.go
@@ -13,12 +13,12 @@
 type Kind int
 
 const (
-	Looks     Kind = iota // of those that look on
-	Reports               // sums come again, added up
-	NewPolls              // of proxies that hold nothing the director knows: they go on by what they hold
-	Peers                 // other directors' questions
-	Polls                 // that acknowledge
-	Operators             //
+	Watches          Kind = iota // of those that look on
+	Reports                      // sums come again, added up
+	NewPolls                     // of proxies that hold nothing the director knows: they go on by what they hold
+	PeerQueries                  // other directors' questions
+	Polls                        // that acknowledge
+	OperatorRequests             //
 	kinds
 )
 
@@ -30,24 +30,24 @@
 )
 
 // Door is one director's.
-type Door struct {
+type Shedder struct {
 	chance   func() float64
 	press    float64 // 0: all come in; 1: the first kind is out, 2: the first two, and so on
 	least    time.Duration
 	began    time.Duration
 	seen     bool
-	figures  Figures
+	figures  Stats
 	declined float64 // requests that were sent away lately: those will come again
 	at       time.Duration
 }
 
 // Figures are counted for the operator.
-type Figures struct {
-	Press float64
-	Shed  [kinds]uint64
+type Stats struct {
+	Pressure float64
+	Shed     [kinds]uint64
 }
 
-func NewDoor(chance func() float64) *Door { return &Door{chance: chance} }
+func NewShedder(chance func() float64) *Shedder { return &Shedder{chance: chance} }
 
 // short is a queue of a turn's smallest part. Where no more than that waits, nobody needs to be sent away, however late it is: the
 // delay is the machine's, as where others take its processors, and to shed would not make it less.
@@ -55,7 +55,7 @@
 
 // Turn tells how long what was handled now had waited at most, and how much it was. The least of an interval counts: a queue
 // that stands.
-func (d *Door) Turn(now, waited time.Duration, length int) {
+func (d *Shedder) ObserveTurn(now, waited time.Duration, length int) {
 	if length < short {
 		waited = 0
 	}
@@ -74,14 +74,14 @@
 		d.press = max(0, d.press-0.05)
 	}
 	d.began, d.seen = now, false
-	d.figures.Press = d.press
+	d.figures.Pressure = d.press
 }
 
 // shed is the part of a kind that is sent away. A queue that stands now counts at once: the loop may take long over one turn,
 // and tells of it only then.
-func (d *Door) shed(k Kind, q Queue) float64 {
+func (d *Shedder) shed(k Kind, q Queue) float64 {
 	press := d.press
-	if over := float64(q.Standing)/float64(target) - 1; over > 2 && q.Length >= short {
+	if over := float64(q.OldestWait)/float64(target) - 1; over > 2 && q.Length >= short {
 		press = max(press, 0.2*over)
 	}
 	if q.Length >= mostQueued {
@@ -96,8 +96,8 @@
 
 // Queue is what waits for the loop: since when the oldest does, and how many.
 type Queue struct {
-	Standing time.Duration
-	Length   int
+	OldestWait time.Duration
+	Length     int
 }
 
 // mostQueued bounds what may wait, whatever the loop does.
@@ -105,7 +105,7 @@
 
 // Admit says whether a request comes in; if not, after how long it may come again. Later says longer the more were sent
 // away, and draws each its own, so that a storm comes back spread.
-func (d *Door) Admit(now time.Duration, k Kind, q Queue) (in bool, later time.Duration) {
+func (d *Shedder) Admit(now time.Duration, k Kind, q Queue) (in bool, later time.Duration) {
 	if k < Polls && d.chance() < d.shed(k, q) {
 		d.figures.Shed[k]++
 		d.declined = d.decline(now) + 1
@@ -118,7 +118,7 @@
 const declinedPerSecond = 2000.0
 
 // decline is how many were sent away lately, as a decaying sum.
-func (d *Door) decline(now time.Duration) float64 {
+func (d *Shedder) decline(now time.Duration) float64 {
 	x := d.declined * math.Exp2(-float64(now-d.at)/float64(5*time.Second))
 	d.at = now
 	return x
@@ -129,4 +129,4 @@
 }
 
 // Figures are those of now.
-func (d *Door) Figures() Figures { return d.figures }
+func (d *Shedder) Stats() Stats { return d.figures }
--- a/internal/inflow/inflow_test.go
+++ b/internal/inflow/inflow_test.go
@@ -10,11 +10,11 @@
 // each kind came in at the end, and the longest wait then.
 func served(load map[Kind]int, able float64) (part map[Kind]float64, wait time.Duration) {
 	r := rand.New(rand.NewPCG(1, 2))
-	d := NewDoor(r.Float64)
+	d := NewShedder(r.Float64)
 	queue, came, in := 0.0, map[Kind]float64{}, map[Kind]float64{}
 	for now := time.Duration(0); now < 20*time.Second; now += time.Millisecond {
 		last := now > 15*time.Second
-		for k := Looks; k < kinds; k++ { // in an order, so that chance falls the same each time
+		for k := Watches; k < kinds; k++ { // in an order, so that chance falls the same each time
 			n := load[k]
 			for x := float64(n) / 1000; r.Float64() < x; x-- {
 				ok, _ := d.Admit(now, k, Queue{time.Duration(queue / able * float64(time.Second)), int(queue)})
@@ -31,7 +31,7 @@
 		}
 		queue = max(0, queue-able/1000)
 		waited := time.Duration(queue / able * float64(time.Second))
-		if d.Turn(now, waited, int(queue)); last {
+		if d.ObserveTurn(now, waited, int(queue)); last {
 			wait = max(wait, waited)
 		}
 	}
@@ -62,22 +62,22 @@
 
 // A machine whose processors others take: the loop comes to its turn late, with little to do. Nobody is sent away for it.
 func TestALateMachineIsNoOverload(t *testing.T) {
-	d := NewDoor(rand.New(rand.NewPCG(5, 6)).Float64)
+	d := NewShedder(rand.New(rand.NewPCG(5, 6)).Float64)
 	for now := time.Duration(0); now < 10*time.Second; now += 60 * time.Millisecond {
 		for n := range 30 {
 			if in, _ := d.Admit(now, NewPolls, Queue{time.Duration(n) * 2 * time.Millisecond, n}); !in {
 				t.Fatalf("sent away at %v with %d that wait", now, n)
 			}
 		}
-		d.Turn(now, 60*time.Millisecond, 30)
+		d.ObserveTurn(now, 60*time.Millisecond, 30)
 	}
 }
 
 // One broken client is limited, and no other feels it; a storm is called back spread over seconds.
 func TestClientsAndSpread(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
-	d := NewDoor(r.Float64)
-	a := NewAllowances(r.Float64, 100)
+	d := NewShedder(r.Float64)
+	a := NewClientLimiter(r.Float64, 100)
 	broken, others := 0, 0
 	for now := time.Duration(0); now < 10*time.Second; now += time.Millisecond {
 		if ok, _ := a.Admit(now, "broken"); ok {
--- a/internal/longpoll/ask.go
+++ b/internal/longpoll/ask.go
@@ -38,7 +38,7 @@
 		return s.only(r, http.MethodGet, func() *problem { return s.look(p, r) })
 	case "/v1/peers/facts":
 		return s.only(r, http.MethodGet, func() *problem {
-			if wait := s.core.Admit(inflow.Peers, ""); wait > 0 {
+			if wait := s.core.Admit(inflow.PeerQueries, ""); wait > 0 {
 				return later(wait)
 			}
 			s.post(p, s.core.Ticket(), func(t control.Ticket) any { return control.FactsQuery{Ticket: t} })
@@ -146,7 +146,7 @@
 	if !s.budget.HasHeapRoom() {
 		return later(5 * time.Second)
 	}
-	if wait := s.core.Admit(inflow.Looks, ""); wait > 0 {
+	if wait := s.core.Admit(inflow.Watches, ""); wait > 0 {
 		return later(wait)
 	}
 	q := control.Watch{Ticket: s.core.Ticket(), WantsDelta: takes(r.value("a-im"))}
--- a/internal/mqtt/bench_test.go
+++ b/internal/mqtt/bench_test.go
@@ -119,7 +119,7 @@
 	r := &both{}
 	log := slog.New(slog.DiscardHandler)
 	d := newDirector(b, proxies, 30000)
-	s, err := Listen("127.0.0.1:0", d.Entrance(1), Limits{Limits: subscribe.Limits{Sessions: proxies, Expiry: 60000, Unanswered: 30000, Connects: 1e6, Watchers: 5},
+	s, err := Listen("127.0.0.1:0", d.Entrance(1), Limits{Limits: subscribe.Limits{MaxSessions: proxies, MaxExpiry: 60000, AckTimeout: 30000, ConnectsPerSecond: 1e6, MaxWatchers: 5},
 		MostPacket: 1 << 20, Connect: time.Minute, KeepAlive: time.Hour, Write: time.Second, LongestWait: 30000}, log)
 	if err != nil {
 		b.Fatal(err)
@@ -155,7 +155,7 @@
 	if c.mqtt {
 		c.conn.Write(pack(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: c.name, CleanStart: true, Properties: &packets.Properties{}}))
 		c.conn.Write(pack(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
-			Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesOf(c.name), QoS: 1}}}))
+			Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesTopic(c.name), QoS: 1}}}))
 		return
 	}
 	fmt.Fprintf(c.conn, "GET /v1/proxies/%s/tables HTTP/1.1\r\nHost: d\r\n\r\n", c.name)
--- a/internal/mqtt/mqtt_test.go
+++ b/internal/mqtt/mqtt_test.go
@@ -74,7 +74,7 @@
 func start(t *testing.T, change func(*Limits)) *rig {
 	log := slog.New(slog.DiscardHandler)
 	d := newDirector(t, 64, 1000)
-	limits := Limits{Limits: subscribe.Limits{Sessions: 100, Expiry: 60000, Unanswered: 30000, Connects: 1000, Watchers: 5}, MostPacket: 1 << 20,
+	limits := Limits{Limits: subscribe.Limits{MaxSessions: 100, MaxExpiry: 60000, AckTimeout: 30000, ConnectsPerSecond: 1000, MaxWatchers: 5}, MostPacket: 1 << 20,
 		Connect: time.Second, KeepAlive: time.Minute, Write: time.Second, LongestWait: 1000}
 	if change != nil {
 		change(&limits)
@@ -146,7 +146,7 @@
 			}
 			mu.Unlock()
 			if first {
-				go m.Subscribe(context.Background(), &paho.Subscribe{Subscriptions: []paho.SubscribeOptions{{Topic: subscribe.TablesOf("p1"), QoS: 1}}})
+				go m.Subscribe(context.Background(), &paho.Subscribe{Subscriptions: []paho.SubscribeOptions{{Topic: subscribe.TablesTopic("p1"), QoS: 1}}})
 			}
 		},
 		ClientConfig: paho.ClientConfig{ClientID: "p1", OnPublishReceived: []func(paho.PublishReceived) (bool, error){func(p paho.PublishReceived) (bool, error) {
@@ -211,10 +211,10 @@
 	t.Parallel()
 	r := start(t, nil)
 	joined := make(chan bool, 16)
-	run := func(kept *tables.Document, until func(f *follow.Several) bool) (updates []follow.Update) {
+	run := func(kept *tables.Document, until func(f *follow.Group) bool) (updates []follow.Update) {
 		var mu sync.Mutex
-		f := follow.NewSeveral(follow.Source{Directors: []string{r.url().String()}, Proxy: "p2", Zone: "a", Wait: time.Second, Kept: t.TempDir() + "/kept",
-			Joined: func(_ string, on bool) { joined <- on }, Seen: func(u follow.Update) { mu.Lock(); updates = append(updates, u); mu.Unlock() }}, false)
+		f := follow.NewGroup(follow.Config{Directors: []string{r.url().String()}, Proxy: "p2", Zone: "a", MaxWait: time.Second, CacheFile: t.TempDir() + "/kept",
+			OnJoinChange: func(_ string, on bool) { joined <- on }, OnUpdate: func(u follow.Update) { mu.Lock(); updates = append(updates, u); mu.Unlock() }}, false)
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { f.Run(ctx); close(done) }()
@@ -223,8 +223,8 @@
 		<-done
 		return updates
 	}
-	all := run(nil, func(f *follow.Several) bool {
-		if !full(f.Held()) {
+	all := run(nil, func(f *follow.Group) bool {
+		if !full(f.Document()) {
 			return false
 		}
 		status, text, err := f.Report(t.Context(), 0, f.Directors()[0], "k1", []byte(`{"node":{"id":"p2"}}`))
@@ -236,7 +236,7 @@
 		}
 		return true
 	})
-	if !all[0].Whole || !<-joined || r.d.Figures().Reports != 1 {
+	if !all[0].Full || !<-joined || r.d.Figures().Reports != 1 {
 		t.Fatalf("%+v, %d reports", all[0], r.d.Figures().Reports)
 	}
 	eventually(t, "the proxy has left", func() bool { return r.d.Figures().Joined == 0 })
@@ -255,7 +255,7 @@
 	}
 	hello := connect(nil)
 	pub := func(change func(*packets.Publish)) []byte {
-		p := &packets.Publish{Topic: subscribe.ReportsOf("p1"), QoS: 1, PacketID: 7, Payload: []byte("{}"), Properties: &packets.Properties{}}
+		p := &packets.Publish{Topic: subscribe.ReportsTopic("p1"), QoS: 1, PacketID: 7, Payload: []byte("{}"), Properties: &packets.Properties{}}
 		change(p)
 		return render(p)
 	}
@@ -298,19 +298,19 @@
 		{"3.8.3-1 shared subscriptions are not available", join(hello, sub("$share/g/vetchwood/tables", 1)), packets.SUBACK, 0x9E},
 		{"3.9.3 wildcards are not available", join(hello, sub("vetchwood/proxies/+/tables", 1)), packets.SUBACK, 0xA2},
 		{"3.9.3 a filter that is not there", join(hello, sub("else/where", 1)), packets.SUBACK, 0x8F},
-		{"3.9.3 QoS 0 for a proxy's tables", join(hello, sub(subscribe.TablesOf("p1"), 0)), packets.SUBACK, 0x83},
-		{"3.9.3 QoS 1 is granted where 2 is asked for", join(hello, sub(subscribe.TablesOf("p1"), 2)), packets.SUBACK, 0x01},
+		{"3.9.3 QoS 0 for a proxy's tables", join(hello, sub(subscribe.TablesTopic("p1"), 0)), packets.SUBACK, 0x83},
+		{"3.9.3 QoS 1 is granted where 2 is asked for", join(hello, sub(subscribe.TablesTopic("p1"), 2)), packets.SUBACK, 0x01},
 		{"3.11.3 an UNSUBSCRIBE from what is not followed", join(hello, pack(packets.UNSUBSCRIBE, &packets.Unsubscribe{PacketID: 3, Topics: []string{"x"}, Properties: &packets.Properties{}})), packets.UNSUBACK, 0x11},
 		{"3.15 an AUTH", join(hello, []byte{0xf0, 0x00}), packets.DISCONNECT, 0x8C},
 		{"3.5 a PUBREC, for a message of QoS 2 that was never sent", join(hello, pack(packets.PUBREC, &packets.Pubrec{PacketID: 3, Properties: &packets.Properties{}})), packets.DISCONNECT, 0x82},
-		{"4.9 a proxy that the settings don't know", join(hello, sub(subscribe.TablesOf("other"), 1)), packets.DISCONNECT, 0x87},
+		{"4.9 a proxy that the settings don't know", join(hello, sub(subscribe.TablesTopic("other"), 1)), packets.DISCONNECT, 0x87},
 	} {
 		if kind, code := r.tell(t, c.send, c.kind); kind != c.kind || code != c.code {
 			t.Errorf("%s: packet type %d code 0x%02x, not %d 0x%02x", c.clause, kind, code, c.kind, c.code)
 		}
 	}
 	// 4.13: whatever byte a valid exchange is cut at, nothing hangs and nobody else is hurt.
-	whole := join(hello, sub(subscribe.TablesOf("p1"), 1), pub(func(*packets.Publish) {}))
+	whole := join(hello, sub(subscribe.TablesTopic("p1"), 1), pub(func(*packets.Publish) {}))
 	for cut := range len(whole) {
 		c, err := net.Dial("tcp", r.s.Addr().String())
 		if err != nil {
@@ -385,7 +385,7 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	d := newDirector(t, n+1, 5000)
-	s, err := Listen("127.0.0.1:0", d.Entrance(1), Limits{Limits: subscribe.Limits{Sessions: n + 1, Expiry: 60000, Unanswered: 60000, Connects: float64(n) / 3, Watchers: 5},
+	s, err := Listen("127.0.0.1:0", d.Entrance(1), Limits{Limits: subscribe.Limits{MaxSessions: n + 1, MaxExpiry: 60000, AckTimeout: 60000, ConnectsPerSecond: float64(n) / 3, MaxWatchers: 5},
 		MostPacket: 1 << 20, Connect: time.Minute, KeepAlive: time.Hour, Write: time.Second, LongestWait: 5000}, log)
 	if err != nil {
 		t.Fatal(err)
@@ -403,7 +403,7 @@
 	defer mute.Close()
 	mute.Write(pack(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "mute", CleanStart: true, Properties: &packets.Properties{}}))
 	mute.Write(pack(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
-		Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesOf(fmt.Sprint("p", n)), QoS: 1}}}))
+		Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesTopic(fmt.Sprint("p", n)), QoS: 1}}}))
 	eventually(t, "the mute one has joined", func() bool { return d.Figures().Joined == 1 })
 	began := time.Now()
 	var all sync.WaitGroup
@@ -447,7 +447,7 @@
 				return false
 			}
 			c.Write(pack(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
-				Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesOf(name), QoS: 1}}}))
+				Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesTopic(name), QoS: 1}}}))
 		case *packets.Publish:
 			return true
 		}
@@ -466,7 +466,7 @@
 	c.SetDeadline(time.Now().Add(8 * time.Second))
 	c.Write(pack(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "p9", CleanStart: true, Properties: &packets.Properties{}}))
 	c.Write(pack(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
-		Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesOf("p9"), QoS: 1}}}))
+		Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesTopic("p9"), QoS: 1}}}))
 	other, quiet := r.d.Entrance(0), false
 	for {
 		p, err := packets.ReadPacket(c)
@@ -483,7 +483,7 @@
 				})
 			}
 		case *packets.Disconnect:
-			if x.ReasonCode != byte(subscribe.TakenOver) {
+			if x.ReasonCode != byte(subscribe.SessionTakenOver) {
 				t.Fatalf("code 0x%02x", x.ReasonCode)
 			}
 			if f := r.d.Figures(); f.Joined != 1 {
--- a/internal/mqtt/packet.go
+++ b/internal/mqtt/packet.go
@@ -13,26 +13,26 @@
 
 // fault is a client's breach of the specification: the code that its connection ends with, and why.
 type fault struct {
-	code subscribe.Code
+	code subscribe.ReasonCode
 	why  string
 }
 
 func (f *fault) Error() string { return f.why }
 
-func breach(code subscribe.Code, format string, args ...any) *fault {
+func breach(code subscribe.ReasonCode, format string, args ...any) *fault {
 	return &fault{code, fmt.Sprintf(format, args...)}
 }
 
 // Codes that the front gives by itself, by their names in the specification.
 const (
-	malformed          subscribe.Code = 0x81
-	unsupportedVersion subscribe.Code = 0x84
-	badAuthMethod      subscribe.Code = 0x8C
-	topicAliasInvalid  subscribe.Code = 0x94
-	packetTooLarge     subscribe.Code = 0x95
-	retainNotSupported subscribe.Code = 0x9A
-	qosNotSupported    subscribe.Code = 0x9B
-	serverShuttingDown subscribe.Code = 0x8B
+	malformed          subscribe.ReasonCode = 0x81
+	unsupportedVersion subscribe.ReasonCode = 0x84
+	badAuthMethod      subscribe.ReasonCode = 0x8C
+	topicAliasInvalid  subscribe.ReasonCode = 0x94
+	packetTooLarge     subscribe.ReasonCode = 0x95
+	retainNotSupported subscribe.ReasonCode = 0x9A
+	qosNotSupported    subscribe.ReasonCode = 0x9B
+	serverShuttingDown subscribe.ReasonCode = 0x8B
 )
 
 // mostWaiting is how many packets may wait to be written to one client.
@@ -143,7 +143,7 @@
 	case c.Properties != nil && c.Properties.TopicAlias != nil:
 		return breach(topicAliasInvalid, "topic aliases are not taken: the topic alias maximum is 0")
 	case !text(c.Topic) || strings.ContainsAny(c.Topic, "+#"):
-		return breach(subscribe.TopicInvalid, "topic %.60q", c.Topic)
+		return breach(subscribe.TopicNameInvalid, "topic %.60q", c.Topic)
 	case c.QoS > 1:
 		return breach(qosNotSupported, "QoS 2: the maximum is 1")
 	case c.Retain:
--- a/internal/mqtt/server.go
+++ b/internal/mqtt/server.go
@@ -62,7 +62,7 @@
 	mu      sync.Mutex
 	box     []any
 	wake    chan struct{}
-	figures atomic.Pointer[subscribe.Figures]
+	figures atomic.Pointer[subscribe.Stats]
 }
 
 // peer is one connection.
@@ -94,16 +94,16 @@
 		limits.Budget = budget.New(budget.Unlimited)
 	}
 	s := &Server{core: core, limits: limits, log: log, done: make(chan struct{}), wake: make(chan struct{}, 1)}
-	s.figures.Store(&subscribe.Figures{})
+	s.figures.Store(&subscribe.Stats{})
 	var err error
 	s.Socket, err = nets.Listen(address, s.read, s.accept, limits.Write, limits.Budget, log)
 	return s, err
 }
 
 // Open is how many connections are open, Failed how many broke the specification, Figures those of the sessions.
-func (s *Server) Open() int64                { return s.open.Load() }
-func (s *Server) Failed() uint64             { return s.failed.Load() }
-func (s *Server) Figures() subscribe.Figures { return *s.figures.Load() }
+func (s *Server) Open() int64              { return s.open.Load() }
+func (s *Server) Failed() uint64           { return s.failed.Load() }
+func (s *Server) Figures() subscribe.Stats { return *s.figures.Load() }
 
 // Serve answers until Close.
 func (s *Server) Serve() error {
@@ -142,7 +142,7 @@
 		p.gone = true
 		p.mu.Unlock()
 		if !was {
-			s.post(subscribe.Gone{Conn: p.id})
+			s.post(subscribe.ConnectionClosed{Conn: p.id})
 		}
 		return nil
 	})
@@ -206,11 +206,11 @@
 	s.log.Debug("mqtt.refused", "code", int(wrong.code), "why", wrong.why)
 	s.end(p, p.connected, wrong.code, wrong.why)
 	p.gone, p.in = true, nil
-	s.post(subscribe.Gone{Conn: p.id})
+	s.post(subscribe.ConnectionClosed{Conn: p.id})
 }
 
 // end tells a client why its connection ends, and ends it.
-func (s *Server) end(p *peer, connected bool, code subscribe.Code, why string) {
+func (s *Server) end(p *peer, connected bool, code subscribe.ReasonCode, why string) {
 	if !connected {
 		p.send(s, pack(packets.CONNACK, &packets.Connack{ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: why}}), true)
 		return
@@ -234,7 +234,7 @@
 		in := subscribe.Subscribe{Conn: p.id, ID: c.PacketID}
 		if c.Properties != nil {
 			for _, u := range c.Properties.User {
-				in.Again = in.Again || u.Key == subscribe.PropertyAgain
+				in.Resend = in.Resend || u.Key == subscribe.PropertyResend
 			}
 		}
 		for _, o := range c.Subscriptions {
@@ -244,13 +244,13 @@
 	case *packets.Unsubscribe:
 		s.post(subscribe.Unsubscribe{Conn: p.id, ID: c.PacketID, Topics: c.Topics})
 	case *packets.Puback:
-		s.post(subscribe.Ack{Conn: p.id, ID: c.PacketID, Code: subscribe.Code(c.ReasonCode)})
+		s.post(subscribe.Ack{Conn: p.id, ID: c.PacketID, Code: subscribe.ReasonCode(c.ReasonCode)})
 	case *packets.Publish:
 		s.report(p, c)
 	case *packets.Pingreq:
 		p.send(s, pack(packets.PINGRESP, &packets.Pingresp{}), false)
 	case *packets.Disconnect:
-		g := subscribe.Gone{Conn: p.id}
+		g := subscribe.ConnectionClosed{Conn: p.id}
 		if c.Properties != nil && c.Properties.SessionExpiryInterval != nil {
 			expiry := logic.Millis(*c.Properties.SessionExpiryInterval) * 1000
 			g.Expiry = &expiry
@@ -263,9 +263,9 @@
 }
 
 func (s *Server) connect(p *peer, c *packets.Connect) *fault {
-	in := subscribe.Connect{Conn: p.id, Client: c.ClientID, Clean: c.CleanStart}
-	if in.Client == "" || len(in.Client) > 128 || !text(in.Client) {
-		return breach(subscribe.IDNotValid, "a client identifier of 1 to 128 bytes is needed")
+	in := subscribe.Connect{Conn: p.id, ClientID: c.ClientID, CleanStart: c.CleanStart}
+	if in.ClientID == "" || len(in.ClientID) > 128 || !text(in.ClientID) {
+		return breach(subscribe.ClientIDNotValid, "a client identifier of 1 to 128 bytes is needed")
 	}
 	props := c.Properties
 	if props == nil {
@@ -275,7 +275,7 @@
 		in.Expiry = logic.Millis(*props.SessionExpiryInterval) * 1000
 	}
 	if props.MaximumPacketSize != nil {
-		in.Most = int(*props.MaximumPacketSize)
+		in.MaxPacket = int(*props.MaximumPacketSize)
 	}
 	for _, u := range props.User {
 		switch u.Key {
@@ -284,13 +284,13 @@
 		case subscribe.PropertyRate:
 			rate, err := strconv.ParseFloat(u.Value, 64)
 			if err != nil || !(rate >= 0 && rate <= 1e9) {
-				return breach(subscribe.Unspecified, "user property rate: %.40q is no number of calls a second", u.Value)
+				return breach(subscribe.UnspecifiedError, "user property rate: %.40q is no number of calls a second", u.Value)
 			}
 			in.Rate = rate
 		case subscribe.PropertyHeld:
 			tag, err := tables.ParseETag(u.Value)
 			if err != nil {
-				return breach(subscribe.Unspecified, "user property held: %v", err)
+				return breach(subscribe.UnspecifiedError, "user property held: %v", err)
 			}
 			if len(in.Held) < 16 {
 				in.Held = append(in.Held, tag)
@@ -301,7 +301,7 @@
 	if len(in.Held) == 0 {
 		kind = inflow.NewPolls
 	}
-	if s.core.Admit(kind, in.Client) > 0 {
+	if s.core.Admit(kind, in.ClientID) > 0 {
 		return breach(subscribe.ServerBusy, "the director has more to do than it can: come again in some seconds")
 	}
 	p.connected = true
@@ -314,15 +314,15 @@
 
 // report takes a proxy's sums. What can't be read is refused by its reason code; the connection stays.
 func (s *Server) report(p *peer, c *packets.Publish) {
-	refuse := func(code subscribe.Code, why string) {
+	refuse := func(code subscribe.ReasonCode, why string) {
 		s.failed.Add(1)
 		if c.QoS > 0 {
 			p.send(s, puback(c.PacketID, code, why), false)
 		}
 	}
-	proxy, is := subscribe.ProxyOfReports(c.Topic)
+	proxy, is := subscribe.ParseReportsTopic(c.Topic)
 	if !is {
-		refuse(subscribe.TopicInvalid, "there is "+subscribe.ReportsOf("{proxy}"))
+		refuse(subscribe.TopicNameInvalid, "there is "+subscribe.ReportsTopic("{proxy}"))
 		return
 	}
 	if s.core.Admit(inflow.Reports, proxy) > 0 {
@@ -334,7 +334,7 @@
 		err = errors.New("load stats: node.id is not the proxy of the topic")
 	}
 	if err != nil {
-		refuse(subscribe.PayloadInvalid, err.Error())
+		refuse(subscribe.PayloadFormatInvalid, err.Error())
 		return
 	}
 	if r.Proxy = proxy; c.Properties != nil {
@@ -351,7 +351,7 @@
 	s.post(subscribe.Report{Conn: p.id, ID: id, Report: r})
 }
 
-func puback(id uint16, code subscribe.Code, why string) []byte {
+func puback(id uint16, code subscribe.ReasonCode, why string) []byte {
 	return pack(packets.PUBACK, &packets.Puback{PacketID: id, ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: why}})
 }
 
@@ -371,12 +371,12 @@
 	if a.Doc != nil {
 		a.Doc.Tag()
 	}
-	s.post(subscribe.Told{Answer: a})
+	s.post(subscribe.CoreAnswer{Answer: a})
 }
 
 // run is the desk's loop.
 func (s *Server) run() {
-	desk := subscribe.NewDesk(s.limits.Limits, s.limits.LongestWait, s.core.Ticket)
+	desk := subscribe.NewBroker(s.limits.Limits, s.limits.LongestWait, s.core.Ticket)
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -395,11 +395,11 @@
 			s.carryOut(o)
 		}
 		for _, i := range in {
-			if told, is := i.(subscribe.Told); is {
+			if told, is := i.(subscribe.CoreAnswer); is {
 				told.Answer.Land() // what came of it stands in its connection's queue, in order
 			}
 		}
-		f := desk.Figures()
+		f := desk.Stats()
 		s.figures.Store(&f)
 	}
 }
@@ -427,24 +427,24 @@
 	}
 	switch o := o.(type) {
 	case subscribe.Post:
-		s.core.Post(o.In)
+		s.core.Post(o.Input)
 	case subscribe.Accept:
 		no, one, most, keep := byte(0), byte(1), uint32(s.limits.MostPacket), uint16(s.limits.KeepAlive/time.Second)
 		expiry, receive := uint32(o.Expiry/1000), uint16(64)
-		to(o.Conn, pack(packets.CONNACK, &packets.Connack{SessionPresent: o.Present, Properties: &packets.Properties{MaximumQOS: &one,
+		to(o.Conn, pack(packets.CONNACK, &packets.Connack{SessionPresent: o.SessionPresent, Properties: &packets.Properties{MaximumQOS: &one,
 			RetainAvailable: &no, MaximumPacketSize: &most, WildcardSubAvailable: &no, SubIDAvailable: &no, SharedSubAvailable: &no,
 			SessionExpiryInterval: &expiry, ReceiveMaximum: &receive, ServerKeepAlive: &keep}}))
 	case subscribe.Refuse:
 		if v, open := s.peers.Load(o.Conn); open {
-			v.(*peer).send(s, pack(packets.CONNACK, &packets.Connack{ReasonCode: byte(o.Code), Properties: &packets.Properties{ReasonString: o.Why}}), true)
+			v.(*peer).send(s, pack(packets.CONNACK, &packets.Connack{ReasonCode: byte(o.Code), Properties: &packets.Properties{ReasonString: o.Reason}}), true)
 		}
-	case subscribe.Granted:
-		a := &packets.Suback{PacketID: o.ID, Properties: &packets.Properties{ReasonString: o.Why}}
+	case subscribe.SubAck:
+		a := &packets.Suback{PacketID: o.ID, Properties: &packets.Properties{ReasonString: o.Reason}}
 		for _, c := range o.Codes {
 			a.Reasons = append(a.Reasons, byte(c))
 		}
 		to(o.Conn, pack(packets.SUBACK, a))
-	case subscribe.Ungranted:
+	case subscribe.UnsubAck:
 		a := &packets.Unsuback{PacketID: o.ID, Properties: &packets.Properties{}}
 		for _, c := range o.Codes {
 			a.Reasons = append(a.Reasons, byte(c))
@@ -452,24 +452,24 @@
 		to(o.Conn, pack(packets.UNSUBACK, a))
 	case subscribe.Deliver:
 		to(o.Conn, publish(o))
-	case subscribe.Acked:
-		to(o.Conn, puback(o.ID, o.Code, o.Why))
+	case subscribe.PubAck:
+		to(o.Conn, puback(o.ID, o.Code, o.Reason))
 	case subscribe.Close:
 		if v, open := s.peers.Load(o.Conn); open {
-			s.end(v.(*peer), true, o.Code, o.Why)
+			s.end(v.(*peer), true, o.Code, o.Reason)
 		}
 	}
 }
 
 func publish(o subscribe.Deliver) []byte {
-	props := &packets.Properties{ContentType: o.Doc.Type, User: []packets.User{{Key: subscribe.PropertyTag, Value: o.Doc.Tag}}}
+	props := &packets.Properties{ContentType: o.Doc.ContentType, User: []packets.User{{Key: subscribe.PropertyTag, Value: o.Doc.Tag}}}
 	if o.Doc.Base != "" {
 		props.User = append(props.User, packets.User{Key: subscribe.PropertyBase, Value: o.Doc.Base})
 	}
 	if o.Doc.Lease > 0 {
 		props.User = append(props.User, packets.User{Key: subscribe.PropertyLease, Value: strconv.Itoa(int(o.Doc.Lease))})
 	}
-	return render(&packets.Publish{Topic: o.Topic, QoS: 1, PacketID: o.ID, Duplicate: o.Again, Retain: o.Retain, Payload: o.Doc.Body, Properties: props})
+	return render(&packets.Publish{Topic: o.Topic, QoS: 1, PacketID: o.ID, Duplicate: o.Duplicate, Retain: o.Retain, Payload: o.Doc.Body, Properties: props})
 }
 
 // send writes a packet after those that wait, beside the desk's loop: a client that reads slowly holds up nobody else. One
--- a/internal/rehearse/rogue_test.go
+++ b/internal/rehearse/rogue_test.go
@@ -174,7 +174,7 @@
 			r.book.Send(judge.Sent{At: r.now(), Proxy: "p", Call: mark, Host: host})
 		},
 		OnUpdate: func(u follow.Update) {
-			r.book.Hold(judge.Held{At: r.now(), Proxy: "p", Doc: u.Doc, Lines: u.Lines, Whole: u.Whole})
+			r.book.Hold(judge.Held{At: r.now(), Proxy: "p", Doc: u.Doc, Lines: u.Lines, Whole: u.Full})
 		},
 		OnJoinChange: func(_ string, on bool) { r.book.Hold(judge.Held{At: r.now(), Proxy: "p", Joined: on}) },
 	}, log); err != nil {
--- a/internal/rehearse/stage.go
+++ b/internal/rehearse/stage.go
@@ -272,9 +272,9 @@
 				s.book.Send(judge.Sent{At: s.now(), Proxy: name, Call: mark, Table: table, Host: host})
 			},
 			OnUpdate: func(u follow.Update) {
-				h := judge.Held{At: s.now(), Proxy: name, Doc: u.Doc, Lines: u.Lines, Whole: u.Whole}
+				h := judge.Held{At: s.now(), Proxy: name, Doc: u.Doc, Lines: u.Lines, Whole: u.Full}
 				if len(s.directors) > 1 {
-					h.Raw, h.Director = u.Raw, s.directors[u.From].name
+					h.Raw, h.Director = u.Raw, s.directors[u.DirectorIndex].name
 				}
 				s.book.Hold(h)
 			},
--- a/internal/relay/meters.go
+++ b/internal/relay/meters.go
@@ -69,8 +69,8 @@
 		help  string
 		value func() float64
 	}{
-		"stale_answers_total":  {"Responses of directors that were ignored because the director's lease had expired.", func() float64 { return float64(relay.follower.Stale()) }},
-		"deposed_tables_total": {"Tables rejected because the director that sent them no longer owns them.", func() float64 { return float64(relay.follower.Refused()) }},
+		"stale_answers_total":  {"Responses of directors that were ignored because the director's lease had expired.", func() float64 { return float64(relay.follower.StaleResponses()) }},
+		"deposed_tables_total": {"Tables rejected because the director that sent them no longer owns them.", func() float64 { return float64(relay.follower.RejectedTables()) }},
 	} {
 		m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_relay_" + name, Help: metric.help}, metric.value))
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -41,7 +41,7 @@
 	log            *slog.Logger
 	hooks          Hooks
 	epoch          time.Time
-	follower       *follow.Several
+	follower       *follow.Group
 	hostPool       *connPool
 	metrics        *metrics
 
@@ -75,8 +75,8 @@
 	s.core = carry.New(set.Bounds, strconv.FormatInt(s.epoch.UnixNano(), 36), random.Float64)
 	s.hostPool = newConnPool(set.Hosts, set.Bounds.MaxPerHost)
 	s.metrics = newMetrics(s)
-	s.follower = follow.NewSeveral(follow.Source{Directors: set.Directors, Proxy: set.Name, Zone: set.Zone, Rate: set.Rate, Wait: set.Wait,
-		Kept: set.Kept, Seen: s.onUpdate, Joined: hooks.OnJoinChange, Log: log}, set.FollowAll)
+	s.follower = follow.NewGroup(follow.Config{Directors: set.Directors, Proxy: set.Name, Zone: set.Zone, Rate: set.Rate, MaxWait: set.Wait,
+		CacheFile: set.Kept, OnUpdate: s.onUpdate, OnJoinChange: hooks.OnJoinChange, Log: log}, set.FollowAll)
 	ln, err := netpoll.CreateListener("tcp", set.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen %s: %w", set.Listen, err)
@@ -91,10 +91,10 @@
 func (s *Relay) Addr() net.Addr { return s.ln.Addr() }
 
 // Document returns the document in force, or nil before the first one.
-func (s *Relay) Document() *tables.Document { return s.follower.Held() }
+func (s *Relay) Document() *tables.Document { return s.follower.Document() }
 
 // DisconnectFor keeps the proxy from reaching its directors for the given duration.
-func (s *Relay) DisconnectFor(duration time.Duration) { s.follower.Cut(duration) }
+func (s *Relay) DisconnectFor(duration time.Duration) { s.follower.DisconnectFor(duration) }
 
 func (s *Relay) settings() *settings.Relaying { return s.activeSettings.Load() }
 
@@ -146,7 +146,7 @@
 		close(s.tablesChanged)
 		s.tablesChanged = make(chan struct{})
 	})
-	s.log.Debug("tables.followed", "version", u.Doc.Version, "lines", u.Lines, "whole", u.Whole)
+	s.log.Debug("tables.followed", "version", u.Doc.Version, "lines", u.Lines, "whole", u.Full)
 	if s.hooks.OnUpdate != nil {
 		s.hooks.OnUpdate(u)
 	}
--- a/internal/settings/director.go
+++ b/internal/settings/director.go
@@ -324,11 +324,11 @@
 	m.Limits = mqtt.Limits{MostPacket: in.Size("most_packet", 4<<20, 512, 64<<20),
 		Connect:   in.Span("connect", 10*time.Second, 100*time.Millisecond, time.Minute),
 		KeepAlive: in.Span("keep_alive", time.Minute, time.Second, 10*time.Hour), Write: in.Span("slow_packet", 10*time.Second, 100*time.Millisecond, 10*time.Minute)}
-	m.Limits.Sessions = in.Whole("sessions", 2*out.Service.Config.Proxies+100, 1, 1e6)
-	m.Limits.Expiry = millis(in.Span("session", 5*time.Minute, 0, 24*time.Hour))
-	m.Limits.Unanswered = millis(in.Span("unanswered", 30*time.Second, time.Second, time.Hour))
-	m.Limits.Connects = in.Number("connects_per_second", 2000, 1, 1e6)
-	m.Limits.Watchers = in.Whole("watchers", 50, 0, 200)
+	m.Limits.MaxSessions = in.Whole("sessions", 2*out.Service.Config.Proxies+100, 1, 1e6)
+	m.Limits.MaxExpiry = millis(in.Span("session", 5*time.Minute, 0, 24*time.Hour))
+	m.Limits.AckTimeout = millis(in.Span("unanswered", 30*time.Second, time.Second, time.Hour))
+	m.Limits.ConnectsPerSecond = in.Number("connects_per_second", 2000, 1, 1e6)
+	m.Limits.MaxWatchers = in.Whole("watchers", 50, 0, 200)
 	out.MQTT = m
 	in.Done()
 }
--- a/internal/subscribe/desk.go
+++ b/internal/subscribe/desk.go
@@ -50,7 +50,7 @@
 }
 
 // Desk is one front's.
-type Desk struct {
+type Broker struct {
 	limits   Limits
 	wait     logic.Millis // of each poll
 	ticket   func() control.Ticket
@@ -60,19 +60,19 @@
 	credit   float64
 	credited logic.Millis
 	out      []any
-	figures  Figures
+	figures  Stats
 }
 
 // NewDesk begins one; ticket gives out the core's.
-func NewDesk(limits Limits, wait logic.Millis, ticket func() control.Ticket) *Desk {
-	return &Desk{limits: limits, wait: wait, ticket: ticket, sessions: map[string]*session{}, conns: map[Conn]string{},
-		tickets: map[control.Ticket]asked{}, credit: limits.Connects}
+func NewBroker(limits Limits, wait logic.Millis, ticket func() control.Ticket) *Broker {
+	return &Broker{limits: limits, wait: wait, ticket: ticket, sessions: map[string]*session{}, conns: map[Conn]string{},
+		tickets: map[control.Ticket]asked{}, credit: limits.ConnectsPerSecond}
 }
 
-func (d *Desk) say(o any) { d.out = append(d.out, o) }
+func (d *Broker) say(o any) { d.out = append(d.out, o) }
 
 // Handle takes what happened up to now and says what to do, in order.
-func (d *Desk) Handle(now logic.Millis, in ...any) []any {
+func (d *Broker) Handle(now logic.Millis, in ...any) []any {
 	for _, i := range in {
 		switch i := i.(type) {
 		case Connect:
@@ -85,9 +85,9 @@
 			d.ack(now, i)
 		case Report:
 			d.report(now, i)
-		case Gone:
+		case ConnectionClosed:
 			d.gone(now, i)
-		case Told:
+		case CoreAnswer:
 			d.told(now, i.Answer)
 		}
 	}
@@ -97,7 +97,7 @@
 	return out
 }
 
-func (d *Desk) of(c Conn) *session {
+func (d *Broker) of(c Conn) *session {
 	s := d.sessions[d.conns[c]]
 	if s == nil || s.conn != c {
 		return nil
@@ -105,16 +105,16 @@
 	return s
 }
 
-func (d *Desk) refuse(c Conn, code Code, why string) {
+func (d *Broker) refuse(c Conn, code ReasonCode, why string) {
 	d.figures.Refused++
 	d.say(Refuse{c, code, why})
 }
 
 // connect gives a session, or goes on with the client's earlier one.
-func (d *Desk) connect(now logic.Millis, c Connect) {
-	d.credit = min(d.limits.Connects, d.credit+d.limits.Connects*float64(now-d.credited)/1000)
+func (d *Broker) connect(now logic.Millis, c Connect) {
+	d.credit = min(d.limits.ConnectsPerSecond, d.credit+d.limits.ConnectsPerSecond*float64(now-d.credited)/1000)
 	d.credited = now
-	was := d.sessions[c.Client]
+	was := d.sessions[c.ClientID]
 	if was != nil && was.conn == 0 && now >= was.until {
 		d.end(was)
 		was = nil
@@ -124,35 +124,35 @@
 		d.figures.Busy++
 		d.refuse(c.Conn, ServerBusy, "too many connect at once: come again in a second or two")
 		return
-	case was == nil && len(d.sessions) >= d.limits.Sessions && !d.forget(now):
+	case was == nil && len(d.sessions) >= d.limits.MaxSessions && !d.forget(now):
 		d.refuse(c.Conn, QuotaExceeded, "there is room for no more sessions")
 		return
 	}
 	d.credit--
 	if was != nil && was.conn != 0 {
 		d.figures.TakenOver++
-		d.say(Close{was.conn, TakenOver, "another connection of this client took its session over"})
+		d.say(Close{was.conn, SessionTakenOver, "another connection of this client took its session over"})
 		d.part(now, was)
 	}
-	if c.Clean && was != nil {
+	if c.CleanStart && was != nil {
 		d.end(was)
 		was = nil
 	}
 	s := was
 	if s == nil {
-		s = &session{client: c.Client}
-		d.sessions[c.Client] = s
+		s = &session{client: c.ClientID}
+		d.sessions[c.ClientID] = s
 	}
-	s.conn, s.zone, s.rate, s.most = c.Conn, c.Zone, c.Rate, c.Most
-	s.expiry = min(c.Expiry, d.limits.Expiry)
+	s.conn, s.zone, s.rate, s.most = c.Conn, c.Zone, c.Rate, c.MaxPacket
+	s.expiry = min(c.Expiry, d.limits.MaxExpiry)
 	if len(c.Held) > 0 { // its own word is newer than ours: it may have been with another front meanwhile
 		s.held, s.flight = c.Held, nil
 	}
-	d.conns[c.Conn] = c.Client
+	d.conns[c.Conn] = c.ClientID
 	d.say(Accept{c.Conn, was != nil, s.expiry})
 	switch {
 	case s.flight != nil:
-		d.figures.Redelived++
+		d.figures.Redelivered++
 		s.flight.sent = now
 		d.say(Deliver{s.conn, s.flight.id, s.topic, true, s.flight.retain, s.flight.doc})
 	case s.topic != "":
@@ -161,7 +161,7 @@
 }
 
 // forget ends the session that has been without a connection for longest; false if all are connected.
-func (d *Desk) forget(now logic.Millis) bool {
+func (d *Broker) forget(now logic.Millis) bool {
 	var oldest *session
 	for _, s := range d.sessions {
 		if s.conn == 0 && (oldest == nil || s.until < oldest.until || s.until == oldest.until && s.client < oldest.client) {
@@ -175,7 +175,7 @@
 }
 
 // part takes a session's connection away; the proxy has left until it is back.
-func (d *Desk) part(now logic.Millis, s *session) {
+func (d *Broker) part(now logic.Millis, s *session) {
 	if s.ticket != 0 {
 		d.say(Post{control.Disconnected{Ticket: s.ticket, Proxy: s.proxy}})
 		delete(d.tickets, s.ticket)
@@ -185,16 +185,16 @@
 	s.conn, s.until, s.retryAt = 0, now+s.expiry, 0
 }
 
-func (d *Desk) end(s *session) { delete(d.sessions, s.client) }
+func (d *Broker) end(s *session) { delete(d.sessions, s.client) }
 
-func (d *Desk) gone(now logic.Millis, g Gone) {
+func (d *Broker) gone(now logic.Millis, g ConnectionClosed) {
 	s := d.of(g.Conn)
 	if s == nil {
 		delete(d.conns, g.Conn)
 		return
 	}
 	if g.Expiry != nil {
-		s.expiry = min(*g.Expiry, d.limits.Expiry)
+		s.expiry = min(*g.Expiry, d.limits.MaxExpiry)
 	}
 	if d.part(now, s); s.expiry <= 0 {
 		d.end(s)
@@ -202,20 +202,20 @@
 }
 
 // grant looks at one filter of a subscription.
-func (d *Desk) grant(s *session, f Filter) (proxy string, watch bool, code Code, why string) {
+func (d *Broker) grant(s *session, f Filter) (proxy string, watch bool, code ReasonCode, why string) {
 	rest, is := strings.CutPrefix(f.Topic, ofProxies)
 	name, ends := strings.CutSuffix(rest, tablesPart)
 	switch {
 	case strings.HasPrefix(f.Topic, "$share/"):
-		return "", false, SharedNotSupported, "a proxy's tables are for one subscriber"
+		return "", false, SharedSubscriptionsNotSupported, "a proxy's tables are for one subscriber"
 	case strings.ContainsAny(f.Topic, "+#"):
-		return "", false, WildcardUnsupported, "one proxy's tables at a time, or " + allTables
+		return "", false, WildcardSubscriptionsNotSupported, "one proxy's tables at a time, or " + allTables
 	case f.Topic == allTables:
 		watch = true
 	case !is || !ends || name == "" || strings.Contains(name, "/"):
-		return "", false, FilterInvalid, "there is " + TablesOf("{proxy}") + " and " + allTables
+		return "", false, TopicFilterInvalid, "there is " + TablesTopic("{proxy}") + " and " + allTables
 	case f.QoS == 0:
-		return "", false, Implementation, "a proxy's tables are sent with QoS 1: the acknowledgement says that they are in force"
+		return "", false, ImplementationSpecificError, "a proxy's tables are sent with QoS 1: the acknowledgement says that they are in force"
 	}
 	if s.topic != "" && s.topic != f.Topic {
 		return "", false, QuotaExceeded, "a session follows one topic"
@@ -226,25 +226,25 @@
 		for _, o := range d.sessions {
 			watchers += map[bool]int{true: 1}[o.watch && o != s]
 		}
-		if watchers >= d.limits.Watchers {
+		if watchers >= d.limits.MaxWatchers {
 			return "", false, QuotaExceeded, "there is room for no more that look on"
 		}
 	}
 	return name, watch, GrantedQoS1, ""
 }
 
-func (d *Desk) subscribe(now logic.Millis, in Subscribe) {
+func (d *Broker) subscribe(now logic.Millis, in Subscribe) {
 	s := d.of(in.Conn)
 	if s == nil {
 		return
 	}
-	g := Granted{Conn: in.Conn, ID: in.ID}
+	g := SubAck{Conn: in.Conn, ID: in.ID}
 	begins := false
 	for _, f := range in.Filters {
 		proxy, watch, code, why := d.grant(s, f)
 		if g.Codes = append(g.Codes, code); code != GrantedQoS1 {
 			d.figures.Refused++
-			g.Why = why
+			g.Reason = why
 			continue
 		}
 		s.proxy, s.watch, s.topic, begins = proxy, watch, f.Topic, true
@@ -252,22 +252,22 @@
 	d.say(g)
 	switch {
 	case begins && s.flight != nil:
-		s.flight.void = s.flight.void || in.Again
+		s.flight.void = s.flight.void || in.Resend
 	case begins && s.ticket == 0:
 		s.begins = true
 		d.poll(s)
 	}
 }
 
-func (d *Desk) unsubscribe(now logic.Millis, in Unsubscribe) {
+func (d *Broker) unsubscribe(now logic.Millis, in Unsubscribe) {
 	s := d.of(in.Conn)
 	if s == nil {
 		return
 	}
-	u := Ungranted{Conn: in.Conn, ID: in.ID}
+	u := UnsubAck{Conn: in.Conn, ID: in.ID}
 	for _, topic := range in.Topics {
 		if topic == "" || topic != s.topic {
-			u.Codes = append(u.Codes, NoSubscription)
+			u.Codes = append(u.Codes, NoSubscriptionExisted)
 			continue
 		}
 		u.Codes = append(u.Codes, Success)
@@ -281,7 +281,7 @@
 }
 
 // poll asks the core for what comes next. What is held is what was acknowledged last.
-func (d *Desk) poll(s *session) {
+func (d *Broker) poll(s *session) {
 	t := d.ticket()
 	s.ticket, s.retryAt = t, 0
 	d.tickets[t] = asked{client: s.client}
@@ -295,7 +295,7 @@
 // busyFor is how long a subscriber waits where the core can't answer.
 const busyFor logic.Millis = 1000
 
-func (d *Desk) told(now logic.Millis, a control.Answer) {
+func (d *Broker) told(now logic.Millis, a control.Answer) {
 	of, known := d.tickets[a.Ticket]
 	if !known {
 		return
@@ -319,28 +319,28 @@
 		s.retryAt = now + busyFor
 	case control.Replaced:
 		d.figures.TakenOver++
-		d.leave(now, s, TakenOver, "the proxy polls by another front")
+		d.leave(now, s, SessionTakenOver, "the proxy polls by another front")
 	case control.Unknown:
 		d.leave(now, s, NotAuthorized, a.Why)
 	default:
-		d.leave(now, s, Implementation, a.Why)
+		d.leave(now, s, ImplementationSpecificError, a.Why)
 	}
 }
 
 // leave ends a session and its connection.
-func (d *Desk) leave(now logic.Millis, s *session, code Code, why string) {
+func (d *Broker) leave(now logic.Millis, s *session, code ReasonCode, why string) {
 	d.say(Close{s.conn, code, why})
 	d.part(now, s)
 	d.end(s)
 }
 
-func (d *Desk) deliver(now logic.Millis, s *session, a control.Answer) {
+func (d *Broker) deliver(now logic.Millis, s *session, a control.Answer) {
 	doc := Document{tag: a.Doc.Tag(), Lease: a.Lease}
 	doc.Tag = doc.tag.ETag()
 	if a.Kind == control.Delta {
-		doc.Body, doc.Type, doc.Base = a.Patch, tables.PatchType, a.Base.Tag().ETag()
+		doc.Body, doc.ContentType, doc.Base = a.Patch, tables.PatchType, a.Base.Tag().ETag()
 	} else {
-		doc.Body, doc.Type = a.Doc.Whole(), tables.MediaType
+		doc.Body, doc.ContentType = a.Doc.Whole(), tables.MediaType
 	}
 	if s.most > 0 && len(doc.Body)+len(s.topic)+packetHead > s.most {
 		d.leave(now, s, QuotaExceeded, "the document is longer than the packets that the client takes")
@@ -360,7 +360,7 @@
 
 // ack takes the client's word on the document that is on its way to it. A later one goes out only then, so that a slow
 // subscriber is sent one difference in place of all those it missed, and nothing waits for it.
-func (d *Desk) ack(now logic.Millis, a Ack) {
+func (d *Broker) ack(now logic.Millis, a Ack) {
 	s := d.of(a.Conn)
 	if s == nil || s.flight == nil || s.flight.id != a.ID {
 		return // it was acknowledged before, or never sent
@@ -369,10 +369,10 @@
 	s.flight = nil
 	switch {
 	case f.void:
-	case a.Code < Unspecified:
+	case a.Code < UnspecifiedError:
 		d.figures.Acknowledged++
 		s.held = []tables.Tag{f.doc.tag}
-	case a.Code == PayloadInvalid:
+	case a.Code == PayloadFormatInvalid:
 		s.held = nil // it can't be followed from what is held: the whole document next
 	}
 	if s.topic != "" && s.ticket == 0 {
@@ -380,7 +380,7 @@
 	}
 }
 
-func (d *Desk) report(now logic.Millis, r Report) {
+func (d *Broker) report(now logic.Millis, r Report) {
 	s := d.of(r.Conn)
 	if s == nil {
 		return
@@ -391,24 +391,24 @@
 	d.say(Post{r.Report})
 }
 
-func (d *Desk) reported(of asked, a control.Answer) {
+func (d *Broker) reported(of asked, a control.Answer) {
 	if _, open := d.conns[of.conn]; !open || of.id == 0 {
 		return
 	}
-	code := map[control.AnswerKind]Code{control.Accepted: Success, control.Unknown: NotAuthorized, control.Invalid: PayloadInvalid,
+	code := map[control.AnswerKind]ReasonCode{control.Accepted: Success, control.Unknown: NotAuthorized, control.Invalid: PayloadFormatInvalid,
 		control.Busy: QuotaExceeded}[a.Kind]
-	d.say(Acked{of.conn, of.id, code, a.Why})
+	d.say(PubAck{of.conn, of.id, code, a.Why})
 }
 
 // sweep ends sessions that are over, connections that acknowledge nothing, and asks again where the core was busy.
-func (d *Desk) sweep(now logic.Millis) {
+func (d *Broker) sweep(now logic.Millis) {
 	for _, client := range slices.Sorted(maps.Keys(d.sessions)) {
 		s := d.sessions[client]
 		switch {
 		case s.conn == 0 && now >= s.until:
 			d.end(s)
-		case s.conn != 0 && s.flight != nil && now >= s.flight.sent+d.limits.Unanswered:
-			d.say(Close{s.conn, Implementation, "a document was not acknowledged in time"})
+		case s.conn != 0 && s.flight != nil && now >= s.flight.sent+d.limits.AckTimeout:
+			d.say(Close{s.conn, ImplementationSpecificError, "a document was not acknowledged in time"})
 			d.part(now, s)
 		case s.conn != 0 && s.retryAt > 0 && now >= s.retryAt:
 			d.poll(s)
@@ -417,7 +417,7 @@
 }
 
 // Figures are those of now.
-func (d *Desk) Figures() Figures {
+func (d *Broker) Stats() Stats {
 	f := d.figures
 	f.Sessions = len(d.sessions)
 	for _, s := range d.sessions {
--- a/internal/subscribe/desk_test.go
+++ b/internal/subscribe/desk_test.go
@@ -14,7 +14,7 @@
 // world is a core that has versions, and clients that hold some.
 type world struct {
 	t       *rapid.T
-	desk    *Desk
+	desk    *Broker
 	now     logic.Millis
 	tickets control.Ticket
 	docs    []*tables.Document
@@ -25,7 +25,7 @@
 type client struct {
 	held   int // version; -1 none
 	flight map[uint16]int
-	closed Code
+	closed ReasonCode
 	ended  bool
 }
 
@@ -67,7 +67,7 @@
 			}
 		}
 		delete(w.parked, ticket)
-		w.do(Told{a})
+		w.do(CoreAnswer{a})
 	}
 }
 
@@ -75,7 +75,7 @@
 	for _, o := range w.desk.Handle(w.now, in...) {
 		switch o := o.(type) {
 		case Post:
-			switch p := o.In.(type) {
+			switch p := o.Input.(type) {
 			case control.Poll:
 				w.parked[p.Ticket] = p
 			case control.Disconnected:
@@ -92,7 +92,7 @@
 			if o.Doc.Base != "" && w.at(o.Doc.Base) != c.held {
 				w.t.Fatalf("a difference from version %d to a client that holds %d", w.at(o.Doc.Base), c.held)
 			}
-			if v := w.at(o.Doc.Tag); v <= c.held && !o.Again && o.Doc.Base != "" {
+			if v := w.at(o.Doc.Tag); v <= c.held && !o.Duplicate && o.Doc.Base != "" {
 				w.t.Fatalf("version %d after %d", v, c.held)
 			}
 			c.flight[o.ID] = w.at(o.Doc.Tag)
@@ -104,10 +104,10 @@
 
 // Whatever clients do and however their connections break, a document goes out only when the one before it was acknowledged,
 // each difference is from what the client holds, and in the end every subscriber has the newest version.
-func TestDesk(t *testing.T) {
+func TestBroker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, parked: map[control.Ticket]control.Poll{}, clients: map[Conn]*client{}}
-		w.desk = NewDesk(Limits{Sessions: 4, Expiry: 5000, Unanswered: 20000, Connects: 1000, Watchers: 2}, 1000,
+		w.desk = NewBroker(Limits{MaxSessions: 4, MaxExpiry: 5000, AckTimeout: 20000, ConnectsPerSecond: 1000, MaxWatchers: 2}, 1000,
 			func() control.Ticket { w.tickets++; return w.tickets })
 		w.version()
 		last, holds := map[string]Conn{}, map[string]int{"a": -1, "b": -1, "c": -1}
@@ -120,8 +120,8 @@
 			}
 			w.clients[next] = &client{held: held, flight: map[uint16]int{}}
 			last[name] = next
-			w.do(Connect{Conn: next, Client: name, Clean: clean, Expiry: 3000})
-			w.do(Subscribe{Conn: next, ID: 1, Filters: []Filter{{TablesOf("p" + name), 1}}})
+			w.do(Connect{Conn: next, ClientID: name, CleanStart: clean, Expiry: 3000})
+			w.do(Subscribe{Conn: next, ID: 1, Filters: []Filter{{TablesTopic("p" + name), 1}}})
 		}
 		ack := func(name string) {
 			c := w.clients[last[name]]
@@ -146,7 +146,7 @@
 			case 2:
 				if c != nil && !c.ended {
 					c.ended = true
-					w.do(Gone{Conn: last[name]})
+					w.do(ConnectionClosed{Conn: last[name]})
 				}
 			case 3, 4:
 				w.version()
@@ -186,7 +186,7 @@
 // Limits: sessions, connects at once, a client that acknowledges nothing, a session that is over, a proxy on both fronts.
 func TestLimits(t *testing.T) {
 	ticket := control.Ticket(0)
-	d := NewDesk(Limits{Sessions: 2, Expiry: 5000, Unanswered: 8000, Connects: 3, Watchers: 1}, 1000, func() control.Ticket { ticket++; return ticket })
+	d := NewBroker(Limits{MaxSessions: 2, MaxExpiry: 5000, AckTimeout: 8000, ConnectsPerSecond: 3, MaxWatchers: 1}, 1000, func() control.Ticket { ticket++; return ticket })
 	find := func(out []any, is func(any) bool) bool {
 		for _, o := range out {
 			if is(o) {
@@ -195,41 +195,41 @@
 		}
 		return false
 	}
-	refused := func(code Code) func(any) bool {
+	refused := func(code ReasonCode) func(any) bool {
 		return func(o any) bool { r, is := o.(Refuse); return is && r.Code == code }
 	}
-	closed := func(c Conn, code Code) func(any) bool {
+	closed := func(c Conn, code ReasonCode) func(any) bool {
 		return func(o any) bool { r, is := o.(Close); return is && r.Conn == c && r.Code == code }
 	}
-	present := func(o any) bool { a, is := o.(Accept); return is && a.Present }
-	d.Handle(0, Connect{Conn: 1, Client: "a", Expiry: 9000}, Connect{Conn: 2, Client: "b", Expiry: 9000})
-	if out := d.Handle(0, Connect{Conn: 3, Client: "c"}, Connect{Conn: 4, Client: "c"}); !find(out, refused(QuotaExceeded)) {
+	present := func(o any) bool { a, is := o.(Accept); return is && a.SessionPresent }
+	d.Handle(0, Connect{Conn: 1, ClientID: "a", Expiry: 9000}, Connect{Conn: 2, ClientID: "b", Expiry: 9000})
+	if out := d.Handle(0, Connect{Conn: 3, ClientID: "c"}, Connect{Conn: 4, ClientID: "c"}); !find(out, refused(QuotaExceeded)) {
 		t.Errorf("a third session: %+v", out)
 	}
-	if out := d.Handle(1, Connect{Conn: 4, Client: "a"}, Connect{Conn: 5, Client: "a"}); !find(out, refused(ServerBusy)) {
+	if out := d.Handle(1, Connect{Conn: 4, ClientID: "a"}, Connect{Conn: 5, ClientID: "a"}); !find(out, refused(ServerBusy)) {
 		t.Errorf("too many at once: %+v", out)
 	}
-	if out := d.Handle(3000, Connect{Conn: 6, Client: "b", Expiry: 9000}); !find(out, closed(2, TakenOver)) || !find(out, present) {
+	if out := d.Handle(3000, Connect{Conn: 6, ClientID: "b", Expiry: 9000}); !find(out, closed(2, SessionTakenOver)) || !find(out, present) {
 		t.Errorf("the same client again: %+v", out)
 	}
-	out := d.Handle(3001, Subscribe{Conn: 6, ID: 1, Filters: []Filter{{TablesOf("p"), 1}, {AllTables, 1}}})
-	if g := out[0].(Granted); g.Codes[0] != GrantedQoS1 || g.Codes[1] != QuotaExceeded {
+	out := d.Handle(3001, Subscribe{Conn: 6, ID: 1, Filters: []Filter{{TablesTopic("p"), 1}, {AllTablesTopic, 1}}})
+	if g := out[0].(SubAck); g.Codes[0] != GrantedQoS1 || g.Codes[1] != QuotaExceeded {
 		t.Errorf("two topics: %+v", g)
 	}
 	doc := (&tables.Document{Tables: map[string]*tables.Table{}}).Seal(1, 1, 0)
-	d.Handle(3002, Told{control.Answer{Ticket: ticket, Kind: control.Full, Doc: doc}})
-	if out := d.Handle(12000); !find(out, closed(6, Implementation)) {
+	d.Handle(3002, CoreAnswer{control.Answer{Ticket: ticket, Kind: control.Full, Doc: doc}})
+	if out := d.Handle(12000); !find(out, closed(6, ImplementationSpecificError)) {
 		t.Errorf("nothing is acknowledged: %+v", out)
 	}
-	if out := d.Handle(14000, Connect{Conn: 7, Client: "b", Expiry: 1000}); !find(out, func(o any) bool { x, is := o.(Deliver); return is && x.Again }) {
+	if out := d.Handle(14000, Connect{Conn: 7, ClientID: "b", Expiry: 1000}); !find(out, func(o any) bool { x, is := o.(Deliver); return is && x.Duplicate }) {
 		t.Errorf("a session that goes on is sent the unacknowledged document again: %+v", out)
 	}
-	d.Handle(14001, Gone{Conn: 7})
-	if out := d.Handle(17000, Connect{Conn: 8, Client: "b"}); find(out, present) {
+	d.Handle(14001, ConnectionClosed{Conn: 7})
+	if out := d.Handle(17000, Connect{Conn: 8, ClientID: "b"}); find(out, present) {
 		t.Errorf("a session that was over: %+v", out)
 	}
-	out = d.Handle(17001, Subscribe{Conn: 8, ID: 1, Filters: []Filter{{TablesOf("p"), 1}}})
-	if out = d.Handle(17002, Told{control.Answer{Ticket: ticket, Kind: control.Replaced, Doc: doc}}); !find(out, closed(8, TakenOver)) {
+	out = d.Handle(17001, Subscribe{Conn: 8, ID: 1, Filters: []Filter{{TablesTopic("p"), 1}}})
+	if out = d.Handle(17002, CoreAnswer{control.Answer{Ticket: ticket, Kind: control.Replaced, Doc: doc}}); !find(out, closed(8, SessionTakenOver)) {
 		t.Errorf("the proxy polls by the other front: %+v", out)
 	}
 }
