--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,6 +1,7 @@
-// Package follow keeps a proxy's tables up to date: it polls a director by the long-poll API, takes differences
-// where its base allows and the whole document where it does not, goes on to another director when one fails, and
-// with what it holds while none answers. Which version takes effect is decided in package following.
+// Package follow keeps the tables of a proxy up to date. It polls a director by the long-poll API or subscribes to it
+// by MQTT, and applies a delta if its base is the document in force, a full document otherwise. When a director fails,
+// it turns to the next one; while none answers, the document in force stays valid. Package following decides which
+// version takes effect.
 package follow
 
 import (
@@ -28,302 +29,319 @@
 	"vetchwood/internal/tables"
 )
 
-// Update is one answer that took effect.
+// Update describes a document that took effect.
 type Update struct {
-	Doc   *tables.Document
-	Lines int // operations of the difference, or lines of a whole document
-	Full  bool
-	// From is the director's place in the list, where all of them are followed; Raw is its own document then, and Doc what
-	// came of all.
+	Doc   *tables.Document // the document in force from now on
+	Lines int              // operations of a delta, or lines, routes and masks of a full document
+	Full  bool             // whether the update was a full document, not a delta
+	// DirectorIndex is the place in Config.Directors of the director that sent the update, if all directors are
+	// followed at once. Raw is the document of that director then, and Doc the merged document of all directors.
 	DirectorIndex int
 	Raw           *tables.Document
 }
 
-// Source is where to poll, and as whom.
+// Config holds the settings of a follower.
 type Config struct {
-	Directors []string // base URLs
-	Proxy     string
-	Zone      string
-	Rate      float64
-	MaxWait   time.Duration
-	Watch     bool   // look on: follow what all proxies are told, without being one
-	CacheFile string // file that the document in force is kept in; empty: none
-	// Seen hears of each update before the next poll, Joined of each change between being joined and not.
+	Directors []string      // base URLs; those with the scheme MQTTScheme are subscribed to
+	Proxy     string        // name of the proxy
+	Zone      string        // zone of the proxy
+	Rate      float64       // calls per second that the proxy expects to forward
+	MaxWait   time.Duration // maximum time that a director may keep a poll pending
+	Watch     bool          // follow the document that is published to all proxies, without joining as a proxy
+	CacheFile string        // file that stores the document in force; empty: none
+	// OnUpdate is called after each update and before the next poll, OnJoinChange whenever the proxy joins a director
+	// or leaves it. Both are optional.
 	OnUpdate     func(Update)
 	OnJoinChange func(director string, on bool)
 	Log          *slog.Logger
 }
 
-// Follower is a running one.
+// Follower follows one director at a time and switches to another one when it fails.
 type Follower struct {
-	src       Config
-	client    *http.Client
-	reports   *http.Client
-	epoch     time.Time
-	chooser   *following.Chooser
-	held      atomic.Pointer[tables.Document]
-	at        atomic.Int32 // the director polled last
-	joined    bool
-	stale     atomic.Uint64
-	publisher atomic.Pointer[paho.Client] // of the subscription that is up
-	whole     bool                        // the next answer must be whole
-	kept      *tables.Document
-	keptAt    time.Time
+	config          Config
+	pollClient      *http.Client
+	reportClient    *http.Client
+	epoch           time.Time
+	chooser         *following.Chooser
+	document        atomic.Pointer[tables.Document]
+	currentDirector atomic.Int32 // index of the director polled last
+	joined          bool
+	staleResponses  atomic.Uint64
+	mqttClient      atomic.Pointer[paho.Client] // client of the open subscription, nil without one
+	needsFull       bool                        // the next response must be a full document
+	cached          *tables.Document            // the document in the cache file
+	cachedAt        time.Time
 
-	mu  sync.Mutex
-	cut time.Time
-	end context.CancelFunc
+	mu           sync.Mutex
+	blockedUntil time.Time
+	cancelPoll   context.CancelFunc
 }
 
-// leaseHeader says for how many milliseconds after its poll was sent an answer may take effect.
+// leaseHeader limits how long after its poll was sent a response may take effect, in milliseconds.
 const leaseHeader = "Vetchwood-Lease"
 
-var errStale = errors.New("the answer's lease is over")
+var errLeaseExpired = errors.New("response arrived after the director's lease had expired")
 
-const mostDocument = 64 << 20
+const maxDocumentBytes = 64 << 20
 
-func New(src Config) *Follower {
-	if src.Log == nil {
-		src.Log = slog.New(slog.DiscardHandler)
+// New returns a follower, which starts with Run.
+func New(config Config) *Follower {
+	if config.Log == nil {
+		config.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Follower{src: src, epoch: time.Now(), chooser: following.NewChooser(len(src.Directors)),
-		client: newClient(), reports: newClient()}
+	return &Follower{config: config, epoch: time.Now(), chooser: following.NewChooser(len(config.Directors)),
+		pollClient: newClient(), reportClient: newClient()}
 }
 
 func newClient() *http.Client {
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
+	return &http.Client{Transport: &http.Transport{
+		MaxIdleConnsPerHost: 1,
+		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
+	}}
 }
 
-// Held is the document in force, nil before the first.
-func (f *Follower) Document() *tables.Document { return f.held.Load() }
+// Document returns the document in force, nil before the first one.
+func (f *Follower) Document() *tables.Document { return f.document.Load() }
 
-// Director is the one polled last.
+// Director returns the URL of the director polled last.
 func (f *Follower) Director() string {
-	return strings.TrimRight(f.src.Directors[f.at.Load()], "/")
+	return strings.TrimRight(f.config.Directors[f.currentDirector.Load()], "/")
 }
 
-// Cut keeps it from its directors for a while.
-func (f *Follower) DisconnectFor(long time.Duration) {
+// DisconnectFor cancels the current poll and sends no other one for the given duration.
+func (f *Follower) DisconnectFor(duration time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.cut = time.Now().Add(long); f.end != nil {
-		f.end()
+	if f.blockedUntil = time.Now().Add(duration); f.cancelPoll != nil {
+		f.cancelPoll()
 	}
 }
 
+// now returns the time since the follower was created in milliseconds.
 func (f *Follower) now() float64 { return float64(time.Since(f.epoch).Microseconds()) / 1000 }
 
-// Run polls until the context ends.
+// Run follows the directors until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	f.load()
-	defer f.client.CloseIdleConnections()
-	defer f.reports.CloseIdleConnections()
-	defer f.join(false)
-	defer f.keep(true)
+	f.loadCache()
+	defer f.pollClient.CloseIdleConnections()
+	defer f.reportClient.CloseIdleConnections()
+	defer f.setJoined(false)
+	defer f.saveCache(true)
 	for ctx.Err() == nil {
 		f.mu.Lock()
-		poll, end := context.WithCancel(ctx)
-		f.end = end
-		cut := time.Until(f.cut)
+		pollCtx, cancel := context.WithCancel(ctx)
+		f.cancelPoll = cancel
+		blockedFor := time.Until(f.blockedUntil)
 		f.mu.Unlock()
 		director, when := f.chooser.Next(f.now())
-		if wait := max(cut, time.Duration((when-f.now())*float64(time.Millisecond))); wait > 0 {
+		if wait := max(blockedFor, time.Duration((when-f.now())*float64(time.Millisecond))); wait > 0 {
 			select {
 			case <-ctx.Done():
 			case <-time.After(wait):
 			}
-			end()
+			cancel()
 			continue
 		}
-		f.at.Store(int32(director))
-		err := f.contact(poll, f.src.Directors[director])
-		end()
+		f.currentDirector.Store(int32(director))
+		err := f.pollOrSubscribe(pollCtx, f.config.Directors[director])
+		cancel()
 		switch {
-		case errors.Is(err, errStale):
+		case errors.Is(err, errLeaseExpired):
 			f.chooser.Succeeded(director)
 		case err == nil:
 			f.chooser.Succeeded(director)
-			f.keep(false)
+			f.saveCache(false)
 		case ctx.Err() == nil:
-			f.join(false)
+			f.setJoined(false)
 			f.chooser.Failed(director, f.now(), rand.Float64())
-			var later *laterError
-			if errors.As(err, &later) {
-				f.chooser.Defer(director, f.now(), later.wait)
+			var retryAfter *retryAfterError
+			if errors.As(err, &retryAfter) {
+				f.chooser.Defer(director, f.now(), retryAfter.delayMs)
 			}
-			f.src.Log.Warn("follow.failed", "proxy", f.src.Proxy, "director", f.src.Directors[director], "error", err)
+			f.config.Log.Warn("follow.failed", "proxy", f.config.Proxy, "director", f.config.Directors[director], "error", err)
 		}
 	}
 }
 
-func (f *Follower) join(on bool) {
-	if f.joined != on {
-		f.joined = on
-		if f.src.OnJoinChange != nil {
-			f.src.OnJoinChange(f.Director(), on)
+func (f *Follower) setJoined(joined bool) {
+	if f.joined != joined {
+		f.joined = joined
+		if f.config.OnJoinChange != nil {
+			f.config.OnJoinChange(f.Director(), joined)
 		}
 	}
 }
 
+// poll sends one poll to a director and applies the response.
 func (f *Follower) poll(ctx context.Context, director string) error {
-	held := f.held.Load()
-	// A director that is gone without a word must not hold the poll for ever.
-	ctx, cancel := context.WithTimeout(ctx, f.src.MaxWait+3*time.Second)
+	current := f.document.Load()
+	// A director whose host vanished without closing the connection must not block the poll for ever.
+	ctx, cancel := context.WithTimeout(ctx, f.config.MaxWait+3*time.Second)
 	defer cancel()
-	at := f.path(director)
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil)
+	tablesURL := f.tablesURL(director)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, tablesURL, nil)
 	if err != nil {
 		return err
 	}
-	if held != nil && !f.whole {
-		req.Header.Set("If-None-Match", held.Tag().ETag())
+	if current != nil && !f.needsFull {
+		req.Header.Set("If-None-Match", current.Tag().ETag())
 		req.Header.Set("A-IM", "json-patch")
-		req.Header.Set("Prefer", "wait="+strconv.Itoa(int(f.src.MaxWait.Seconds())))
+		req.Header.Set("Prefer", "wait="+strconv.Itoa(int(f.config.MaxWait.Seconds())))
 	}
 	sent := time.Now()
-	res, err := f.client.Do(req)
+	res, err := f.pollClient.Do(req)
 	if err != nil {
 		return err
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, mostDocument))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxDocumentBytes))
 	if err != nil {
 		return err
 	}
 	if lease, err := strconv.Atoi(res.Header.Get(leaseHeader)); err == nil && res.StatusCode != http.StatusNotModified &&
 		!following.WithinLease(float64(lease), float64(time.Since(sent).Microseconds())/1000) {
-		// It may have come long after it was written, from a director that holds nothing any more: a new poll tells.
-		f.stale.Add(1)
-		return errStale
+		// The response may have been written long ago by a director that owns no slice any more; a new poll shows the
+		// current state.
+		f.staleResponses.Add(1)
+		return errLeaseExpired
 	}
 	switch res.StatusCode {
 	case http.StatusNotModified:
-		f.join(true)
+		f.setJoined(true)
 		return nil
 	case http.StatusOK:
-		return f.complete(body, res.Header.Get("ETag"))
+		return f.applyFull(body, res.Header.Get("ETag"))
 	case http.StatusIMUsed:
 		if im := res.Header.Get("IM"); im != "json-patch" {
-			return f.refuse("a difference by %.40q", im)
+			return f.rejectf("unsupported delta encoding %.40q in the IM header", im)
 		}
-		return f.patched(body, res.Header.Get("ETag"), res.Header.Get("Delta-Base"))
+		return f.applyDelta(body, res.Header.Get("ETag"), res.Header.Get("Delta-Base"))
 	}
 	err = fmt.Errorf("poll: %s: %.200s", res.Status, body)
-	if after, unread := strconv.Atoi(res.Header.Get("Retry-After")); unread == nil && after > 0 {
-		// Seconds are whole: many that are told the same would come back together.
-		return &laterError{err, float64(after) * 1000 * (0.75 + rand.Float64()/2)}
+	if seconds, parseErr := strconv.Atoi(res.Header.Get("Retry-After")); parseErr == nil && seconds > 0 {
+		// The header has whole seconds: without jitter, proxies that got the same value would all retry at once.
+		return &retryAfterError{err, float64(seconds) * 1000 * (0.75 + rand.Float64()/2)}
 	}
 	return err
 }
 
-// laterError is a director's wish to be left alone for some milliseconds.
-type laterError struct {
+// retryAfterError is a failed poll whose response has a Retry-After header; delayMs is its jittered value in
+// milliseconds.
+type retryAfterError struct {
 	error
-	wait float64
+	delayMs float64
 }
 
-// contact polls a director once, or subscribes to it until the connection ends, by its URL.
-func (f *Follower) contact(ctx context.Context, director string) error {
+// pollOrSubscribe polls a director once or, if its URL has the scheme MQTTScheme, subscribes to it until the connection
+// ends.
+func (f *Follower) pollOrSubscribe(ctx context.Context, director string) error {
 	if u, err := url.Parse(director); err == nil && u.Scheme == MQTTScheme {
 		return f.subscribe(ctx, u)
 	}
 	return f.poll(ctx, director)
 }
 
-// complete takes a whole document, patched a difference from what is held.
-func (f *Follower) complete(body []byte, tag string) error {
+// applyFull applies a full document. The parameter tag is its entity tag as given by the director.
+func (f *Follower) applyFull(body []byte, tag string) error {
 	d, err := tables.Parse(body)
 	if err != nil {
-		return f.refuse("%v", err)
+		return f.rejectf("%v", err)
 	}
-	if err := f.take(tag, d, lines(d), true); err != nil {
+	if err := f.applyDocument(tag, d, countLines(d), true); err != nil {
 		return err
 	}
-	f.whole = false
+	f.needsFull = false
 	return nil
 }
 
-func (f *Follower) patched(body []byte, tag, base string) error {
-	held := f.held.Load()
-	if held == nil || base != held.Tag().ETag() {
-		return f.refuse("difference from %.80s is not from what is held", base)
-	}
-	d, err := tables.Apply(held, body)
+// applyDelta applies a JSON patch to the document in force, which must have the entity tag base. The parameter tag is
+// the entity tag of the result.
+func (f *Follower) applyDelta(body []byte, tag, base string) error {
+	current := f.document.Load()
+	if current == nil || base != current.Tag().ETag() {
+		return f.rejectf("delta base %.80s is not the document in force", base)
+	}
+	d, err := tables.Apply(current, body)
 	if err != nil {
-		return f.refuse("%v", err)
+		return f.rejectf("%v", err)
 	}
-	return f.take(tag, d, bytes.Count(body, []byte(`"op":`)), false)
+	return f.applyDocument(tag, d, bytes.Count(body, []byte(`"op":`)), false)
 }
 
-// Report sends sums to the director that is followed, and gives the status by which they were taken.
+// Report sends a load report to a director and returns the status and the body of the response. The key identifies the
+// report, so that a repeated one is counted once. Over MQTT, the reason code is mapped to an HTTP status.
 func (f *Follower) Report(ctx context.Context, director, key string, body []byte) (status int, text string, err error) {
 	if u, err := url.Parse(director); err == nil && u.Scheme == MQTTScheme {
-		return f.publish(ctx, key, body)
+		return f.publishReport(ctx, key, body)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, director+"/v1/proxies/"+url.PathEscape(f.src.Proxy)+"/reports", bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost,
+		director+"/v1/proxies/"+url.PathEscape(f.config.Proxy)+"/reports", bytes.NewReader(body))
 	if err != nil {
 		return 0, "", err
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Idempotency-Key", key)
-	res, err := f.reports.Do(req)
+	res, err := f.reportClient.Do(req)
 	if err != nil {
 		return 0, "", err
 	}
 	defer res.Body.Close()
-	answer, _ := io.ReadAll(io.LimitReader(res.Body, 1<<16))
-	return res.StatusCode, string(answer), nil
+	responseBody, _ := io.ReadAll(io.LimitReader(res.Body, 1<<16))
+	return res.StatusCode, string(responseBody), nil
 }
 
-func (f *Follower) path(director string) string {
-	if f.src.Watch {
+// tablesURL returns the URL to poll at a director.
+func (f *Follower) tablesURL(director string) string {
+	if f.config.Watch {
 		return strings.TrimRight(director, "/") + "/v1/tables"
 	}
 	return fmt.Sprintf("%s/v1/proxies/%s/tables?zone=%s&rate=%s", strings.TrimRight(director, "/"),
-		url.PathEscape(f.src.Proxy), url.QueryEscape(f.src.Zone), strconv.FormatFloat(f.src.Rate, 'g', 4, 64))
+		url.PathEscape(f.config.Proxy), url.QueryEscape(f.config.Zone), strconv.FormatFloat(f.config.Rate, 'g', 4, 64))
 }
 
-// refuse lets go of a difference that can't be followed: the next poll brings the whole document. What is held stays
-// in force.
-func (f *Follower) refuse(format string, args ...any) error {
-	f.whole = true
+// rejectf returns an error about a document or a delta that can't be applied, and lets the next poll request a full
+// document. The document in force stays unchanged.
+func (f *Follower) rejectf(format string, args ...any) error {
+	f.needsFull = true
 	return fmt.Errorf(format, args...)
 }
 
-func version(d *tables.Document) following.Version {
+func versionOf(d *tables.Document) following.Version {
 	return following.Version{Line: d.Line, Step: d.Step, At: d.At}
 }
 
-func (f *Follower) take(told string, d *tables.Document, n int, whole bool) error {
-	if tag := d.Tag().ETag(); tag != told {
-		return f.refuse("the content of %.80s has the tag %s", told, tag)
+// applyDocument puts a document into force if its content has the expected entity tag and it is newer than the document
+// in force.
+func (f *Follower) applyDocument(expectedTag string, d *tables.Document, lineCount int, full bool) error {
+	if tag := d.Tag().ETag(); tag != expectedTag {
+		return f.rejectf("entity tag mismatch: director sent %.80s, content has %s", expectedTag, tag)
 	}
-	var held *following.Version
-	if was := f.held.Load(); was != nil {
-		v := version(was)
-		held = &v
+	var current *following.Version
+	if doc := f.document.Load(); doc != nil {
+		v := versionOf(doc)
+		current = &v
 	}
-	switch following.Evaluate(held, version(d)) {
+	switch following.Evaluate(current, versionOf(d)) {
 	case following.Older:
-		return fmt.Errorf("version %s is older than %s, which is held", d.Version, f.held.Load().Version)
+		return fmt.Errorf("offered version %s is older than version %s in force", d.Version, f.document.Load().Version)
 	case following.Duplicate:
-		f.join(true)
+		f.setJoined(true)
 		return nil
 	}
-	f.held.Store(d)
-	f.join(true)
-	if f.src.OnUpdate != nil {
-		f.src.OnUpdate(Update{Doc: d, Raw: d, Lines: n, Full: whole})
+	f.document.Store(d)
+	f.setJoined(true)
+	if f.config.OnUpdate != nil {
+		f.config.OnUpdate(Update{Doc: d, Raw: d, Lines: lineCount, Full: full})
 	}
 	return nil
 }
 
-// load starts from the document that was kept, if there is one that can be followed.
-func (f *Follower) load() {
-	if f.src.CacheFile == "" || f.held.Load() != nil {
+// loadCache puts the document of the cache file into force, if the file exists and can be parsed.
+func (f *Follower) loadCache() {
+	if f.config.CacheFile == "" || f.document.Load() != nil {
 		return
 	}
-	text, err := os.ReadFile(f.src.CacheFile)
+	text, err := os.ReadFile(f.config.CacheFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
@@ -332,35 +350,38 @@
 		d, err = tables.Parse(text)
 	}
 	if err != nil {
-		f.src.Log.Warn("follow.kept_unreadable", "file", f.src.CacheFile, "error", err)
+		f.config.Log.Warn("follow.kept_unreadable", "file", f.config.CacheFile, "error", err)
 		return
 	}
-	f.src.Log.Info("follow.kept", "version", d.Version, "age", time.Since(time.UnixMilli(int64(d.At))).Round(time.Second).String())
-	f.held.Store(d)
-	f.kept = d
-	if f.src.OnUpdate != nil {
-		f.src.OnUpdate(Update{Doc: d, Raw: d, Lines: lines(d), Full: true})
+	f.config.Log.Info("follow.kept", "version", d.Version,
+		"age", time.Since(time.UnixMilli(int64(d.At))).Round(time.Second).String())
+	f.document.Store(d)
+	f.cached = d
+	if f.config.OnUpdate != nil {
+		f.config.OnUpdate(Update{Doc: d, Raw: d, Lines: countLines(d), Full: true})
 	}
 }
 
-// keep writes the document in force, now and then; a file is replaced whole or not at all.
-func (f *Follower) keep(last bool) {
-	d := f.held.Load()
-	if f.src.CacheFile == "" || d == nil || d == f.kept || !last && time.Since(f.keptAt) < time.Second {
+// saveCache writes the document in force to the cache file, at most once a second unless force is set. The file is
+// replaced by a rename, so that it never holds a partial document.
+func (f *Follower) saveCache(force bool) {
+	d := f.document.Load()
+	if f.config.CacheFile == "" || d == nil || d == f.cached || !force && time.Since(f.cachedAt) < time.Second {
 		return
 	}
-	f.kept, f.keptAt = d, time.Now()
-	next := f.src.CacheFile + ".next"
-	err := os.WriteFile(next, d.Whole(), 0o600)
+	f.cached, f.cachedAt = d, time.Now()
+	tempFile := f.config.CacheFile + ".next"
+	err := os.WriteFile(tempFile, d.Whole(), 0o600)
 	if err == nil {
-		err = os.Rename(next, f.src.CacheFile)
+		err = os.Rename(tempFile, f.config.CacheFile)
 	}
 	if err != nil {
-		f.src.Log.Warn("follow.not_kept", "file", f.src.CacheFile, "error", err)
+		f.config.Log.Warn("follow.not_kept", "file", f.config.CacheFile, "error", err)
 	}
 }
 
-func lines(d *tables.Document) (n int) {
+// countLines returns the number of table lines, routes and masks of a document.
+func countLines(d *tables.Document) (n int) {
 	for _, t := range d.Tables {
 		n += len(t.Lines)
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -15,31 +15,32 @@
 	"vetchwood/internal/tables"
 )
 
-func document(line tables.Line, step tables.Step, at float64) *tables.Document {
-	d := &tables.Document{Pick: "lottery", Routes: map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{}, Masked: map[tables.Address]bool{},
+func newDocument(line tables.Line, step tables.Step, at float64) *tables.Document {
+	d := &tables.Document{Pick: "lottery", Routes: map[string]tables.Route{},
+		Hosts: map[tables.Address]tables.Host{}, Masked: map[tables.Address]bool{},
 		Tables: map[string]*tables.Table{"t": {Lines: map[tables.Address]float64{"h:1": float64(step)}}}}
 	d.Seal(line, step, at).Tag()
 	return d
 }
 
-// scripted is a director that answers as it is told, and counts what it is asked.
-type scripted struct {
+// fakeDirector is a director that answers by a replaceable handler and counts the requests it receives.
+type fakeDirector struct {
 	*httptest.Server
-	mu     sync.Mutex
-	answer func(w http.ResponseWriter, r *http.Request)
-	asked  atomic.Int64
-	wholes atomic.Int64
+	mu           sync.Mutex
+	handler      func(w http.ResponseWriter, r *http.Request)
+	requests     atomic.Int64
+	fullRequests atomic.Int64
 }
 
-func direct(t *testing.T) *scripted {
-	s := &scripted{}
+func newFakeDirector(t *testing.T) *fakeDirector {
+	s := &fakeDirector{}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.asked.Add(1)
+		s.requests.Add(1)
 		if r.Header.Get("If-None-Match") == "" {
-			s.wholes.Add(1)
+			s.fullRequests.Add(1)
 		}
 		s.mu.Lock()
-		f := s.answer
+		f := s.handler
 		s.mu.Unlock()
 		f(w, r)
 	}))
@@ -47,14 +48,14 @@
 	return s
 }
 
-func (s *scripted) does(f func(http.ResponseWriter, *http.Request)) {
+func (s *fakeDirector) setHandler(f func(http.ResponseWriter, *http.Request)) {
 	s.mu.Lock()
-	s.answer = f
+	s.handler = f
 	s.mu.Unlock()
 }
 
-// whole tells a document, and nothing new to those that hold it.
-func whole(d *tables.Document) func(http.ResponseWriter, *http.Request) {
+// serveDocument answers with a full document, and with 304 to proxies that already have it.
+func serveDocument(d *tables.Document) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("ETag", d.Tag().ETag())
 		if r.Header.Get("If-None-Match") == d.Tag().ETag() {
@@ -66,25 +67,27 @@
 	}
 }
 
-func refuses(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
+func serveError(w http.ResponseWriter, _ *http.Request) {
+	w.WriteHeader(http.StatusInternalServerError)
+}
 
-type run struct {
+type testFollower struct {
 	*Follower
-	mu   sync.Mutex
-	seen []tables.Step
+	mu    sync.Mutex
+	steps []tables.Step
 }
 
-func start(t *testing.T, kept string, directors ...*scripted) *run {
-	r := &run{}
-	src := Config{Proxy: "p", MaxWait: time.Second, CacheFile: kept, OnUpdate: func(u Update) {
+func startFollower(t *testing.T, cacheFile string, directors ...*fakeDirector) *testFollower {
+	r := &testFollower{}
+	config := Config{Proxy: "p", MaxWait: time.Second, CacheFile: cacheFile, OnUpdate: func(u Update) {
 		r.mu.Lock()
-		r.seen = append(r.seen, u.Doc.Step)
+		r.steps = append(r.steps, u.Doc.Step)
 		r.mu.Unlock()
 	}}
 	for _, d := range directors {
-		src.Directors = append(src.Directors, d.URL)
+		config.Directors = append(config.Directors, d.URL)
 	}
-	r.Follower = New(src)
+	r.Follower = New(config)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { r.Run(ctx); close(done) }()
@@ -92,46 +95,46 @@
 	return r
 }
 
-func (r *run) await(t *testing.T, what string, is func(*tables.Document) bool) {
+func (r *testFollower) waitFor(t *testing.T, what string, matches func(*tables.Document) bool) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
-		if d := r.Document(); d != nil && is(d) {
+	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
+		if d := r.Document(); d != nil && matches(d) {
 			return
 		}
-		if time.Now().After(end) {
-			t.Fatalf("not in time: %s; held %+v", what, r.Document())
+		if time.Now().After(deadline) {
+			t.Fatalf("%s: expected document is not in force after 5 s; in force: %+v", what, r.Document())
 		}
 	}
 }
 
-func at(step tables.Step) func(*tables.Document) bool {
+func hasStep(step tables.Step) func(*tables.Document) bool {
 	return func(d *tables.Document) bool { return d.Step == step }
 }
 
-// Differences on the wrong base, that don't apply, or whose outcome is not what the tag says: refused, what is held stays
-// in force, and the next poll brings the whole.
+// Deltas that have a wrong base, do not apply, or whose result does not match the entity tag are rejected: the document
+// in force stays, and the next poll requests the full document.
 func TestInvalidDeltas(t *testing.T) {
-	base, next := document(5, 1, 1), document(5, 2, 2)
+	base, next := newDocument(5, 1, 1), newDocument(5, 2, 2)
 	patch := string(next.Delta(base))
 	if patch == "" {
 		patch = `[{"op":"replace","path":"/version","value":"5.2"},{"op":"replace","path":"/at","value":2},{"op":"replace","path":"/tables/t/lines/h:1","value":2}]`
 	}
-	other := document(5, 9, 9)
+	other := newDocument(5, 9, 9)
 	for name, c := range map[string]struct{ base, tag, body string }{
 		"wrong base":     {other.Tag().ETag(), next.Tag().ETag(), patch},
-		"wrong outcome":  {base.Tag().ETag(), other.Tag().ETag(), patch},
+		"wrong result":   {base.Tag().ETag(), other.Tag().ETag(), patch},
 		"does not apply": {base.Tag().ETag(), next.Tag().ETag(), `[{"op":"remove","path":"/tables/u"}]`},
-		"no patch":       {base.Tag().ETag(), next.Tag().ETag(), `{`},
+		"invalid JSON":   {base.Tag().ETag(), next.Tag().ETag(), `{`},
 		"a weight of 0":  {base.Tag().ETag(), next.Tag().ETag(), `[{"op":"replace","path":"/tables/t/lines/h:1","value":0}]`},
 	} {
-		d := direct(t)
-		d.does(whole(base))
-		r := start(t, "", d)
-		r.await(t, "the first", at(1))
-		before, sent := d.wholes.Load(), atomic.Bool{}
-		d.does(func(w http.ResponseWriter, q *http.Request) {
+		d := newFakeDirector(t)
+		d.setHandler(serveDocument(base))
+		r := startFollower(t, "", d)
+		r.waitFor(t, "first document", hasStep(1))
+		requestsBefore, sent := d.fullRequests.Load(), atomic.Bool{}
+		d.setHandler(func(w http.ResponseWriter, q *http.Request) {
 			if sent.Swap(true) {
-				whole(next)(w, q)
+				serveDocument(next)(w, q)
 				return
 			}
 			w.Header().Set("IM", "json-patch")
@@ -140,91 +143,92 @@
 			w.WriteHeader(http.StatusIMUsed)
 			fmt.Fprint(w, c.body)
 		})
-		r.await(t, name, at(2))
-		if d.wholes.Load() != before+1 {
-			t.Errorf("%s: %d whole documents were asked for", name, d.wholes.Load()-before)
+		r.waitFor(t, name, hasStep(2))
+		if d.fullRequests.Load() != requestsBefore+1 {
+			t.Errorf("%s: %d requests for the full document, want 1", name, d.fullRequests.Load()-requestsBefore)
 		}
 		r.mu.Lock()
-		if fmt.Sprint(r.seen) != "[1 2]" {
-			t.Errorf("%s: %v took effect", name, r.seen)
+		if fmt.Sprint(r.steps) != "[1 2]" {
+			t.Errorf("%s: steps %v took effect, want [1 2]", name, r.steps)
 		}
 		r.mu.Unlock()
 	}
 }
 
-// A director that is behind does not take a proxy back; the proxy goes on to one that is not, and what both tell takes
-// effect once.
+// A director that is behind does not move a proxy back to an older version. The proxy goes on to a director that is up
+// to date, and a version that both directors offer takes effect once.
 func TestTwoDirectorsOneBehind(t *testing.T) {
-	old, new, newest := document(5, 3, 3), document(5, 4, 4), document(5, 5, 5)
-	a, b := direct(t), direct(t)
-	a.does(whole(new))
-	b.does(whole(new))
-	r := start(t, "", a, b)
-	r.await(t, "the first", at(4))
-	a.does(refuses)
-	b.does(whole(old))
+	old, new, newest := newDocument(5, 3, 3), newDocument(5, 4, 4), newDocument(5, 5, 5)
+	a, b := newFakeDirector(t), newFakeDirector(t)
+	a.setHandler(serveDocument(new))
+	b.setHandler(serveDocument(new))
+	r := startFollower(t, "", a, b)
+	r.waitFor(t, "first document", hasStep(4))
+	a.setHandler(serveError)
+	b.setHandler(serveDocument(old))
 	time.Sleep(300 * time.Millisecond)
 	if r.Document().Step != 4 {
-		t.Fatalf("taken back to %d", r.Document().Step)
+		t.Fatalf("step %d is in force, want 4", r.Document().Step)
 	}
-	b.does(whole(new)) // the same again, through another path
+	b.setHandler(serveDocument(new)) // the same version again, from another director
 	time.Sleep(100 * time.Millisecond)
-	b.does(whole(newest))
-	r.await(t, "the newest", at(5))
+	b.setHandler(serveDocument(newest))
+	r.waitFor(t, "newest document", hasStep(5))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if fmt.Sprint(r.seen) != "[4 5]" {
-		t.Fatalf("%v took effect", r.seen)
+	if fmt.Sprint(r.steps) != "[4 5]" {
+		t.Fatalf("steps %v took effect, want [4 5]", r.steps)
 	}
 }
 
-// While none answers it goes on by what it holds, asks less and less often, and starts again from what was kept.
+// While no director answers, a follower keeps the document in force and polls with increasing backoff. After a restart
+// it begins with the cached document.
 func TestNoDirector(t *testing.T) {
-	kept := filepath.Join(t.TempDir(), "kept.json")
-	d := direct(t)
-	d.does(whole(document(5, 7, 7)))
-	r := start(t, kept, d)
-	r.await(t, "the first", at(7))
-	d.does(refuses)
-	before := d.asked.Load()
+	cacheFile := filepath.Join(t.TempDir(), "kept.json")
+	d := newFakeDirector(t)
+	d.setHandler(serveDocument(newDocument(5, 7, 7)))
+	r := startFollower(t, cacheFile, d)
+	r.waitFor(t, "first document", hasStep(7))
+	d.setHandler(serveError)
+	requestsBefore := d.requests.Load()
 	time.Sleep(1200 * time.Millisecond)
-	if n := d.asked.Load() - before; n > 12 || r.Document().Step != 7 {
-		t.Fatalf("asked %d times in 1.2 s; holds %d", n, r.Document().Step)
+	if n := d.requests.Load() - requestsBefore; n > 12 || r.Document().Step != 7 {
+		t.Fatalf("%d polls in 1.2 s, want at most 12; step %d is in force, want 7", n, r.Document().Step)
 	}
-	again := start(t, kept, d)
-	again.await(t, "what was kept", at(7))
-	os.WriteFile(kept, []byte(`{"version":`), 0o600) // torn: named in the log, and passed over
-	torn := start(t, kept, d)
+	restarted := startFollower(t, cacheFile, d)
+	restarted.waitFor(t, "cached document", hasStep(7))
+	os.WriteFile(cacheFile, []byte(`{"version":`), 0o600) // a truncated file is logged and ignored
+	truncated := startFollower(t, cacheFile, d)
 	time.Sleep(50 * time.Millisecond)
-	if torn.Document() != nil {
-		t.Fatal("a torn file was followed")
+	if truncated.Document() != nil {
+		t.Fatal("a truncated cache file was put into force")
 	}
-	d.does(whole(document(5, 8, 8)))
-	torn.await(t, "what is told", at(8))
+	d.setHandler(serveDocument(newDocument(5, 8, 8)))
+	truncated.waitFor(t, "document of the director", hasStep(8))
 }
 
-// An answer that came when its lease was over takes no effect; a new poll is sent at once.
+// A response that arrives after its lease has expired takes no effect, and a new poll is sent at once.
 func TestAnAnswerPastItsLease(t *testing.T) {
-	s := direct(t)
-	old, next := document(1, 1, 1000), document(1, 2, 2000)
-	s.does(func(w http.ResponseWriter, r *http.Request) {
+	s := newFakeDirector(t)
+	old, next := newDocument(1, 1, 1000), newDocument(1, 2, 2000)
+	s.setHandler(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Vetchwood-Lease", "100")
-		if s.asked.Load() == 1 {
-			time.Sleep(250 * time.Millisecond) // it was paused after it had looked at its lease
-			whole(old)(w, r)
+		if s.requests.Load() == 1 {
+			time.Sleep(250 * time.Millisecond) // a director that was paused after it had checked its lease
+			serveDocument(old)(w, r)
 			return
 		}
-		whole(next)(w, r)
+		serveDocument(next)(w, r)
 	})
 	f := NewGroup(Config{Directors: []string{s.URL}, Proxy: "p", MaxWait: time.Second, OnUpdate: func(u Update) {
 		if u.Raw.Step == 1 {
-			t.Error("an answer past its lease took effect")
+			t.Error("a response took effect after its lease had expired")
 		}
 	}}, true)
 	ctx, stop := context.WithTimeout(t.Context(), 700*time.Millisecond)
 	defer stop()
 	f.Run(ctx)
 	if d := f.DirectorDocument(0); d == nil || d.Step != 2 || f.StaleResponses() != 1 {
-		t.Fatalf("%+v, %d stale", d, f.StaleResponses())
+		t.Fatalf("document %+v, want step 2; %d stale responses, want 1", d, f.StaleResponses())
 	}
 }
--- a/internal/follow/several.go
+++ b/internal/follow/several.go
@@ -12,105 +12,108 @@
 	"vetchwood/internal/tables"
 )
 
-// Several follows a director, or each of several that share the slices.
+// Group follows one director at a time, or all directors at once if they share the slices.
 type Group struct {
-	src   Config
-	parts []*Follower
-	held  atomic.Pointer[tables.Document]
+	config    Config
+	followers []*Follower
+	document  atomic.Pointer[tables.Document]
 
-	mu    sync.Mutex
-	merge *following.Merger // nil: one is followed
+	mu     sync.Mutex
+	merger *following.Merger // nil: one director is followed at a time
 }
 
-// NewSeveral follows all directors of the source at once, or one of them and the next when it fails.
-func NewGroup(src Config, all bool) *Group {
-	s := &Group{src: src}
+// NewGroup returns a group that follows all directors of the configuration at once and merges their documents if all is
+// set. Otherwise it follows one director, and the next one when it fails.
+func NewGroup(config Config, all bool) *Group {
+	s := &Group{config: config}
 	if !all {
-		own := src
-		own.OnUpdate = func(u Update) { s.held.Store(u.Doc); s.seen(u) }
-		s.parts = []*Follower{New(own)}
+		single := config
+		single.OnUpdate = func(u Update) { s.document.Store(u.Doc); s.notifyUpdate(u) }
+		s.followers = []*Follower{New(single)}
 		return s
 	}
-	s.merge = following.NewMerger()
-	for i, d := range src.Directors {
-		part := src
-		if part.Directors = []string{d}; src.CacheFile != "" {
-			part.CacheFile = src.CacheFile + "." + strconv.Itoa(i+1)
+	s.merger = following.NewMerger()
+	for i, d := range config.Directors {
+		single := config
+		if single.Directors = []string{d}; config.CacheFile != "" {
+			single.CacheFile = config.CacheFile + "." + strconv.Itoa(i+1)
 		}
-		part.OnUpdate = func(u Update) { s.take(i, u) }
-		f := New(part)
+		single.OnUpdate = func(u Update) { s.mergeUpdate(i, u) }
+		f := New(single)
 		f.chooser.SetSlicesShared()
-		s.parts = append(s.parts, f)
+		s.followers = append(s.followers, f)
 	}
 	return s
 }
 
-func (s *Group) seen(u Update) {
-	if s.src.OnUpdate != nil {
-		s.src.OnUpdate(u)
+func (s *Group) notifyUpdate(u Update) {
+	if s.config.OnUpdate != nil {
+		s.config.OnUpdate(u)
 	}
 }
 
-func (s *Group) take(from int, u Update) {
+// mergeUpdate merges the document of a director, given by its index, into the document in force.
+func (s *Group) mergeUpdate(index int, u Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	u.DirectorIndex, u.Raw = from, u.Doc
-	u.Doc = s.merge.Add(from, u.Raw)
-	s.held.Store(u.Doc)
-	s.seen(u)
+	u.DirectorIndex, u.Raw = index, u.Doc
+	u.Doc = s.merger.Add(index, u.Raw)
+	s.document.Store(u.Doc)
+	s.notifyUpdate(u)
 }
 
-// Held is the document in force, nil before the first.
-func (s *Group) Document() *tables.Document { return s.held.Load() }
+// Document returns the document in force, nil before the first one.
+func (s *Group) Document() *tables.Document { return s.document.Load() }
 
-// Of is the newest document of one director.
-func (s *Group) DirectorDocument(i int) *tables.Document { return s.parts[i].Document() }
+// DirectorDocument returns the newest document of the director with the given index.
+func (s *Group) DirectorDocument(index int) *tables.Document { return s.followers[index].Document() }
 
-// Directors are those that reports go to, by their place in the list.
-func (s *Group) Directors() (out []string) {
-	if s.merge == nil {
-		return []string{s.parts[0].Director()}
+// Directors returns the URLs of the directors that load reports go to, in the order of the configuration.
+func (s *Group) Directors() (urls []string) {
+	if s.merger == nil {
+		return []string{s.followers[0].Director()}
 	}
-	for _, d := range s.src.Directors {
-		out = append(out, strings.TrimRight(d, "/"))
+	for _, d := range s.config.Directors {
+		urls = append(urls, strings.TrimRight(d, "/"))
 	}
-	return out
+	return urls
 }
 
-// Report sends sums to one of them.
-func (s *Group) Report(ctx context.Context, i int, to, key string, body []byte) (status int, text string, err error) {
-	return s.parts[i].Report(ctx, to, key, body)
+// Report sends a load report to the director with the given index and URL; see Follower.Report.
+func (s *Group) Report(ctx context.Context, index int, director, key string, body []byte) (
+	status int, text string, err error) {
+	return s.followers[index].Report(ctx, director, key, body)
 }
 
-// Stale is how many answers came when the lease that they were given under was over, and Refused how many tables of
-// deposed directors were offered.
+// StaleResponses returns the number of responses that were ignored because the lease of the director had expired.
 func (s *Group) StaleResponses() (n uint64) {
-	for _, f := range s.parts {
-		n += f.stale.Load()
+	for _, f := range s.followers {
+		n += f.staleResponses.Load()
 	}
 	return n
 }
 
+// RejectedTables returns the number of tables that were rejected because their director no longer owned the slice.
 func (s *Group) RejectedTables() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.merge == nil {
+	if s.merger == nil {
 		return 0
 	}
-	return s.merge.Rejected()
+	return s.merger.Rejected()
 }
 
-// Cut keeps it from its directors for a while.
-func (s *Group) DisconnectFor(long time.Duration) {
-	for _, f := range s.parts {
-		f.DisconnectFor(long)
+// DisconnectFor keeps all followers from their directors for the given duration.
+func (s *Group) DisconnectFor(duration time.Duration) {
+	for _, f := range s.followers {
+		f.DisconnectFor(duration)
 	}
 }
 
-// Run polls until the context ends.
+// Run follows the directors until the context ends.
 func (s *Group) Run(ctx context.Context) {
 	var all sync.WaitGroup
-	for _, f := range s.parts {
+	for _, f := range s.followers {
 		all.Go(func() { f.Run(ctx) })
 	}
 	all.Wait()
--- a/internal/follow/subscriber.go
+++ b/internal/follow/subscriber.go
@@ -16,40 +16,42 @@
 	"vetchwood/internal/tables"
 )
 
-// Scheme of directors that are subscribed to; all others are polled.
+// MQTTScheme is the URL scheme of directors that are subscribed to; all others are polled.
 const MQTTScheme = "mqtt"
 
-// Of a subscription, in seconds.
+// Keep-alive interval of the connection and expiry of the MQTT session, in seconds.
 const (
-	keepAlive     = 10
-	sessionExpiry = 60
+	keepAliveSeconds     = 10
+	sessionExpirySeconds = 60
 )
 
-// errEnded is a connection that the director or the network ended.
-var errEnded = errors.New("the subscription's connection ended")
+// errConnectionClosed reports that the director or the network closed the connection of the subscription.
+var errConnectionClosed = errors.New("MQTT connection closed")
 
-// subscribe follows a director by MQTT 5 until the connection ends. Documents are taken by the follower's own goroutine and
-// acknowledged once they are in force. The version that is held goes along with CONNECT, so that a change of director or front
-// goes on from it.
+// subscribe follows a director by MQTT 5 until the connection ends. Documents are applied on the goroutine of Run and
+// acknowledged once they are in force. CONNECT carries the version in force, so that the first
+// document can be a delta from it, also after a change of the director or from long polls.
 func (f *Follower) subscribe(ctx context.Context, director *url.URL) error {
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", director.Host)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	came, ended := make(chan *paho.Publish, 4), make(chan error, 4)
-	tell := func(err error) {
+	published, failed := make(chan *paho.Publish, 4), make(chan error, 4)
+	reportError := func(err error) {
 		select {
-		case ended <- err:
+		case failed <- err:
 		default:
 		}
 	}
-	client := paho.NewClient(paho.ClientConfig{ClientID: f.src.Proxy, Conn: conn, PacketTimeout: 3 * time.Second, EnableManualAcknowledgment: true,
-		SendAcksInterval: time.Millisecond, OnClientError: tell,
-		OnServerDisconnect: func(d *paho.Disconnect) { tell(fmt.Errorf("%w: %s", errEnded, reason(d))) },
+	client := paho.NewClient(paho.ClientConfig{ClientID: f.config.Proxy, Conn: conn, PacketTimeout: 3 * time.Second,
+		EnableManualAcknowledgment: true, SendAcksInterval: time.Millisecond, OnClientError: reportError,
+		OnServerDisconnect: func(d *paho.Disconnect) {
+			reportError(fmt.Errorf("%w: %s", errConnectionClosed, disconnectReason(d)))
+		},
 		OnPublishReceived: []func(paho.PublishReceived) (bool, error){func(p paho.PublishReceived) (bool, error) {
 			select {
-			case came <- p.Packet:
+			case published <- p.Packet:
 			case <-ctx.Done():
 			}
 			return true, nil
@@ -57,112 +59,120 @@
 	if err := f.connect(ctx, client); err != nil {
 		return err
 	}
-	f.publisher.Store(client)
-	defer f.publisher.CompareAndSwap(client, nil)
+	f.mqttClient.Store(client)
+	defer f.mqttClient.CompareAndSwap(client, nil)
 	defer client.Disconnect(&paho.Disconnect{})
-	asked := time.Now()
-	if err := f.ask(ctx, client, false); err != nil {
+	leaseStart := time.Now()
+	if err := f.sendSubscribe(ctx, client, false); err != nil {
 		return err
 	}
-	f.join(true)
-	f.chooser.Succeeded(int(f.at.Load()))
+	f.setJoined(true)
+	f.chooser.Succeeded(int(f.currentDirector.Load()))
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case err := <-ended:
+		case err := <-failed:
 			return err
 		case <-client.Done():
-			return errEnded
-		case p := <-came:
+			return errConnectionClosed
+		case p := <-published:
 			props := p.Properties
 			if lease, err := strconv.Atoi(props.User.Get(subscribe.PropertyLease)); err == nil &&
-				!following.WithinLease(float64(lease), float64(time.Since(asked).Microseconds())/1000) {
-				// Written under a lease that may be over: asked for again, it comes with what is left now.
-				f.stale.Add(1)
-				if err := f.ask(ctx, client, true); err != nil {
+				!following.WithinLease(float64(lease), float64(time.Since(leaseStart).Microseconds())/1000) {
+				// The director's lease may have expired since it wrote the document. Once this delivery is acknowledged,
+				// the director sends the document again with the time that its lease has left then.
+				f.staleResponses.Add(1)
+				if err := f.sendSubscribe(ctx, client, true); err != nil {
 					return err
 				}
-				asked = time.Now()
+				leaseStart = time.Now()
 				if err := client.Ack(p); err != nil {
 					return err
 				}
 				continue
 			}
-			if err := f.document(p); err != nil {
+			if err := f.handlePublish(p); err != nil {
 				return err
 			}
-			asked = time.Now()
+			leaseStart = time.Now()
 			if err := client.Ack(p); err != nil {
 				return err
 			}
-			f.keep(false)
+			f.saveCache(false)
 		}
 	}
 }
 
+// connect sends CONNECT with the zone and rate of the proxy and the version in force.
 func (f *Follower) connect(ctx context.Context, client *paho.Client) error {
-	expiry := uint32(sessionExpiry)
+	expiry := uint32(sessionExpirySeconds)
 	props := &paho.ConnectProperties{SessionExpiryInterval: &expiry}
-	props.User.Add(subscribe.PropertyZone, f.src.Zone).Add(subscribe.PropertyRate, strconv.FormatFloat(f.src.Rate, 'g', 4, 64))
-	held := f.held.Load()
-	if held != nil && !f.whole {
-		props.User.Add(subscribe.PropertyHeld, held.Tag().ETag())
-	}
-	ack, err := client.Connect(ctx, &paho.Connect{ClientID: f.src.Proxy, KeepAlive: keepAlive, CleanStart: held == nil || f.whole, Properties: props})
+	props.User.Add(subscribe.PropertyZone, f.config.Zone).
+		Add(subscribe.PropertyRate, strconv.FormatFloat(f.config.Rate, 'g', 4, 64))
+	current := f.document.Load()
+	if current != nil && !f.needsFull {
+		props.User.Add(subscribe.PropertyHeld, current.Tag().ETag())
+	}
+	ack, err := client.Connect(ctx, &paho.Connect{ClientID: f.config.Proxy, KeepAlive: keepAliveSeconds,
+		CleanStart: current == nil || f.needsFull, Properties: props})
 	if err != nil && ack != nil && ack.Properties != nil {
 		return fmt.Errorf("%w: %s", err, ack.Properties.ReasonString)
 	}
 	return err
 }
 
-// ask subscribes, or asks for what stands once more.
-func (f *Follower) ask(ctx context.Context, client *paho.Client, again bool) error {
+// sendSubscribe sends SUBSCRIBE; with resend, it requests the document in flight again because its lease had expired.
+func (f *Follower) sendSubscribe(ctx context.Context, client *paho.Client, resend bool) error {
 	props := &paho.SubscribeProperties{}
-	if again {
+	if resend {
 		props.User.Add(subscribe.PropertyResend, "lease")
 	}
-	topic := subscribe.TablesTopic(f.src.Proxy)
-	if f.src.Watch {
+	topic := subscribe.TablesTopic(f.config.Proxy)
+	if f.config.Watch {
 		topic = subscribe.AllTablesTopic
 	}
-	ack, err := client.Subscribe(ctx, &paho.Subscribe{Properties: props, Subscriptions: []paho.SubscribeOptions{{Topic: topic, QoS: 1}}})
+	ack, err := client.Subscribe(ctx, &paho.Subscribe{Properties: props,
+		Subscriptions: []paho.SubscribeOptions{{Topic: topic, QoS: 1}}})
 	if err != nil && ack != nil && ack.Properties != nil {
 		return fmt.Errorf("%w: %s", err, ack.Properties.ReasonString)
 	}
 	return err
 }
 
-func reason(d *paho.Disconnect) string {
+// disconnectReason returns the reason string of a DISCONNECT packet, or its reason code without one.
+func disconnectReason(d *paho.Disconnect) string {
 	if d.Properties != nil && d.Properties.ReasonString != "" {
 		return d.Properties.ReasonString
 	}
 	return fmt.Sprintf("reason code 0x%02x", d.ReasonCode)
 }
 
-// document takes one that was published.
-func (f *Follower) document(p *paho.Publish) error {
+// handlePublish applies a published document or delta.
+func (f *Follower) handlePublish(p *paho.Publish) error {
 	tag, base := p.Properties.User.Get(subscribe.PropertyTag), p.Properties.User.Get(subscribe.PropertyBase)
 	if p.Properties.ContentType == tables.PatchType {
-		return f.patched(p.Payload, tag, base)
+		return f.applyDelta(p.Payload, tag, base)
 	}
-	return f.complete(p.Payload, tag)
+	return f.applyFull(p.Payload, tag)
 }
 
-// publish sends a report by the subscription's connection; the status is that of the other front.
-func (f *Follower) publish(ctx context.Context, key string, body []byte) (status int, text string, err error) {
-	client := f.publisher.Load()
+// publishReport sends a load report over the connection of the subscription. The reason code is returned as the status
+// that the HTTP API has for the same outcome.
+func (f *Follower) publishReport(ctx context.Context, key string, body []byte) (status int, text string, err error) {
+	client := f.mqttClient.Load()
 	if client == nil {
-		return 0, "", errEnded
+		return 0, "", errConnectionClosed
 	}
 	props := &paho.PublishProperties{ContentType: "application/json"}
 	props.User.Add(subscribe.PropertyKey, key)
-	res, err := client.Publish(ctx, &paho.Publish{Topic: subscribe.ReportsTopic(f.src.Proxy), QoS: 1, Payload: body, Properties: props})
+	res, err := client.Publish(ctx, &paho.Publish{Topic: subscribe.ReportsTopic(f.config.Proxy), QoS: 1, Payload: body,
+		Properties: props})
 	if res == nil {
 		return 0, "", err
 	}
-	status, known := map[subscribe.ReasonCode]int{subscribe.Success: 204, subscribe.NoMatchingSubscribers: 204, subscribe.NotAuthorized: 404,
-		subscribe.QuotaExceeded: 503}[subscribe.ReasonCode(res.ReasonCode)]
+	status, known := map[subscribe.ReasonCode]int{subscribe.Success: 204, subscribe.NoMatchingSubscribers: 204,
+		subscribe.NotAuthorized: 404, subscribe.QuotaExceeded: 503}[subscribe.ReasonCode(res.ReasonCode)]
 	if !known {
 		status = 400
 	}
--- a/internal/following/following.go
+++ b/internal/following/following.go
@@ -7,64 +7,64 @@
 // Spans between polls that fail, in milliseconds. They double, and are drawn between half and one and a half, so that
 // proxies that lost a director together don't come back together.
 const (
-	firstWait = 50.0
-	longWait  = 2000.0
+	initialBackoffMs = 50.0
+	maxBackoffMs     = 2000.0
 	// sharedWait is the longest where directors share the slices: one that comes back is given some soon, and no other tells of them.
-	sharedWait = 700.0
+	maxSharedBackoffMs = 700.0
 )
 
 // Chooser keeps to one director until it fails, then goes on to the next.
 type Chooser struct {
-	at     int
-	fails  []int
-	until  []float64
-	shared bool
+	current      int
+	failures     []int
+	notBefore    []float64
+	slicesShared bool
 }
 
 func NewChooser(directors int) *Chooser {
-	return &Chooser{fails: make([]int, directors), until: make([]float64, directors)}
+	return &Chooser{failures: make([]int, directors), notBefore: make([]float64, directors)}
 }
 
 // Shared says that the director holds slices of its own: no other can stand in for it.
-func (c *Chooser) SetSlicesShared() { c.shared = true }
+func (c *Chooser) SetSlicesShared() { c.slicesShared = true }
 
 // Next is whom to poll, and when.
 func (c *Chooser) Next(now float64) (director int, when float64) {
-	return c.at, max(now, c.until[c.at])
+	return c.current, max(now, c.notBefore[c.current])
 }
 
 // Answered tells that a director answered as it should.
-func (c *Chooser) Succeeded(director int) { c.fails[director], c.until[director] = 0, 0 }
+func (c *Chooser) Succeeded(director int) { c.failures[director], c.notBefore[director] = 0, 0 }
 
 // Failed tells that it did not: no answer, a wrong one, or one that is behind what is held. The next is the one that
 // may be asked first, and of those the next in turn.
 func (c *Chooser) Failed(director int, now, chance float64) {
-	wait, longest := firstWait, longWait
-	if c.shared {
-		longest = sharedWait
+	wait, longest := initialBackoffMs, maxBackoffMs
+	if c.slicesShared {
+		longest = maxSharedBackoffMs
 	}
-	for range c.fails[director] {
+	for range c.failures[director] {
 		wait = min(longest, 2*wait)
 	}
-	c.fails[director]++
-	c.until[director] = now + wait*(0.5+chance)
+	c.failures[director]++
+	c.notBefore[director] = now + wait*(0.5+chance)
 	best := director
-	for i := range c.until {
-		j := (director + 1 + i) % len(c.until)
-		if c.until[j] < c.until[best] {
+	for i := range c.notBefore {
+		j := (director + 1 + i) % len(c.notBefore)
+		if c.notBefore[j] < c.notBefore[best] {
 			best = j
 		}
 	}
-	c.at = best
+	c.current = best
 }
 
 // Later tells that a director asked to be left alone for a while.
 func (c *Chooser) Defer(director int, now, wait float64) {
-	c.until[director] = max(c.until[director], now+min(wait, mostLater))
+	c.notBefore[director] = max(c.notBefore[director], now+min(wait, maxRetryAfterMs))
 }
 
 // mostLater bounds what a director may ask for: a proxy that lost its directors must find them again.
-const mostLater = 60000.0
+const maxRetryAfterMs = 60000.0
 
 // Held says which version is in force.
 type Version struct {
--- a/internal/following/following_test.go
+++ b/internal/following/following_test.go
@@ -74,7 +74,7 @@
 		}
 		for now < 60000 {
 			d, when := c.Next(now)
-			if when-now > longWait*1.5 {
+			if when-now > maxBackoffMs*1.5 {
 				t.Fatalf("waits %v", when-now)
 			}
 			now = when
--- a/internal/following/merge.go
+++ b/internal/following/merge.go
@@ -11,32 +11,32 @@
 // masks and levels of that holder's document. A slice that its last holder tells of no more stands as it was until the
 // next one's word.
 type Merger struct {
-	seen    custody.Seen
-	tables  map[string]*tables.Table
-	sources map[string]tables.Source
-	slices  map[string]custody.Slice
-	step    tables.Step
-	refused int
+	fences   custody.Seen
+	tables   map[string]*tables.Table
+	sources  map[string]tables.Source
+	sliceIDs map[string]custody.Slice
+	step     tables.Step
+	rejected int
 }
 
 func NewMerger() *Merger {
-	return &Merger{seen: custody.Seen{}, tables: map[string]*tables.Table{}, sources: map[string]tables.Source{},
-		slices: map[string]custody.Slice{}}
+	return &Merger{fences: custody.Seen{}, tables: map[string]*tables.Table{}, sources: map[string]tables.Source{},
+		sliceIDs: map[string]custody.Slice{}}
 }
 
 // Refused is how many tables of deposed directors were offered.
-func (m *Merger) Rejected() int { return m.refused }
+func (m *Merger) Rejected() int { return m.rejected }
 
 // Take brings a director's newest document and gives the merged one.
 func (m *Merger) Add(from int, d *tables.Document) *tables.Document {
 	for name, t := range d.Tables {
-		s, known := m.slices[name]
+		s, known := m.sliceIDs[name]
 		if !known {
-			s = custody.Slice(len(m.slices))
-			m.slices[name] = s
+			s = custody.Slice(len(m.sliceIDs))
+			m.sliceIDs[name] = s
 		}
-		if !m.seen.Accepts(s, custody.Fence(t.Fence)) {
-			m.refused++
+		if !m.fences.Accepts(s, custody.Fence(t.Fence)) {
+			m.rejected++
 			continue
 		}
 		m.tables[name], m.sources[name] = t, tables.Source{Doc: d, From: from}
--- a/internal/inflow/inflow_test.go
+++ b/internal/inflow/inflow_test.go
@@ -8,13 +8,13 @@
 
 // served lets so many requests a second of each kind come to a loop that handles so many, for a while, and gives what part of
 // each kind came in at the end, and the longest wait then.
-func served(load map[Kind]int, able float64) (part map[Kind]float64, wait time.Duration) {
+func simulate(load map[Kind]int, able float64) (part map[Kind]float64, wait time.Duration) {
 	r := rand.New(rand.NewPCG(1, 2))
 	d := NewShedder(r.Float64)
 	queue, came, in := 0.0, map[Kind]float64{}, map[Kind]float64{}
 	for now := time.Duration(0); now < 20*time.Second; now += time.Millisecond {
 		last := now > 15*time.Second
-		for k := Watches; k < kinds; k++ { // in an order, so that chance falls the same each time
+		for k := Watches; k < kindCount; k++ { // in an order, so that chance falls the same each time
 			n := load[k]
 			for x := float64(n) / 1000; r.Float64() < x; x-- {
 				ok, _ := d.Admit(now, k, Queue{time.Duration(queue / able * float64(time.Second)), int(queue)})
@@ -44,16 +44,16 @@
 
 // What is needed least goes first, what acknowledges always comes in, and nothing is shed where there is room.
 func TestWhatIsShed(t *testing.T) {
-	part, wait := served(map[Kind]int{Polls: 300, NewPolls: 300, Reports: 300}, 1200)
+	part, wait := simulate(map[Kind]int{Polls: 300, NewPolls: 300, Reports: 300}, 1200)
 	if part[Polls] < 1 || part[NewPolls] < 0.98 || part[Reports] < 0.95 || wait > 20*time.Millisecond {
 		t.Errorf("with room: %v, %v", part, wait)
 	}
-	part, wait = served(map[Kind]int{Polls: 300, NewPolls: 300, Reports: 900}, 1000)
+	part, wait = simulate(map[Kind]int{Polls: 300, NewPolls: 300, Reports: 900}, 1000)
 	t.Logf("half as much again: %v, wait %v", part, wait)
 	if part[Polls] < 1 || part[NewPolls] < 0.8 || part[Reports] > 0.7 || part[Reports] < 0.2 || wait > 150*time.Millisecond {
 		t.Errorf("half as much again as it can: %v, %v", part, wait)
 	}
-	part, wait = served(map[Kind]int{Polls: 300, NewPolls: 9000, Reports: 900}, 1000)
+	part, wait = simulate(map[Kind]int{Polls: 300, NewPolls: 9000, Reports: 900}, 1000)
 	t.Logf("ten times: %v, wait %v", part, wait)
 	if part[Polls] < 1 || part[Reports] > 0.05 || part[NewPolls] > 0.15 || wait > 300*time.Millisecond {
 		t.Errorf("ten times: %v, %v", part, wait)
@@ -92,7 +92,7 @@
 	if broken > 260 || others != 40 {
 		t.Errorf("broken %d, other %d", broken, others)
 	}
-	d.press = float64(Polls)
+	d.pressure = float64(Polls)
 	least, most := time.Hour, time.Duration(0)
 	for range 10000 {
 		if ok, later := d.Admit(11*time.Second, NewPolls, Queue{}); !ok {
--- a/internal/subscribe/desk_test.go
+++ b/internal/subscribe/desk_test.go
@@ -12,24 +12,24 @@
 )
 
 // world is a core that has versions, and clients that hold some.
-type world struct {
+type harness struct {
 	t       *rapid.T
-	desk    *Broker
+	broker  *Broker
 	now     logic.Millis
 	tickets control.Ticket
 	docs    []*tables.Document
-	parked  map[control.Ticket]control.Poll
-	clients map[Conn]*client
+	pending map[control.Ticket]control.Poll
+	clients map[Conn]*testClient
 }
 
-type client struct {
-	held   int // version; -1 none
-	flight map[uint16]int
-	closed ReasonCode
-	ended  bool
+type testClient struct {
+	held      int // version; -1 none
+	inFlight  map[uint16]int
+	closeCode ReasonCode
+	isClosed  bool
 }
 
-func (w *world) version() {
+func (w *harness) publishVersion() {
 	n := len(w.docs)
 	d := &tables.Document{Routes: map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{}, Masked: map[tables.Address]bool{},
 		Tables: map[string]*tables.Table{}}
@@ -39,7 +39,7 @@
 	w.docs = append(w.docs, d.Seal(1, tables.Step(n+1), float64(n)))
 }
 
-func (w *world) at(tag string) int {
+func (w *harness) versionOf(tag string) int {
 	for i, d := range w.docs {
 		if d.Tag().ETag() == tag {
 			return i
@@ -50,9 +50,9 @@
 }
 
 // core answers polls whose version is not the newest.
-func (w *world) core() {
+func (w *harness) answerPolls() {
 	newest := w.docs[len(w.docs)-1]
-	for ticket, p := range w.parked {
+	for ticket, p := range w.pending {
 		var base *tables.Document
 		for _, tag := range p.Held {
 			base = w.docs[tag.Step-1]
@@ -66,38 +66,38 @@
 				a.Kind, a.Base, a.Patch = control.Delta, base, patch
 			}
 		}
-		delete(w.parked, ticket)
-		w.do(CoreAnswer{a})
+		delete(w.pending, ticket)
+		w.handle(CoreAnswer{a})
 	}
 }
 
-func (w *world) do(in ...any) {
-	for _, o := range w.desk.Handle(w.now, in...) {
+func (w *harness) handle(in ...any) {
+	for _, o := range w.broker.Handle(w.now, in...) {
 		switch o := o.(type) {
 		case Post:
 			switch p := o.Input.(type) {
 			case control.Poll:
-				w.parked[p.Ticket] = p
+				w.pending[p.Ticket] = p
 			case control.Disconnected:
-				delete(w.parked, p.Ticket)
+				delete(w.pending, p.Ticket)
 			}
 		case Deliver:
 			c := w.clients[o.Conn]
-			if c == nil || c.ended {
+			if c == nil || c.isClosed {
 				w.t.Fatalf("a document for a connection that has ended")
 			}
-			if len(c.flight) > 0 {
-				w.t.Fatalf("two documents on their way to one client: %v", c.flight)
+			if len(c.inFlight) > 0 {
+				w.t.Fatalf("two documents on their way to one client: %v", c.inFlight)
 			}
-			if o.Doc.Base != "" && w.at(o.Doc.Base) != c.held {
-				w.t.Fatalf("a difference from version %d to a client that holds %d", w.at(o.Doc.Base), c.held)
+			if o.Doc.Base != "" && w.versionOf(o.Doc.Base) != c.held {
+				w.t.Fatalf("a difference from version %d to a client that holds %d", w.versionOf(o.Doc.Base), c.held)
 			}
-			if v := w.at(o.Doc.Tag); v <= c.held && !o.Duplicate && o.Doc.Base != "" {
+			if v := w.versionOf(o.Doc.Tag); v <= c.held && !o.Duplicate && o.Doc.Base != "" {
 				w.t.Fatalf("version %d after %d", v, c.held)
 			}
-			c.flight[o.ID] = w.at(o.Doc.Tag)
+			c.inFlight[o.ID] = w.versionOf(o.Doc.Tag)
 		case Close:
-			w.clients[o.Conn].closed, w.clients[o.Conn].ended = o.Code, true
+			w.clients[o.Conn].closeCode, w.clients[o.Conn].isClosed = o.Code, true
 		}
 	}
 }
@@ -106,10 +106,10 @@
 // each difference is from what the client holds, and in the end every subscriber has the newest version.
 func TestBroker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, parked: map[control.Ticket]control.Poll{}, clients: map[Conn]*client{}}
-		w.desk = NewBroker(Limits{MaxSessions: 4, MaxExpiry: 5000, AckTimeout: 20000, ConnectsPerSecond: 1000, MaxWatchers: 2}, 1000,
+		w := &harness{t: t, pending: map[control.Ticket]control.Poll{}, clients: map[Conn]*testClient{}}
+		w.broker = NewBroker(Limits{MaxSessions: 4, MaxExpiry: 5000, AckTimeout: 20000, ConnectsPerSecond: 1000, MaxWatchers: 2}, 1000,
 			func() control.Ticket { w.tickets++; return w.tickets })
-		w.version()
+		w.publishVersion()
 		last, holds := map[string]Conn{}, map[string]int{"a": -1, "b": -1, "c": -1}
 		next := Conn(0)
 		connect := func(name string, clean bool) {
@@ -118,18 +118,18 @@
 			if clean {
 				held = -1
 			}
-			w.clients[next] = &client{held: held, flight: map[uint16]int{}}
+			w.clients[next] = &testClient{held: held, inFlight: map[uint16]int{}}
 			last[name] = next
-			w.do(Connect{Conn: next, ClientID: name, CleanStart: clean, Expiry: 3000})
-			w.do(Subscribe{Conn: next, ID: 1, Filters: []Filter{{TablesTopic("p" + name), 1}}})
+			w.handle(Connect{Conn: next, ClientID: name, CleanStart: clean, Expiry: 3000})
+			w.handle(Subscribe{Conn: next, ID: 1, Filters: []Filter{{TablesTopic("p" + name), 1}}})
 		}
 		ack := func(name string) {
 			c := w.clients[last[name]]
-			for id, v := range c.flight {
-				delete(c.flight, id)
+			for id, v := range c.inFlight {
+				delete(c.inFlight, id)
 				c.held, holds[name] = v, v
-				w.do(Ack{Conn: last[name], ID: id})
-				w.do(Ack{Conn: last[name], ID: id}) // a second time
+				w.handle(Ack{Conn: last[name], ID: id})
+				w.handle(Ack{Conn: last[name], ID: id}) // a second time
 			}
 		}
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
@@ -140,43 +140,43 @@
 			case 0:
 				connect(name, rapid.Bool().Draw(t, "clean"))
 			case 1:
-				if c != nil && !c.ended {
+				if c != nil && !c.isClosed {
 					ack(name)
 				}
 			case 2:
-				if c != nil && !c.ended {
-					c.ended = true
-					w.do(ConnectionClosed{Conn: last[name]})
+				if c != nil && !c.isClosed {
+					c.isClosed = true
+					w.handle(ConnectionClosed{Conn: last[name]})
 				}
 			case 3, 4:
-				w.version()
+				w.publishVersion()
 			case 5:
-				w.do()
+				w.handle()
 			}
-			w.core()
+			w.answerPolls()
 			// What a session that ended held, its client holds no more for the desk: it says so itself, or gets a whole one.
-			for n, s := range w.desk.sessions {
-				if len(s.held) == 0 && s.flight == nil && w.clients[s.conn] != nil {
+			for n, s := range w.broker.sessions {
+				if len(s.held) == 0 && s.inFlight == nil && w.clients[s.conn] != nil {
 					w.clients[s.conn].held, holds[n] = -1, -1
 				}
 			}
 		}
 		for name := range holds {
-			if c := w.clients[last[name]]; c == nil || c.ended {
+			if c := w.clients[last[name]]; c == nil || c.isClosed {
 				connect(name, true)
 				holds[name] = -1
 			}
 		}
 		for range 5 {
-			w.core()
+			w.answerPolls()
 			for name := range holds {
-				if c := w.clients[last[name]]; !c.ended {
+				if c := w.clients[last[name]]; !c.isClosed {
 					ack(name)
 				}
 			}
 		}
 		for name := range holds {
-			if c := w.clients[last[name]]; !c.ended && c.held != len(w.docs)-1 {
+			if c := w.clients[last[name]]; !c.isClosed && c.held != len(w.docs)-1 {
 				t.Fatalf("%s holds version %d of %d in the end", name, c.held, len(w.docs)-1)
 			}
 		}
--- a/internal/subscribe/types.go
+++ b/internal/subscribe/types.go
@@ -167,7 +167,7 @@
 	Tag         string // of what it makes
 	Base        string // "" for a whole one
 	Lease       logic.Millis
-	tag         tables.Tag
+	versionTag  tables.Tag
 }
 
 // Figures are counted for the operator.
@@ -179,23 +179,23 @@
 
 // Topics.
 const (
-	TopicRoot  = "vetchwood/"
-	allTables  = TopicRoot + "tables"
-	ofProxies  = TopicRoot + "proxies/"
-	tablesPart = "/tables"
-	reportPart = "/reports"
+	TopicRoot        = "vetchwood/"
+	allTablesTopic   = TopicRoot + "tables"
+	proxyTopicPrefix = TopicRoot + "proxies/"
+	tablesSuffix     = "/tables"
+	reportsSuffix    = "/reports"
 )
 
 // TablesOf is the topic of a proxy's tables, ReportsOf that of its reports.
-func TablesTopic(proxy string) string  { return ofProxies + proxy + tablesPart }
-func ReportsTopic(proxy string) string { return ofProxies + proxy + reportPart }
+func TablesTopic(proxy string) string  { return proxyTopicPrefix + proxy + tablesSuffix }
+func ReportsTopic(proxy string) string { return proxyTopicPrefix + proxy + reportsSuffix }
 
 // AllTables is the topic for those that look on.
-const AllTablesTopic = allTables
+const AllTablesTopic = allTablesTopic
 
 // ProxyOfReports reads a report's topic.
 func ParseReportsTopic(topic string) (string, bool) {
-	rest, is := strings.CutPrefix(topic, ofProxies)
-	name, ends := strings.CutSuffix(rest, reportPart)
+	rest, is := strings.CutPrefix(topic, proxyTopicPrefix)
+	name, ends := strings.CutSuffix(rest, reportsSuffix)
 	return name, is && ends && name != "" && !strings.Contains(name, "/")
 }
