--- a/internal/following/following.go
+++ b/internal/following/following.go
@@ -1,106 +1,113 @@
-// Package following decides which director a proxy polls, when, and which of the versions it is offered take effect.
-// No I/O, no clock; chance is in [0,1).
+// Package following decides which director a proxy polls and when, and which of the offered versions take effect. It
+// does no I/O and reads no clock: times are parameters in milliseconds, random numbers are parameters in [0,1).
 package following
 
 import "vetchwood/internal/tables"
 
-// Spans between polls that fail, in milliseconds. They double, and are drawn between half and one and a half, so that
-// proxies that lost a director together don't come back together.
+// Backoff after failed polls, in milliseconds. It doubles with each failure. The actual delay is drawn between 0.5 and
+// 1.5 times the backoff, so that proxies that lost a director at the same time do not all return at the same time.
 const (
 	initialBackoffMs = 50.0
 	maxBackoffMs     = 2000.0
-	// sharedWait is the longest where directors share the slices: one that comes back is given some soon, and no other tells of them.
+	// Maximum where directors share the slices: a director that returns gets slices soon, and no other director
+	// publishes these.
 	maxSharedBackoffMs = 700.0
 )
 
-// Chooser keeps to one director until it fails, then goes on to the next.
+// Chooser selects one director until it fails, then the next one. Directors are identified by their index.
 type Chooser struct {
 	current      int
 	failures     []int
-	notBefore    []float64
+	notBefore    []float64 // earliest time of the next poll, by director
 	slicesShared bool
 }
 
+// NewChooser returns a chooser among the given number of directors.
 func NewChooser(directors int) *Chooser {
 	return &Chooser{failures: make([]int, directors), notBefore: make([]float64, directors)}
 }
 
-// Shared says that the director holds slices of its own: no other can stand in for it.
+// SetSlicesShared declares that the director owns slices of its own, so that no other director can replace it. This
+// lowers the maximum backoff.
 func (c *Chooser) SetSlicesShared() { c.slicesShared = true }
 
-// Next is whom to poll, and when.
-func (c *Chooser) Next(now float64) (director int, when float64) {
+// Next returns the director to poll and the time of the poll.
+func (c *Chooser) Next(now float64) (director int, at float64) {
 	return c.current, max(now, c.notBefore[c.current])
 }
 
-// Answered tells that a director answered as it should.
+// Succeeded records a valid response of a director and resets its backoff.
 func (c *Chooser) Succeeded(director int) { c.failures[director], c.notBefore[director] = 0, 0 }
 
-// Failed tells that it did not: no answer, a wrong one, or one that is behind what is held. The next is the one that
-// may be asked first, and of those the next in turn.
-func (c *Chooser) Failed(director int, now, chance float64) {
-	wait, longest := initialBackoffMs, maxBackoffMs
+// Failed records that a director did not respond, or with an invalid or outdated version. The next director is the one
+// that may be polled soonest; among equals, the next one in the order of the list. The parameter random is in [0,1).
+func (c *Chooser) Failed(director int, now, random float64) {
+	backoff, maxBackoff := initialBackoffMs, maxBackoffMs
 	if c.slicesShared {
-		longest = maxSharedBackoffMs
+		maxBackoff = maxSharedBackoffMs
 	}
 	for range c.failures[director] {
-		wait = min(longest, 2*wait)
+		backoff = min(maxBackoff, 2*backoff)
 	}
 	c.failures[director]++
-	c.notBefore[director] = now + wait*(0.5+chance)
-	best := director
+	c.notBefore[director] = now + backoff*(0.5+random)
+	next := director
 	for i := range c.notBefore {
 		j := (director + 1 + i) % len(c.notBefore)
-		if c.notBefore[j] < c.notBefore[best] {
-			best = j
+		if c.notBefore[j] < c.notBefore[next] {
+			next = j
 		}
 	}
-	c.current = best
+	c.current = next
 }
 
-// Later tells that a director asked to be left alone for a while.
-func (c *Chooser) Defer(director int, now, wait float64) {
-	c.notBefore[director] = max(c.notBefore[director], now+min(wait, maxRetryAfterMs))
+// Defer records that a director requested a delay until the next poll, in milliseconds.
+func (c *Chooser) Defer(director int, now, delay float64) {
+	c.notBefore[director] = max(c.notBefore[director], now+min(delay, maxRetryAfterMs))
 }
 
-// mostLater bounds what a director may ask for: a proxy that lost its directors must find them again.
+// maxRetryAfterMs limits the delay that a director may request, in milliseconds: a proxy that lost its directors must
+// find them again.
 const maxRetryAfterMs = 60000.0
 
-// Held says which version is in force.
+// Version identifies a version of a document.
 type Version struct {
 	Line tables.Line
 	Step tables.Step
-	At   float64 // when it was ordered, Unix milliseconds
+	At   float64 // time of the order that created it, in Unix milliseconds
 }
 
-// Verdict on an offered version.
+// Verdict is the result of Evaluate for an offered version.
 type Verdict string
 
+// Verdicts on an offered version.
 const (
 	Accept    Verdict = "take"
-	Duplicate Verdict = "repeat" // it is in force already, and takes no effect again
+	Duplicate Verdict = "repeat" // already in force, takes no effect again
 	Older     Verdict = "older"
 )
 
-// Judge compares an offer with what is held; nil holds nothing. Within a line the greater step is newer. Another line
-// is the history of a store that was lost or that is another's: it takes over only if it was ordered later.
-func Evaluate(held *Version, offer Version) Verdict {
+// Evaluate compares an offered version with the current one, which is nil before the first version. Within a line, the
+// version with the higher step is newer. A different line is the history of a different store, for example after the
+// first one was lost: such a version is accepted only if it was ordered later.
+func Evaluate(current *Version, offered Version) Verdict {
 	switch {
-	case held == nil:
+	case current == nil:
 		return Accept
-	case held.Line != offer.Line:
-		if offer.At > held.At {
+	case current.Line != offered.Line:
+		if offered.At > current.At {
 			return Accept
 		}
 		return Older
-	case offer.Step == held.Step:
+	case offered.Step == current.Step:
 		return Duplicate
-	case offer.Step < held.Step:
+	case offered.Step < current.Step:
 		return Older
 	}
 	return Accept
 }
 
-// Covered says whether an answer may take effect: it came within the time that its director's lease left, counted from
-// when the poll was sent, which is before the director looked at its clock. No clock is compared with another's.
-func WithinLease(lease, sinceSent float64) bool { return sinceSent < lease }
+// WithinLease reports whether a response may take effect: it must arrive within the time that was left of the
+// director's lease, both in milliseconds. The time is counted from the sending of the poll, which precedes the moment when the
+// director read its clock, so the clocks of the two machines are never compared.
+func WithinLease(leaseMs, sinceSentMs float64) bool { return sinceSentMs < leaseMs }
--- a/internal/following/following_test.go
+++ b/internal/following/following_test.go
@@ -8,11 +8,11 @@
 	"vetchwood/internal/tables"
 )
 
-// Whatever comes in whatever order, from whichever director and how often: a version takes effect once, never one that
-// is older, and in the end the newest that was offered is in force.
+// Offers arrive in any order, repeatedly and from any director. Each version takes effect at most once, no version
+// replaces a newer one, and the newest offered version is in force at the end.
 func TestTheNewestEndsInForce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var held *Version
+		var current *Version
 		var newest Version
 		effects := map[[2]uint64]int{}
 		for range rapid.IntRange(1, 60).Draw(t, "offers") {
@@ -22,35 +22,35 @@
 			if offer.At > newest.At {
 				newest = offer
 			}
-			switch Evaluate(held, offer) {
+			switch Evaluate(current, offer) {
 			case Accept:
-				if held != nil && offer.At <= held.At {
-					t.Fatalf("%v replaced %v", offer, *held)
+				if current != nil && offer.At <= current.At {
+					t.Fatalf("%v replaced the newer %v", offer, *current)
 				}
 				if effects[[2]uint64{uint64(line), uint64(step)}]++; effects[[2]uint64{uint64(line), uint64(step)}] > 1 {
 					t.Fatalf("%v took effect twice", offer)
 				}
-				held = &offer
+				current = &offer
 			case Duplicate:
-				if *held != offer {
-					t.Fatalf("%v is taken for %v", offer, *held)
+				if *current != offer {
+					t.Fatalf("%v was reported as a duplicate of %v", offer, *current)
 				}
 			}
 		}
-		if *held != newest {
-			t.Fatalf("%v is in force, %v was offered", *held, newest)
+		if *current != newest {
+			t.Fatalf("%v is in force, but %v is the newest offer", *current, newest)
 		}
 	})
 }
 
 func TestTheNextDirectorIsAsked(t *testing.T) {
 	c := NewChooser(3)
-	if d, when := c.Next(5); d != 0 || when != 5 {
-		t.Fatal(d, when)
+	if d, at := c.Next(5); d != 0 || at != 5 {
+		t.Fatal(d, at)
 	}
 	c.Failed(0, 5, 0.5)
-	if d, when := c.Next(5); d != 1 || when != 5 {
-		t.Fatal("does not go on to the next", d, when)
+	if d, at := c.Next(5); d != 1 || at != 5 {
+		t.Fatal("after a failure of director 0, next is director and time", d, at)
 	}
 	c.Succeeded(1)
 	c.Failed(1, 10, 0.5)
@@ -58,31 +58,32 @@
 		t.Fatal(d)
 	}
 	c.Failed(2, 10, 0.5)
-	if d, when := c.Next(10); d != 0 || when != 55 {
-		t.Fatal("all have failed, and the first to be asked again is", d, when)
+	if d, at := c.Next(10); d != 0 || at != 55 {
+		t.Fatal("all directors have failed, next is director and time", d, at)
 	}
 }
 
-// A director that never answers is asked less and less often, but never given up; two don't make it busier.
+// Directors that never answer are polled with increasing backoff but never given up. The number of polls per director
+// does not grow with the number of directors.
 func TestPollsThatFailGrowRare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 3).Draw(t, "directors")
-		c, now, polls, most := NewChooser(n), 0.0, 0, n*80
+		c, now, polls, maxPolls := NewChooser(n), 0.0, 0, n*80
 		if n == 1 && rapid.Bool().Draw(t, "shared") {
 			c.SetSlicesShared()
-			most = 220
+			maxPolls = 220
 		}
 		for now < 60000 {
-			d, when := c.Next(now)
-			if when-now > maxBackoffMs*1.5 {
-				t.Fatalf("waits %v", when-now)
+			d, at := c.Next(now)
+			if at-now > maxBackoffMs*1.5 {
+				t.Fatalf("delay of %v ms exceeds the maximum backoff with jitter", at-now)
 			}
-			now = when
+			now = at
 			polls++
 			c.Failed(d, now, rapid.Float64Range(0, 0.999).Draw(t, "chance"))
 		}
-		if polls > most {
-			t.Fatalf("%d polls a minute of %d directors", polls, n)
+		if polls > maxPolls {
+			t.Fatalf("%d polls in a minute are too many for %d directors", polls, n)
 		}
 	})
 }
--- a/internal/following/merge.go
+++ b/internal/following/merge.go
@@ -7,11 +7,11 @@
 	"vetchwood/internal/tables"
 )
 
-// Merge makes one document of those of several directors: for each slice the word of its latest holder, and with it the
-// masks and levels of that holder's document. A slice that its last holder tells of no more stands as it was until the
-// next one's word.
+// Merger merges the documents of several directors into one. For each slice it takes the table of the latest owner and,
+// with it, the masks and levels of that owner's document. A slice that its last owner no longer publishes keeps its
+// table until the next owner publishes one.
 type Merger struct {
-	fences   custody.Seen
+	fences   custody.Seen // the highest fence of each slice
 	tables   map[string]*tables.Table
 	sources  map[string]tables.Source
 	sliceIDs map[string]custody.Slice
@@ -19,36 +19,37 @@
 	rejected int
 }
 
+// NewMerger returns a merger without documents.
 func NewMerger() *Merger {
 	return &Merger{fences: custody.Seen{}, tables: map[string]*tables.Table{}, sources: map[string]tables.Source{},
 		sliceIDs: map[string]custody.Slice{}}
 }
 
-// Refused is how many tables of deposed directors were offered.
+// Rejected returns the number of tables that were rejected because their director no longer owned the slice.
 func (m *Merger) Rejected() int { return m.rejected }
 
-// Take brings a director's newest document and gives the merged one.
-func (m *Merger) Add(from int, d *tables.Document) *tables.Document {
+// Add adds the newest document of a director, given by its index, and returns the merged document.
+func (m *Merger) Add(director int, d *tables.Document) *tables.Document {
 	for name, t := range d.Tables {
-		s, known := m.sliceIDs[name]
+		slice, known := m.sliceIDs[name]
 		if !known {
-			s = custody.Slice(len(m.sliceIDs))
-			m.sliceIDs[name] = s
+			slice = custody.Slice(len(m.sliceIDs))
+			m.sliceIDs[name] = slice
 		}
-		if !m.fences.Accepts(s, custody.Fence(t.Fence)) {
+		if !m.fences.Accepts(slice, custody.Fence(t.Fence)) {
 			m.rejected++
 			continue
 		}
-		m.tables[name], m.sources[name] = t, tables.Source{Doc: d, From: from}
+		m.tables[name], m.sources[name] = t, tables.Source{Doc: d, From: director}
 	}
 	m.step++
-	out := d.Copy()
-	out.Sources, out.Tables = maps.Clone(m.sources), maps.Clone(m.tables)
-	out.Hosts, out.Masked = map[tables.Address]tables.Host{}, map[tables.Address]bool{}
-	for name, t := range out.Tables {
+	merged := d.Copy()
+	merged.Sources, merged.Tables = maps.Clone(m.sources), maps.Clone(m.tables)
+	merged.Hosts, merged.Masked = map[tables.Address]tables.Host{}, map[tables.Address]bool{}
+	for name, t := range merged.Tables {
 		for a := range t.Lines {
-			out.Hosts[a] = out.Sources[name].Doc.Hosts[a]
+			merged.Hosts[a] = merged.Sources[name].Doc.Hosts[a]
 		}
 	}
-	return out.Merged(m.step)
+	return merged.Merged(m.step)
 }
