--- a/internal/subscribe/desk.go
+++ b/internal/subscribe/desk.go
@@ -1,6 +1,7 @@
-// Package subscribe decides for a publish-and-subscribe front: sessions that outlive their connections, one document at
-// a time on its way to each subscriber, what is acknowledged, who is turned away. A subscription is a poll that renews itself,
-// so what is told to whom and when stays the core's. No I/O, no clock.
+// Package subscribe is the decision part of the MQTT front of a director. It keeps sessions that outlive their
+// connections, has at most one unacknowledged document in flight to each subscriber, and decides which clients are
+// refused. A subscription is a poll that renews itself, so the core (package control) still decides which document is
+// published to which proxy and when. The package does no I/O and reads no clock.
 package subscribe
 
 import (
@@ -13,35 +14,36 @@
 	"vetchwood/logic"
 )
 
-// session is a client's.
+// session is the MQTT session of a client.
 type session struct {
 	clientID     string
-	conn         Conn // 0: its connection is gone
+	conn         Conn // 0: not connected
 	expiry       logic.Millis
-	expiresAt    logic.Millis // it ends, without a connection
+	expiresAt    logic.Millis // end of the session, unless the client reconnects
 	zone         string
 	rate         float64
 	maxPacket    int
-	proxy        string // whose tables it follows; "" with watch: of nobody, it looks on
-	watch        bool
+	proxy        string // proxy whose tables are subscribed to; "" with watch
+	watch        bool   // subscribed to AllTablesTopic
 	topic        string
-	held         []tables.Tag
-	ticket       control.Ticket // of the poll that stands for the subscription
+	held         []tables.Tag   // version that the client acknowledged last
+	ticket       control.Ticket // ticket of the pending poll of the subscription
 	inFlight     *delivery
 	lastPacketID uint16
-	isFirst      bool         // the next document is the subscription's first
-	retryAt      logic.Millis // the core could not answer: it is asked again
+	isFirst      bool         // the next document is the first one of the subscription
+	retryAt      logic.Millis // time of the next poll after the core was busy; 0: none
 }
 
+// delivery is a document that was sent and is not acknowledged yet.
 type delivery struct {
 	packetID  uint16
 	doc       Document
 	retain    bool
 	sentAt    logic.Millis
-	ignoreAck bool // its acknowledgement says nothing
+	ignoreAck bool // the acknowledgement does not prove that the document is in force
 }
 
-// asked is what a ticket of the core stands for.
+// request is a poll or a report that the core has not answered yet.
 type request struct {
 	clientID string
 	isReport bool
@@ -49,292 +51,306 @@
 	packetID uint16
 }
 
-// Desk is one front's.
+// Broker manages the sessions and subscriptions of one front.
 type Broker struct {
 	limits        Limits
-	pollWait      logic.Millis // of each poll
+	pollWait      logic.Millis // maximum duration of a poll
 	newTicket     func() control.Ticket
 	sessions      map[string]*session
-	clientIDs     map[Conn]string // the client of each
+	clientIDs     map[Conn]string // client of each connection
 	requests      map[control.Ticket]request
-	connectCredit float64
-	creditedAt    logic.Millis
+	connectCredit float64      // CONNECT packets that may be accepted at once
+	creditedAt    logic.Millis // time when connectCredit was updated
 	outputs       []any
 	stats         Stats
 }
 
-// NewDesk begins one; ticket gives out the core's.
-func NewBroker(limits Limits, wait logic.Millis, ticket func() control.Ticket) *Broker {
-	return &Broker{limits: limits, pollWait: wait, newTicket: ticket, sessions: map[string]*session{}, clientIDs: map[Conn]string{},
-		requests: map[control.Ticket]request{}, connectCredit: limits.ConnectsPerSecond}
+// NewBroker returns a broker without sessions. The parameter pollWait is the maximum duration of a poll, newTicket
+// returns the tickets of requests to the core.
+func NewBroker(limits Limits, pollWait logic.Millis, newTicket func() control.Ticket) *Broker {
+	return &Broker{limits: limits, pollWait: pollWait, newTicket: newTicket, sessions: map[string]*session{},
+		clientIDs: map[Conn]string{}, requests: map[control.Ticket]request{}, connectCredit: limits.ConnectsPerSecond}
 }
 
-func (d *Broker) emit(o any) { d.outputs = append(d.outputs, o) }
+func (b *Broker) emit(output any) { b.outputs = append(b.outputs, output) }
 
-// Handle takes what happened up to now and says what to do, in order.
-func (d *Broker) Handle(now logic.Millis, in ...any) []any {
-	for _, i := range in {
-		switch i := i.(type) {
+// Handle processes inputs in their order and returns the resulting outputs, which must be carried out in order.
+func (b *Broker) Handle(now logic.Millis, inputs ...any) []any {
+	for _, in := range inputs {
+		switch in := in.(type) {
 		case Connect:
-			d.connect(now, i)
+			b.connect(now, in)
 		case Subscribe:
-			d.subscribe(now, i)
+			b.subscribe(now, in)
 		case Unsubscribe:
-			d.unsubscribe(now, i)
+			b.unsubscribe(now, in)
 		case Ack:
-			d.ack(now, i)
+			b.ack(now, in)
 		case Report:
-			d.report(now, i)
+			b.report(now, in)
 		case ConnectionClosed:
-			d.connectionClosed(now, i)
+			b.connectionClosed(now, in)
 		case CoreAnswer:
-			d.handleAnswer(now, i.Answer)
+			b.handleAnswer(now, in.Answer)
 		}
 	}
-	d.sweep(now)
-	out := d.outputs
-	d.outputs = nil
-	return out
+	b.sweep(now)
+	outputs := b.outputs
+	b.outputs = nil
+	return outputs
 }
 
-func (d *Broker) sessionOf(c Conn) *session {
-	s := d.sessions[d.clientIDs[c]]
+// sessionOf returns the session that a connection serves, nil if there is none.
+func (b *Broker) sessionOf(c Conn) *session {
+	s := b.sessions[b.clientIDs[c]]
 	if s == nil || s.conn != c {
 		return nil
 	}
 	return s
 }
 
-func (d *Broker) refuseConnect(c Conn, code ReasonCode, why string) {
-	d.stats.Refused++
-	d.emit(Refuse{c, code, why})
+func (b *Broker) refuseConnect(c Conn, code ReasonCode, reason string) {
+	b.stats.Refused++
+	b.emit(Refuse{c, code, reason})
 }
 
-// connect gives a session, or goes on with the client's earlier one.
-func (d *Broker) connect(now logic.Millis, c Connect) {
-	d.connectCredit = min(d.limits.ConnectsPerSecond, d.connectCredit+d.limits.ConnectsPerSecond*float64(now-d.creditedAt)/1000)
-	d.creditedAt = now
-	was := d.sessions[c.ClientID]
-	if was != nil && was.conn == 0 && now >= was.expiresAt {
-		d.remove(was)
-		was = nil
+// connect creates a session, or resumes the previous session of the client.
+func (b *Broker) connect(now logic.Millis, c Connect) {
+	b.connectCredit = min(b.limits.ConnectsPerSecond,
+		b.connectCredit+b.limits.ConnectsPerSecond*float64(now-b.creditedAt)/1000)
+	b.creditedAt = now
+	previous := b.sessions[c.ClientID]
+	if previous != nil && previous.conn == 0 && now >= previous.expiresAt {
+		b.remove(previous)
+		previous = nil
 	}
 	switch {
-	case d.connectCredit < 1:
-		d.stats.Busy++
-		d.refuseConnect(c.Conn, ServerBusy, "too many connect at once: come again in a second or two")
+	case b.connectCredit < 1:
+		b.stats.Busy++
+		b.refuseConnect(c.Conn, ServerBusy, "connection rate limit exceeded; retry in 1 to 2 s")
 		return
-	case was == nil && len(d.sessions) >= d.limits.MaxSessions && !d.evictOldest(now):
-		d.refuseConnect(c.Conn, QuotaExceeded, "there is room for no more sessions")
+	case previous == nil && len(b.sessions) >= b.limits.MaxSessions && !b.evictOldest(now):
+		b.refuseConnect(c.Conn, QuotaExceeded, "maximum number of sessions reached")
 		return
 	}
-	d.connectCredit--
-	if was != nil && was.conn != 0 {
-		d.stats.TakenOver++
-		d.emit(Close{was.conn, SessionTakenOver, "another connection of this client took its session over"})
-		d.detach(now, was)
+	b.connectCredit--
+	if previous != nil && previous.conn != 0 {
+		b.stats.TakenOver++
+		b.emit(Close{previous.conn, SessionTakenOver, "session taken over by another connection of the same client"})
+		b.detach(now, previous)
 	}
-	if c.CleanStart && was != nil {
-		d.remove(was)
-		was = nil
+	if c.CleanStart && previous != nil {
+		b.remove(previous)
+		previous = nil
 	}
-	s := was
+	s := previous
 	if s == nil {
 		s = &session{clientID: c.ClientID}
-		d.sessions[c.ClientID] = s
+		b.sessions[c.ClientID] = s
 	}
 	s.conn, s.zone, s.rate, s.maxPacket = c.Conn, c.Zone, c.Rate, c.MaxPacket
-	s.expiry = min(c.Expiry, d.limits.MaxExpiry)
-	if len(c.Held) > 0 { // its own word is newer than ours: it may have been with another front meanwhile
+	s.expiry = min(c.Expiry, b.limits.MaxExpiry)
+	// The version in the CONNECT packet is newer than that of the session: the client may have followed another front in
+	// the meantime.
+	if len(c.Held) > 0 {
 		s.held, s.inFlight = c.Held, nil
 	}
-	d.clientIDs[c.Conn] = c.ClientID
-	d.emit(Accept{c.Conn, was != nil, s.expiry})
+	b.clientIDs[c.Conn] = c.ClientID
+	b.emit(Accept{c.Conn, previous != nil, s.expiry})
 	switch {
 	case s.inFlight != nil:
-		d.stats.Redelivered++
+		b.stats.Redelivered++
 		s.inFlight.sentAt = now
-		d.emit(Deliver{s.conn, s.inFlight.packetID, s.topic, true, s.inFlight.retain, s.inFlight.doc})
+		b.emit(Deliver{s.conn, s.inFlight.packetID, s.topic, true, s.inFlight.retain, s.inFlight.doc})
 	case s.topic != "":
-		d.poll(s)
+		b.poll(s)
 	}
 }
 
-// forget ends the session that has been without a connection for longest; false if all are connected.
-func (d *Broker) evictOldest(now logic.Millis) bool {
+// evictOldest removes the unconnected session that would expire first, and returns false if all are connected.
+func (b *Broker) evictOldest(now logic.Millis) bool {
 	var oldest *session
-	for _, s := range d.sessions {
-		if s.conn == 0 && (oldest == nil || s.expiresAt < oldest.expiresAt || s.expiresAt == oldest.expiresAt && s.clientID < oldest.clientID) {
+	for _, s := range b.sessions {
+		if s.conn == 0 && (oldest == nil || s.expiresAt < oldest.expiresAt ||
+			s.expiresAt == oldest.expiresAt && s.clientID < oldest.clientID) {
 			oldest = s
 		}
 	}
 	if oldest != nil {
-		d.remove(oldest)
+		b.remove(oldest)
 	}
 	return oldest != nil
 }
 
-// part takes a session's connection away; the proxy has left until it is back.
-func (d *Broker) detach(now logic.Millis, s *session) {
+// detach separates a session from its connection. The proxy counts as having left until the client reconnects.
+func (b *Broker) detach(now logic.Millis, s *session) {
 	if s.ticket != 0 {
-		d.emit(Post{control.Disconnected{Ticket: s.ticket, Proxy: s.proxy}})
-		delete(d.requests, s.ticket)
+		b.emit(Post{control.Disconnected{Ticket: s.ticket, Proxy: s.proxy}})
+		delete(b.requests, s.ticket)
 		s.ticket = 0
 	}
-	delete(d.clientIDs, s.conn)
+	delete(b.clientIDs, s.conn)
 	s.conn, s.expiresAt, s.retryAt = 0, now+s.expiry, 0
 }
 
-func (d *Broker) remove(s *session) { delete(d.sessions, s.clientID) }
+func (b *Broker) remove(s *session) { delete(b.sessions, s.clientID) }
 
-func (d *Broker) connectionClosed(now logic.Millis, g ConnectionClosed) {
-	s := d.sessionOf(g.Conn)
+func (b *Broker) connectionClosed(now logic.Millis, in ConnectionClosed) {
+	s := b.sessionOf(in.Conn)
 	if s == nil {
-		delete(d.clientIDs, g.Conn)
+		delete(b.clientIDs, in.Conn)
 		return
 	}
-	if g.Expiry != nil {
-		s.expiry = min(*g.Expiry, d.limits.MaxExpiry)
+	if in.Expiry != nil {
+		s.expiry = min(*in.Expiry, b.limits.MaxExpiry)
 	}
-	if d.detach(now, s); s.expiry <= 0 {
-		d.remove(s)
+	if b.detach(now, s); s.expiry <= 0 {
+		b.remove(s)
 	}
 }
 
-// grant looks at one filter of a subscription.
-func (d *Broker) checkFilter(s *session, f Filter) (proxy string, watch bool, code ReasonCode, why string) {
-	rest, is := strings.CutPrefix(f.Topic, proxyTopicPrefix)
-	name, ends := strings.CutSuffix(rest, tablesSuffix)
+// checkFilter checks one filter of a subscription. It returns the proxy whose tables it selects, or watch for the topic
+// of all tables, and the reason code of the answer with its reason string.
+func (b *Broker) checkFilter(s *session, f Filter) (proxy string, watch bool, code ReasonCode, reason string) {
+	rest, hasPrefix := strings.CutPrefix(f.Topic, proxyTopicPrefix)
+	name, hasSuffix := strings.CutSuffix(rest, tablesSuffix)
 	switch {
 	case strings.HasPrefix(f.Topic, "$share/"):
-		return "", false, SharedSubscriptionsNotSupported, "a proxy's tables are for one subscriber"
+		return "", false, SharedSubscriptionsNotSupported,
+			"shared subscriptions are not supported: the tables of a proxy have one subscriber"
 	case strings.ContainsAny(f.Topic, "+#"):
-		return "", false, WildcardSubscriptionsNotSupported, "one proxy's tables at a time, or " + allTablesTopic
+		return "", false, WildcardSubscriptionsNotSupported,
+			"wildcards are not supported: subscribe to the tables of one proxy, or to " + allTablesTopic
 	case f.Topic == allTablesTopic:
 		watch = true
-	case !is || !ends || name == "" || strings.Contains(name, "/"):
-		return "", false, TopicFilterInvalid, "there is " + TablesTopic("{proxy}") + " and " + allTablesTopic
+	case !hasPrefix || !hasSuffix || name == "" || strings.Contains(name, "/"):
+		return "", false, TopicFilterInvalid,
+			"unknown topic: available are " + TablesTopic("{proxy}") + " and " + allTablesTopic
 	case f.QoS == 0:
-		return "", false, ImplementationSpecificError, "a proxy's tables are sent with QoS 1: the acknowledgement says that they are in force"
+		return "", false, ImplementationSpecificError,
+			"tables of a proxy require QoS 1: the acknowledgement reports that they are in force"
 	}
 	if s.topic != "" && s.topic != f.Topic {
-		return "", false, QuotaExceeded, "a session follows one topic"
+		return "", false, QuotaExceeded, "a session may subscribe to one topic only"
 	}
 	if watch {
 		name = ""
 		watchers := 0
-		for _, o := range d.sessions {
-			watchers += map[bool]int{true: 1}[o.watch && o != s]
+		for _, other := range b.sessions {
+			watchers += map[bool]int{true: 1}[other.watch && other != s]
 		}
-		if watchers >= d.limits.MaxWatchers {
-			return "", false, QuotaExceeded, "there is room for no more that look on"
+		if watchers >= b.limits.MaxWatchers {
+			return "", false, QuotaExceeded, "maximum number of subscribers to all tables reached"
 		}
 	}
 	return name, watch, GrantedQoS1, ""
 }
 
-func (d *Broker) subscribe(now logic.Millis, in Subscribe) {
-	s := d.sessionOf(in.Conn)
+func (b *Broker) subscribe(now logic.Millis, in Subscribe) {
+	s := b.sessionOf(in.Conn)
 	if s == nil {
 		return
 	}
-	g := SubAck{Conn: in.Conn, ID: in.ID}
-	begins := false
+	suback := SubAck{Conn: in.Conn, ID: in.ID}
+	granted := false
 	for _, f := range in.Filters {
-		proxy, watch, code, why := d.checkFilter(s, f)
-		if g.Codes = append(g.Codes, code); code != GrantedQoS1 {
-			d.stats.Refused++
-			g.Reason = why
+		proxy, watch, code, reason := b.checkFilter(s, f)
+		if suback.Codes = append(suback.Codes, code); code != GrantedQoS1 {
+			b.stats.Refused++
+			suback.Reason = reason
 			continue
 		}
-		s.proxy, s.watch, s.topic, begins = proxy, watch, f.Topic, true
+		s.proxy, s.watch, s.topic, granted = proxy, watch, f.Topic, true
 	}
-	d.emit(g)
+	b.emit(suback)
 	switch {
-	case begins && s.inFlight != nil:
+	case granted && s.inFlight != nil:
 		s.inFlight.ignoreAck = s.inFlight.ignoreAck || in.Resend
-	case begins && s.ticket == 0:
+	case granted && s.ticket == 0:
 		s.isFirst = true
-		d.poll(s)
+		b.poll(s)
 	}
 }
 
-func (d *Broker) unsubscribe(now logic.Millis, in Unsubscribe) {
-	s := d.sessionOf(in.Conn)
+func (b *Broker) unsubscribe(now logic.Millis, in Unsubscribe) {
+	s := b.sessionOf(in.Conn)
 	if s == nil {
 		return
 	}
-	u := UnsubAck{Conn: in.Conn, ID: in.ID}
+	unsuback := UnsubAck{Conn: in.Conn, ID: in.ID}
 	for _, topic := range in.Topics {
 		if topic == "" || topic != s.topic {
-			u.Codes = append(u.Codes, NoSubscriptionExisted)
+			unsuback.Codes = append(unsuback.Codes, NoSubscriptionExisted)
 			continue
 		}
-		u.Codes = append(u.Codes, Success)
+		unsuback.Codes = append(unsuback.Codes, Success)
 		if s.ticket != 0 {
-			d.emit(Post{control.Disconnected{Ticket: s.ticket, Proxy: s.proxy}})
-			delete(d.requests, s.ticket)
+			b.emit(Post{control.Disconnected{Ticket: s.ticket, Proxy: s.proxy}})
+			delete(b.requests, s.ticket)
 		}
 		s.topic, s.proxy, s.watch, s.ticket, s.retryAt = "", "", false, 0, 0
 	}
-	d.emit(u)
+	b.emit(unsuback)
 }
 
-// poll asks the core for what comes next. What is held is what was acknowledged last.
-func (d *Broker) poll(s *session) {
-	t := d.newTicket()
+// poll requests the next document from the core, as a change to the version that the client acknowledged last.
+func (b *Broker) poll(s *session) {
+	t := b.newTicket()
 	s.ticket, s.retryAt = t, 0
-	d.requests[t] = request{clientID: s.clientID}
+	b.requests[t] = request{clientID: s.clientID}
 	if s.watch {
-		d.emit(Post{control.Watch{Ticket: t, Held: s.held, Wait: d.pollWait, WantsDelta: true}})
+		b.emit(Post{control.Watch{Ticket: t, Held: s.held, Wait: b.pollWait, WantsDelta: true}})
 		return
 	}
-	d.emit(Post{control.Poll{Ticket: t, Proxy: s.proxy, Zone: s.zone, Rate: s.rate, Held: s.held, Wait: d.pollWait, WantsDelta: true}})
+	b.emit(Post{control.Poll{Ticket: t, Proxy: s.proxy, Zone: s.zone, Rate: s.rate, Held: s.held, Wait: b.pollWait,
+		WantsDelta: true}})
 }
 
-// busyFor is how long a subscriber waits where the core can't answer.
+// busyRetryDelay is the time until the next poll of a subscription after the core was busy.
 const busyRetryDelay logic.Millis = 1000
 
-func (d *Broker) handleAnswer(now logic.Millis, a control.Answer) {
-	of, known := d.requests[a.Ticket]
+// handleAnswer processes the answer of the core to a poll or a report.
+func (b *Broker) handleAnswer(now logic.Millis, a control.Answer) {
+	req, known := b.requests[a.Ticket]
 	if !known {
 		return
 	}
-	delete(d.requests, a.Ticket)
-	if of.isReport {
-		d.handleReportAnswer(of, a)
+	delete(b.requests, a.Ticket)
+	if req.isReport {
+		b.handleReportAnswer(req, a)
 		return
 	}
-	s := d.sessions[of.clientID]
+	s := b.sessions[req.clientID]
 	if s == nil || s.ticket != a.Ticket || s.conn == 0 {
 		return
 	}
 	s.ticket = 0
 	switch a.Kind {
 	case control.Full, control.Delta:
-		d.deliver(now, s, a)
+		b.deliver(now, s, a)
 	case control.Unchanged:
-		d.poll(s)
+		b.poll(s)
 	case control.Busy:
 		s.retryAt = now + busyRetryDelay
 	case control.Replaced:
-		d.stats.TakenOver++
-		d.terminate(now, s, SessionTakenOver, "the proxy polls by another front")
+		b.stats.TakenOver++
+		b.terminate(now, s, SessionTakenOver, "the proxy polls through another front")
 	case control.Unknown:
-		d.terminate(now, s, NotAuthorized, a.Why)
+		b.terminate(now, s, NotAuthorized, a.Why)
 	default:
-		d.terminate(now, s, ImplementationSpecificError, a.Why)
+		b.terminate(now, s, ImplementationSpecificError, a.Why)
 	}
 }
 
-// leave ends a session and its connection.
-func (d *Broker) terminate(now logic.Millis, s *session, code ReasonCode, why string) {
-	d.emit(Close{s.conn, code, why})
-	d.detach(now, s)
-	d.remove(s)
+// terminate closes the connection of a session and removes the session.
+func (b *Broker) terminate(now logic.Millis, s *session, code ReasonCode, reason string) {
+	b.emit(Close{s.conn, code, reason})
+	b.detach(now, s)
+	b.remove(s)
 }
 
-func (d *Broker) deliver(now logic.Millis, s *session, a control.Answer) {
+// deliver sends the document or the delta of an answer to the client of a session.
+func (b *Broker) deliver(now logic.Millis, s *session, a control.Answer) {
 	doc := Document{versionTag: a.Doc.Tag(), Lease: a.Lease}
 	doc.Tag = doc.versionTag.ETag()
 	if a.Kind == control.Delta {
@@ -343,7 +359,7 @@
 		doc.Body, doc.ContentType = a.Doc.Whole(), tables.MediaType
 	}
 	if s.maxPacket > 0 && len(doc.Body)+len(s.topic)+maxPublishOverhead > s.maxPacket {
-		d.terminate(now, s, QuotaExceeded, "the document is longer than the packets that the client takes")
+		b.terminate(now, s, QuotaExceeded, "document exceeds the maximum packet size of the client")
 		return
 	}
 	if s.lastPacketID++; s.lastPacketID == 0 {
@@ -351,78 +367,81 @@
 	}
 	s.inFlight = &delivery{packetID: s.lastPacketID, doc: doc, retain: s.isFirst && doc.Base == "", sentAt: now}
 	s.isFirst = false
-	d.stats.Delivered++
-	d.emit(Deliver{s.conn, s.inFlight.packetID, s.topic, false, s.inFlight.retain, doc})
+	b.stats.Delivered++
+	b.emit(Deliver{s.conn, s.inFlight.packetID, s.topic, false, s.inFlight.retain, doc})
 }
 
-// packetHead is more than a publish needs beside topic and payload.
+// maxPublishOverhead is an upper bound, in bytes, of the size of a PUBLISH packet beyond its topic and payload.
 const maxPublishOverhead = 512
 
-// ack takes the client's word on the document that is on its way to it. A later one goes out only then, so that a slow
-// subscriber is sent one difference in place of all those it missed, and nothing waits for it.
-func (d *Broker) ack(now logic.Millis, a Ack) {
-	s := d.sessionOf(a.Conn)
+// ack processes the acknowledgement of the document in flight. The next document is sent only after it, so that a slow
+// subscriber gets one delta in place of all those it missed, and no documents are queued for it.
+func (b *Broker) ack(now logic.Millis, a Ack) {
+	s := b.sessionOf(a.Conn)
 	if s == nil || s.inFlight == nil || s.inFlight.packetID != a.ID {
-		return // it was acknowledged before, or never sent
+		return // acknowledged before, or never sent
 	}
-	f := s.inFlight
+	acked := s.inFlight
 	s.inFlight = nil
 	switch {
-	case f.ignoreAck:
+	case acked.ignoreAck:
 	case a.Code < UnspecifiedError:
-		d.stats.Acknowledged++
-		s.held = []tables.Tag{f.doc.versionTag}
+		b.stats.Acknowledged++
+		s.held = []tables.Tag{acked.doc.versionTag}
 	case a.Code == PayloadFormatInvalid:
-		s.held = nil // it can't be followed from what is held: the whole document next
+		s.held = nil // the delta could not be applied: a full document is next
 	}
 	if s.topic != "" && s.ticket == 0 {
-		d.poll(s)
+		b.poll(s)
 	}
 }
 
-func (d *Broker) report(now logic.Millis, r Report) {
-	s := d.sessionOf(r.Conn)
+// report passes a load report to the core.
+func (b *Broker) report(now logic.Millis, r Report) {
+	s := b.sessionOf(r.Conn)
 	if s == nil {
 		return
 	}
-	t := d.newTicket()
+	t := b.newTicket()
 	r.Report.Ticket = t
-	d.requests[t] = request{isReport: true, conn: r.Conn, packetID: r.ID}
-	d.emit(Post{r.Report})
+	b.requests[t] = request{isReport: true, conn: r.Conn, packetID: r.ID}
+	b.emit(Post{r.Report})
 }
 
-func (d *Broker) handleReportAnswer(of request, a control.Answer) {
-	if _, open := d.clientIDs[of.conn]; !open || of.packetID == 0 {
+// handleReportAnswer acknowledges a load report to the client, unless it was sent with QoS 0.
+func (b *Broker) handleReportAnswer(req request, a control.Answer) {
+	if _, open := b.clientIDs[req.conn]; !open || req.packetID == 0 {
 		return
 	}
-	code := map[control.AnswerKind]ReasonCode{control.Accepted: Success, control.Unknown: NotAuthorized, control.Invalid: PayloadFormatInvalid,
-		control.Busy: QuotaExceeded}[a.Kind]
-	d.emit(PubAck{of.conn, of.packetID, code, a.Why})
+	code := map[control.AnswerKind]ReasonCode{control.Accepted: Success, control.Unknown: NotAuthorized,
+		control.Invalid: PayloadFormatInvalid, control.Busy: QuotaExceeded}[a.Kind]
+	b.emit(PubAck{req.conn, req.packetID, code, a.Why})
 }
 
-// sweep ends sessions that are over, connections that acknowledge nothing, and asks again where the core was busy.
-func (d *Broker) sweep(now logic.Millis) {
-	for _, client := range slices.Sorted(maps.Keys(d.sessions)) {
-		s := d.sessions[client]
+// sweep removes expired sessions, closes connections that did not acknowledge a document in time, and repeats polls
+// after the core was busy.
+func (b *Broker) sweep(now logic.Millis) {
+	for _, clientID := range slices.Sorted(maps.Keys(b.sessions)) {
+		s := b.sessions[clientID]
 		switch {
 		case s.conn == 0 && now >= s.expiresAt:
-			d.remove(s)
-		case s.conn != 0 && s.inFlight != nil && now >= s.inFlight.sentAt+d.limits.AckTimeout:
-			d.emit(Close{s.conn, ImplementationSpecificError, "a document was not acknowledged in time"})
-			d.detach(now, s)
+			b.remove(s)
+		case s.conn != 0 && s.inFlight != nil && now >= s.inFlight.sentAt+b.limits.AckTimeout:
+			b.emit(Close{s.conn, ImplementationSpecificError, "document not acknowledged in time"})
+			b.detach(now, s)
 		case s.conn != 0 && s.retryAt > 0 && now >= s.retryAt:
-			d.poll(s)
+			b.poll(s)
 		}
 	}
 }
 
-// Figures are those of now.
-func (d *Broker) Stats() Stats {
-	f := d.stats
-	f.Sessions = len(d.sessions)
-	for _, s := range d.sessions {
-		f.Connected += map[bool]int{true: 1}[s.conn != 0]
-		f.InFlight += map[bool]int{true: 1}[s.inFlight != nil]
-	}
-	return f
+// Stats returns the current statistics.
+func (b *Broker) Stats() Stats {
+	stats := b.stats
+	stats.Sessions = len(b.sessions)
+	for _, s := range b.sessions {
+		stats.Connected += map[bool]int{true: 1}[s.conn != 0]
+		stats.InFlight += map[bool]int{true: 1}[s.inFlight != nil]
+	}
+	return stats
 }
--- a/internal/subscribe/desk_test.go
+++ b/internal/subscribe/desk_test.go
@@ -11,51 +11,51 @@
 	"vetchwood/logic"
 )
 
-// world is a core that has versions, and clients that hold some.
+// harness simulates a core that publishes versions, and clients that subscribe to them.
 type harness struct {
 	t       *rapid.T
 	broker  *Broker
 	now     logic.Millis
 	tickets control.Ticket
-	docs    []*tables.Document
+	docs    []*tables.Document // all published versions
 	pending map[control.Ticket]control.Poll
 	clients map[Conn]*testClient
 }
 
 type testClient struct {
-	held      int // version; -1 none
-	inFlight  map[uint16]int
+	held      int            // index of the version in force; -1: none
+	inFlight  map[uint16]int // versions by packet identifier
 	closeCode ReasonCode
 	isClosed  bool
 }
 
-func (w *harness) publishVersion() {
-	n := len(w.docs)
-	d := &tables.Document{Routes: map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{}, Masked: map[tables.Address]bool{},
-		Tables: map[string]*tables.Table{}}
+func (h *harness) publishVersion() {
+	n := len(h.docs)
+	d := &tables.Document{Routes: map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{},
+		Masked: map[tables.Address]bool{}, Tables: map[string]*tables.Table{}}
 	for i := range 20 {
 		d.Tables[fmt.Sprint(i)] = &tables.Table{Lines: map[tables.Address]float64{"h": 1, "g": float64(1 + (n+i)%7)}}
 	}
-	w.docs = append(w.docs, d.Seal(1, tables.Step(n+1), float64(n)))
+	h.docs = append(h.docs, d.Seal(1, tables.Step(n+1), float64(n)))
 }
 
-func (w *harness) versionOf(tag string) int {
-	for i, d := range w.docs {
+func (h *harness) versionOf(tag string) int {
+	for i, d := range h.docs {
 		if d.Tag().ETag() == tag {
 			return i
 		}
 	}
-	w.t.Fatalf("no version has the tag %s", tag)
+	h.t.Fatalf("no version has the entity tag %s", tag)
 	return -1
 }
 
-// core answers polls whose version is not the newest.
-func (w *harness) answerPolls() {
-	newest := w.docs[len(w.docs)-1]
-	for ticket, p := range w.pending {
+// answerPolls answers the pending polls of clients that do not have the newest version.
+func (h *harness) answerPolls() {
+	newest := h.docs[len(h.docs)-1]
+	for ticket, p := range h.pending {
 		var base *tables.Document
 		for _, tag := range p.Held {
-			base = w.docs[tag.Step-1]
+			base = h.docs[tag.Step-1]
 		}
 		a := control.Answer{Ticket: ticket, Doc: newest, Kind: control.Full}
 		if base == newest {
@@ -66,76 +66,77 @@
 				a.Kind, a.Base, a.Patch = control.Delta, base, patch
 			}
 		}
-		delete(w.pending, ticket)
-		w.handle(CoreAnswer{a})
+		delete(h.pending, ticket)
+		h.handle(CoreAnswer{a})
 	}
 }
 
-func (w *harness) handle(in ...any) {
-	for _, o := range w.broker.Handle(w.now, in...) {
+func (h *harness) handle(in ...any) {
+	for _, o := range h.broker.Handle(h.now, in...) {
 		switch o := o.(type) {
 		case Post:
 			switch p := o.Input.(type) {
 			case control.Poll:
-				w.pending[p.Ticket] = p
+				h.pending[p.Ticket] = p
 			case control.Disconnected:
-				delete(w.pending, p.Ticket)
+				delete(h.pending, p.Ticket)
 			}
 		case Deliver:
-			c := w.clients[o.Conn]
+			c := h.clients[o.Conn]
 			if c == nil || c.isClosed {
-				w.t.Fatalf("a document for a connection that has ended")
+				h.t.Fatalf("a document was sent on a closed connection")
 			}
 			if len(c.inFlight) > 0 {
-				w.t.Fatalf("two documents on their way to one client: %v", c.inFlight)
+				h.t.Fatalf("a document was sent while another one was unacknowledged: %v", c.inFlight)
 			}
-			if o.Doc.Base != "" && w.versionOf(o.Doc.Base) != c.held {
-				w.t.Fatalf("a difference from version %d to a client that holds %d", w.versionOf(o.Doc.Base), c.held)
+			if o.Doc.Base != "" && h.versionOf(o.Doc.Base) != c.held {
+				h.t.Fatalf("a delta from version %d was sent to a client with version %d", h.versionOf(o.Doc.Base), c.held)
 			}
-			if v := w.versionOf(o.Doc.Tag); v <= c.held && !o.Duplicate && o.Doc.Base != "" {
-				w.t.Fatalf("version %d after %d", v, c.held)
+			if v := h.versionOf(o.Doc.Tag); v <= c.held && !o.Duplicate && o.Doc.Base != "" {
+				h.t.Fatalf("version %d was sent after version %d", v, c.held)
 			}
-			c.inFlight[o.ID] = w.versionOf(o.Doc.Tag)
+			c.inFlight[o.ID] = h.versionOf(o.Doc.Tag)
 		case Close:
-			w.clients[o.Conn].closeCode, w.clients[o.Conn].isClosed = o.Code, true
+			h.clients[o.Conn].closeCode, h.clients[o.Conn].isClosed = o.Code, true
 		}
 	}
 }
 
-// Whatever clients do and however their connections break, a document goes out only when the one before it was acknowledged,
-// each difference is from what the client holds, and in the end every subscriber has the newest version.
+// Clients connect, acknowledge and disconnect at random times. A document is sent only after the previous one was
+// acknowledged, each delta applies to the version of the client, and at the end each subscriber has the newest version.
 func TestBroker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &harness{t: t, pending: map[control.Ticket]control.Poll{}, clients: map[Conn]*testClient{}}
-		w.broker = NewBroker(Limits{MaxSessions: 4, MaxExpiry: 5000, AckTimeout: 20000, ConnectsPerSecond: 1000, MaxWatchers: 2}, 1000,
-			func() control.Ticket { w.tickets++; return w.tickets })
-		w.publishVersion()
-		last, holds := map[string]Conn{}, map[string]int{"a": -1, "b": -1, "c": -1}
+		h := &harness{t: t, pending: map[control.Ticket]control.Poll{}, clients: map[Conn]*testClient{}}
+		h.broker = NewBroker(
+			Limits{MaxSessions: 4, MaxExpiry: 5000, AckTimeout: 20000, ConnectsPerSecond: 1000, MaxWatchers: 2}, 1000,
+			func() control.Ticket { h.tickets++; return h.tickets })
+		h.publishVersion()
+		lastConn, versions := map[string]Conn{}, map[string]int{"a": -1, "b": -1, "c": -1}
 		next := Conn(0)
 		connect := func(name string, clean bool) {
 			next++
-			held := holds[name]
+			held := versions[name]
 			if clean {
 				held = -1
 			}
-			w.clients[next] = &testClient{held: held, inFlight: map[uint16]int{}}
-			last[name] = next
-			w.handle(Connect{Conn: next, ClientID: name, CleanStart: clean, Expiry: 3000})
-			w.handle(Subscribe{Conn: next, ID: 1, Filters: []Filter{{TablesTopic("p" + name), 1}}})
+			h.clients[next] = &testClient{held: held, inFlight: map[uint16]int{}}
+			lastConn[name] = next
+			h.handle(Connect{Conn: next, ClientID: name, CleanStart: clean, Expiry: 3000})
+			h.handle(Subscribe{Conn: next, ID: 1, Filters: []Filter{{TablesTopic("p" + name), 1}}})
 		}
 		ack := func(name string) {
-			c := w.clients[last[name]]
+			c := h.clients[lastConn[name]]
 			for id, v := range c.inFlight {
 				delete(c.inFlight, id)
-				c.held, holds[name] = v, v
-				w.handle(Ack{Conn: last[name], ID: id})
-				w.handle(Ack{Conn: last[name], ID: id}) // a second time
+				c.held, versions[name] = v, v
+				h.handle(Ack{Conn: lastConn[name], ID: id})
+				h.handle(Ack{Conn: lastConn[name], ID: id}) // a repeated acknowledgement
 			}
 		}
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "client")
-			w.now += logic.Millis(rapid.IntRange(0, 2500).Draw(t, "later"))
-			c := w.clients[last[name]]
+			h.now += logic.Millis(rapid.IntRange(0, 2500).Draw(t, "later"))
+			c := h.clients[lastConn[name]]
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				connect(name, rapid.Bool().Draw(t, "clean"))
@@ -146,50 +147,53 @@
 			case 2:
 				if c != nil && !c.isClosed {
 					c.isClosed = true
-					w.handle(ConnectionClosed{Conn: last[name]})
+					h.handle(ConnectionClosed{Conn: lastConn[name]})
 				}
 			case 3, 4:
-				w.publishVersion()
+				h.publishVersion()
 			case 5:
-				w.handle()
+				h.handle()
 			}
-			w.answerPolls()
-			// What a session that ended held, its client holds no more for the desk: it says so itself, or gets a whole one.
-			for n, s := range w.broker.sessions {
-				if len(s.held) == 0 && s.inFlight == nil && w.clients[s.conn] != nil {
-					w.clients[s.conn].held, holds[n] = -1, -1
+			h.answerPolls()
+			// The broker does not know the version of a client whose session has ended: the client states it in CONNECT, or
+			// gets a full document.
+			for n, s := range h.broker.sessions {
+				if len(s.held) == 0 && s.inFlight == nil && h.clients[s.conn] != nil {
+					h.clients[s.conn].held, versions[n] = -1, -1
 				}
 			}
 		}
-		for name := range holds {
-			if c := w.clients[last[name]]; c == nil || c.isClosed {
+		for name := range versions {
+			if c := h.clients[lastConn[name]]; c == nil || c.isClosed {
 				connect(name, true)
-				holds[name] = -1
+				versions[name] = -1
 			}
 		}
 		for range 5 {
-			w.answerPolls()
-			for name := range holds {
-				if c := w.clients[last[name]]; !c.isClosed {
+			h.answerPolls()
+			for name := range versions {
+				if c := h.clients[lastConn[name]]; !c.isClosed {
 					ack(name)
 				}
 			}
 		}
-		for name := range holds {
-			if c := w.clients[last[name]]; !c.isClosed && c.held != len(w.docs)-1 {
-				t.Fatalf("%s holds version %d of %d in the end", name, c.held, len(w.docs)-1)
+		for name := range versions {
+			if c := h.clients[lastConn[name]]; !c.isClosed && c.held != len(h.docs)-1 {
+				t.Fatalf("%s has version %d at the end, want %d", name, c.held, len(h.docs)-1)
 			}
 		}
 	})
 }
 
-// Limits: sessions, connects at once, a client that acknowledges nothing, a session that is over, a proxy on both fronts.
+// The limits of sessions and of connections per second, a client that acknowledges nothing, an expired session, and a
+// proxy that polls through another front.
 func TestLimits(t *testing.T) {
 	ticket := control.Ticket(0)
-	d := NewBroker(Limits{MaxSessions: 2, MaxExpiry: 5000, AckTimeout: 8000, ConnectsPerSecond: 3, MaxWatchers: 1}, 1000, func() control.Ticket { ticket++; return ticket })
-	find := func(out []any, is func(any) bool) bool {
+	b := NewBroker(Limits{MaxSessions: 2, MaxExpiry: 5000, AckTimeout: 8000, ConnectsPerSecond: 3, MaxWatchers: 1}, 1000,
+		func() control.Ticket { ticket++; return ticket })
+	contains := func(out []any, matches func(any) bool) bool {
 		for _, o := range out {
-			if is(o) {
+			if matches(o) {
 				return true
 			}
 		}
@@ -202,34 +206,41 @@
 		return func(o any) bool { r, is := o.(Close); return is && r.Conn == c && r.Code == code }
 	}
 	present := func(o any) bool { a, is := o.(Accept); return is && a.SessionPresent }
-	d.Handle(0, Connect{Conn: 1, ClientID: "a", Expiry: 9000}, Connect{Conn: 2, ClientID: "b", Expiry: 9000})
-	if out := d.Handle(0, Connect{Conn: 3, ClientID: "c"}, Connect{Conn: 4, ClientID: "c"}); !find(out, refused(QuotaExceeded)) {
-		t.Errorf("a third session: %+v", out)
+	b.Handle(0, Connect{Conn: 1, ClientID: "a", Expiry: 9000}, Connect{Conn: 2, ClientID: "b", Expiry: 9000})
+	if out := b.Handle(0, Connect{Conn: 3, ClientID: "c"},
+		Connect{Conn: 4, ClientID: "c"}); !contains(out, refused(QuotaExceeded)) {
+		t.Errorf("a third session was not refused: %+v", out)
 	}
-	if out := d.Handle(1, Connect{Conn: 4, ClientID: "a"}, Connect{Conn: 5, ClientID: "a"}); !find(out, refused(ServerBusy)) {
-		t.Errorf("too many at once: %+v", out)
+	if out := b.Handle(1, Connect{Conn: 4, ClientID: "a"},
+		Connect{Conn: 5, ClientID: "a"}); !contains(out, refused(ServerBusy)) {
+		t.Errorf("connections beyond the rate limit were not refused: %+v", out)
 	}
-	if out := d.Handle(3000, Connect{Conn: 6, ClientID: "b", Expiry: 9000}); !find(out, closed(2, SessionTakenOver)) || !find(out, present) {
-		t.Errorf("the same client again: %+v", out)
+	if out := b.Handle(3000, Connect{Conn: 6, ClientID: "b", Expiry: 9000}); !contains(out, closed(2, SessionTakenOver)) ||
+		!contains(out, present) {
+		t.Errorf("second connection of a client did not take over its session: %+v", out)
 	}
-	out := d.Handle(3001, Subscribe{Conn: 6, ID: 1, Filters: []Filter{{TablesTopic("p"), 1}, {AllTablesTopic, 1}}})
+	out := b.Handle(3001, Subscribe{Conn: 6, ID: 1, Filters: []Filter{{TablesTopic("p"), 1}, {AllTablesTopic, 1}}})
 	if g := out[0].(SubAck); g.Codes[0] != GrantedQoS1 || g.Codes[1] != QuotaExceeded {
-		t.Errorf("two topics: %+v", g)
+		t.Errorf("subscription to two topics: %+v, want one granted, one refused", g)
 	}
 	doc := (&tables.Document{Tables: map[string]*tables.Table{}}).Seal(1, 1, 0)
-	d.Handle(3002, CoreAnswer{control.Answer{Ticket: ticket, Kind: control.Full, Doc: doc}})
-	if out := d.Handle(12000); !find(out, closed(6, ImplementationSpecificError)) {
-		t.Errorf("nothing is acknowledged: %+v", out)
+	b.Handle(3002, CoreAnswer{control.Answer{Ticket: ticket, Kind: control.Full, Doc: doc}})
+	if out := b.Handle(12000); !contains(out, closed(6, ImplementationSpecificError)) {
+		t.Errorf("connection without acknowledgements was not closed: %+v", out)
 	}
-	if out := d.Handle(14000, Connect{Conn: 7, ClientID: "b", Expiry: 1000}); !find(out, func(o any) bool { x, is := o.(Deliver); return is && x.Duplicate }) {
-		t.Errorf("a session that goes on is sent the unacknowledged document again: %+v", out)
+	if out := b.Handle(14000, Connect{Conn: 7, ClientID: "b", Expiry: 1000}); !contains(out, func(o any) bool {
+		x, is := o.(Deliver)
+		return is && x.Duplicate
+	}) {
+		t.Errorf("unacknowledged document was not sent again in a resumed session: %+v", out)
 	}
-	d.Handle(14001, ConnectionClosed{Conn: 7})
-	if out := d.Handle(17000, Connect{Conn: 8, ClientID: "b"}); find(out, present) {
-		t.Errorf("a session that was over: %+v", out)
+	b.Handle(14001, ConnectionClosed{Conn: 7})
+	if out := b.Handle(17000, Connect{Conn: 8, ClientID: "b"}); contains(out, present) {
+		t.Errorf("expired session was resumed: %+v", out)
 	}
-	out = d.Handle(17001, Subscribe{Conn: 8, ID: 1, Filters: []Filter{{TablesTopic("p"), 1}}})
-	if out = d.Handle(17002, CoreAnswer{control.Answer{Ticket: ticket, Kind: control.Replaced, Doc: doc}}); !find(out, closed(8, SessionTakenOver)) {
-		t.Errorf("the proxy polls by the other front: %+v", out)
+	out = b.Handle(17001, Subscribe{Conn: 8, ID: 1, Filters: []Filter{{TablesTopic("p"), 1}}})
+	if out = b.Handle(17002, CoreAnswer{control.Answer{Ticket: ticket, Kind: control.Replaced,
+		Doc: doc}}); !contains(out, closed(8, SessionTakenOver)) {
+		t.Errorf("connection of a proxy that polls through another front was not closed: %+v", out)
 	}
 }
--- a/internal/subscribe/types.go
+++ b/internal/subscribe/types.go
@@ -8,13 +8,13 @@
 	"vetchwood/logic"
 )
 
-// Conn names a connection; the front gives it out.
+// Conn identifies a connection; the front assigns it.
 type Conn uint64
 
-// Code is a reason code of MQTT 5.
+// ReasonCode is a reason code of MQTT 5.
 type ReasonCode byte
 
-// The reason codes that are used here, by their names in the specification.
+// Reason codes in use, with their names in the MQTT 5 specification.
 const (
 	Success                           ReasonCode = 0x00
 	GrantedQoS1                       ReasonCode = 0x01
@@ -38,30 +38,31 @@
 	WildcardSubscriptionsNotSupported ReasonCode = 0xA2
 )
 
-// User properties of MQTT, by which a client and the front tell what headers tell on the other front.
+// User properties of MQTT packets, which carry what the long-poll API has in headers and query parameters.
 const (
-	PropertyHeld   = "held"     // at CONNECT: the entity tag of the version that the client holds
-	PropertyZone   = "zone"     // at CONNECT
-	PropertyRate   = "rate"     // at CONNECT: calls a second
-	PropertyKey    = "key"      // of a report: a repeat of it counts once
-	PropertyTag    = "etag"     // of a document: the version that it makes
-	PropertyBase   = "base"     // of a difference: the version that it starts from
-	PropertyResend = "again"    // at SUBSCRIBE: what is on its way came too late, and is to be told anew
-	PropertyLease  = "lease_ms" // for how long after the client's last acknowledgement it may take effect
+	PropertyHeld   = "held"     // in CONNECT: the entity tag of the version in force at the client
+	PropertyZone   = "zone"     // in CONNECT: the zone of the proxy
+	PropertyRate   = "rate"     // in CONNECT: calls per second
+	PropertyKey    = "key"      // in a report: identifies it, so that a repeated report is counted once
+	PropertyTag    = "etag"     // in a document: the entity tag of the version that results from it
+	PropertyBase   = "base"     // in a delta: the entity tag of the version it applies to
+	PropertyResend = "again"    // in SUBSCRIBE: the document in flight arrived too late and must be sent again
+	PropertyLease  = "lease_ms" // in a document: how long after the client's last acknowledgement it may take effect
 )
 
-// Limits guard the front against its clients.
+// Limits protects the front against its clients.
 type Limits struct {
-	MaxSessions       int          // with those whose connection is gone
-	MaxExpiry         logic.Millis // how long a session may outlive its connection at most
-	AckTimeout        logic.Millis // a document that is not acknowledged for so long ends the connection
-	ConnectsPerSecond float64      // a second; beyond some that may come at once the rest is told to come later
-	MaxWatchers       int
+	MaxSessions       int          // including sessions without a connection
+	MaxExpiry         logic.Millis // maximum time that a session outlives its connection
+	AckTimeout        logic.Millis // a document that is not acknowledged within this time ends the connection
+	ConnectsPerSecond float64      // also the maximum burst; further clients are refused as busy
+	MaxWatchers       int          // subscribers to AllTablesTopic
 }
 
-// Inputs. Times are the director's.
+// Inputs of Broker.Handle. Times are on the clock of the director.
 type (
-	// Connect asks for a session. Held is what the client says it holds, from another front or an earlier session.
+	// Connect requests a session. Held is the version that the client has in force, from another front or a previous
+	// session.
 	Connect struct {
 		Conn       Conn
 		ClientID   string
@@ -70,82 +71,89 @@
 		Zone       string
 		Rate       float64
 		Held       []tables.Tag
-		// Most is the longest packet that the client takes; 0: any.
-		MaxPacket int
+		MaxPacket  int // maximum size of packets that the client accepts, in bytes; 0: unlimited
 	}
+	// Subscribe subscribes to topics.
 	Subscribe struct {
 		Conn    Conn
 		ID      uint16
 		Filters []Filter
-		// Again says that what is on its way can't take effect any more: it is told anew once that was acknowledged.
+		// Resend reports that the document in flight can't take effect any more; it is sent again once it has been
+		// acknowledged.
 		Resend bool
 	}
+	// Filter is a topic filter of a subscription with its maximum quality of service.
 	Filter struct {
 		Topic string
 		QoS   byte
 	}
+	// Unsubscribe ends subscriptions.
 	Unsubscribe struct {
 		Conn   Conn
 		ID     uint16
 		Topics []string
 	}
-	// Ack is a client's word on a document that it was sent.
+	// Ack is the acknowledgement of a delivered document.
 	Ack struct {
 		Conn Conn
 		ID   uint16
 		Code ReasonCode
 	}
-	// Report is one that came by a publish.
+	// Report is a load report that a client published. ID is 0 with QoS 0.
 	Report struct {
 		Conn   Conn
 		ID     uint16
 		Report control.Report
 	}
-	// Gone is a connection's end. Expiry is set where the client changed it as it left.
+	// ConnectionClosed reports the end of a connection. Expiry is set if the client changed the session expiry with its
+	// DISCONNECT.
 	ConnectionClosed struct {
 		Conn   Conn
 		Expiry *logic.Millis
 	}
-	// Told is the core's answer.
+	// CoreAnswer is an answer of the core to an input that was posted.
 	CoreAnswer struct{ Answer control.Answer }
 )
 
-// Outputs.
+// Outputs of Broker.Handle.
 type (
-	// Post goes to the core.
+	// Post passes an input to the core.
 	Post struct{ Input any }
-	// Accept and Refuse answer a Connect.
+	// Accept answers Connect. SessionPresent is set if the previous session of the client was resumed.
 	Accept struct {
 		Conn           Conn
 		SessionPresent bool
 		Expiry         logic.Millis
 	}
+	// Refuse answers Connect with an error.
 	Refuse struct {
 		Conn   Conn
 		Code   ReasonCode
 		Reason string
 	}
+	// SubAck answers Subscribe.
 	SubAck struct {
 		Conn   Conn
 		ID     uint16
 		Codes  []ReasonCode
 		Reason string
 	}
+	// UnsubAck answers Unsubscribe.
 	UnsubAck struct {
 		Conn  Conn
 		ID    uint16
 		Codes []ReasonCode
 	}
-	// Deliver sends a document or a difference.
+	// Deliver sends a document or a delta.
 	Deliver struct {
 		Conn      Conn
 		ID        uint16
 		Topic     string
-		Duplicate bool // it may have come before
-		Retain    bool // the document that stands, as a subscription begins
+		Duplicate bool // sent before, may have arrived
+		Retain    bool // the first document of a subscription, sent in full
 		Doc       Document
 	}
-	// Acked answers a report.
+	// PubAck answers a report.
 	PubAck struct {
 		Conn   Conn
 		ID     uint16
@@ -160,24 +168,24 @@
 	}
 )
 
-// Document is one on its way.
+// Document is a document or a delta to deliver.
 type Document struct {
 	Body        []byte
 	ContentType string
-	Tag         string // of what it makes
-	Base        string // "" for a whole one
-	Lease       logic.Millis
+	Tag         string       // entity tag of the resulting version
+	Base        string       // entity tag of the version that the delta applies to; "" for a full document
+	Lease       logic.Millis // how long it may take effect after the last acknowledgement; 0: no limit
 	versionTag  tables.Tag
 }
 
-// Figures are counted for the operator.
+// Stats holds the current numbers of sessions, connected ones and unacknowledged documents, and counters of events.
 type Stats struct {
 	Sessions, Connected, InFlight                 int
 	Delivered, Acknowledged, Refused, Redelivered uint64
 	TakenOver, Busy                               uint64
 }
 
-// Topics.
+// Parts of topics.
 const (
 	TopicRoot        = "vetchwood/"
 	allTablesTopic   = TopicRoot + "tables"
@@ -186,16 +194,18 @@
 	reportsSuffix    = "/reports"
 )
 
-// TablesOf is the topic of a proxy's tables, ReportsOf that of its reports.
-func TablesTopic(proxy string) string  { return proxyTopicPrefix + proxy + tablesSuffix }
+// TablesTopic returns the topic of the tables of a proxy.
+func TablesTopic(proxy string) string { return proxyTopicPrefix + proxy + tablesSuffix }
+
+// ReportsTopic returns the topic of the load reports of a proxy.
 func ReportsTopic(proxy string) string { return proxyTopicPrefix + proxy + reportsSuffix }
 
-// AllTables is the topic for those that look on.
+// AllTablesTopic is the topic of the document that is published to all proxies, for observers.
 const AllTablesTopic = allTablesTopic
 
-// ProxyOfReports reads a report's topic.
+// ParseReportsTopic returns the name of the proxy in a topic of load reports, or false for any other topic.
 func ParseReportsTopic(topic string) (string, bool) {
-	rest, is := strings.CutPrefix(topic, proxyTopicPrefix)
-	name, ends := strings.CutSuffix(rest, reportsSuffix)
-	return name, is && ends && name != "" && !strings.Contains(name, "/")
+	rest, hasPrefix := strings.CutPrefix(topic, proxyTopicPrefix)
+	name, hasSuffix := strings.CutSuffix(rest, reportsSuffix)
+	return name, hasPrefix && hasSuffix && name != "" && !strings.Contains(name, "/")
 }
