--- a/internal/following/following.go
+++ b/internal/following/following.go
@@ -108,6 +108,6 @@
 }
 
 // WithinLease reports whether a response may take effect: it must arrive within the time that was left of the
-// director's lease, both in milliseconds. The time is counted from the sending of the poll, which precedes the moment when the
-// director read its clock, so the clocks of the two machines are never compared.
+// director's lease, both in milliseconds. The time is counted from the sending of the poll, which precedes the moment
+// when the director read its clock, so the clocks of the two machines are never compared.
 func WithinLease(leaseMs, sinceSentMs float64) bool { return sinceSentMs < leaseMs }
--- a/internal/subscribe/desk.go
+++ b/internal/subscribe/desk.go
@@ -40,7 +40,7 @@
 	doc       Document
 	retain    bool
 	sentAt    logic.Millis
-	ignoreAck bool // the acknowledgement does not prove that the document is in force
+	ignoreAck bool // the document did not take effect because its lease had expired
 }
 
 // request is a poll or a report that the core has not answered yet.
