--- a/internal/daemon/meters.go
+++ b/internal/daemon/meters.go
@@ -66,7 +66,7 @@
 		gauge("mqtt_sessions", "MQTT sessions, including those without a connection.", func(control.Stats) float64 { return float64(mqttFront.Figures().Sessions) })
 		gauge("mqtt_unacknowledged", "Documents in flight to MQTT subscribers.", func(control.Stats) float64 { return float64(mqttFront.Figures().InFlight) })
 		counter("mqtt_delivered", "Documents and differences sent over MQTT.", func(control.Stats) uint64 { return mqttFront.Figures().Delivered })
-		counter("mqtt_redelivered", "Documents and differences sent again when a session resumed.", func(control.Stats) uint64 { return mqttFront.Figures().Redelived })
+		counter("mqtt_redelivered", "Documents and differences sent again when a session resumed.", func(control.Stats) uint64 { return mqttFront.Figures().Redelivered })
 		counter("mqtt_refused", "Connections, filters and packets refused with a reason code.", func(control.Stats) uint64 { return mqttFront.Figures().Refused + mqttFront.Refusals() })
 		counter("mqtt_busy", "Connections rejected because too many arrived at once.", func(control.Stats) uint64 { return mqttFront.Figures().Busy })
 		counter("mqtt_taken_over", "Subscriptions taken over by another connection or front of the same proxy.", func(control.Stats) uint64 { return mqttFront.Figures().TakenOver })
@@ -78,7 +78,7 @@
 		counter("slices_moved", "Slices acquired or released by this director.", func(control.Stats) uint64 { return holder.OwnershipChanges() })
 	}
 	gauge("inflow_pressure", "Load shedding: 0 admits all requests, 1 rejects watchers, 2 also reports, 3 also new polls.",
-		func(control.Stats) float64 { return d.AdmissionStats().Press })
+		func(control.Stats) float64 { return d.AdmissionStats().Pressure })
 	counter("inflow_shed", "Requests rejected because the director was overloaded.", func(control.Stats) (n uint64) {
 		for _, x := range d.AdmissionStats().Shed {
 			n += x
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -50,7 +50,7 @@
 	lastTicket     atomic.Uint64
 	waiters        sync.Map // control.Ticket -> chan control.Answer
 
-	admission       *inflow.Door
+	admission       *inflow.Shedder
 	admissionMu     sync.Mutex
 	initialStep     tables.Step // the version that this process started with
 	stats           atomic.Pointer[control.Stats]
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	d := &Director{store: store, probe: probe, log: log, Clock: turns.NewClock(), Inbox: turns.NewInbox(),
-		line: saved.Line, admission: inflow.NewDoor(rand.Float64), writes: make(chan control.Change, 4096), started: make(chan struct{})}
+		line: saved.Line, admission: inflow.NewShedder(rand.Float64), writes: make(chan control.Change, 4096), started: make(chan struct{})}
 	d.shards = newShards(svc, d.Now())
 	d.core, d.initialOutput = control.New(rand.Uint64(), d.Now(), svc, saved)
 	f := d.core.Stats()
@@ -148,7 +148,7 @@
 	}
 	d.admissionMu.Lock()
 	defer d.admissionMu.Unlock()
-	d.admission.Turn(d.Elapsed(), waited, len(in))
+	d.admission.ObserveTurn(d.Elapsed(), waited, len(in))
 }
 
 // Admit returns 0 if a request that is not a poll is admitted. Otherwise the client exceeds its rate or the director is
@@ -174,7 +174,7 @@
 	length, since := d.Queue()
 	q := inflow.Queue{Length: length}
 	if length > 0 {
-		q.Standing = time.Since(since) - batchDelay
+		q.OldestWait = time.Since(since) - batchDelay
 	}
 	d.admissionMu.Lock()
 	defer d.admissionMu.Unlock()
@@ -185,10 +185,10 @@
 }
 
 // AdmissionStats returns the counters of the admission control.
-func (d *Director) AdmissionStats() inflow.Figures {
+func (d *Director) AdmissionStats() inflow.Stats {
 	d.admissionMu.Lock()
 	defer d.admissionMu.Unlock()
-	return d.admission.Figures()
+	return d.admission.Stats()
 }
 
 // Ask posts a request to the core and waits for its answer. It serves operators, whose requests are few.
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -195,7 +195,7 @@
 			}
 		}
 	}
-	t.Logf("%d admitted, %d rejected; longest turn %v; pressure %.2f", admitted, rejected, d.MaxTurn(), d.AdmissionStats().Press)
+	t.Logf("%d admitted, %d rejected; longest turn %v; pressure %.2f", admitted, rejected, d.MaxTurn(), d.AdmissionStats().Pressure)
 	stop()
 	<-ran
 	if admittedAcks != acks || rejected == 0 {
--- a/internal/director/shards.go
+++ b/internal/director/shards.go
@@ -21,7 +21,7 @@
 type lockedShard struct {
 	mu         sync.Mutex
 	shard      *park.Shard
-	allowances *inflow.Allowances
+	allowances *inflow.ClientLimiter
 	unwritten  [2]answerCounter // answers not written yet, by the epoch in which they were given
 	epoch      int              // 0 or 1; toggled by each barrier
 	lastView   *park.View       // the view that the shard has adopted
@@ -48,7 +48,7 @@
 	out := make([]*lockedShard, n)
 	config := park.Config{MaxWait: svc.MaxWait, Lease: svc.Lease, Zones: svc.Zones}
 	for i := range out {
-		out[i] = &lockedShard{shard: park.NewShard(i, n, config, now), allowances: inflow.NewAllowances(rand.Float64, maxClients/n)}
+		out[i] = &lockedShard{shard: park.NewShard(i, n, config, now), allowances: inflow.NewClientLimiter(rand.Float64, maxClients/n)}
 	}
 	return out
 }
@@ -239,7 +239,7 @@
 	for _, sh := range d.shards {
 		sh.mu.Lock()
 		s := sh.shard.Stats()
-		total.Limited += sh.allowances.Limited()
+		total.Limited += sh.allowances.Rejected()
 		sh.mu.Unlock()
 		total.Sessions += s.Sessions
 		total.Pending += s.Pending
--- a/internal/longpoll/ask.go
+++ b/internal/longpoll/ask.go
@@ -38,7 +38,7 @@
 		return s.requireMethod(r, http.MethodGet, func() *problem { return s.handleWatch(cc, r) })
 	case "/v1/peers/facts":
 		return s.requireMethod(r, http.MethodGet, func() *problem {
-			if wait := s.core.Admit(inflow.Peers, ""); wait > 0 {
+			if wait := s.core.Admit(inflow.PeerQueries, ""); wait > 0 {
 				return overloaded(wait)
 			}
 			s.postQuery(cc, s.core.Ticket(), func(t control.Ticket) any { return control.FactsQuery{Ticket: t} })
@@ -151,7 +151,7 @@
 	if !s.budget.HasHeapRoom() {
 		return overloaded(5 * time.Second)
 	}
-	if wait := s.core.Admit(inflow.Looks, ""); wait > 0 {
+	if wait := s.core.Admit(inflow.Watches, ""); wait > 0 {
 		return overloaded(wait)
 	}
 	q := control.Watch{Ticket: s.core.Ticket(), WantsDelta: acceptsJSONPatch(r.fieldValue("a-im"))}
--- a/internal/mqtt/packet.go
+++ b/internal/mqtt/packet.go
@@ -13,26 +13,26 @@
 
 // protocolError is a violation of the MQTT specification by a client. Its connection is closed with the reason code.
 type protocolError struct {
-	code   subscribe.Code
+	code   subscribe.ReasonCode
 	reason string
 }
 
 func (f *protocolError) Error() string { return f.reason }
 
-func protocolErrorf(code subscribe.Code, format string, args ...any) *protocolError {
+func protocolErrorf(code subscribe.ReasonCode, format string, args ...any) *protocolError {
 	return &protocolError{code, fmt.Sprintf(format, args...)}
 }
 
 // The reason codes that only this package uses, by their names in the specification.
 const (
-	malformed          subscribe.Code = 0x81
-	unsupportedVersion subscribe.Code = 0x84
-	badAuthMethod      subscribe.Code = 0x8C
-	topicAliasInvalid  subscribe.Code = 0x94
-	packetTooLarge     subscribe.Code = 0x95
-	retainNotSupported subscribe.Code = 0x9A
-	qosNotSupported    subscribe.Code = 0x9B
-	serverShuttingDown subscribe.Code = 0x8B
+	malformed          subscribe.ReasonCode = 0x81
+	unsupportedVersion subscribe.ReasonCode = 0x84
+	badAuthMethod      subscribe.ReasonCode = 0x8C
+	topicAliasInvalid  subscribe.ReasonCode = 0x94
+	packetTooLarge     subscribe.ReasonCode = 0x95
+	retainNotSupported subscribe.ReasonCode = 0x9A
+	qosNotSupported    subscribe.ReasonCode = 0x9B
+	serverShuttingDown subscribe.ReasonCode = 0x8B
 )
 
 // maxQueuedPackets is the number of packets that may be queued for one client. A client that reads too slowly to stay
@@ -147,7 +147,7 @@
 	case c.Properties != nil && c.Properties.TopicAlias != nil:
 		return protocolErrorf(topicAliasInvalid, "topic aliases are not supported: the topic alias maximum is 0")
 	case !isValidText(c.Topic) || strings.ContainsAny(c.Topic, "+#"):
-		return protocolErrorf(subscribe.TopicInvalid, "invalid topic name %.60q", c.Topic)
+		return protocolErrorf(subscribe.TopicNameInvalid, "invalid topic name %.60q", c.Topic)
 	case c.QoS > 1:
 		return protocolErrorf(qosNotSupported, "QoS 2 is not supported: the maximum is 1")
 	case c.Retain:
--- a/internal/mqtt/server.go
+++ b/internal/mqtt/server.go
@@ -64,7 +64,7 @@
 	mu      sync.Mutex
 	inbox   []any
 	wake    chan struct{}
-	figures atomic.Pointer[subscribe.Figures]
+	figures atomic.Pointer[subscribe.Stats]
 }
 
 // clientConn is one connection.
@@ -96,7 +96,7 @@
 		limits.Budget = budget.New(budget.Unlimited)
 	}
 	s := &Server{core: core, limits: limits, log: log, done: make(chan struct{}), wake: make(chan struct{}, 1)}
-	s.figures.Store(&subscribe.Figures{})
+	s.figures.Store(&subscribe.Stats{})
 	var err error
 	s.Socket, err = nets.Listen(address, s.read, s.accept, limits.WriteTimeout, limits.Budget, log)
 	return s, err
@@ -109,7 +109,7 @@
 func (s *Server) Refusals() uint64 { return s.refusals.Load() }
 
 // Figures returns the counters of the sessions.
-func (s *Server) Figures() subscribe.Figures { return *s.figures.Load() }
+func (s *Server) Figures() subscribe.Stats { return *s.figures.Load() }
 
 // Serve accepts and serves connections until Close.
 func (s *Server) Serve() error {
@@ -150,7 +150,7 @@
 		cc.disconnected = true
 		cc.mu.Unlock()
 		if !wasDisconnected {
-			s.post(subscribe.Gone{Conn: cc.id})
+			s.post(subscribe.ConnectionClosed{Conn: cc.id})
 		}
 		return nil
 	})
@@ -214,12 +214,12 @@
 	s.log.Debug("mqtt.refused", "code", int(perr.code), "why", perr.reason)
 	s.disconnect(cc, cc.connected, perr.code, perr.reason)
 	cc.disconnected, cc.buf = true, nil
-	s.post(subscribe.Gone{Conn: cc.id})
+	s.post(subscribe.ConnectionClosed{Conn: cc.id})
 }
 
 // disconnect sends a client the reason, in a CONNACK if it is not connected yet and in a DISCONNECT otherwise, and
 // closes the connection.
-func (s *Server) disconnect(cc *clientConn, connected bool, code subscribe.Code, reason string) {
+func (s *Server) disconnect(cc *clientConn, connected bool, code subscribe.ReasonCode, reason string) {
 	if !connected {
 		cc.enqueue(s, encodeAs(packets.CONNACK,
 			&packets.Connack{ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: reason}}), true)
@@ -245,7 +245,7 @@
 		in := subscribe.Subscribe{Conn: cc.id, ID: c.PacketID}
 		if c.Properties != nil {
 			for _, u := range c.Properties.User {
-				in.Again = in.Again || u.Key == subscribe.PropertyAgain
+				in.Resend = in.Resend || u.Key == subscribe.PropertyResend
 			}
 		}
 		for _, o := range c.Subscriptions {
@@ -255,13 +255,13 @@
 	case *packets.Unsubscribe:
 		s.post(subscribe.Unsubscribe{Conn: cc.id, ID: c.PacketID, Topics: c.Topics})
 	case *packets.Puback:
-		s.post(subscribe.Ack{Conn: cc.id, ID: c.PacketID, Code: subscribe.Code(c.ReasonCode)})
+		s.post(subscribe.Ack{Conn: cc.id, ID: c.PacketID, Code: subscribe.ReasonCode(c.ReasonCode)})
 	case *packets.Publish:
 		s.handleReport(cc, c)
 	case *packets.Pingreq:
 		cc.enqueue(s, encodeAs(packets.PINGRESP, &packets.Pingresp{}), false)
 	case *packets.Disconnect:
-		g := subscribe.Gone{Conn: cc.id}
+		g := subscribe.ConnectionClosed{Conn: cc.id}
 		if c.Properties != nil && c.Properties.SessionExpiryInterval != nil {
 			expiry := logic.Millis(*c.Properties.SessionExpiryInterval) * 1000
 			g.Expiry = &expiry
@@ -275,9 +275,9 @@
 
 // handleConnect admits a client and passes its CONNECT to the sessions.
 func (s *Server) handleConnect(cc *clientConn, c *packets.Connect) *protocolError {
-	in := subscribe.Connect{Conn: cc.id, Client: c.ClientID, Clean: c.CleanStart}
-	if in.Client == "" || len(in.Client) > 128 || !isValidText(in.Client) {
-		return protocolErrorf(subscribe.IDNotValid, "the client identifier must have 1 to 128 bytes")
+	in := subscribe.Connect{Conn: cc.id, ClientID: c.ClientID, CleanStart: c.CleanStart}
+	if in.ClientID == "" || len(in.ClientID) > 128 || !isValidText(in.ClientID) {
+		return protocolErrorf(subscribe.ClientIDNotValid, "the client identifier must have 1 to 128 bytes")
 	}
 	props := c.Properties
 	if props == nil {
@@ -287,7 +287,7 @@
 		in.Expiry = logic.Millis(*props.SessionExpiryInterval) * 1000
 	}
 	if props.MaximumPacketSize != nil {
-		in.Most = int(*props.MaximumPacketSize)
+		in.MaxPacket = int(*props.MaximumPacketSize)
 	}
 	for _, u := range props.User {
 		switch u.Key {
@@ -296,14 +296,14 @@
 		case subscribe.PropertyRate:
 			rate, err := strconv.ParseFloat(u.Value, 64)
 			if err != nil || !(rate >= 0 && rate <= 1e9) {
-				return protocolErrorf(subscribe.Unspecified,
+				return protocolErrorf(subscribe.UnspecifiedError,
 					"user property rate: %.40q is not a number of calls per second", u.Value)
 			}
 			in.Rate = rate
 		case subscribe.PropertyHeld:
 			tag, err := tables.ParseETag(u.Value)
 			if err != nil {
-				return protocolErrorf(subscribe.Unspecified, "user property held: %v", err)
+				return protocolErrorf(subscribe.UnspecifiedError, "user property held: %v", err)
 			}
 			if len(in.Held) < 16 {
 				in.Held = append(in.Held, tag)
@@ -314,7 +314,7 @@
 	if len(in.Held) == 0 {
 		kind = inflow.NewPolls
 	}
-	if s.core.Admit(kind, in.Client) > 0 {
+	if s.core.Admit(kind, in.ClientID) > 0 {
 		return protocolErrorf(subscribe.ServerBusy, "the director is overloaded: retry in some seconds")
 	}
 	cc.connected = true
@@ -328,15 +328,15 @@
 // handleReport handles a proxy's load report. A report that is not valid or not admitted is refused with a reason code,
 // and the connection stays open.
 func (s *Server) handleReport(cc *clientConn, c *packets.Publish) {
-	refuse := func(code subscribe.Code, reason string) {
+	refuse := func(code subscribe.ReasonCode, reason string) {
 		s.refusals.Add(1)
 		if c.QoS > 0 {
 			cc.enqueue(s, encodePuback(c.PacketID, code, reason), false)
 		}
 	}
-	proxy, ok := subscribe.ProxyOfReports(c.Topic)
+	proxy, ok := subscribe.ParseReportsTopic(c.Topic)
 	if !ok {
-		refuse(subscribe.TopicInvalid, "unknown topic: reports are published to "+subscribe.ReportsOf("{proxy}"))
+		refuse(subscribe.TopicNameInvalid, "unknown topic: reports are published to "+subscribe.ReportsTopic("{proxy}"))
 		return
 	}
 	if s.core.Admit(inflow.Reports, proxy) > 0 {
@@ -348,7 +348,7 @@
 		err = errors.New("load stats: node.id is not the proxy of the topic")
 	}
 	if err != nil {
-		refuse(subscribe.PayloadInvalid, err.Error())
+		refuse(subscribe.PayloadFormatInvalid, err.Error())
 		return
 	}
 	if r.Proxy = proxy; c.Properties != nil {
@@ -365,7 +365,7 @@
 	s.post(subscribe.Report{Conn: cc.id, ID: id, Report: r})
 }
 
-func encodePuback(id uint16, code subscribe.Code, reason string) []byte {
+func encodePuback(id uint16, code subscribe.ReasonCode, reason string) []byte {
 	return encodeAs(packets.PUBACK,
 		&packets.Puback{PacketID: id, ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: reason}})
 }
@@ -387,12 +387,12 @@
 	if a.Doc != nil {
 		a.Doc.Tag()
 	}
-	s.post(subscribe.Told{Answer: a})
+	s.post(subscribe.CoreAnswer{Answer: a})
 }
 
 // run is the session loop: it handles the inbox in batches and executes the outputs, until the server is closed.
 func (s *Server) run() {
-	desk := subscribe.NewDesk(s.limits.Limits, s.limits.MaxWait, s.core.Ticket)
+	desk := subscribe.NewBroker(s.limits.Limits, s.limits.MaxWait, s.core.Ticket)
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -411,11 +411,11 @@
 			s.execute(o)
 		}
 		for _, i := range in {
-			if answered, ok := i.(subscribe.Told); ok {
+			if answered, ok := i.(subscribe.CoreAnswer); ok {
 				answered.Answer.WriteFinished() // its packets are in the queue of the connection, in order
 			}
 		}
-		f := desk.Figures()
+		f := desk.Stats()
 		s.figures.Store(&f)
 	}
 }
@@ -444,27 +444,27 @@
 	}
 	switch o := o.(type) {
 	case subscribe.Post:
-		s.core.Post(o.In)
+		s.core.Post(o.Input)
 	case subscribe.Accept:
 		no, maxQoS, maxPacket, keepAlive := byte(0), byte(1), uint32(s.limits.MaxPacketBytes),
 			uint16(s.limits.MaxKeepAlive/time.Second)
 		expiry, receiveMax := uint32(o.Expiry/1000), uint16(64)
-		sendTo(o.Conn, encodeAs(packets.CONNACK, &packets.Connack{SessionPresent: o.Present, Properties: &packets.Properties{
+		sendTo(o.Conn, encodeAs(packets.CONNACK, &packets.Connack{SessionPresent: o.SessionPresent, Properties: &packets.Properties{
 			MaximumQOS: &maxQoS, RetainAvailable: &no, MaximumPacketSize: &maxPacket, WildcardSubAvailable: &no,
 			SubIDAvailable: &no, SharedSubAvailable: &no, SessionExpiryInterval: &expiry, ReceiveMaximum: &receiveMax,
 			ServerKeepAlive: &keepAlive}}))
 	case subscribe.Refuse:
 		if v, open := s.conns.Load(o.Conn); open {
 			v.(*clientConn).enqueue(s, encodeAs(packets.CONNACK,
-				&packets.Connack{ReasonCode: byte(o.Code), Properties: &packets.Properties{ReasonString: o.Why}}), true)
+				&packets.Connack{ReasonCode: byte(o.Code), Properties: &packets.Properties{ReasonString: o.Reason}}), true)
 		}
-	case subscribe.Granted:
-		a := &packets.Suback{PacketID: o.ID, Properties: &packets.Properties{ReasonString: o.Why}}
+	case subscribe.SubAck:
+		a := &packets.Suback{PacketID: o.ID, Properties: &packets.Properties{ReasonString: o.Reason}}
 		for _, c := range o.Codes {
 			a.Reasons = append(a.Reasons, byte(c))
 		}
 		sendTo(o.Conn, encodeAs(packets.SUBACK, a))
-	case subscribe.Ungranted:
+	case subscribe.UnsubAck:
 		a := &packets.Unsuback{PacketID: o.ID, Properties: &packets.Properties{}}
 		for _, c := range o.Codes {
 			a.Reasons = append(a.Reasons, byte(c))
@@ -472,18 +472,18 @@
 		sendTo(o.Conn, encodeAs(packets.UNSUBACK, a))
 	case subscribe.Deliver:
 		sendTo(o.Conn, encodeDelivery(o))
-	case subscribe.Acked:
-		sendTo(o.Conn, encodePuback(o.ID, o.Code, o.Why))
+	case subscribe.PubAck:
+		sendTo(o.Conn, encodePuback(o.ID, o.Code, o.Reason))
 	case subscribe.Close:
 		if v, open := s.conns.Load(o.Conn); open {
-			s.disconnect(v.(*clientConn), true, o.Code, o.Why)
+			s.disconnect(v.(*clientConn), true, o.Code, o.Reason)
 		}
 	}
 }
 
 // encodeDelivery encodes the PUBLISH that delivers a document or a delta.
 func encodeDelivery(o subscribe.Deliver) []byte {
-	props := &packets.Properties{ContentType: o.Doc.Type,
+	props := &packets.Properties{ContentType: o.Doc.ContentType,
 		User: []packets.User{{Key: subscribe.PropertyTag, Value: o.Doc.Tag}}}
 	if o.Doc.Base != "" {
 		props.User = append(props.User, packets.User{Key: subscribe.PropertyBase, Value: o.Doc.Base})
@@ -491,7 +491,7 @@
 	if o.Doc.Lease > 0 {
 		props.User = append(props.User, packets.User{Key: subscribe.PropertyLease, Value: strconv.Itoa(int(o.Doc.Lease))})
 	}
-	return encode(&packets.Publish{Topic: o.Topic, QoS: 1, PacketID: o.ID, Duplicate: o.Again, Retain: o.Retain,
+	return encode(&packets.Publish{Topic: o.Topic, QoS: 1, PacketID: o.ID, Duplicate: o.Duplicate, Retain: o.Retain,
 		Payload: o.Doc.Body, Properties: props})
 }
 
