--- a/cmd/vetchwood/commands.go
+++ b/cmd/vetchwood/commands.go
@@ -29,7 +29,7 @@
 }
 
 func (c *runCmd) Run(ctx context.Context, log *slog.Logger) error {
-	s, err := settings.Load(c.File)
+	s, err := settings.LoadDirector(c.File)
 	if err != nil {
 		return err
 	}
@@ -52,19 +52,19 @@
 }
 
 func (c *checkCmd) Run(out io.Writer) error {
-	if top, err := settings.Open(c.File, nil); err == nil && top.Has("relay") {
+	if top, err := settings.Open(c.File, nil); err == nil && top.HasBlock("relay") {
 		s, err := settings.LoadRelay(c.File)
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "%s: valid\n  relay %s listens on %s and follows %s\n", c.File, s.Name, s.Listen, strings.Join(s.Directors, ", "))
-		fmt.Fprintf(out, "  holds %d calls, %d more wait; %d at one host\n", s.Bounds.MaxInFlight, s.Bounds.MaxQueued, s.Bounds.MaxPerHost)
+		fmt.Fprintf(out, "  holds %d calls, %d more wait; %d at one host\n", s.Limits.MaxInFlight, s.Limits.MaxQueued, s.Limits.MaxPerHost)
 		for _, r := range s.Routes {
 			fmt.Fprintf(out, "  route %-24s %s%s, mark %s\n", r.Route, r.Prefix, map[bool]string{true: ", any method"}[len(r.Methods) == 0], r.IdempotencyHeader)
 		}
 		return nil
 	}
-	s, err := settings.Load(c.File)
+	s, err := settings.LoadDirector(c.File)
 	if err != nil {
 		return err
 	}
--- a/cmd/vetchwood/main.go
+++ b/cmd/vetchwood/main.go
@@ -82,13 +82,13 @@
 	ctx.BindTo(out, (*io.Writer)(nil))
 	ctx.Bind(slog.New(handler), &p)
 	err = ctx.Run()
-	var invalid *settings.Invalid
+	var invalid *settings.InvalidError
 	var config *platform.ConfigError
 	switch {
 	case err == nil || errors.Is(err, context.Canceled):
 		return 0
 	case errors.As(err, &invalid):
-		for _, line := range invalid.Lines {
+		for _, line := range invalid.Problems {
 			fmt.Fprintln(errs, line)
 		}
 		return exitUsage
--- a/cmd/vetchwood/tables.go
+++ b/cmd/vetchwood/tables.go
@@ -112,10 +112,10 @@
 		for _, h := range d.Masked {
 			fmt.Fprintf(w, "- masked\t%s\t\n", h)
 		}
-		for _, h := range d.Opened {
+		for _, h := range d.Unmasked {
 			fmt.Fprintf(w, "+ opened\t%s\t\n", h)
 		}
-		if len(d.Lines)+len(d.Masked)+len(d.Opened) == 0 {
+		if len(d.Lines)+len(d.Masked)+len(d.Unmasked) == 0 {
 			fmt.Fprintln(w, "no line differs")
 		}
 	})
@@ -141,7 +141,7 @@
 			c.Since = newest[0].Step
 		}
 	}
-	wish := operate.Wish{To: c.Version, Tables: c.Table, Since: c.Since, Who: whoami(), Why: c.Why, Force: c.Force, Dry: true}
+	wish := operate.Request{To: c.Version, Tables: c.Table, LastSeen: c.Since, Who: whoami(), Why: c.Why, Force: c.Force, DryRun: true}
 	var would, done control.OperationResult
 	if err := client.Post(ctx, "rollback", wish, &would); err != nil {
 		return err
@@ -155,7 +155,7 @@
 			return fmt.Errorf("nothing was changed")
 		}
 	}
-	wish.Dry = false
+	wish.DryRun = false
 	if err := client.Post(ctx, "rollback", wish, &done); err != nil {
 		return err
 	}
@@ -223,7 +223,7 @@
 
 func (c *tablesRelease) Run(ctx context.Context, out io.Writer, p *program) error {
 	var o control.OperationResult
-	if err := p.Tables.client().Post(ctx, "release", operate.Wish{Tables: c.Table, Who: whoami(), Why: c.Why}, &o); err != nil {
+	if err := p.Tables.client().Post(ctx, "release", operate.Request{Tables: c.Table, Who: whoami(), Why: c.Why}, &o); err != nil {
 		return err
 	}
 	return p.Tables.show(out, o, func(w io.Writer) { fmt.Fprintf(w, "version %d: %d tables given back\n", o.Version, len(o.Tables)) })
@@ -232,7 +232,7 @@
 type tablesVerify struct{}
 
 func (c *tablesVerify) Run(ctx context.Context, out io.Writer, p *program) error {
-	var v operate.Verified
+	var v operate.VerifyResult
 	if err := p.Tables.client().Get(ctx, "verify", &v); err != nil {
 		return err
 	}
--- a/internal/control/known.go
+++ b/internal/control/known.go
@@ -171,7 +171,7 @@
 		if good := x.Finished - x.Failed; good > 0.01 {
 			x.MeanLatency = t.answeredMs.read(now) / good
 		}
-		orca.Each(t.load, func(name string, v float64) {
+		orca.EachMetric(t.load, func(name string, v float64) {
 			if x.Load == nil {
 				x.Load = map[string]float64{}
 			}
@@ -238,7 +238,7 @@
 		}
 		c.healthAdopted[h.Address] = true
 		sample := logic.HostSample{Host: k.Number, Zone: c.ids.zone(h.Zone), Period: logic.Millis(h.Health.Period), Finished: int(math.Round(h.Health.Finished)),
-			Failed: int(math.Round(h.Health.Failed)), MeanLatency: logic.Millis(h.Health.MeanLatency), Load: orca.Of(h.Health.Load)}
+			Failed: int(math.Round(h.Health.Failed)), MeanLatency: logic.Millis(h.Health.MeanLatency), Load: orca.FromMetrics(h.Health.Load)}
 		if sample.Finished > 0 {
 			c.events = append(c.events, sample)
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -30,7 +30,7 @@
 
 // Run runs a director until the context ends or an essential part fails. When the context ends, the director hands its
 // slices over to others before it stops.
-func Run(ctx context.Context, s *settings.Running, log *slog.Logger, reloaders ...Reloader) error {
+func Run(ctx context.Context, s *settings.Director, log *slog.Logger, reloaders ...Reloader) error {
 	log = log.With("director", s.Name)
 	st, err := store.Open(s.StorePath, s.History)
 	if err != nil {
@@ -42,8 +42,8 @@
 		return err
 	}
 	var holder *lease.Holder
-	if s.Custody != nil {
-		terms := *s.Custody
+	if s.SliceLease != nil {
+		terms := *s.SliceLease
 		terms.Epoch = func() float64 { return float64(time.Now().UnixMilli()) }
 		if holder, err = lease.New(s.Name, d.Line(), terms, d.Now, d.Post, log); err != nil {
 			return err
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	front, err := longpoll.Listen(s.Listen, d.ForFront(0), s.Front, log)
+	front, err := longpoll.Listen(s.Listen, d.ForFront(0), s.LongPoll, log)
 	if err != nil {
 		return fmt.Errorf("listen %s: %w", s.Listen, err)
 	}
@@ -87,7 +87,7 @@
 	}
 	go func() { failed <- front.Serve() }()
 	go func() {
-		err := roster.Follow(ctx, s.Roster.Consul, s.Roster.Service, s.Roster.Wait,
+		err := roster.Follow(ctx, s.Discovery.Consul, s.Discovery.Service, s.Discovery.QueryWait,
 			func(hosts []control.HostEntry) { d.Post(control.HostList{Hosts: hosts}) }, func() { d.Post(control.DiscoveryLost{}) }, log)
 		if ctx.Err() == nil {
 			failed <- err
@@ -114,7 +114,7 @@
 		}
 		notifyManager(log, daemon.SdNotifyReady)
 		for _, r := range reloaders { // handles signals that arrived earlier, too
-			go r.run(ctx, maps.Clone(s.Written), front, st, ledger, log)
+			go r.run(ctx, maps.Clone(s.Attributes), front, st, ledger, log)
 		}
 	}()
 	log.Info("director.started", "listen", front.Addr().String(), "admin", s.Admin)
@@ -125,7 +125,7 @@
 		err = nil
 		if holder != nil { // the director keeps serving while others take over its slices
 			began := time.Now()
-			wait, cancelWait := context.WithTimeout(ctx, min(10*time.Second, s.Custody.TTL))
+			wait, cancelWait := context.WithTimeout(ctx, min(10*time.Second, s.SliceLease.TTL))
 			holder.Leave(wait)
 			cancelWait()
 			log.Info("director.handed_over", "slices_left", holder.Held(), "after", time.Since(began).String())
@@ -145,7 +145,7 @@
 }
 
 // newProber returns a prober that requests the probe path of a host by HTTP. A status below 400 counts as healthy.
-func newProber(s *settings.Running) director.Prober {
+func newProber(s *settings.Director) director.Prober {
 	client := &http.Client{Timeout: s.ProbeTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: (&net.Dialer{Timeout: s.ProbeTimeout}).DialContext}}
 	return func(ctx context.Context, host tables.Address) (bool, logic.Load) {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -81,7 +81,7 @@
 	}
 	defer registry.Close()
 	listen, path := freeAddress(t), filepath.Join(t.TempDir(), "d.db")
-	s, err := settings.Parse("d.hcl", fmt.Appendf(nil, settingsTemplate, listen, path, registry.URL(), "128MiB", "16KiB"))
+	s, err := settings.ParseDirector("d.hcl", fmt.Appendf(nil, settingsTemplate, listen, path, registry.URL(), "128MiB", "16KiB"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 		}
 	}
 	write("1s", "128MiB", "16KiB")
-	s, err := settings.Load(path)
+	s, err := settings.LoadDirector(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -14,14 +14,14 @@
 // setUpMemory sets up the limits of the process and returns the ledger that its fronts share. The garbage collector's
 // memory limit lies below the configured memory, so that it collects more often before that is reached; with room left,
 // it starts a collection only when the heap has tripled since the last one.
-func setUpMemory(ctx context.Context, s *settings.Running) (*budget.Budget, error) {
+func setUpMemory(ctx context.Context, s *settings.Director) (*budget.Budget, error) {
 	limits, err := applyMemoryLimit(s)
 	if err != nil {
 		return nil, err
 	}
 	ledger := budget.New(limits)
 	debug.SetGCPercent(200)
-	s.Front.Budget = ledger
+	s.LongPoll.Budget = ledger
 	if s.MQTT != nil {
 		s.MQTT.Limits.Budget = ledger
 	}
@@ -31,7 +31,7 @@
 
 // applyMemoryLimit sets the garbage collector's memory limit to 90 % of the configured memory. It returns the memory and
 // the number of file descriptors that the process may use.
-func applyMemoryLimit(s *settings.Running) (budget.Resources, error) {
+func applyMemoryLimit(s *settings.Director) (budget.Resources, error) {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
 		return budget.Resources{}, fmt.Errorf("read the file descriptor limit: %w", err)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return plan, err
 	}
-	s, err := settings.Parse(r.File, text)
+	s, err := settings.ParseDirector(r.File, text)
 	if err != nil {
 		return plan, err
 	}
@@ -64,10 +64,10 @@
 	if err != nil {
 		return plan, err
 	}
-	plan = reload.Compare(before, s.Written)
+	plan = reload.Compare(before, s.Attributes)
 	ledger.SetResources(limits)
 	st.Keep(s.History)
-	front.Limit(s.Front)
+	front.Limit(s.LongPoll)
 	for _, c := range plan.Live {
 		log.Info("reload.changed", "what", c.String())
 		before[c.Name] = c.New // a change that needs a restart stays different and is logged at each reload
--- a/internal/fault/script.go
+++ b/internal/fault/script.go
@@ -22,30 +22,30 @@
 	}
 	top.Name = "the file"
 	s := &Script{}
-	r := top.One("fault", true)
+	r := top.Block("fault", true)
 	for attr, to := range map[string]*string{"listen": &s.Listen, "to": &s.To} {
-		*to = r.Text(attr, settings.Needed)
+		*to = r.String(attr, settings.Required)
 		host, _, err := net.SplitHostPort(*to)
 		if ip := net.ParseIP(host); *to != "" && (err != nil || ip == nil || !ip.IsLoopback()) {
 			r.Fail(attr, "%q is no loopback address with a port", *to)
 		}
 	}
-	s.Seed = uint64(r.Whole("seed", 1, 0, 1<<31))
-	r.Done()
+	s.Seed = uint64(r.Int("seed", 1, 0, 1<<31))
+	r.RejectUnknown()
 	rules, names := top.Blocks("rule", 1, 0, 1000)
 	for i, in := range rules {
-		rule := Rule{Name: names[i], Kind: Kind(in.Text("kind", settings.Needed, string(Delay), string(Throttle), string(Drop), string(Garble), string(HalfClose), string(Cut))),
-			Way: Way(in.Text("way", string(Down), string(Up), string(Down))), From: in.Span("from", 0, 0, 24*time.Hour), For: in.Span("for", 0, 0, 24*time.Hour),
-			After: int64(in.Whole("after", 0, 0, 1<<40)), Bytes: int64(in.Whole("bytes", 0, 0, 1<<40)), Connection: in.Whole("connection", 0, 0, 1<<30)}
+		rule := Rule{Name: names[i], Kind: Kind(in.String("kind", settings.Required, string(Delay), string(Throttle), string(Drop), string(Garble), string(HalfClose), string(Cut))),
+			Way: Way(in.String("way", string(Down), string(Up), string(Down))), From: in.Duration("from", 0, 0, 24*time.Hour), For: in.Duration("for", 0, 0, 24*time.Hour),
+			After: int64(in.Int("after", 0, 0, 1<<40)), Bytes: int64(in.Int("bytes", 0, 0, 1<<40)), Connection: in.Int("connection", 0, 0, 1<<30)}
 		switch rule.Kind {
 		case Delay:
-			rule.By = in.Span("by", -1, time.Millisecond, time.Hour)
+			rule.By = in.Duration("by", -1, time.Millisecond, time.Hour)
 		case Throttle:
-			rule.Rate = int64(in.Whole("rate", 0, 1, 1<<40))
+			rule.Rate = int64(in.Int("rate", 0, 1, 1<<40))
 		}
-		in.Done()
+		in.RejectUnknown()
 		s.Rules = append(s.Rules, rule)
 	}
-	top.Done()
+	top.RejectUnknown()
 	return s, top.Err()
 }
--- a/internal/load/script.go
+++ b/internal/load/script.go
@@ -53,26 +53,26 @@
 	}
 	top.Name = "the file"
 	s := &Script{}
-	r := top.One("load", true)
-	if u, err := url.Parse(r.Text("director", settings.Needed)); err != nil || u.Scheme != "http" || u.Port() == "" {
+	r := top.Block("load", true)
+	if u, err := url.Parse(r.String("director", settings.Required)); err != nil || u.Scheme != "http" || u.Port() == "" {
 		r.Fail("director", "is no http URL with a port")
 	} else {
 		s.Director = u.Host
 	}
-	if s.Names = r.Text("names", "relay-%d"); strings.Count(s.Names, "%d") != 1 {
+	if s.Names = r.String("names", "relay-%d"); strings.Count(s.Names, "%d") != 1 {
 		r.Fail("names", "%q does not have one %%d", s.Names)
 	}
-	s.Zone = r.Text("zone", "")
-	s.Limit = r.Span("time_limit", 5*time.Second, time.Millisecond, time.Minute)
-	s.PID = r.Whole("pid", 0, 0, 1<<30)
-	r.Done()
+	s.Zone = r.String("zone", "")
+	s.Limit = r.Duration("time_limit", 5*time.Second, time.Millisecond, time.Minute)
+	s.PID = r.Int("pid", 0, 0, 1<<30)
+	r.RejectUnknown()
 	steps, names := top.Blocks("step", 1, 1, 1000)
 	for i, in := range steps {
-		st := Step{Name: names[i], Kind: Kind(in.Text("kind", settings.Needed, string(New), string(Polls), string(Reports), string(Waits))),
-			Rate: in.Number("rate", 0, 0, 1e6), Storm: in.Whole("storm", 0, 0, 1e6), Flood: in.Whole("flood", 0, 0, 1000),
-			Proxies: in.Whole("proxies", 100, 1, 1e6), For: in.Span("for", -1, time.Second, time.Hour)}
-		st.Connections = in.Whole("connections", min(st.Proxies, 4096), 1, 60000)
-		st.Alone = in.Truth("alone", false)
+		st := Step{Name: names[i], Kind: Kind(in.String("kind", settings.Required, string(New), string(Polls), string(Reports), string(Waits))),
+			Rate: in.Number("rate", 0, 0, 1e6), Storm: in.Int("storm", 0, 0, 1e6), Flood: in.Int("flood", 0, 0, 1000),
+			Proxies: in.Int("proxies", 100, 1, 1e6), For: in.Duration("for", -1, time.Second, time.Hour)}
+		st.Connections = in.Int("connections", min(st.Proxies, 4096), 1, 60000)
+		st.Alone = in.Bool("alone", false)
 		ways := 0
 		for _, set := range []bool{st.Rate > 0 || st.Storm > 0, st.Flood > 0, st.Kind == Waits} {
 			if set {
@@ -85,9 +85,9 @@
 		case st.Kind == Waits && st.Connections != st.Proxies:
 			st.Connections = st.Proxies // a poll that waits holds its connection
 		}
-		in.Done()
+		in.RejectUnknown()
 		s.Steps = append(s.Steps, st)
 	}
-	top.Done()
+	top.RejectUnknown()
 	return s, top.Err()
 }
--- a/internal/lrs/lrs.go
+++ b/internal/lrs/lrs.go
@@ -34,8 +34,8 @@
 
 type (
 	Request struct {
-		Node         Node      `json:"node"`
-		ClusterStats []Cluster `json:"cluster_stats"`
+		Node         Node           `json:"node"`
+		ClusterStats []ClusterStats `json:"cluster_stats"`
 	}
 	Node struct {
 		ID       string   `json:"id"`
@@ -44,24 +44,24 @@
 	Locality struct {
 		Zone string `json:"zone,omitempty"`
 	}
-	Cluster struct {
-		Name               string     `json:"cluster_name"`
-		ServiceName        string     `json:"cluster_service_name,omitempty"`
-		Localities         []Upstream `json:"upstream_locality_stats,omitempty"`
-		TotalDropped       Count      `json:"total_dropped_requests,omitempty"`
-		LoadReportInterval string     `json:"load_report_interval,omitempty"`
-	}
-	Upstream struct {
-		Locality  Locality   `json:"locality"`
-		Endpoints []Endpoint `json:"upstream_endpoint_stats,omitempty"`
-		Metrics   []Metric   `json:"load_metric_stats,omitempty"`
-	}
-	Endpoint struct {
-		Address    Address  `json:"address"`
-		Successful Count    `json:"total_successful_requests"`
-		Errors     Count    `json:"total_error_requests"`
-		Issued     Count    `json:"total_issued_requests"`
-		Metrics    []Metric `json:"load_metric_stats,omitempty"`
+	ClusterStats struct {
+		Name               string          `json:"cluster_name"`
+		ServiceName        string          `json:"cluster_service_name,omitempty"`
+		Localities         []LocalityStats `json:"upstream_locality_stats,omitempty"`
+		TotalDropped       Count           `json:"total_dropped_requests,omitempty"`
+		LoadReportInterval string          `json:"load_report_interval,omitempty"`
+	}
+	LocalityStats struct {
+		Locality  Locality        `json:"locality"`
+		Endpoints []EndpointStats `json:"upstream_endpoint_stats,omitempty"`
+		Metrics   []MetricStats   `json:"load_metric_stats,omitempty"`
+	}
+	EndpointStats struct {
+		Address    Address       `json:"address"`
+		Successful Count         `json:"total_successful_requests"`
+		Errors     Count         `json:"total_error_requests"`
+		Issued     Count         `json:"total_issued_requests"`
+		Metrics    []MetricStats `json:"load_metric_stats,omitempty"`
 	}
 	Address struct {
 		Socket Socket `json:"socket_address"`
@@ -70,7 +70,7 @@
 		Address string `json:"address"`
 		Port    int    `json:"port_value"`
 	}
-	Metric struct {
+	MetricStats struct {
 		Name     string  `json:"metric_name"`
 		Finished Count   `json:"num_requests_finished_with_metric"`
 		Total    float64 `json:"total_metric_value"`
@@ -80,13 +80,13 @@
 // Metrics of our own, beside those of orca: the time of answers at an endpoint, and at a locality the calls
 // that came for the route (tries are counted at endpoints), and those let in that got no answer.
 const (
-	Spent      = "vetchwood.answer_ms"
+	AnswerMs   = "vetchwood.answer_ms"
 	Calls      = "vetchwood.calls"
 	Unanswered = "vetchwood.unanswered"
 )
 
 // At makes the address of a host.
-func At(a tables.Address) (Address, error) {
+func AddressOf(a tables.Address) (Address, error) {
 	p, err := netip.ParseAddrPort(string(a))
 	return Address{Socket{p.Addr().String(), int(p.Port())}}, err
 }
@@ -132,7 +132,7 @@
 	return r, nil
 }
 
-func (e Endpoint) read() (t control.HostTries, err error) {
+func (e EndpointStats) read() (t control.HostTries, err error) {
 	ip, err := netip.ParseAddr(e.Address.Socket.Address)
 	if err != nil || e.Address.Socket.Port < 1 || e.Address.Socket.Port > 65535 {
 		return t, fmt.Errorf("address %.40q, port %d: no socket address", e.Address.Socket.Address, e.Address.Socket.Port)
@@ -147,10 +147,10 @@
 		if math.IsNaN(m.Total) || m.Total < 0 || m.Total > 1e12 {
 			return t, fmt.Errorf("metric %.40q: %v is out of range", m.Name, m.Total)
 		}
-		if m.Name == Spent {
+		if m.Name == AnswerMs {
 			t.AnsweredMs = m.Total
 		} else if m.Finished > 0 {
-			orca.Set(&load, m.Name, m.Total/float64(m.Finished))
+			orca.SetMetric(&load, m.Name, m.Total/float64(m.Finished))
 		}
 	}
 	t.Load = load
--- a/internal/lrs/lrs_test.go
+++ b/internal/lrs/lrs_test.go
@@ -9,14 +9,14 @@
 )
 
 func TestAReportIsReadAsItWasWritten(t *testing.T) {
-	at, err := At("127.0.0.1:7001")
+	at, err := AddressOf("127.0.0.1:7001")
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.Marshal(Request{Node: Node{ID: "p1"}, ClusterStats: []Cluster{
-		{Name: "read", ServiceName: "17", Localities: []Upstream{{Metrics: []Metric{{Calls, 12, 12}, {Unanswered, 2, 2}}}}},
-		{Name: "read", Localities: []Upstream{{Endpoints: []Endpoint{{Address: at, Successful: 9, Errors: 1, Issued: 10,
-			Metrics: []Metric{{Spent, 9, 900}, {"cpu_utilization", 2, 1.5}, {"unknown", 1, 7}}}}}}},
+	text, err := json.Marshal(Request{Node: Node{ID: "p1"}, ClusterStats: []ClusterStats{
+		{Name: "read", ServiceName: "17", Localities: []LocalityStats{{Metrics: []MetricStats{{Calls, 12, 12}, {Unanswered, 2, 2}}}}},
+		{Name: "read", Localities: []LocalityStats{{Endpoints: []EndpointStats{{Address: at, Successful: 9, Errors: 1, Issued: 10,
+			Metrics: []MetricStats{{AnswerMs, 9, 900}, {"cpu_utilization", 2, 1.5}, {"unknown", 1, 7}}}}}}},
 		{Name: "note", ServiceName: "3"}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -39,14 +39,14 @@
 const Path = "/v1/operator/"
 
 // Wish is the body of a rollback or a release.
-type Wish struct {
-	To     tables.Step     `json:"to,omitempty"`
-	Tables []logic.TableID `json:"tables,omitempty"` // empty: all
-	Since  tables.Step     `json:"since,omitempty"`
-	Who    string          `json:"who"`
-	Why    string          `json:"why"`
-	Force  bool            `json:"force,omitempty"`
-	Dry    bool            `json:"dry,omitempty"`
+type Request struct {
+	To       tables.Step     `json:"to,omitempty"`
+	Tables   []logic.TableID `json:"tables,omitempty"` // empty: all
+	LastSeen tables.Step     `json:"since,omitempty"`
+	Who      string          `json:"who"`
+	Why      string          `json:"why"`
+	Force    bool            `json:"force,omitempty"`
+	DryRun   bool            `json:"dry,omitempty"`
 }
 
 // LineChange is one line that differs between two versions.
@@ -59,16 +59,16 @@
 
 // Difference is that between two versions.
 type Difference struct {
-	From   tables.Step      `json:"from"`
-	To     tables.Step      `json:"to"`
-	Lines  []LineChange     `json:"lines"`
-	Masked []tables.Address `json:"masked"`
-	Opened []tables.Address `json:"opened"`
-	Levels bool             `json:"levels"`
+	From     tables.Step      `json:"from"`
+	To       tables.Step      `json:"to"`
+	Lines    []LineChange     `json:"lines"`
+	Masked   []tables.Address `json:"masked"`
+	Unmasked []tables.Address `json:"opened"`
+	Levels   bool             `json:"levels"`
 }
 
 // Verified is what a look through all records found.
-type Verified struct {
+type VerifyResult struct {
 	Records int      `json:"records"`
 	Wrong   []string `json:"wrong"`
 }
@@ -121,7 +121,7 @@
 		answer(w)(nil, err)
 	})
 	mux.HandleFunc("GET "+Path+"verify", func(w http.ResponseWriter, _ *http.Request) {
-		v := Verified{Wrong: []string{}}
+		v := VerifyResult{Wrong: []string{}}
 		var wrong []error
 		v.Records, wrong = s.Verify()
 		for _, err := range wrong {
@@ -153,7 +153,7 @@
 			}
 		}
 		carry(w, r, d, func(t control.Ticket) any {
-			return control.Rollback{Ticket: t, To: q.To, Content: content, LastSeen: q.Since, Who: q.Who, Why: q.Why, Force: q.Force, DryRun: q.Dry}
+			return control.Rollback{Ticket: t, To: q.To, Content: content, LastSeen: q.LastSeen, Who: q.Who, Why: q.Why, Force: q.Force, DryRun: q.DryRun}
 		})
 	})
 	mux.HandleFunc("POST "+Path+"release", func(w http.ResponseWriter, r *http.Request) {
@@ -172,7 +172,7 @@
 	})
 }
 
-func wish(w http.ResponseWriter, r *http.Request) (q Wish, ok bool) {
+func wish(w http.ResponseWriter, r *http.Request) (q Request, ok bool) {
 	dec := json.NewDecoder(io.LimitReader(r.Body, 1<<20))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&q); err != nil {
@@ -230,7 +230,7 @@
 
 // Diff compares two versions, by table and host.
 func Diff(a, b control.SavedState) *Difference {
-	d := &Difference{From: a.Step, To: b.Step, Lines: []LineChange{}, Masked: []tables.Address{}, Opened: []tables.Address{},
+	d := &Difference{From: a.Step, To: b.Step, Lines: []LineChange{}, Masked: []tables.Address{}, Unmasked: []tables.Address{},
 		Levels: !slices.Equal(a.Levels, b.Levels)}
 	ids := map[logic.TableID]bool{}
 	for _, all := range []map[logic.TableID]*tables.Table{a.Tables, b.Tables} {
@@ -264,7 +264,7 @@
 	}
 	for _, h := range slices.Sorted(maps.Keys(a.Masked)) {
 		if !b.Masked[h] {
-			d.Opened = append(d.Opened, h)
+			d.Unmasked = append(d.Unmasked, h)
 		}
 	}
 	return d
@@ -274,12 +274,12 @@
 type Client struct{ URL string }
 
 // Refusal is a director's no.
-type Refusal struct {
+type ResponseError struct {
 	Status int
 	Detail string
 }
 
-func (e *Refusal) Error() string { return e.Detail }
+func (e *ResponseError) Error() string { return e.Detail }
 
 // Get reads what is at a path.
 func (c Client) Get(ctx context.Context, path string, to any) error {
@@ -287,7 +287,7 @@
 }
 
 // Post sends a wish.
-func (c Client) Post(ctx context.Context, path string, w Wish, to any) error {
+func (c Client) Post(ctx context.Context, path string, w Request, to any) error {
 	body, err := json.Marshal(w)
 	if err != nil {
 		return err
@@ -316,7 +316,7 @@
 		if json.Unmarshal(text, &p) != nil || p.Detail == "" {
 			p.Detail = fmt.Sprintf("%s: %.200s", res.Status, text)
 		}
-		return &Refusal{res.StatusCode, p.Detail}
+		return &ResponseError{res.StatusCode, p.Detail}
 	}
 	return json.Unmarshal(text, to)
 }
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -17,41 +17,41 @@
 
 // Names of the metrics that the module can use.
 const (
-	Busy   = "cpu_utilization"
-	Rate   = "rps_fractional"
-	Errors = "eps"
-	Queue  = "named_metrics.queue"
-	InHand = "named_metrics.in_hand"
-	Recent = "named_metrics.recent_ms"
+	Utilization   = "cpu_utilization"
+	Throughput    = "rps_fractional"
+	ErrorRate     = "eps"
+	Backlog       = "named_metrics.queue"
+	Outstanding   = "named_metrics.in_hand"
+	RecentLatency = "named_metrics.recent_ms"
 )
 
 // Set puts a metric where it belongs; one that is not known, or no number, is passed over.
-func Set(l *logic.Load, name string, v float64) {
+func SetMetric(l *logic.Load, name string, v float64) {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return
 	}
 	switch name {
-	case Busy:
+	case Utilization:
 		l.Utilization = &v
-	case Rate:
+	case Throughput:
 		l.Throughput = &v
-	case Errors:
+	case ErrorRate:
 		l.ErrorRate = &v
-	case Queue:
+	case Backlog:
 		l.Backlog = &v
-	case InHand:
+	case Outstanding:
 		l.Outstanding = &v
-	case Recent:
+	case RecentLatency:
 		l.RecentLatency = &v
 	}
 }
 
 // Each gives the metrics that a load holds, by name.
-func Each(l logic.Load, yield func(name string, v float64)) {
+func EachMetric(l logic.Load, yield func(name string, v float64)) {
 	for _, m := range []struct {
 		name string
 		v    *float64
-	}{{Busy, l.Utilization}, {Rate, l.Throughput}, {Errors, l.ErrorRate}, {Queue, l.Backlog}, {InHand, l.Outstanding}, {Recent, l.RecentLatency}} {
+	}{{Utilization, l.Utilization}, {Throughput, l.Throughput}, {ErrorRate, l.ErrorRate}, {Backlog, l.Backlog}, {Outstanding, l.Outstanding}, {RecentLatency, l.RecentLatency}} {
 		if m.v != nil {
 			yield(m.name, *m.v)
 		}
@@ -59,9 +59,9 @@
 }
 
 // Text is the TEXT form.
-func Text(l logic.Load) string {
+func Format(l logic.Load) string {
 	var parts []string
-	Each(l, func(name string, v float64) {
+	EachMetric(l, func(name string, v float64) {
 		parts = append(parts, name+"="+strconv.FormatFloat(v, 'g', 6, 64))
 	})
 	return "TEXT " + strings.Join(parts, ",")
@@ -81,7 +81,7 @@
 			if err != nil {
 				return l, fmt.Errorf("%s: metric %.40q: not a number", Header, name)
 			}
-			Set(&l, strings.TrimSpace(name), v)
+			SetMetric(&l, strings.TrimSpace(name), v)
 		}
 	case "JSON":
 		var all struct {
@@ -93,13 +93,13 @@
 		if err := json.Unmarshal([]byte(rest), &all); err != nil {
 			return l, fmt.Errorf("%s: %w", Header, err)
 		}
-		for name, v := range map[string]*float64{Busy: all.Busy, Rate: all.Rate, Errors: all.Errors} {
+		for name, v := range map[string]*float64{Utilization: all.Busy, Throughput: all.Rate, ErrorRate: all.Errors} {
 			if v != nil {
-				Set(&l, name, *v)
+				SetMetric(&l, name, *v)
 			}
 		}
 		for name, v := range all.Named {
-			Set(&l, "named_metrics."+name, v)
+			SetMetric(&l, "named_metrics."+name, v)
 		}
 	case "":
 	default:
@@ -109,9 +109,9 @@
 }
 
 // Of is a load by the names of its metrics; unknown ones are passed over.
-func Of(metrics map[string]float64) (l logic.Load) {
+func FromMetrics(metrics map[string]float64) (l logic.Load) {
 	for name, v := range metrics {
-		Set(&l, name, v)
+		SetMetric(&l, name, v)
 	}
 	return l
 }
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -43,20 +43,20 @@
 		if err != nil {
 			return
 		}
-		Each(l, func(name string, v float64) {
+		EachMetric(l, func(name string, v float64) {
 			if !(v >= 0) {
 				t.Fatalf("%s is %v", name, v)
 			}
 		})
-		if again, err := Parse(Text(l)); err != nil || (again.Utilization == nil) != (l.Utilization == nil) {
-			t.Fatalf("%q became %q: %v", header, Text(l), err)
+		if again, err := Parse(Format(l)); err != nil || (again.Utilization == nil) != (l.Utilization == nil) {
+			t.Fatalf("%q became %q: %v", header, Format(l), err)
 		}
 	})
 }
 
 func TestTextWritesWhatIsThere(t *testing.T) {
 	busy, rate := 0.25, 12.0
-	if got := Text(logic.Load{Utilization: &busy, Throughput: &rate}); got != "TEXT cpu_utilization=0.25,rps_fractional=12" {
+	if got := Format(logic.Load{Utilization: &busy, Throughput: &rate}); got != "TEXT cpu_utilization=0.25,rps_fractional=12" {
 		t.Fatal(got)
 	}
 }
--- a/internal/rehearse/directors.go
+++ b/internal/rehearse/directors.go
@@ -26,7 +26,7 @@
 // director is one of those that a stage raises, as a process of its own.
 type director struct {
 	name, file, log string
-	running         *settings.Running
+	running         *settings.Director
 	door            *standin.Door // its way to the list and the leases, where there are several
 	facts           *standin.Door // the others' way to what it knows
 
@@ -96,7 +96,7 @@
 	if err = os.WriteFile(d.file, text.Bytes(), 0o600); err != nil {
 		return err
 	}
-	if d.running, err = settings.Load(d.file); err != nil {
+	if d.running, err = settings.LoadDirector(d.file); err != nil {
 		return err
 	}
 	s.directors = append(s.directors, d)
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -35,7 +35,7 @@
 			signal.Ignore(syscall.SIGXFSZ) // no file grows past this: as on a disk that is full
 			syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: n, Max: n})
 		}
-		s, err := settings.Load(file)
+		s, err := settings.LoadDirector(file)
 		if err == nil {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 			defer stop()
@@ -177,7 +177,7 @@
 		}
 		return true
 	})
-	var v operate.Verified
+	var v operate.VerifyResult
 	if err := s.operators().Get(t.Context(), "verify", &v); err != nil || len(v.Wrong) > 0 {
 		t.Fatalf("%v, %v", err, v.Wrong)
 	}
@@ -300,7 +300,7 @@
 	if err := ask.Get(ctx, fmt.Sprintf("diff?from=%d&to=%d", good, all[0].Step), &d); err != nil || len(d.Lines)+len(d.Masked) == 0 {
 		t.Fatalf("%v: %+v", err, d)
 	}
-	wish := operate.Wish{To: good, Since: all[0].Step + 1000, Who: "ann", Why: "wrong weights", Force: true}
+	wish := operate.Request{To: good, LastSeen: all[0].Step + 1000, Who: "ann", Why: "wrong weights", Force: true}
 	var o control.OperationResult
 	if err := ask.Post(ctx, "rollback", wish, &o); err != nil || o.Version <= all[0].Step || len(o.Tables) != 64 {
 		t.Fatalf("%v: %+v", err, o)
@@ -317,7 +317,7 @@
 	if err := ask.Get(ctx, "pins", &pins); err != nil || len(pins.Tables) != 64 || pins.Tables[0].Who != "ann" {
 		t.Fatalf("%v: %+v", err, pins)
 	}
-	if err := ask.Post(ctx, "release", operate.Wish{Who: "ann", Why: "mended", Tables: []logic.TableID{3}}, &done); err != nil || len(done.Tables) != 1 {
+	if err := ask.Post(ctx, "release", operate.Request{Who: "ann", Why: "mended", Tables: []logic.TableID{3}}, &done); err != nil || len(done.Tables) != 1 {
 		t.Fatalf("%v: %+v", err, done)
 	}
 	for path, says := range map[string]string{"versions/999999": "no such version", "versions/x": "no whole number", "diff?from=a&to=2": "from",
@@ -326,7 +326,7 @@
 			t.Errorf("%s: %v", path, err)
 		}
 	}
-	for says, w := range map[string]operate.Wish{"who and why": {To: good, Since: 1 << 60}, "an operator's": {To: good, Who: "bob", Why: "x", Since: 1},
+	for says, w := range map[string]operate.Request{"who and why": {To: good, LastSeen: 1 << 60}, "an operator's": {To: good, Who: "bob", Why: "x", LastSeen: 1},
 		"no table 99": {To: good, Who: "bob", Why: "x", Tables: []logic.TableID{99}}, "no such version": {To: 999999, Who: "bob", Why: "x"}} {
 		if err := ask.Post(ctx, "rollback", w, &o); err == nil || !strings.Contains(err.Error(), says) {
 			t.Errorf("%+v: %v, wanted %s", w, err, says)
--- a/internal/rehearse/script.go
+++ b/internal/rehearse/script.go
@@ -116,10 +116,10 @@
 	}
 	top.Name = "the file"
 	s := &Script{}
-	r := top.One("day", true)
-	s.Length = r.Span("length", -1, 0, 24*time.Hour)
-	s.Listen, s.Admin = r.Text("listen", "127.0.0.1:0"), r.Text("admin", "127.0.0.1:0")
-	if name := r.Text("director", settings.Needed); name != "" {
+	r := top.Block("day", true)
+	s.Length = r.Duration("length", -1, 0, 24*time.Hour)
+	s.Listen, s.Admin = r.String("listen", "127.0.0.1:0"), r.String("admin", "127.0.0.1:0")
+	if name := r.String("director", settings.Required); name != "" {
 		text, err := days.ReadFile("days/" + name)
 		if dir != "" {
 			if own, failed := os.ReadFile(filepath.Join(dir, name)); failed == nil {
@@ -130,30 +130,30 @@
 			r.Fail("director", "no such file: %s", name)
 		}
 	}
-	f := r.One("fleet", true)
-	s.Fleet = Fleet{Hosts: f.Whole("hosts", 0, 1, 1000), Cores: f.Whole("cores", 4, 1, 64), Queue: f.Whole("queue", 16, 0, 10000),
-		PerCell: f.Whole("per_cell", 2, 1, 100), Proxies: f.Whole("proxies", 0, 1, 5000),
-		Directors: f.Whole("directors", 1, 1, 5), Learns: f.Truth("learn", true),
-		Phantoms: f.Whole("phantoms", 0, 0, 20000), Front: f.Text("front", "poll", "poll", "mqtt", "mixed"), ListDelay: f.Span("list_delay", 0, 0, time.Minute)}
-	f.Done()
-	l := r.One("load", true)
+	f := r.Block("fleet", true)
+	s.Fleet = Fleet{Hosts: f.Int("hosts", 0, 1, 1000), Cores: f.Int("cores", 4, 1, 64), Queue: f.Int("queue", 16, 0, 10000),
+		PerCell: f.Int("per_cell", 2, 1, 100), Proxies: f.Int("proxies", 0, 1, 5000),
+		Directors: f.Int("directors", 1, 1, 5), Learns: f.Bool("learn", true),
+		Phantoms: f.Int("phantoms", 0, 0, 20000), Front: f.String("front", "poll", "poll", "mqtt", "mixed"), ListDelay: f.Duration("list_delay", 0, 0, time.Minute)}
+	f.RejectUnknown()
+	l := r.Block("load", true)
 	s.Load = Load{From: l.Number("calls_per_second", 0, 0, 1e5), Peak: l.Number("peak", 0, 0, 1e5),
-		Rise: l.Span("rise_over", time.Second, time.Millisecond, time.Hour), Keys: l.Whole("keys", 1000, 1, 1e7)}
-	l.Done()
+		Rise: l.Duration("rise_over", time.Second, time.Millisecond, time.Hour), Keys: l.Int("keys", 1000, 1, 1e7)}
+	l.RejectUnknown()
 	share := 0.0
 	routes, names := r.Blocks("route", 1, 1, 63)
 	for i, in := range routes {
 		s.Routes = append(s.Routes, RouteLoad{Name: names[i], Share: in.Number("share", 0, 0, 1),
-			Work: in.Span("work", -1, time.Millisecond, time.Minute)})
+			Work: in.Duration("work", -1, time.Millisecond, time.Minute)})
 		share += s.Routes[i].Share
-		in.Done()
+		in.RejectUnknown()
 	}
 	if share < 0.999 || share > 1.001 {
 		r.Fail("", "the shares of the routes add up to %.3f, not to 1", share)
 	}
-	troubles, names := r.Repeated("trouble")
+	troubles, names := r.RepeatableBlocks("trouble")
 	for i, in := range troubles {
-		t := Trouble{Kind: names[i], At: in.Span("at", -1, 0, 24*time.Hour)}
+		t := Trouble{Kind: names[i], At: in.Duration("at", -1, 0, 24*time.Hour)}
 		needs, known := kinds[t.Kind]
 		if !known {
 			in.Fail("", "no trouble is called %q", t.Kind)
@@ -161,26 +161,26 @@
 		for _, need := range needs {
 			switch need {
 			case "hosts":
-				t.Hosts = in.Whole("hosts", 0, 1, s.Fleet.Hosts)
+				t.Hosts = in.Int("hosts", 0, 1, s.Fleet.Hosts)
 			case "proxies":
-				t.Proxies = in.Whole("proxies", 0, 1, s.Fleet.Proxies)
+				t.Proxies = in.Int("proxies", 0, 1, s.Fleet.Proxies)
 			case "batch":
-				t.Batch = in.Whole("batch", 0, 1, s.Fleet.Hosts)
+				t.Batch = in.Int("batch", 0, 1, s.Fleet.Hosts)
 			case "director":
-				t.Director = in.Whole("director", 1, 1, s.Fleet.Directors)
+				t.Director = in.Int("director", 1, 1, s.Fleet.Directors)
 			case "several":
 				if s.Fleet.Directors < 2 {
 					in.Fail("", "takes a fleet with several directors")
 				}
 			case "last":
-				t.Last = in.Span("last", -1, time.Millisecond, time.Hour)
+				t.Last = in.Duration("last", -1, time.Millisecond, time.Hour)
 			case "drain":
-				t.Drain = in.Span("drain", -1, time.Millisecond, time.Hour)
+				t.Drain = in.Duration("drain", -1, time.Millisecond, time.Hour)
 			case "times":
 				t.Times = in.Number("times", 2, 1, 100)
 			case "storm":
-				t.Ask = load.Kind(in.Text("ask", settings.Needed, string(load.New), string(load.Polls), string(load.Reports)))
-				t.Rate, t.Burst = in.Number("rate", math.NaN(), 1, 1e6), in.Whole("burst", 0, 0, 1e5)
+				t.Ask = load.Kind(in.String("ask", settings.Required, string(load.New), string(load.Polls), string(load.Reports)))
+				t.Rate, t.Burst = in.Number("rate", math.NaN(), 1, 1e6), in.Int("burst", 0, 0, 1e5)
 				if s.Fleet.Phantoms == 0 {
 					in.Fail("", "takes a fleet with phantoms")
 				}
@@ -191,10 +191,10 @@
 		if s.Length > 0 && t.At >= s.Length {
 			in.Fail("at", "%v is past the end of the day, %v", t.At, s.Length)
 		}
-		in.Done()
+		in.RejectUnknown()
 		s.Troubles = append(s.Troubles, t)
 	}
-	r.Done()
-	top.Done()
+	r.RejectUnknown()
+	top.RejectUnknown()
 	return s, top.Err()
 }
--- a/internal/rehearse/stage.go
+++ b/internal/rehearse/stage.go
@@ -32,7 +32,7 @@
 // stage is a raised fleet.
 type stage struct {
 	script   *Script
-	running  *settings.Running
+	running  *settings.Director
 	book     *judge.Book
 	log      *slog.Logger
 	dir      string
@@ -65,7 +65,7 @@
 // proxy is one of the project's own, in this process but on sockets of its own.
 type proxy struct {
 	*relay.Relay
-	set    *settings.Relaying
+	set    *settings.Relay
 	client *standin.Client
 	stop   context.CancelFunc
 	done   chan struct{}
@@ -514,7 +514,7 @@
 		return s.rollback(ctx, say)
 	case "release":
 		var o control.OperationResult
-		err := s.operators().Post(ctx, "release", operate.Wish{Who: "rehearsal", Why: "the day's script"}, &o)
+		err := s.operators().Post(ctx, "release", operate.Request{Who: "rehearsal", Why: "the day's script"}, &o)
 		say(fmt.Sprintf("an operator releases %d tables", len(o.Tables)))
 		return err
 	case "stale_proxies":
--- a/internal/rehearse/undo.go
+++ b/internal/rehearse/undo.go
@@ -28,7 +28,7 @@
 func (s *stage) rollback(ctx context.Context, say func(string)) error {
 	var o control.OperationResult
 	began := s.now()
-	if err := s.operators().Post(ctx, "rollback", operate.Wish{To: s.start, Since: 1 << 60, Who: "rehearsal", Why: "the day's script", Force: true}, &o); err != nil {
+	if err := s.operators().Post(ctx, "rollback", operate.Request{To: s.start, LastSeen: 1 << 60, Who: "rehearsal", Why: "the day's script", Force: true}, &o); err != nil {
 		return err
 	}
 	u := Undone{To: s.start, Version: o.Version, Tables: len(o.Tables), Moved: o.MovedFraction, Proxies: len(s.proxies)}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -135,7 +135,7 @@
 	res := &response{conn: conn}
 	r := conn.Reader()
 	for {
-		size, err := awaitHead(conn, deadline, s.settings().Front.MostHead)
+		size, err := awaitHead(conn, deadline, s.settings().Clients.MaxHead)
 		if err != nil {
 			return nil, carry.NoAnswer
 		}
@@ -208,7 +208,7 @@
 // bufferBody reads the body up to the size of the buffer. A response that is buffered whole can still be replaced by
 // that of a further try; the remainder of a longer one is streamed to the client.
 func (s *Relay) bufferBody(res *response, deadline time.Time) error {
-	r, maxBuffer := res.conn.Reader(), s.settings().Hosts.Buffer
+	r, maxBuffer := res.conn.Reader(), s.settings().HostConns.MaxBuffered
 	switch {
 	case res.head.Chunked:
 		for {
@@ -315,7 +315,7 @@
 	if buf[lineSize] == '\r' && buf[lineSize+1] == '\n' {
 		return r.Skip(lineSize + 2)
 	}
-	size, err := awaitHead(conn, deadline, s.settings().Front.MostHead)
+	size, err := awaitHead(conn, deadline, s.settings().Clients.MaxHead)
 	if err != nil {
 		return err
 	}
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -14,7 +14,7 @@
 // connPool keeps idle connections to hosts for reuse. It reuses the most recently used connection first, so that
 // surplus connections stay idle and are closed.
 type connPool struct {
-	settings settings.RelayHosts
+	settings settings.HostConns
 	maxIdle  int
 	mu       sync.Mutex
 	idle     map[tables.Address][]idleConn
@@ -28,7 +28,7 @@
 	since time.Time
 }
 
-func newConnPool(hostSettings settings.RelayHosts, maxIdle int) *connPool {
+func newConnPool(hostSettings settings.HostConns, maxIdle int) *connPool {
 	return &connPool{settings: hostSettings, maxIdle: maxIdle, idle: map[tables.Address][]idleConn{}, dial: netpoll.NewDialer().DialConnection}
 }
 
@@ -45,7 +45,7 @@
 		}
 		c.Close()
 	}
-	connect := h.settings.Connect
+	connect := h.settings.ConnectTimeout
 	h.mu.Unlock()
 	return h.dial("tcp", string(host), min(connect, max(time.Until(deadline), time.Millisecond)))
 }
@@ -67,7 +67,7 @@
 }
 
 // configure replaces the settings.
-func (h *connPool) configure(hostSettings settings.RelayHosts, maxIdle int) {
+func (h *connPool) configure(hostSettings settings.HostConns, maxIdle int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.settings, h.maxIdle = hostSettings, maxIdle
@@ -80,7 +80,7 @@
 	for host, conns := range h.idle {
 		kept := conns[:0]
 		for _, c := range conns {
-			if now.Sub(c.since) < h.settings.Idle && c.conn.IsActive() {
+			if now.Sub(c.since) < h.settings.IdleTimeout && c.conn.IsActive() {
 				kept = append(kept, c)
 			} else {
 				go c.conn.Close()
--- a/internal/relay/pass.go
+++ b/internal/relay/pass.go
@@ -84,7 +84,7 @@
 	if !s.write(cl, head, nil) || len(res.body) > 0 && !send(res.body) {
 		return false
 	}
-	deadline := func() time.Time { return time.Now().Add(s.settings().Front.Slow) }
+	deadline := func() time.Time { return time.Now().Add(s.settings().Clients.RequestTimeout) }
 	for {
 		for res.remaining > 0 || res.untilClose {
 			err := awaitBytes(res.conn, 1, deadline())
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -37,7 +37,7 @@
 
 // Relay is a running proxy.
 type Relay struct {
-	activeSettings atomic.Pointer[settings.Relaying]
+	activeSettings atomic.Pointer[settings.Relay]
 	log            *slog.Logger
 	hooks          Hooks
 	epoch          time.Time
@@ -67,23 +67,23 @@
 }
 
 // New returns a proxy that already listens, so that Addr is valid. Run must be called to serve calls.
-func New(set *settings.Relaying, hooks Hooks, log *slog.Logger) (*Relay, error) {
+func New(set *settings.Relay, hooks Hooks, log *slog.Logger) (*Relay, error) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	s := &Relay{log: log, hooks: hooks, epoch: time.Now(), waiting: map[admit.Ticket]*waiter{}, tablesChanged: make(chan struct{}),
 		done: make(chan struct{})}
 	s.activeSettings.Store(set)
-	s.core = carry.New(set.Bounds, strconv.FormatInt(s.epoch.UnixNano(), 36), random.Float64)
-	s.hostPool = newConnPool(set.Hosts, set.Bounds.MaxPerHost)
+	s.core = carry.New(set.Limits, strconv.FormatInt(s.epoch.UnixNano(), 36), random.Float64)
+	s.hostPool = newConnPool(set.HostConns, set.Limits.MaxPerHost)
 	s.metrics = newMetrics(s)
-	s.follower = follow.NewSeveral(follow.Source{Directors: set.Directors, Proxy: set.Name, Zone: set.Zone, Rate: set.Rate, Wait: set.Wait,
-		Kept: set.Kept, Seen: s.onUpdate, Joined: hooks.OnJoinChange, Log: log}, set.FollowAll)
+	s.follower = follow.NewSeveral(follow.Source{Directors: set.Directors, Proxy: set.Name, Zone: set.Zone, Rate: set.ExpectedRate, Wait: set.PollWait,
+		Kept: set.SnapshotPath, Seen: s.onUpdate, Joined: hooks.OnJoinChange, Log: log}, set.FollowAll)
 	ln, err := netpoll.CreateListener("tcp", set.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen %s: %w", set.Listen, err)
 	}
 	s.ln = ln
 	s.loop, err = netpoll.NewEventLoop(s.serve, netpoll.WithOnPrepare(s.onConnect), netpoll.WithOnDisconnect(s.onDisconnect),
-		netpoll.WithWriteTimeout(set.Front.Slow))
+		netpoll.WithWriteTimeout(set.Clients.RequestTimeout))
 	return s, err
 }
 
@@ -96,18 +96,18 @@
 // DisconnectFor keeps the proxy from reaching its directors for the given duration.
 func (s *Relay) DisconnectFor(duration time.Duration) { s.follower.Cut(duration) }
 
-func (s *Relay) settings() *settings.Relaying { return s.activeSettings.Load() }
+func (s *Relay) settings() *settings.Relay { return s.activeSettings.Load() }
 
 // Reload replaces the settings in one step. Calls in flight keep what they have already taken from the previous
 // settings. If set changes a setting that is fixed while the proxy runs, Reload changes nothing and returns an error
 // that names each such setting.
-func (s *Relay) Reload(set *settings.Relaying) error {
+func (s *Relay) Reload(set *settings.Relay) error {
 	old := s.settings()
 	var fixed []string
 	for name, same := range map[string]bool{"the relay's name": set.Name == old.Name, "listen": set.Listen == old.Listen,
 		"admin": set.Admin == old.Admin, "zone": set.Zone == old.Zone, "directors": slices.Equal(set.Directors, old.Directors), "follow": set.FollowAll == old.FollowAll,
-		"kept": set.Kept == old.Kept, "trace_one_in": set.TraceOneIn == old.TraceOneIn, "report_every": set.ReportEvery == old.ReportEvery,
-		"rate": set.Rate == old.Rate, "wait": set.Wait == old.Wait} {
+		"kept": set.SnapshotPath == old.SnapshotPath, "trace_one_in": set.TraceOneIn == old.TraceOneIn, "report_every": set.ReportInterval == old.ReportInterval,
+		"rate": set.ExpectedRate == old.ExpectedRate, "wait": set.PollWait == old.PollWait} {
 		if !same {
 			fixed = append(fixed, name)
 		}
@@ -116,8 +116,8 @@
 		slices.Sort(fixed)
 		return fmt.Errorf("settings that cannot change while the proxy runs: %s", strings.Join(fixed, ", "))
 	}
-	s.withCore(func(float64) { s.core.SetLimits(set.Bounds) })
-	s.hostPool.configure(set.Hosts, set.Bounds.MaxPerHost)
+	s.withCore(func(float64) { s.core.SetLimits(set.Limits) })
+	s.hostPool.configure(set.HostConns, set.Limits.MaxPerHost)
 	s.activeSettings.Store(set)
 	s.log.Info("relay.reloaded", "routes", len(set.Routes))
 	return nil
@@ -162,7 +162,7 @@
 	followerDone := make(chan struct{})
 	go func() { s.follower.Run(followCtx); close(followerDone) }()
 	go s.closeIdle()
-	reports := time.NewTicker(s.settings().ReportEvery)
+	reports := time.NewTicker(s.settings().ReportInterval)
 	defer reports.Stop()
 	reportDone := make(chan struct{}, 1)
 	reportDone <- struct{}{}
@@ -181,7 +181,7 @@
 	}
 	s.draining.Store(true)
 	// Shutdown closes the listening socket and idle connections at once, and waits for the other connections.
-	drainCtx, cancel := context.WithTimeout(context.Background(), s.settings().Drain)
+	drainCtx, cancel := context.WithTimeout(context.Background(), s.settings().DrainTimeout)
 	s.loop.Shutdown(drainCtx)
 	cancel()
 	unfinished := s.inFlight.Load()
@@ -201,7 +201,7 @@
 // Run.
 func (s *Relay) Kill(stop context.CancelFunc) {
 	undrained := *s.settings()
-	undrained.Drain = 0
+	undrained.DrainTimeout = 0
 	s.activeSettings.Store(&undrained)
 	stop()
 	s.clients.Range(func(c, _ any) bool { c.(netpoll.Connection).Close(); return true })
@@ -217,7 +217,7 @@
 			return
 		case now := <-tick.C:
 			s.hostPool.closeIdle(now)
-			idleBefore := int64(nets.Monotonic() - s.settings().Front.Idle)
+			idleBefore := int64(nets.Monotonic() - s.settings().Clients.IdleTimeout)
 			s.clients.Range(func(c, v any) bool {
 				cl := v.(*client)
 				if last := cl.idleSince.Load(); last > 0 && last < idleBefore {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config.Bounds.UnlimitedRetries = strings.Contains(extraSettings, "no budget")
+	config.Limits.UnlimitedRetries = strings.Contains(extraSettings, "no budget")
 	s, err := New(config, Hooks{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -391,7 +391,7 @@
 	s, _, address := startRelay(t, "", newDocument(1, 0, host.address()))
 	next := *s.settings()
 	next.Routes = next.Routes[:1]
-	next.Bounds.MaxInFlight, next.Bounds.MaxQueued = 0, 0
+	next.Limits.MaxInFlight, next.Limits.MaxQueued = 0, 0
 	next.Zone, next.Listen = "elsewhere", "127.0.0.1:1"
 	if err := s.Reload(&next); err == nil || !strings.Contains(err.Error(), "listen, zone") {
 		t.Fatalf("reload with a changed listen address and zone: %v", err)
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -87,11 +87,11 @@
 // serveRequest reads a request and answers it. It reports whether the connection can be used for another request.
 func (s *Relay) serveRequest(cl *client) bool {
 	conn := cl.conn
-	deadline := time.Now().Add(s.settings().Front.Slow)
-	size, err := awaitHead(conn, deadline, s.settings().Front.MostHead)
+	deadline := time.Now().Add(s.settings().Clients.RequestTimeout)
+	size, err := awaitHead(conn, deadline, s.settings().Clients.MaxHead)
 	switch {
 	case errors.Is(err, errMalformed):
-		s.writeProblem(cl, http.StatusRequestHeaderFieldsTooLarge, "the request head is longer than "+strconv.Itoa(s.settings().Front.MostHead)+" bytes", 0, true)
+		s.writeProblem(cl, http.StatusRequestHeaderFieldsTooLarge, "the request head is longer than "+strconv.Itoa(s.settings().Clients.MaxHead)+" bytes", 0, true)
 		return false
 	case errors.Is(err, netpoll.ErrReadTimeout):
 		s.writeProblem(cl, http.StatusRequestTimeout, "the request was not received within the time limit", 0, true)
@@ -134,7 +134,7 @@
 // readBody reads the whole body of a request into memory, so that a retry can send it again. If that fails, it returns
 // the status and the detail of the response.
 func (s *Relay) readBody(conn netpoll.Connection, h *h1.Head, deadline time.Time) (body []byte, status int, detail string) {
-	maxBody := int64(s.settings().Front.MostBody)
+	maxBody := int64(s.settings().Clients.MaxBody)
 	tooLong := fmt.Sprintf("the request body is longer than %d bytes", maxBody)
 	fail := func(err error) ([]byte, int, string) {
 		var parseErr *h1.ParseError
--- a/internal/relay/storm_test.go
+++ b/internal/relay/storm_test.go
@@ -150,7 +150,7 @@
 		config, err := settings.ParseRelay("p.hcl", []byte(fmt.Sprintf("relay \"p\" {\n listen = \"127.0.0.1:0\"\n directors = [\"http://127.0.0.1:1\"]\n kept = %q\n}\nroute \"keyed\" { prefix = \"/\" }",
 			os.Getenv("VETCHWOOD_TEST_KEPT"))))
 		if err == nil {
-			err = os.WriteFile(config.Kept, documentJSON(doc), 0o600)
+			err = os.WriteFile(config.SnapshotPath, documentJSON(doc), 0o600)
 		}
 		var s *Relay
 		if err == nil {
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -62,13 +62,13 @@
 		}
 		lines = append(lines, at+text)
 	}
-	return &Invalid{lines}
+	return &InvalidError{lines}
 }
 
 // Invalid is all that is wrong with a file, a line each.
-type Invalid struct{ Lines []string }
+type InvalidError struct{ Problems []string }
 
-func (e *Invalid) Error() string { return strings.Join(e.Lines, "\n") }
+func (e *InvalidError) Error() string { return strings.Join(e.Problems, "\n") }
 
 // Fail notes something wrong with an attribute, or with the block where it is not there.
 func (r *Reader) Fail(attr, format string, args ...any) {
@@ -107,10 +107,10 @@
 }
 
 // Text reads a string, one of a few where they are given.
-func (r *Reader) Text(attr, otherwise string, among ...string) string {
-	v, ok := r.value(attr, otherwise == Needed, cty.String)
+func (r *Reader) String(attr, otherwise string, among ...string) string {
+	v, ok := r.value(attr, otherwise == Required, cty.String)
 	if !ok {
-		if otherwise == Needed {
+		if otherwise == Required {
 			return ""
 		}
 		return otherwise
@@ -123,7 +123,7 @@
 }
 
 // Needed stands for no default.
-const Needed = "\x00"
+const Required = "\x00"
 
 // Number reads a number between two bounds. NaN as the default means that it is needed.
 func (r *Reader) Number(attr string, otherwise, least, most float64) float64 {
@@ -143,7 +143,7 @@
 }
 
 // Whole reads a whole number. A default under the least means that it is needed.
-func (r *Reader) Whole(attr string, otherwise, least, most int) int {
+func (r *Reader) Int(attr string, otherwise, least, most int) int {
 	need := float64(otherwise)
 	if otherwise < least {
 		need = math.NaN()
@@ -156,7 +156,7 @@
 }
 
 // Truth reads true or false.
-func (r *Reader) Truth(attr string, otherwise bool) bool {
+func (r *Reader) Bool(attr string, otherwise bool) bool {
 	if v, ok := r.value(attr, false, cty.Bool); ok {
 		return v.True()
 	}
@@ -164,7 +164,7 @@
 }
 
 // Span reads a duration with its unit, between two bounds. A negative default means that it is needed.
-func (r *Reader) Span(attr string, otherwise, least, most time.Duration) time.Duration {
+func (r *Reader) Duration(attr string, otherwise, least, most time.Duration) time.Duration {
 	v, ok := r.value(attr, otherwise < 0, cty.String)
 	if !ok {
 		return max(least, otherwise)
@@ -202,7 +202,7 @@
 }
 
 // Texts reads a list of strings without repeats.
-func (r *Reader) Texts(attr string, need bool, among ...string) (out []string) {
+func (r *Reader) Strings(attr string, need bool, among ...string) (out []string) {
 	v, ok := r.value(attr, need, cty.List(cty.String))
 	if !ok {
 		return nil
@@ -229,7 +229,7 @@
 }
 
 // Repeated gives blocks whose label may come again.
-func (r *Reader) Repeated(kind string) (out []*Reader, names []string) {
+func (r *Reader) RepeatableBlocks(kind string) (out []*Reader, names []string) {
 	return r.blocks(kind, 1, 0, math.MaxInt, true)
 }
 
@@ -261,7 +261,7 @@
 }
 
 // One gives the one block of a type; an empty one where there is none and it may be left out.
-func (r *Reader) One(kind string, need bool) *Reader {
+func (r *Reader) Block(kind string, need bool) *Reader {
 	least := 0
 	if need {
 		least = 1
@@ -274,7 +274,7 @@
 }
 
 // Done notes what was given and not asked for. Each block's reader ends with it.
-func (r *Reader) Done() {
+func (r *Reader) RejectUnknown() {
 	for _, name := range slices.Sorted(maps.Keys(r.body.Attributes)) {
 		if !r.asked[name] {
 			at := r.body.Attributes[name].NameRange
@@ -308,12 +308,12 @@
 }
 
 // Has says whether there is a block of a type.
-func (r *Reader) Has(kind string) bool {
+func (r *Reader) HasBlock(kind string) bool {
 	return slices.ContainsFunc(r.body.Blocks, func(b *hclsyntax.Block) bool { return b.Type == kind })
 }
 
 // Flat gives each attribute of the file by its path, such as `service.route[read].slo`, as it is written.
-func Flat(text []byte, name string) (map[string]string, error) {
+func Flatten(text []byte, name string) (map[string]string, error) {
 	f, diags := hclparse.NewParser().ParseHCL(text, name)
 	if diags.HasErrors() {
 		return nil, describe(diags)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,7 +19,7 @@
 }
 
 func TestAValidFile(t *testing.T) {
-	s, err := Parse("/etc/v/d.hcl", []byte(valid(t)))
+	s, err := ParseDirector("/etc/v/d.hcl", []byte(valid(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,21 +66,21 @@
 		`reports {|poll {` + "\n most_head = \"16 pages\"\n}\nreports {": "no size with a unit",
 	} {
 		from, to, _ := strings.Cut(strings.ReplaceAll(change, "{r}", "http://127.0.0.1:8500"), "|")
-		_, err := Parse("d.hcl", []byte(strings.Replace(valid(t), from, to, 1)))
+		_, err := ParseDirector("d.hcl", []byte(strings.Replace(valid(t), from, to, 1)))
 		if err == nil || !strings.Contains(err.Error(), says) || !strings.HasPrefix(err.Error(), "d.hcl:") {
 			t.Errorf("%s: %v, wanted one that says %s", change, err, says)
 		}
 	}
-	_, err := Parse("d.hcl", []byte(strings.NewReplacer(`slices    = 64`, `slices = -1`, `most            = 24`, `most = 0`,
+	_, err := ParseDirector("d.hcl", []byte(strings.NewReplacer(`slices    = 64`, `slices = -1`, `most            = 24`, `most = 0`,
 		`"lottery"`, `"luck"`).Replace(valid(t))))
-	var all *Invalid
-	if !errors.As(err, &all) || len(all.Lines) != 3 {
+	var all *InvalidError
+	if !errors.As(err, &all) || len(all.Problems) != 3 {
 		t.Fatalf("three mistakes are told as %v", err)
 	}
 }
 
 func TestNoFile(t *testing.T) {
-	if _, err := Load("/nowhere/d.hcl"); err == nil {
+	if _, err := LoadDirector("/nowhere/d.hcl"); err == nil {
 		t.Fatal("no error")
 	}
 }
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -158,7 +158,7 @@
 		return
 	}
 	if r.URL.Path == "/health" {
-		w.Header().Set(orca.Header, orca.Text(h.load))
+		w.Header().Set(orca.Header, orca.Format(h.load))
 		h.mu.Unlock()
 		return
 	}
@@ -176,7 +176,7 @@
 		load := h.load
 		h.mu.Unlock()
 		h.shape.Book.Arrive(known)
-		w.Header().Set(orca.Header, orca.Text(load))
+		w.Header().Set(orca.Header, orca.Format(load))
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -248,7 +248,7 @@
 		<-ctx.Done()
 		return
 	}
-	w.Header().Set(orca.Header, orca.Text(load))
+	w.Header().Set(orca.Header, orca.Format(load))
 	w.WriteHeader(http.StatusOK)
 }
 
--- a/internal/tally/tally.go
+++ b/internal/tally/tally.go
@@ -133,31 +133,31 @@
 		return cmp.Or(cmp.Compare(x.route, y.route), cmp.Compare(x.table, y.table))
 	}) {
 		c := b.Calls[k]
-		request.ClusterStats = append(request.ClusterStats, lrs.Cluster{Name: k.route, ServiceName: k.table, Localities: []lrs.Upstream{{
-			Metrics: []lrs.Metric{{Name: lrs.Calls, Finished: lrs.Count(c.Received), Total: float64(c.Received)},
+		request.ClusterStats = append(request.ClusterStats, lrs.ClusterStats{Name: k.route, ServiceName: k.table, Localities: []lrs.LocalityStats{{
+			Metrics: []lrs.MetricStats{{Name: lrs.Calls, Finished: lrs.Count(c.Received), Total: float64(c.Received)},
 				{Name: lrs.Unanswered, Finished: lrs.Count(c.Unanswered), Total: float64(c.Unanswered)}}}}})
 	}
-	byRoute := map[string]*lrs.Upstream{}
+	byRoute := map[string]*lrs.LocalityStats{}
 	for _, k := range slices.SortedFunc(maps.Keys(b.Tries), func(x, y tryKey) int {
 		return cmp.Or(cmp.Compare(x.route, y.route), cmp.Compare(x.host, y.host))
 	}) {
 		t := b.Tries[k]
-		address, err := lrs.At(k.host)
+		address, err := lrs.AddressOf(k.host)
 		if err != nil {
 			continue
 		}
-		endpoint := lrs.Endpoint{Address: address, Successful: lrs.Count(t.Succeeded), Errors: lrs.Count(t.Failed), Issued: lrs.Count(t.Succeeded + t.Failed),
-			Metrics: []lrs.Metric{{Name: lrs.Spent, Finished: lrs.Count(t.Succeeded), Total: t.TotalMs}}}
-		orca.Each(t.Load, func(name string, v float64) {
-			endpoint.Metrics = append(endpoint.Metrics, lrs.Metric{Name: name, Finished: 1, Total: v})
+		endpoint := lrs.EndpointStats{Address: address, Successful: lrs.Count(t.Succeeded), Errors: lrs.Count(t.Failed), Issued: lrs.Count(t.Succeeded + t.Failed),
+			Metrics: []lrs.MetricStats{{Name: lrs.AnswerMs, Finished: lrs.Count(t.Succeeded), Total: t.TotalMs}}}
+		orca.EachMetric(t.Load, func(name string, v float64) {
+			endpoint.Metrics = append(endpoint.Metrics, lrs.MetricStats{Name: name, Finished: 1, Total: v})
 		})
 		if byRoute[k.route] == nil {
-			byRoute[k.route] = &lrs.Upstream{Locality: lrs.Locality{Zone: zone}}
+			byRoute[k.route] = &lrs.LocalityStats{Locality: lrs.Locality{Zone: zone}}
 		}
 		byRoute[k.route].Endpoints = append(byRoute[k.route].Endpoints, endpoint)
 	}
 	for _, route := range slices.Sorted(maps.Keys(byRoute)) {
-		request.ClusterStats = append(request.ClusterStats, lrs.Cluster{Name: route, Localities: []lrs.Upstream{*byRoute[route]}})
+		request.ClusterStats = append(request.ClusterStats, lrs.ClusterStats{Name: route, Localities: []lrs.LocalityStats{*byRoute[route]}})
 	}
 	return request
 }
