--- a/cmd/vetchwood/main.go
+++ b/cmd/vetchwood/main.go
@@ -43,7 +43,7 @@
 }
 
 func main() {
-	catch(os.Args[1:])
+	notifySignals(os.Args[1:])
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
--- a/cmd/vetchwood/tables.go
+++ b/cmd/vetchwood/tables.go
@@ -37,7 +37,7 @@
 func (c *tablesCmd) client() operate.Client { return operate.Client{URL: strings.TrimRight(c.At, "/")} }
 
 // show prints what was told, as JSON or by a table.
-func (c *tablesCmd) show(out io.Writer, v any, table func(w io.Writer)) error {
+func (c *tablesCmd) print(out io.Writer, v any, table func(w io.Writer)) error {
 	if c.JSON {
 		enc := json.NewEncoder(out)
 		enc.SetIndent("", "  ")
@@ -48,7 +48,7 @@
 	return w.Flush()
 }
 
-func at(ms float64) string { return time.UnixMilli(int64(ms)).Format("2006-01-02 15:04:05") }
+func formatTime(ms float64) string { return time.UnixMilli(int64(ms)).Format("2006-01-02 15:04:05") }
 
 type tablesList struct {
 	Most int `help:"How many." default:"20"`
@@ -59,14 +59,14 @@
 	if err := p.Tables.client().Get(ctx, fmt.Sprintf("versions?most=%d", c.Most), &all); err != nil {
 		return err
 	}
-	return p.Tables.show(out, all, func(w io.Writer) {
+	return p.Tables.print(out, all, func(w io.Writer) {
 		fmt.Fprintln(w, "version\tat\ttables\tmasks\tlevels\tby\twhy")
 		for _, v := range all {
 			who, mark := v.Who, map[bool]string{true: "yes"}
 			if who == "" {
 				who = "the module"
 			}
-			fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%s\t%s\t%s\n", v.Step, at(v.At), v.Tables, mark[v.Masks], mark[v.Levels], who, v.Why)
+			fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%s\t%s\t%s\n", v.Step, formatTime(v.At), v.Tables, mark[v.Masks], mark[v.Levels], who, v.Why)
 		}
 	})
 }
@@ -80,7 +80,7 @@
 	if err := p.Tables.client().Get(ctx, fmt.Sprintf("versions/%d", c.Version), &s); err != nil {
 		return err
 	}
-	return p.Tables.show(out, s, func(w io.Writer) {
+	return p.Tables.print(out, s, func(w io.Writer) {
 		fmt.Fprintln(w, "table\thost\tweight\t")
 		for _, l := range operate.Diff(control.SavedState{}, s).Lines {
 			fmt.Fprintf(w, "%s\t%s\t%.4g\t%s\n", l.Table, l.Host, l.To, map[bool]string{true: "masked"}[s.Masked[l.Host]])
@@ -98,7 +98,7 @@
 	if err := p.Tables.client().Get(ctx, fmt.Sprintf("diff?from=%d&to=%d", c.From, c.To), &d); err != nil {
 		return err
 	}
-	return p.Tables.show(out, d, func(w io.Writer) {
+	return p.Tables.print(out, d, func(w io.Writer) {
 		for _, l := range d.Lines {
 			switch {
 			case l.From == 0:
@@ -141,14 +141,14 @@
 			c.Since = newest[0].Step
 		}
 	}
-	wish := operate.Request{To: c.Version, Tables: c.Table, LastSeen: c.Since, Who: whoami(), Why: c.Why, Force: c.Force, DryRun: true}
+	wish := operate.Request{To: c.Version, Tables: c.Table, LastSeen: c.Since, Who: currentUser(), Why: c.Why, Force: c.Force, DryRun: true}
 	var would, done control.OperationResult
 	if err := client.Post(ctx, "rollback", wish, &would); err != nil {
 		return err
 	}
 	if !c.Yes {
 		fmt.Fprintf(out, "%d tables go back to version %d; %.1f%% of the slices go to other hosts.\n", len(would.Tables), c.Version, 100*would.MovedFraction)
-		faults(out, would)
+		printFaults(out, would)
 		fmt.Fprint(out, "Go on? [y/N] ")
 		line, _ := bufio.NewReader(os.Stdin).ReadString('\n')
 		if !strings.EqualFold(strings.TrimSpace(line), "y") {
@@ -159,12 +159,12 @@
 	if err := client.Post(ctx, "rollback", wish, &done); err != nil {
 		return err
 	}
-	return p.Tables.show(out, done, func(w io.Writer) {
+	return p.Tables.print(out, done, func(w io.Writer) {
 		fmt.Fprintf(w, "version %d: %d tables as in version %d, pinned until `tables release`\n", done.Version, len(done.Tables), c.Version)
 		if done.Deferred > 0 {
 			fmt.Fprintf(w, "%d of them follow as the channel has room\n", done.Deferred)
 		}
-		faults(w, done)
+		printFaults(w, done)
 	})
 }
 
@@ -185,7 +185,7 @@
 	return back.Run(ctx, out, p)
 }
 
-func faults(w io.Writer, o control.OperationResult) {
+func printFaults(w io.Writer, o control.OperationResult) {
 	for _, t := range o.Tables {
 		for _, f := range t.Faults {
 			fmt.Fprintf(w, "not honoured: table %d, host %s: %s\n", t.Table, f.Host, f.Why)
@@ -193,7 +193,7 @@
 	}
 }
 
-func whoami() string {
+func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
 	}
@@ -207,12 +207,12 @@
 	if err := p.Tables.client().Get(ctx, "pins", &o); err != nil {
 		return err
 	}
-	return p.Tables.show(out, o, func(w io.Writer) {
+	return p.Tables.print(out, o, func(w io.Writer) {
 		fmt.Fprintf(w, "%d tables are pinned; %d of them wait for room in the channel\n", len(o.Tables), o.Deferred)
 		for _, t := range o.Tables {
 			fmt.Fprintf(w, "table %d\tas in version %d\tby %s\n", t.Table, t.Step, t.Who)
 		}
-		faults(w, o)
+		printFaults(w, o)
 	})
 }
 
@@ -223,10 +223,10 @@
 
 func (c *tablesRelease) Run(ctx context.Context, out io.Writer, p *program) error {
 	var o control.OperationResult
-	if err := p.Tables.client().Post(ctx, "release", operate.Request{Tables: c.Table, Who: whoami(), Why: c.Why}, &o); err != nil {
+	if err := p.Tables.client().Post(ctx, "release", operate.Request{Tables: c.Table, Who: currentUser(), Why: c.Why}, &o); err != nil {
 		return err
 	}
-	return p.Tables.show(out, o, func(w io.Writer) { fmt.Fprintf(w, "version %d: %d tables given back\n", o.Version, len(o.Tables)) })
+	return p.Tables.print(out, o, func(w io.Writer) { fmt.Fprintf(w, "version %d: %d tables given back\n", o.Version, len(o.Tables)) })
 }
 
 type tablesVerify struct{}
@@ -236,7 +236,7 @@
 	if err := p.Tables.client().Get(ctx, "verify", &v); err != nil {
 		return err
 	}
-	err := p.Tables.show(out, v, func(w io.Writer) {
+	err := p.Tables.print(out, v, func(w io.Writer) {
 		fmt.Fprintf(w, "%d records, %d wrong\n", v.Records, len(v.Wrong))
 		for _, line := range v.Wrong {
 			fmt.Fprintln(w, line)
--- a/cmd/vetchwood/watch.go
+++ b/cmd/vetchwood/watch.go
@@ -33,7 +33,7 @@
 	var was *tables.Document
 	f := follow.New(follow.Source{Directors: []string{c.Director}, Proxy: fmt.Sprintf("watch-%08x", rand.Uint32()), Watch: true, Wait: 20 * time.Second,
 		Log: log, Seen: func(u follow.Update) {
-			c.print(out, was, u)
+			c.printChanges(out, was, u)
 			was = u.Doc
 		}})
 	f.Run(ctx)
@@ -52,7 +52,7 @@
 	To      any            `json:"to,omitempty"`
 }
 
-func (c *watchCmd) print(out io.Writer, was *tables.Document, u follow.Update) {
+func (c *watchCmd) printChanges(out io.Writer, was *tables.Document, u follow.Update) {
 	at := time.UnixMilli(int64(u.Doc.At)).Format("15:04:05.000")
 	say := func(x change) {
 		x.At, x.Version = at, u.Doc.Version
--- a/internal/longpoll/ask.go
+++ b/internal/longpoll/ask.go
@@ -123,7 +123,7 @@
 	if !isJSON(r) {
 		return bad(http.StatusUnsupportedMediaType, "a report is JSON")
 	}
-	q, err := lrs.Read(r.body)
+	q, err := lrs.Decode(r.body)
 	if err != nil {
 		return bad(http.StatusBadRequest, "%v", err)
 	}
--- a/internal/lrs/lrs.go
+++ b/internal/lrs/lrs.go
@@ -92,7 +92,7 @@
 }
 
 // Read turns a body into a report. Every error names the place.
-func Read(body []byte) (r control.Report, err error) {
+func Decode(body []byte) (r control.Report, err error) {
 	var q Request
 	dec := json.NewDecoder(bytes.NewReader(body))
 	if err := dec.Decode(&q); err != nil {
@@ -118,7 +118,7 @@
 				}
 			}
 			for k, e := range u.Endpoints {
-				tries, err := e.read()
+				tries, err := e.hostTries()
 				if err != nil {
 					return r, fmt.Errorf("load stats: %s.upstream_endpoint_stats[%d]: %w", at, k, err)
 				}
@@ -132,7 +132,7 @@
 	return r, nil
 }
 
-func (e EndpointStats) read() (t control.HostTries, err error) {
+func (e EndpointStats) hostTries() (t control.HostTries, err error) {
 	ip, err := netip.ParseAddr(e.Address.Socket.Address)
 	if err != nil || e.Address.Socket.Port < 1 || e.Address.Socket.Port > 65535 {
 		return t, fmt.Errorf("address %.40q, port %d: no socket address", e.Address.Socket.Address, e.Address.Socket.Port)
--- a/internal/lrs/lrs_test.go
+++ b/internal/lrs/lrs_test.go
@@ -8,7 +8,7 @@
 	"vetchwood/internal/control"
 )
 
-func TestAReportIsReadAsItWasWritten(t *testing.T) {
+func TestReportRoundTrip(t *testing.T) {
 	at, err := AddressOf("127.0.0.1:7001")
 	if err != nil {
 		t.Fatal(err)
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Read(text)
+	r, err := Decode(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestCountsAreTextOrNumbers(t *testing.T) {
+func TestCountsAreStringsOrNumbers(t *testing.T) {
 	for text, want := range map[string]Count{`"7"`: 7, `7`: 7, `"9007199254740991"`: 1<<53 - 1} {
 		var c Count
 		if err := json.Unmarshal([]byte(text), &c); err != nil || c != want {
@@ -55,7 +55,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"node":{"id":"p"},"cluster_stats":[{"cluster_name":"r","upstream_locality_stats":[{"upstream_endpoint_stats":[{"address":{"socket_address":{"address":"::1","port_value":80}},"total_error_requests":"3"}]}]}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		r, err := Read(body)
+		r, err := Decode(body)
 		if err != nil {
 			return
 		}
--- a/internal/mqtt/server.go
+++ b/internal/mqtt/server.go
@@ -329,7 +329,7 @@
 		refuse(subscribe.QuotaExceeded, "the director has more to do than it can")
 		return
 	}
-	r, err := lrs.Read(c.Payload)
+	r, err := lrs.Decode(c.Payload)
 	if err == nil && r.Proxy != "" && r.Proxy != proxy {
 		err = errors.New("load stats: node.id is not the proxy of the topic")
 	}
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -90,35 +90,35 @@
 	mux.HandleFunc("GET "+Path+"versions", func(w http.ResponseWriter, r *http.Request) {
 		most, err := number(r, "most", 50)
 		if err != nil {
-			problem(w, http.StatusBadRequest, err)
+			writeProblem(w, http.StatusBadRequest, err)
 			return
 		}
-		answer(w)(s.Versions(int(min(most, 100000))))
+		respond(w)(s.Versions(int(min(most, 100000))))
 	})
 	mux.HandleFunc("GET "+Path+"versions/{step}", func(w http.ResponseWriter, r *http.Request) {
 		step, err := strconv.ParseUint(r.PathValue("step"), 10, 64)
 		if err != nil {
-			problem(w, http.StatusBadRequest, fmt.Errorf("version %.40q is no whole number", r.PathValue("step")))
+			writeProblem(w, http.StatusBadRequest, fmt.Errorf("version %.40q is no whole number", r.PathValue("step")))
 			return
 		}
-		answer(w)(s.At(tables.Step(step)))
+		respond(w)(s.At(tables.Step(step)))
 	})
 	mux.HandleFunc("GET "+Path+"diff", func(w http.ResponseWriter, r *http.Request) {
 		from, err1 := number(r, "from", 0)
 		to, err2 := number(r, "to", 0)
 		if err := errors.Join(err1, err2); err != nil {
-			problem(w, http.StatusBadRequest, err)
+			writeProblem(w, http.StatusBadRequest, err)
 			return
 		}
 		a, err := s.At(tables.Step(from))
 		if err == nil {
 			var b control.SavedState
 			if b, err = s.At(tables.Step(to)); err == nil {
-				answer(w)(Diff(a, b), nil)
+				respond(w)(Diff(a, b), nil)
 				return
 			}
 		}
-		answer(w)(nil, err)
+		respond(w)(nil, err)
 	})
 	mux.HandleFunc("GET "+Path+"verify", func(w http.ResponseWriter, _ *http.Request) {
 		v := VerifyResult{Wrong: []string{}}
@@ -127,19 +127,19 @@
 		for _, err := range wrong {
 			v.Wrong = append(v.Wrong, err.Error())
 		}
-		answer(w)(v, nil)
+		respond(w)(v, nil)
 	})
 	mux.HandleFunc("GET "+Path+"pins", func(w http.ResponseWriter, r *http.Request) {
-		carry(w, r, d, func(t control.Ticket) any { return control.PinsQuery{Ticket: t} })
+		forward(w, r, d, func(t control.Ticket) any { return control.PinsQuery{Ticket: t} })
 	})
 	mux.HandleFunc("POST "+Path+"rollback", func(w http.ResponseWriter, r *http.Request) {
-		q, ok := wish(w, r)
+		q, ok := decodeRequest(w, r)
 		if !ok {
 			return
 		}
 		was, err := s.At(q.To)
 		if err != nil {
-			answer(w)(nil, err)
+			respond(w)(nil, err)
 			return
 		}
 		content := was.Tables
@@ -147,50 +147,50 @@
 			content = map[logic.TableID]*tables.Table{}
 			for _, id := range q.Tables {
 				if content[id] = was.Tables[id]; content[id] == nil {
-					problem(w, http.StatusNotFound, fmt.Errorf("version %d has no table %d", q.To, id))
+					writeProblem(w, http.StatusNotFound, fmt.Errorf("version %d has no table %d", q.To, id))
 					return
 				}
 			}
 		}
-		carry(w, r, d, func(t control.Ticket) any {
+		forward(w, r, d, func(t control.Ticket) any {
 			return control.Rollback{Ticket: t, To: q.To, Content: content, LastSeen: q.LastSeen, Who: q.Who, Why: q.Why, Force: q.Force, DryRun: q.DryRun}
 		})
 	})
 	mux.HandleFunc("POST "+Path+"release", func(w http.ResponseWriter, r *http.Request) {
-		if q, ok := wish(w, r); ok {
-			carry(w, r, d, func(t control.Ticket) any {
+		if q, ok := decodeRequest(w, r); ok {
+			forward(w, r, d, func(t control.Ticket) any {
 				return control.Release{Ticket: t, Tables: q.Tables, Who: q.Who, Why: q.Why}
 			})
 		}
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if at, err := netip.ParseAddrPort(r.RemoteAddr); err != nil || !at.Addr().Unmap().IsLoopback() {
-			problem(w, http.StatusForbidden, errors.New("operators ask from the director's own machine"))
+			writeProblem(w, http.StatusForbidden, errors.New("operators ask from the director's own machine"))
 			return
 		}
 		mux.ServeHTTP(w, r)
 	})
 }
 
-func wish(w http.ResponseWriter, r *http.Request) (q Request, ok bool) {
+func decodeRequest(w http.ResponseWriter, r *http.Request) (q Request, ok bool) {
 	dec := json.NewDecoder(io.LimitReader(r.Body, 1<<20))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&q); err != nil {
-		problem(w, http.StatusBadRequest, fmt.Errorf("body: %w", err))
+		writeProblem(w, http.StatusBadRequest, fmt.Errorf("body: %w", err))
 		return q, false
 	}
 	return q, true
 }
 
-func carry(w http.ResponseWriter, r *http.Request, d Director, in func(control.Ticket) any) {
+func forward(w http.ResponseWriter, r *http.Request, d Director, in func(control.Ticket) any) {
 	ctx, cancel := context.WithTimeout(r.Context(), 10*time.Second)
 	defer cancel()
 	a, err := d.Ask(ctx, in)
 	switch {
 	case err != nil:
-		problem(w, http.StatusServiceUnavailable, err)
+		writeProblem(w, http.StatusServiceUnavailable, err)
 	case a.Kind == control.Done:
-		answer(w)(a.Body, nil)
+		respond(w)(a.Body, nil)
 	default:
 		operated, _ := a.Body.(*control.OperationResult)
 		status := map[control.AnswerKind]int{control.Invalid: http.StatusBadRequest, control.Conflict: http.StatusConflict,
@@ -205,16 +205,16 @@
 	}
 }
 
-func answer(w http.ResponseWriter) func(v any, err error) {
+func respond(w http.ResponseWriter) func(v any, err error) {
 	return func(v any, err error) {
 		var corrupt *store.Corrupt
 		switch {
 		case errors.Is(err, store.ErrNoVersion):
-			problem(w, http.StatusNotFound, err)
+			writeProblem(w, http.StatusNotFound, err)
 		case errors.As(err, &corrupt):
-			problem(w, http.StatusInternalServerError, err)
+			writeProblem(w, http.StatusInternalServerError, err)
 		case err != nil:
-			problem(w, http.StatusInternalServerError, err)
+			writeProblem(w, http.StatusInternalServerError, err)
 		default:
 			w.Header().Set("Content-Type", "application/json")
 			json.NewEncoder(w).Encode(v)
@@ -222,7 +222,7 @@
 	}
 }
 
-func problem(w http.ResponseWriter, status int, err error) {
+func writeProblem(w http.ResponseWriter, status int, err error) {
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(map[string]any{"type": "about:blank", "title": http.StatusText(status), "status": status, "detail": err.Error()})
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -85,15 +85,15 @@
 		}
 	case "JSON":
 		var all struct {
-			Busy   *float64           `json:"cpu_utilization"`
-			Rate   *float64           `json:"rps_fractional"`
-			Errors *float64           `json:"eps"`
-			Named  map[string]float64 `json:"named_metrics"`
+			Utilization *float64           `json:"cpu_utilization"`
+			Throughput  *float64           `json:"rps_fractional"`
+			ErrorRate   *float64           `json:"eps"`
+			Named       map[string]float64 `json:"named_metrics"`
 		}
 		if err := json.Unmarshal([]byte(rest), &all); err != nil {
 			return l, fmt.Errorf("%s: %w", Header, err)
 		}
-		for name, v := range map[string]*float64{Utilization: all.Busy, Throughput: all.Rate, ErrorRate: all.Errors} {
+		for name, v := range map[string]*float64{Utilization: all.Utilization, Throughput: all.Throughput, ErrorRate: all.ErrorRate} {
 			if v != nil {
 				SetMetric(&l, name, *v)
 			}
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -7,7 +7,7 @@
 	"vetchwood/logic"
 )
 
-func of(p *float64) float64 {
+func valueOrMinus1(p *float64) float64 {
 	if p == nil {
 		return -1
 	}
@@ -24,7 +24,7 @@
 		"":     {-1, -1, -1, -1},
 	} {
 		l, err := Parse(header)
-		if got := [4]float64{of(l.Utilization), of(l.Throughput), of(l.Backlog), of(l.ErrorRate)}; err != nil || got != want {
+		if got := [4]float64{valueOrMinus1(l.Utilization), valueOrMinus1(l.Throughput), valueOrMinus1(l.Backlog), valueOrMinus1(l.ErrorRate)}; err != nil || got != want {
 			t.Errorf("%q: %v, %v", header, got, err)
 		}
 	}
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestTextWritesWhatIsThere(t *testing.T) {
+func TestFormatWritesPresentMetrics(t *testing.T) {
 	busy, rate := 0.25, 12.0
 	if got := Format(logic.Load{Utilization: &busy, Throughput: &rate}); got != "TEXT cpu_utilization=0.25,rps_fractional=12" {
 		t.Fatal(got)
--- a/internal/settings/director.go
+++ b/internal/settings/director.go
@@ -47,15 +47,15 @@
 	QueryWait       time.Duration
 }
 
-func millis(d time.Duration) logic.Millis { return logic.Millis(float64(d.Microseconds()) / 1000) }
+func toMillis(d time.Duration) logic.Millis { return logic.Millis(float64(d.Microseconds()) / 1000) }
 
 // Load reads a director's file.
-func LoadDirector(path string) (*Director, error) { return load(path, nil) }
+func LoadDirector(path string) (*Director, error) { return loadDirector(path, nil) }
 
 // Parse reads a director's settings from text; name stands for the file in errors.
-func ParseDirector(name string, text []byte) (*Director, error) { return load(name, text) }
+func ParseDirector(name string, text []byte) (*Director, error) { return loadDirector(name, text) }
 
-func load(path string, text []byte) (_ *Director, err error) {
+func loadDirector(path string, text []byte) (_ *Director, err error) {
 	if text == nil {
 		if text, err = os.ReadFile(path); err != nil {
 			return nil, err
@@ -72,19 +72,19 @@
 	}
 	f := &out.Service.Config
 	if all, names := r.Blocks("director", 1, 1, 1); len(all) > 0 {
-		out.director(all[0], names[0], path)
+		out.readDirector(all[0], names[0], path)
 		out.Service.Name = names[0]
 	}
-	out.service(r.Block("service", true))
-	out.hosts(r.Block("hosts", true), f)
-	out.proxies(r.Block("proxies", true), f)
-	out.channel(r.Block("channel", true), f)
-	out.rest(r)
+	out.readService(r.Block("service", true))
+	out.readHosts(r.Block("hosts", true), f)
+	out.readProxies(r.Block("proxies", true), f)
+	out.readChannel(r.Block("channel", true), f)
+	out.readOtherBlocks(r)
 	r.RejectUnknown()
 	return out, r.Err()
 }
 
-func (out *Director) socket(r *Reader, attr, otherwise string) string {
+func (out *Director) readSocket(r *Reader, attr, otherwise string) string {
 	s := r.String(attr, otherwise)
 	if _, _, err := net.SplitHostPort(s); err != nil && s != "" {
 		r.Fail(attr, "%q is no host:port", s)
@@ -92,10 +92,10 @@
 	return s
 }
 
-func (out *Director) director(r *Reader, name, path string) {
+func (out *Director) readDirector(r *Reader, name, path string) {
 	out.Name = name
-	out.Listen = out.socket(r, "listen", Required)
-	if out.Admin = out.socket(r, "admin", ""); out.Admin != "" && out.Admin == out.Listen {
+	out.Listen = out.readSocket(r, "listen", Required)
+	if out.Admin = out.readSocket(r, "admin", ""); out.Admin != "" && out.Admin == out.Listen {
 		r.Fail("admin", "is the same socket as listen")
 	}
 	if out.StorePath = r.String("store", Required); !filepath.IsAbs(out.StorePath) {
@@ -107,11 +107,11 @@
 	r.RejectUnknown()
 }
 
-var repeats = map[string]logic.Idempotency{"repeatable": logic.Idempotent, "keyed": logic.IdempotentByKey, "mutating": logic.NonIdempotent}
-var reaches = map[string]logic.DedupScope{"": logic.DedupNone, "all": logic.DedupAll, "zone": logic.DedupZone,
+var idempotencyByName = map[string]logic.Idempotency{"repeatable": logic.Idempotent, "keyed": logic.IdempotentByKey, "mutating": logic.NonIdempotent}
+var dedupScopeByName = map[string]logic.DedupScope{"": logic.DedupNone, "all": logic.DedupAll, "zone": logic.DedupZone,
 	"cell": logic.DedupCell}
 
-func (out *Director) service(r *Reader) {
+func (out *Director) readService(r *Reader) {
 	f, own := &out.Service.Config, ""
 	if len(out.Service.Zones) > 0 {
 		own = out.Service.Zones[0]
@@ -138,12 +138,12 @@
 		"share", "rate", "none")]
 	routes, names := r.Blocks("route", 1, 1, 63)
 	for i, in := range routes {
-		out.route(in, names[i])
+		out.readRoute(in, names[i])
 	}
 	r.RejectUnknown()
 }
 
-func (out *Director) route(r *Reader, name string) {
+func (out *Director) readRoute(r *Reader, name string) {
 	f := &out.Service.Config
 	repeat := r.String("repeat", Required, "repeatable", "keyed", "mutating")
 	reach := r.String("reach", "", "", "all", "zone", "cell")
@@ -156,9 +156,9 @@
 	if limit < slo {
 		r.Fail("time_limit", "%v is shorter than the SLO time, %v", limit, slo)
 	}
-	route := logic.Route{SLO: millis(slo), TimeLimit: millis(limit), DedupWindow: millis(span),
+	route := logic.Route{SLO: toMillis(slo), TimeLimit: toMillis(limit), DedupWindow: toMillis(span),
 		Importance: r.Number("importance", math.NaN(), 0, 1e6), LateShare: r.Number("late_share", 0, 0, 1),
-		Idempotency: repeats[repeat], DedupScope: reaches[reach], OwnZone: r.Bool("own_zone", false),
+		Idempotency: idempotencyByName[repeat], DedupScope: dedupScopeByName[reach], OwnZone: r.Bool("own_zone", false),
 		IsWrite: r.Bool("writes", false)}
 	f.Routes = append(f.Routes, route)
 	out.Service.Routes = append(out.Service.Routes, control.RouteInfo{Name: name, Route: tables.Route{
@@ -168,12 +168,12 @@
 	r.RejectUnknown()
 }
 
-func (out *Director) hosts(r *Reader, f *logic.Config) {
+func (out *Director) readHosts(r *Reader, f *logic.Config) {
 	f.ColdCapacity = r.Number("cold_from", 0.2, 0.01, 1)
-	f.WarmAfter = millis(r.Duration("warm_after", -1, 0, time.Hour))
+	f.WarmAfter = toMillis(r.Duration("warm_after", -1, 0, time.Hour))
 	f.ColdOverloadLimit = r.Number("tip_multiple", 3, 1, 1000)
-	f.ColdFailAfter = millis(r.Duration("fall_after", 2*time.Second, 0, time.Hour))
-	f.DrainGrace = millis(r.Duration("drain_grace", -1, 100*time.Millisecond, time.Hour))
+	f.ColdFailAfter = toMillis(r.Duration("fall_after", 2*time.Second, 0, time.Hour))
+	f.DrainGrace = toMillis(r.Duration("drain_grace", -1, 100*time.Millisecond, time.Hour))
 	f.Weighted = r.Bool("weighted", false)
 	f.RejectedMayHaveRun = r.Bool("full_may_have_run", true)
 	f.RemovalIsAdvisory = r.Bool("gone_is_advice", false)
@@ -190,7 +190,7 @@
 	r.RejectUnknown()
 }
 
-func (out *Director) proxies(r *Reader, f *logic.Config) {
+func (out *Director) readProxies(r *Reader, f *logic.Config) {
 	f.Proxies = r.Int("most", 0, 1, 65535)
 	names := r.String("names", ".+")
 	pattern, err := regexp.Compile(`\A(?:` + names + `)\z`)
@@ -199,14 +199,14 @@
 		pattern = regexp.MustCompile(".+")
 	}
 	out.Service.ProxyNames = pattern
-	out.Service.Lease = millis(r.Duration("lease", 3*time.Second, 200*time.Millisecond, time.Hour))
-	f.EmptyTableLimit = millis(r.Duration("bare_limit", -1, time.Millisecond, time.Hour))
+	out.Service.Lease = toMillis(r.Duration("lease", 3*time.Second, 200*time.Millisecond, time.Hour))
+	f.EmptyTableLimit = toMillis(r.Duration("bare_limit", -1, time.Millisecond, time.Hour))
 	f.EjectAfterFailures = r.Int("ejects_after", 0, 0, 1000)
 	f.DefaultRetries = r.Int("tries", 1, 0, 3)
 	f.TryTimeout = r.Number("try_wait", 1.2, 0.01, 100)
-	f.TableWait = millis(r.Duration("waits_for_table", 0, 0, time.Minute))
-	f.WriteLease = millis(r.Duration("write_lease", 0, 0, time.Hour))
-	f.WriteSettle = millis(r.Duration("write_settle", 0, 0, time.Hour))
+	f.TableWait = toMillis(r.Duration("waits_for_table", 0, 0, time.Minute))
+	f.WriteLease = toMillis(r.Duration("write_lease", 0, 0, time.Hour))
+	f.WriteSettle = toMillis(r.Duration("write_settle", 0, 0, time.Hour))
 	for i := range out.Service.Routes {
 		out.Service.Routes[i].Level = tables.Level{Level: 1, Tries: f.DefaultRetries}
 		if f.Levels == logic.LevelRate {
@@ -216,17 +216,17 @@
 	r.RejectUnknown()
 }
 
-func (out *Director) channel(r *Reader, f *logic.Config) {
+func (out *Director) readChannel(r *Reader, f *logic.Config) {
 	f.LinesPerSecond = r.Number("lines_per_second", math.NaN(), 1, 1e7)
 	f.QueueLimit = r.Number("queue_lines", math.NaN(), 1, 1e8)
 	f.MessageOverhead = r.Number("head_lines", 0, 0, 1e4)
-	f.Transit = millis(r.Duration("transit", 20*time.Millisecond, 0, time.Minute))
-	f.WorstTransit = millis(r.Duration("worst_transit", 250*time.Millisecond, 0, time.Minute))
+	f.Transit = toMillis(r.Duration("transit", 20*time.Millisecond, 0, time.Minute))
+	f.WorstTransit = toMillis(r.Duration("worst_transit", 250*time.Millisecond, 0, time.Minute))
 	if f.WorstTransit < f.Transit {
 		r.Fail("worst_transit", "is shorter than transit")
 	}
 	f.MessageLimit = r.Int("messages", 0, 0, 1e6)
-	f.MessageWindow = millis(r.Duration("message_span", 10*time.Second, 0, time.Hour))
+	f.MessageWindow = toMillis(r.Duration("message_span", 10*time.Second, 0, time.Hour))
 	// What can't be put off must fit: a message with one line for every proxy, twice.
 	if least := 2 * float64(f.Proxies) * (f.MessageOverhead + 2); f.QueueLimit < least {
 		r.Fail("queue_lines", "%v is under %v: two messages of one line for each of %d proxies", f.QueueLimit, least, f.Proxies)
@@ -234,11 +234,11 @@
 	r.RejectUnknown()
 }
 
-func (out *Director) rest(r *Reader) {
+func (out *Director) readOtherBlocks(r *Reader) {
 	f := &out.Service.Config
 	f.Directors = 1
 	in := r.Block("reports", false)
-	f.ReportInterval = millis(in.Duration("every", 500*time.Millisecond, 10*time.Millisecond, time.Minute))
+	f.ReportInterval = toMillis(in.Duration("every", 500*time.Millisecond, 10*time.Millisecond, time.Minute))
 	f.ReportLinesPerSecond = in.Number("lines_per_second", 1000, 1, 1e6)
 	in.RejectUnknown()
 
@@ -251,24 +251,24 @@
 	out.Discovery.QueryWait = in.Duration("wait", 30*time.Second, 100*time.Millisecond, 10*time.Minute)
 	in.RejectUnknown()
 
-	out.custody(r)
-	out.mqtt(r)
+	out.readSliceLease(r)
+	out.readMQTT(r)
 
 	in = r.Block("history", false)
 	out.History = store.Retention{Versions: in.Int("versions", 10000, 1, 1e7),
-		AgeMs: float64(millis(in.Duration("age", 24*time.Hour, time.Second, 10000*time.Hour)))}
+		AgeMs: float64(toMillis(in.Duration("age", 24*time.Hour, time.Second, 10000*time.Hour)))}
 	in.RejectUnknown()
 
 	in = r.Block("poll", false)
 	longest := in.Duration("longest_wait", 30*time.Second, time.Second, time.Hour)
-	out.Service.MaxWait = millis(longest)
+	out.Service.MaxWait = toMillis(longest)
 	idle := in.Duration("idle", 2*time.Minute, time.Second, time.Hour)
 	if idle < longest {
 		in.Fail("longest_wait", "%v is longer than a connection may be idle, %v", longest, idle)
 	}
 	if out.SliceLease != nil {
 		// A poll is sent anew often enough that what its answer says is covered by the lease.
-		out.Service.MaxWait = min(out.Service.MaxWait, millis(out.SliceLease.TTL/3))
+		out.Service.MaxWait = min(out.Service.MaxWait, toMillis(out.SliceLease.TTL/3))
 	}
 	out.Service.MaxBases = in.Int("kept_versions", 256, 1, 100000)
 	out.LongPoll = longpoll.Limits{MostHead: in.Size("most_head", 16<<10, 512, 1<<20),
@@ -283,7 +283,7 @@
 }
 
 // custody says by what leases slices are held, where there are several directors.
-func (out *Director) custody(r *Reader) {
+func (out *Director) readSliceLease(r *Reader) {
 	f := &out.Service.Config
 	all, _ := r.Blocks("custody", 0, 0, 1)
 	if len(all) == 0 {
@@ -311,13 +311,13 @@
 }
 
 // mqtt says how the second front listens, where there is one.
-func (out *Director) mqtt(r *Reader) {
+func (out *Director) readMQTT(r *Reader) {
 	all, _ := r.Blocks("mqtt", 0, 0, 1)
 	if len(all) == 0 {
 		return
 	}
 	in := all[0]
-	m := &MQTT{Listen: out.socket(in, "listen", Required)}
+	m := &MQTT{Listen: out.readSocket(in, "listen", Required)}
 	if m.Listen != "" && (m.Listen == out.Listen || m.Listen == out.Admin) {
 		in.Fail("listen", "is the same socket as another of the director's")
 	}
@@ -325,8 +325,8 @@
 		Connect:   in.Duration("connect", 10*time.Second, 100*time.Millisecond, time.Minute),
 		KeepAlive: in.Duration("keep_alive", time.Minute, time.Second, 10*time.Hour), Write: in.Duration("slow_packet", 10*time.Second, 100*time.Millisecond, 10*time.Minute)}
 	m.Limits.Sessions = in.Int("sessions", 2*out.Service.Config.Proxies+100, 1, 1e6)
-	m.Limits.Expiry = millis(in.Duration("session", 5*time.Minute, 0, 24*time.Hour))
-	m.Limits.Unanswered = millis(in.Duration("unanswered", 30*time.Second, time.Second, time.Hour))
+	m.Limits.Expiry = toMillis(in.Duration("session", 5*time.Minute, 0, 24*time.Hour))
+	m.Limits.Unanswered = toMillis(in.Duration("unanswered", 30*time.Second, time.Second, time.Hour))
 	m.Limits.Connects = in.Number("connects_per_second", 2000, 1, 1e6)
 	m.Limits.Watchers = in.Int("watchers", 50, 0, 200)
 	out.MQTT = m
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -21,15 +21,15 @@
 
 // Reader takes a block apart and gathers what is wrong.
 type Reader struct {
-	file  *file
-	Name  string // of the block: its type and labels
-	body  *hclsyntax.Body
-	at    hcl.Range
-	asked map[string]bool
-	known map[string]bool
+	diagnostics *diagnostics
+	Name        string // of the block: its type and labels
+	body        *hclsyntax.Body
+	defRange    hcl.Range
+	knownAttrs  map[string]bool
+	knownBlocks map[string]bool
 }
 
-type file struct{ wrong hcl.Diagnostics }
+type diagnostics struct{ list hcl.Diagnostics }
 
 // Open parses a file, or the text given for it.
 func Open(name string, text []byte) (*Reader, error) {
@@ -42,14 +42,14 @@
 		f, diags = p.ParseHCLFile(name)
 	}
 	if diags.HasErrors() {
-		return nil, describe(diags)
+		return nil, newInvalidError(diags)
 	}
 	body := f.Body.(*hclsyntax.Body)
-	return &Reader{file: &file{}, Name: name, body: body, at: body.MissingItemRange(), asked: map[string]bool{},
-		known: map[string]bool{}}, nil
+	return &Reader{diagnostics: &diagnostics{}, Name: name, body: body, defRange: body.MissingItemRange(), knownAttrs: map[string]bool{},
+		knownBlocks: map[string]bool{}}, nil
 }
 
-func describe(diags hcl.Diagnostics) error {
+func newInvalidError(diags hcl.Diagnostics) error {
 	var lines []string
 	for _, d := range diags {
 		at := ""
@@ -72,7 +72,7 @@
 
 // Fail notes something wrong with an attribute, or with the block where it is not there.
 func (r *Reader) Fail(attr, format string, args ...any) {
-	at := r.at
+	at := r.defRange
 	if a := r.body.Attributes[attr]; a != nil {
 		at = a.Expr.Range()
 	}
@@ -80,12 +80,12 @@
 	if attr != "" {
 		what = attr + ": " + what
 	}
-	r.file.wrong = append(r.file.wrong, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: what, Subject: &at})
+	r.diagnostics.list = append(r.diagnostics.list, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: what, Subject: &at})
 }
 
 // value reads an attribute as a type.
 func (r *Reader) value(attr string, need bool, want cty.Type) (cty.Value, bool) {
-	r.asked[attr] = true
+	r.knownAttrs[attr] = true
 	a := r.body.Attributes[attr]
 	if a == nil {
 		if need {
@@ -95,7 +95,7 @@
 	}
 	v, diags := a.Expr.Value(nil)
 	if diags.HasErrors() {
-		r.file.wrong = append(r.file.wrong, diags...)
+		r.diagnostics.list = append(r.diagnostics.list, diags...)
 		return cty.NilVal, false
 	}
 	v, err := convert.Convert(v, want)
@@ -180,7 +180,7 @@
 	return d
 }
 
-var sizes = regexp.MustCompile(`^([0-9]+)(B|KiB|MiB|GiB)$`)
+var sizePattern = regexp.MustCompile(`^([0-9]+)(B|KiB|MiB|GiB)$`)
 
 // Size reads a number of bytes with its unit.
 func (r *Reader) Size(attr string, otherwise, least, most int) int {
@@ -188,7 +188,7 @@
 	if !ok {
 		return otherwise
 	}
-	m := sizes.FindStringSubmatch(v.AsString())
+	m := sizePattern.FindStringSubmatch(v.AsString())
 	if m == nil {
 		r.Fail(attr, "%q is no size with a unit, such as \"16KiB\"", v.AsString())
 		return otherwise
@@ -234,13 +234,13 @@
 }
 
 func (r *Reader) blocks(kind string, labels int, least, most int, again bool) (out []*Reader, names []string) {
-	r.known[kind] = true
+	r.knownBlocks[kind] = true
 	for _, b := range r.body.Blocks {
 		if b.Type != kind {
 			continue
 		}
-		in := &Reader{file: r.file, Name: strings.TrimSpace(kind + " " + strings.Join(b.Labels, " ")), body: b.Body,
-			at: b.DefRange(), asked: map[string]bool{}, known: map[string]bool{}}
+		in := &Reader{diagnostics: r.diagnostics, Name: strings.TrimSpace(kind + " " + strings.Join(b.Labels, " ")), body: b.Body,
+			defRange: b.DefRange(), knownAttrs: map[string]bool{}, knownBlocks: map[string]bool{}}
 		name := strings.Join(b.Labels, " ")
 		if len(b.Labels) != labels {
 			in.Fail("", "%s takes %d labels, not %d", kind, labels, len(b.Labels))
@@ -269,42 +269,42 @@
 	if all, _ := r.Blocks(kind, 0, least, 1); len(all) > 0 {
 		return all[0]
 	}
-	return &Reader{file: &file{}, Name: kind, body: &hclsyntax.Body{}, at: r.at, asked: map[string]bool{},
-		known: map[string]bool{}}
+	return &Reader{diagnostics: &diagnostics{}, Name: kind, body: &hclsyntax.Body{}, defRange: r.defRange, knownAttrs: map[string]bool{},
+		knownBlocks: map[string]bool{}}
 }
 
 // Done notes what was given and not asked for. Each block's reader ends with it.
 func (r *Reader) RejectUnknown() {
 	for _, name := range slices.Sorted(maps.Keys(r.body.Attributes)) {
-		if !r.asked[name] {
+		if !r.knownAttrs[name] {
 			at := r.body.Attributes[name].NameRange
-			r.file.wrong = append(r.file.wrong, &hcl.Diagnostic{Severity: hcl.DiagError, Subject: &at,
+			r.diagnostics.list = append(r.diagnostics.list, &hcl.Diagnostic{Severity: hcl.DiagError, Subject: &at,
 				Summary: fmt.Sprintf("%s knows no %s; it takes %s", r.Name, name,
-					strings.Join(slices.Sorted(maps.Keys(r.asked)), ", "))})
+					strings.Join(slices.Sorted(maps.Keys(r.knownAttrs)), ", "))})
 		}
 	}
 	for _, b := range r.body.Blocks {
-		if !r.known[b.Type] {
+		if !r.knownBlocks[b.Type] {
 			at := b.TypeRange
-			r.file.wrong = append(r.file.wrong, &hcl.Diagnostic{Severity: hcl.DiagError, Subject: &at,
+			r.diagnostics.list = append(r.diagnostics.list, &hcl.Diagnostic{Severity: hcl.DiagError, Subject: &at,
 				Summary: fmt.Sprintf("%s knows no block %s; it takes %s", r.Name, b.Type,
-					strings.Join(slices.Sorted(maps.Keys(r.known)), ", "))})
+					strings.Join(slices.Sorted(maps.Keys(r.knownBlocks)), ", "))})
 		}
 	}
 }
 
 // Err is all that was wrong so far, by place.
 func (r *Reader) Err() error {
-	if !r.file.wrong.HasErrors() {
+	if !r.diagnostics.list.HasErrors() {
 		return nil
 	}
-	slices.SortStableFunc(r.file.wrong, func(a, b *hcl.Diagnostic) int {
+	slices.SortStableFunc(r.diagnostics.list, func(a, b *hcl.Diagnostic) int {
 		if a.Subject == nil || b.Subject == nil {
 			return 0
 		}
 		return a.Subject.Start.Byte - b.Subject.Start.Byte
 	})
-	return describe(r.file.wrong)
+	return newInvalidError(r.diagnostics.list)
 }
 
 // Has says whether there is a block of a type.
@@ -316,7 +316,7 @@
 func Flatten(text []byte, name string) (map[string]string, error) {
 	f, diags := hclparse.NewParser().ParseHCL(text, name)
 	if diags.HasErrors() {
-		return nil, describe(diags)
+		return nil, newInvalidError(diags)
 	}
 	out := map[string]string{}
 	var walk func(*hclsyntax.Body, string)
--- a/internal/settings/relay.go
+++ b/internal/settings/relay.go
@@ -57,8 +57,8 @@
 	if all, names := top.Blocks("relay", 1, 1, 1); len(all) > 0 {
 		r := all[0]
 		out.Name = names[0]
-		out.Listen = sockets.socket(r, "listen", Required)
-		if out.Admin = sockets.socket(r, "admin", ""); out.Admin != "" && out.Admin == out.Listen {
+		out.Listen = sockets.readSocket(r, "listen", Required)
+		if out.Admin = sockets.readSocket(r, "admin", ""); out.Admin != "" && out.Admin == out.Listen {
 			r.Fail("admin", "is the same socket as listen")
 		}
 		out.Zone, out.Limits.Zone = r.String("zone", ""), r.String("zone", "")
@@ -109,7 +109,7 @@
 	out.Limits.MaxInFlight = b.Int("in_hand", 1000, 1, 1e6)
 	out.Limits.MaxQueued = b.Int("queue", 200, 0, 1e5)
 	out.Limits.MaxPerHost = b.Int("per_host", 100, 1, 1e5)
-	out.Limits.TableWaitMs = float64(millis(b.Duration("waits_for_table", 500*time.Millisecond, 0, time.Minute)))
+	out.Limits.TableWaitMs = float64(toMillis(b.Duration("waits_for_table", 500*time.Millisecond, 0, time.Minute)))
 	out.Clients = ClientLimits{MaxHead: b.Size("most_head", 16<<10, 512, 1<<20), MaxBody: b.Size("most_body", 1<<20, 0, 1<<30),
 		RequestTimeout: b.Duration("slow_request", 10*time.Second, 10*time.Millisecond, time.Hour),
 		IdleTimeout:    b.Duration("client_idle", time.Minute, 100*time.Millisecond, 24*time.Hour)}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"vetchwood/logic"
 )
 
-func valid(t *testing.T) string {
+func validSettings(t *testing.T) string {
 	text, err := os.ReadFile("../rehearse/days/director.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -18,8 +18,8 @@
 		"{{.Roster}}", "http://127.0.0.1:8500", "{{.Name}}", "d1", "{{.Custody}}", "", "{{.MQTT}}", "").Replace(string(text))
 }
 
-func TestAValidFile(t *testing.T) {
-	s, err := ParseDirector("/etc/v/d.hcl", []byte(valid(t)))
+func TestValidFile(t *testing.T) {
+	s, err := ParseDirector("/etc/v/d.hcl", []byte(validSettings(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 }
 
 // Every mistake is told with its place, and all of them in one go.
-func TestMistakesAreTold(t *testing.T) {
+func TestInvalidFile(t *testing.T) {
 	for change, says := range map[string]string{
 		`admin  = "127.0.0.1:8481"|admin = "127.0.0.1:8480"`:             ":4:11: admin: is the same socket as listen",
 		`listen = "127.0.0.1:8480"|listen = "nowhere"`:                   `"nowhere" is no host:port`,
@@ -66,20 +66,20 @@
 		`reports {|poll {` + "\n most_head = \"16 pages\"\n}\nreports {": "no size with a unit",
 	} {
 		from, to, _ := strings.Cut(strings.ReplaceAll(change, "{r}", "http://127.0.0.1:8500"), "|")
-		_, err := ParseDirector("d.hcl", []byte(strings.Replace(valid(t), from, to, 1)))
+		_, err := ParseDirector("d.hcl", []byte(strings.Replace(validSettings(t), from, to, 1)))
 		if err == nil || !strings.Contains(err.Error(), says) || !strings.HasPrefix(err.Error(), "d.hcl:") {
 			t.Errorf("%s: %v, wanted one that says %s", change, err, says)
 		}
 	}
 	_, err := ParseDirector("d.hcl", []byte(strings.NewReplacer(`slices    = 64`, `slices = -1`, `most            = 24`, `most = 0`,
-		`"lottery"`, `"luck"`).Replace(valid(t))))
+		`"lottery"`, `"luck"`).Replace(validSettings(t))))
 	var all *InvalidError
 	if !errors.As(err, &all) || len(all.Problems) != 3 {
 		t.Fatalf("three mistakes are told as %v", err)
 	}
 }
 
-func TestNoFile(t *testing.T) {
+func TestMissingFile(t *testing.T) {
 	if _, err := LoadDirector("/nowhere/d.hcl"); err == nil {
 		t.Fatal("no error")
 	}
