--- a/internal/settings/director.go
+++ b/internal/settings/director.go
@@ -18,41 +18,42 @@
 	"vetchwood/logic"
 )
 
-// Running is what a director needs to run.
+// Director holds the settings of a director.
 type Director struct {
 	Name          string
 	Listen, Admin string
 	StorePath     string
-	Memory        int64             // that the process may use
-	Attributes    map[string]string // each attribute by its path, as it stands in the file
+	Memory        int64             // bytes that the process may use
+	Attributes    map[string]string // source text of each attribute by its path, see Flatten
 	Service       control.Service
 	LongPoll      longpoll.Limits
 	Discovery     Discovery
 	History       store.Retention
 	ProbePath     string
 	ProbeTimeout  time.Duration
-	SliceLease    *lease.Terms // nil: all slices are this director's
-	MQTT          *MQTT        // nil: the first front alone
+	SliceLease    *lease.Terms // nil: this director owns all slices
+	MQTT          *MQTT        // nil: long polling only
 }
 
-// MQTT is the second front's.
+// MQTT holds the settings of the MQTT front.
 type MQTT struct {
 	Listen string
 	Limits mqtt.Limits
 }
 
-// Roster says where the list of hosts comes from.
+// Discovery holds the settings of the source of the host list.
 type Discovery struct {
 	Consul, Service string
 	QueryWait       time.Duration
 }
 
+// toMillis converts a duration to milliseconds, with a resolution of 1 µs.
 func toMillis(d time.Duration) logic.Millis { return logic.Millis(float64(d.Microseconds()) / 1000) }
 
-// Load reads a director's file.
+// LoadDirector reads a director's settings file.
 func LoadDirector(path string) (*Director, error) { return loadDirector(path, nil) }
 
-// Parse reads a director's settings from text; name stands for the file in errors.
+// ParseDirector reads a director's settings from text. The name is that of the file in errors.
 func ParseDirector(name string, text []byte) (*Director, error) { return loadDirector(name, text) }
 
 func loadDirector(path string, text []byte) (_ *Director, err error) {
@@ -66,44 +67,45 @@
 		return nil, err
 	}
 	r.Name = "the file"
-	out := &Director{}
-	if out.Attributes, err = Flatten(text, path); err != nil {
+	d := &Director{}
+	if d.Attributes, err = Flatten(text, path); err != nil {
 		return nil, err
 	}
-	f := &out.Service.Config
+	config := &d.Service.Config
 	if all, names := r.Blocks("director", 1, 1, 1); len(all) > 0 {
-		out.readDirector(all[0], names[0], path)
-		out.Service.Name = names[0]
+		d.readDirector(all[0], names[0], path)
+		d.Service.Name = names[0]
 	}
-	out.readService(r.Block("service", true))
-	out.readHosts(r.Block("hosts", true), f)
-	out.readProxies(r.Block("proxies", true), f)
-	out.readChannel(r.Block("channel", true), f)
-	out.readOtherBlocks(r)
+	d.readService(r.Block("service", true))
+	d.readHosts(r.Block("hosts", true), config)
+	d.readProxies(r.Block("proxies", true), config)
+	d.readChannel(r.Block("channel", true), config)
+	d.readOtherBlocks(r)
 	r.RejectUnknown()
-	return out, r.Err()
+	return d, r.Err()
 }
 
-func (out *Director) readSocket(r *Reader, attr, otherwise string) string {
-	s := r.String(attr, otherwise)
+// readSocket reads a host:port address.
+func (d *Director) readSocket(r *Reader, attr, fallback string) string {
+	s := r.String(attr, fallback)
 	if _, _, err := net.SplitHostPort(s); err != nil && s != "" {
-		r.Fail(attr, "%q is no host:port", s)
+		r.Fail(attr, "%q is not a host:port address", s)
 	}
 	return s
 }
 
-func (out *Director) readDirector(r *Reader, name, path string) {
-	out.Name = name
-	out.Listen = out.readSocket(r, "listen", Required)
-	if out.Admin = out.readSocket(r, "admin", ""); out.Admin != "" && out.Admin == out.Listen {
+func (d *Director) readDirector(r *Reader, name, path string) {
+	d.Name = name
+	d.Listen = d.readSocket(r, "listen", Required)
+	if d.Admin = d.readSocket(r, "admin", ""); d.Admin != "" && d.Admin == d.Listen {
 		r.Fail("admin", "is the same socket as listen")
 	}
-	if out.StorePath = r.String("store", Required); !filepath.IsAbs(out.StorePath) {
-		out.StorePath = filepath.Join(filepath.Dir(path), out.StorePath)
+	if d.StorePath = r.String("store", Required); !filepath.IsAbs(d.StorePath) {
+		d.StorePath = filepath.Join(filepath.Dir(path), d.StorePath)
 	}
-	out.Memory = int64(r.Size("memory", 1<<30, 64<<20, 1<<40))
+	d.Memory = int64(r.Size("memory", 1<<30, 64<<20, 1<<40))
 	zone := r.String("zone", "")
-	out.Service.Zones = []string{zone} // its place is found once the service's zones are known
+	d.Service.Zones = []string{zone} // replaced by readService, which determines its index
 	r.RejectUnknown()
 }
 
@@ -111,45 +113,45 @@
 var dedupScopeByName = map[string]logic.DedupScope{"": logic.DedupNone, "all": logic.DedupAll, "zone": logic.DedupZone,
 	"cell": logic.DedupCell}
 
-func (out *Director) readService(r *Reader) {
-	f, own := &out.Service.Config, ""
-	if len(out.Service.Zones) > 0 {
-		own = out.Service.Zones[0]
+func (d *Director) readService(r *Reader) {
+	config, ownZone := &d.Service.Config, ""
+	if len(d.Service.Zones) > 0 {
+		ownZone = d.Service.Zones[0]
 	}
 	zones := r.Strings("zones", true)
-	out.Service.Zones = zones
-	found := own == ""
+	d.Service.Zones = zones
+	found := ownZone == ""
 	for i, z := range zones {
-		if z == own {
-			f.Zone, found = logic.ZoneID(i), true
+		if z == ownZone {
+			config.Zone, found = logic.ZoneID(i), true
 		}
 	}
 	if !found {
-		r.Fail("zones", "the director's zone %q is not among them", own)
+		r.Fail("zones", "the director's zone %q is not among them", ownZone)
 	}
-	out.Service.Pick = r.String("pick", "lottery", "lottery", "wheel", "pair")
-	f.Pick = map[string]logic.PickPolicy{"wheel": logic.PickRoundRobin, "pair": logic.PickTwoChoices}[out.Service.Pick]
-	f.Slices = r.Int("slices", 0, 0, 4096)
-	if f.SingleOwner = r.Bool("one_owner", false); f.SingleOwner && f.Slices == 0 {
-		r.Fail("one_owner", "takes slices")
+	d.Service.Pick = r.String("pick", "lottery", "lottery", "wheel", "pair")
+	config.Pick = map[string]logic.PickPolicy{"wheel": logic.PickRoundRobin, "pair": logic.PickTwoChoices}[d.Service.Pick]
+	config.Slices = r.Int("slices", 0, 0, 4096)
+	if config.SingleOwner = r.Bool("one_owner", false); config.SingleOwner && config.Slices == 0 {
+		r.Fail("one_owner", "requires slices")
 	}
-	f.WarmKeys = r.Bool("warm_keys", false)
-	f.Levels = map[string]logic.LevelUnit{"share": logic.LevelShare, "rate": logic.LevelRate}[r.String("levels", "share",
+	config.WarmKeys = r.Bool("warm_keys", false)
+	config.Levels = map[string]logic.LevelUnit{"share": logic.LevelShare, "rate": logic.LevelRate}[r.String("levels", "share",
 		"share", "rate", "none")]
 	routes, names := r.Blocks("route", 1, 1, 63)
-	for i, in := range routes {
-		out.readRoute(in, names[i])
+	for i, block := range routes {
+		d.readRoute(block, names[i])
 	}
 	r.RejectUnknown()
 }
 
-func (out *Director) readRoute(r *Reader, name string) {
-	f := &out.Service.Config
+func (d *Director) readRoute(r *Reader, name string) {
+	config := &d.Service.Config
 	repeat := r.String("repeat", Required, "repeatable", "keyed", "mutating")
 	reach := r.String("reach", "", "", "all", "zone", "cell")
 	span := r.Duration("span", 0, 0, time.Hour)
 	if keyed := repeat == "keyed"; keyed != (reach != "") || keyed != (span > 0) {
-		r.Fail("repeat", "reach and span belong to keyed routes, and those need both")
+		r.Fail("repeat", "reach and span are required on keyed routes and not permitted on others")
 	}
 	slo := r.Duration("slo", -1, time.Millisecond, time.Hour)
 	limit := r.Duration("time_limit", -1, time.Millisecond, time.Hour)
@@ -160,175 +162,178 @@
 		Importance: r.Number("importance", math.NaN(), 0, 1e6), LateShare: r.Number("late_share", 0, 0, 1),
 		Idempotency: idempotencyByName[repeat], DedupScope: dedupScopeByName[reach], OwnZone: r.Bool("own_zone", false),
 		IsWrite: r.Bool("writes", false)}
-	f.Routes = append(f.Routes, route)
-	out.Service.Routes = append(out.Service.Routes, control.RouteInfo{Name: name, Route: tables.Route{
+	config.Routes = append(config.Routes, route)
+	d.Service.Routes = append(d.Service.Routes, control.RouteInfo{Name: name, Route: tables.Route{
 		Repeat: repeat, Reach: reach, SpanMs: float64(route.DedupWindow), SLOMs: float64(route.SLO),
 		TimeLimitMs: float64(route.TimeLimit), Importance: route.Importance, Writes: route.IsWrite,
 		OwnZone: route.OwnZone}})
 	r.RejectUnknown()
 }
 
-func (out *Director) readHosts(r *Reader, f *logic.Config) {
-	f.ColdCapacity = r.Number("cold_from", 0.2, 0.01, 1)
-	f.WarmAfter = toMillis(r.Duration("warm_after", -1, 0, time.Hour))
-	f.ColdOverloadLimit = r.Number("tip_multiple", 3, 1, 1000)
-	f.ColdFailAfter = toMillis(r.Duration("fall_after", 2*time.Second, 0, time.Hour))
-	f.DrainGrace = toMillis(r.Duration("drain_grace", -1, 100*time.Millisecond, time.Hour))
-	f.Weighted = r.Bool("weighted", false)
-	f.RejectedMayHaveRun = r.Bool("full_may_have_run", true)
-	f.RemovalIsAdvisory = r.Bool("gone_is_advice", false)
+func (d *Director) readHosts(r *Reader, config *logic.Config) {
+	config.ColdCapacity = r.Number("cold_from", 0.2, 0.01, 1)
+	config.WarmAfter = toMillis(r.Duration("warm_after", -1, 0, time.Hour))
+	config.ColdOverloadLimit = r.Number("tip_multiple", 3, 1, 1000)
+	config.ColdFailAfter = toMillis(r.Duration("fall_after", 2*time.Second, 0, time.Hour))
+	config.DrainGrace = toMillis(r.Duration("drain_grace", -1, 100*time.Millisecond, time.Hour))
+	config.Weighted = r.Bool("weighted", false)
+	config.RejectedMayHaveRun = r.Bool("full_may_have_run", true)
+	config.RemovalIsAdvisory = r.Bool("gone_is_advice", false)
 	names := map[string]string{"busy": "utilization", "rate": "throughput", "queue": "backlog",
 		"in_hand": "outstanding", "recent": "recent_ms", "errors": "errors_per_s"}
 	for _, l := range r.Strings("load", false, "busy", "rate", "queue", "in_hand", "recent", "errors") {
-		f.LoadColumns = append(f.LoadColumns, names[l])
+		config.LoadColumns = append(config.LoadColumns, names[l])
 	}
 	p := r.Block("probe", false)
-	f.MayProbe = r.HasBlock("probe")
-	out.ProbePath = p.String("path", "/")
-	out.ProbeTimeout = p.Duration("timeout", 250*time.Millisecond, time.Millisecond, time.Minute)
+	config.MayProbe = r.HasBlock("probe")
+	d.ProbePath = p.String("path", "/")
+	d.ProbeTimeout = p.Duration("timeout", 250*time.Millisecond, time.Millisecond, time.Minute)
 	p.RejectUnknown()
 	r.RejectUnknown()
 }
 
-func (out *Director) readProxies(r *Reader, f *logic.Config) {
-	f.Proxies = r.Int("most", 0, 1, 65535)
+func (d *Director) readProxies(r *Reader, config *logic.Config) {
+	config.Proxies = r.Int("most", 0, 1, 65535)
 	names := r.String("names", ".+")
 	pattern, err := regexp.Compile(`\A(?:` + names + `)\z`)
 	if err != nil {
-		r.Fail("names", "no regular expression: %v", err)
+		r.Fail("names", "not a valid regular expression: %v", err)
 		pattern = regexp.MustCompile(".+")
 	}
-	out.Service.ProxyNames = pattern
-	out.Service.Lease = toMillis(r.Duration("lease", 3*time.Second, 200*time.Millisecond, time.Hour))
-	f.EmptyTableLimit = toMillis(r.Duration("bare_limit", -1, time.Millisecond, time.Hour))
-	f.EjectAfterFailures = r.Int("ejects_after", 0, 0, 1000)
-	f.DefaultRetries = r.Int("tries", 1, 0, 3)
-	f.TryTimeout = r.Number("try_wait", 1.2, 0.01, 100)
-	f.TableWait = toMillis(r.Duration("waits_for_table", 0, 0, time.Minute))
-	f.WriteLease = toMillis(r.Duration("write_lease", 0, 0, time.Hour))
-	f.WriteSettle = toMillis(r.Duration("write_settle", 0, 0, time.Hour))
-	for i := range out.Service.Routes {
-		out.Service.Routes[i].Level = tables.Level{Level: 1, Tries: f.DefaultRetries}
-		if f.Levels == logic.LevelRate {
-			out.Service.Routes[i].Level.Level = 1e6
+	d.Service.ProxyNames = pattern
+	d.Service.Lease = toMillis(r.Duration("lease", 3*time.Second, 200*time.Millisecond, time.Hour))
+	config.EmptyTableLimit = toMillis(r.Duration("bare_limit", -1, time.Millisecond, time.Hour))
+	config.EjectAfterFailures = r.Int("ejects_after", 0, 0, 1000)
+	config.DefaultRetries = r.Int("tries", 1, 0, 3)
+	config.TryTimeout = r.Number("try_wait", 1.2, 0.01, 100)
+	config.TableWait = toMillis(r.Duration("waits_for_table", 0, 0, time.Minute))
+	config.WriteLease = toMillis(r.Duration("write_lease", 0, 0, time.Hour))
+	config.WriteSettle = toMillis(r.Duration("write_settle", 0, 0, time.Hour))
+	for i := range d.Service.Routes {
+		d.Service.Routes[i].Level = tables.Level{Level: 1, Tries: config.DefaultRetries}
+		if config.Levels == logic.LevelRate {
+			d.Service.Routes[i].Level.Level = 1e6
 		}
 	}
 	r.RejectUnknown()
 }
 
-func (out *Director) readChannel(r *Reader, f *logic.Config) {
-	f.LinesPerSecond = r.Number("lines_per_second", math.NaN(), 1, 1e7)
-	f.QueueLimit = r.Number("queue_lines", math.NaN(), 1, 1e8)
-	f.MessageOverhead = r.Number("head_lines", 0, 0, 1e4)
-	f.Transit = toMillis(r.Duration("transit", 20*time.Millisecond, 0, time.Minute))
-	f.WorstTransit = toMillis(r.Duration("worst_transit", 250*time.Millisecond, 0, time.Minute))
-	if f.WorstTransit < f.Transit {
+func (d *Director) readChannel(r *Reader, config *logic.Config) {
+	config.LinesPerSecond = r.Number("lines_per_second", math.NaN(), 1, 1e7)
+	config.QueueLimit = r.Number("queue_lines", math.NaN(), 1, 1e8)
+	config.MessageOverhead = r.Number("head_lines", 0, 0, 1e4)
+	config.Transit = toMillis(r.Duration("transit", 20*time.Millisecond, 0, time.Minute))
+	config.WorstTransit = toMillis(r.Duration("worst_transit", 250*time.Millisecond, 0, time.Minute))
+	if config.WorstTransit < config.Transit {
 		r.Fail("worst_transit", "is shorter than transit")
 	}
-	f.MessageLimit = r.Int("messages", 0, 0, 1e6)
-	f.MessageWindow = toMillis(r.Duration("message_span", 10*time.Second, 0, time.Hour))
-	// What can't be put off must fit: a message with one line for every proxy, twice.
-	if least := 2 * float64(f.Proxies) * (f.MessageOverhead + 2); f.QueueLimit < least {
-		r.Fail("queue_lines", "%v is under %v: two messages of one line for each of %d proxies", f.QueueLimit, least, f.Proxies)
+	config.MessageLimit = r.Int("messages", 0, 0, 1e6)
+	config.MessageWindow = toMillis(r.Duration("message_span", 10*time.Second, 0, time.Hour))
+	// Orders that cannot be deferred must fit into the queue: two messages of one line and a stamp to
+	// every proxy.
+	if minimum := 2 * float64(config.Proxies) * (config.MessageOverhead + 2); config.QueueLimit < minimum {
+		r.Fail("queue_lines", "%v is less than %v, the size of two messages of one line to each of %d proxies", config.QueueLimit, minimum, config.Proxies)
 	}
 	r.RejectUnknown()
 }
 
-func (out *Director) readOtherBlocks(r *Reader) {
-	f := &out.Service.Config
-	f.Directors = 1
-	in := r.Block("reports", false)
-	f.ReportInterval = toMillis(in.Duration("every", 500*time.Millisecond, 10*time.Millisecond, time.Minute))
-	f.ReportLinesPerSecond = in.Number("lines_per_second", 1000, 1, 1e6)
-	in.RejectUnknown()
+// readOtherBlocks reads the blocks reports, roster, custody, mqtt, history and poll. The block poll comes last, as it
+// depends on whether slices are leased.
+func (d *Director) readOtherBlocks(r *Reader) {
+	config := &d.Service.Config
+	config.Directors = 1
+	block := r.Block("reports", false)
+	config.ReportInterval = toMillis(block.Duration("every", 500*time.Millisecond, 10*time.Millisecond, time.Minute))
+	config.ReportLinesPerSecond = block.Number("lines_per_second", 1000, 1, 1e6)
+	block.RejectUnknown()
 
-	in = r.Block("roster", true)
-	out.Discovery.Consul = in.String("consul", Required)
-	if u, err := url.Parse(out.Discovery.Consul); err != nil || out.Discovery.Consul != "" && (u.Host == "" || u.Scheme != "http") {
-		in.Fail("consul", "%q is no http URL", out.Discovery.Consul)
+	block = r.Block("roster", true)
+	d.Discovery.Consul = block.String("consul", Required)
+	if u, err := url.Parse(d.Discovery.Consul); err != nil || d.Discovery.Consul != "" && (u.Host == "" || u.Scheme != "http") {
+		block.Fail("consul", "%q is not an http URL", d.Discovery.Consul)
 	}
-	out.Discovery.Service = in.String("service", Required)
-	out.Discovery.QueryWait = in.Duration("wait", 30*time.Second, 100*time.Millisecond, 10*time.Minute)
-	in.RejectUnknown()
+	d.Discovery.Service = block.String("service", Required)
+	d.Discovery.QueryWait = block.Duration("wait", 30*time.Second, 100*time.Millisecond, 10*time.Minute)
+	block.RejectUnknown()
 
-	out.readSliceLease(r)
-	out.readMQTT(r)
+	d.readSliceLease(r)
+	d.readMQTT(r)
 
-	in = r.Block("history", false)
-	out.History = store.Retention{Versions: in.Int("versions", 10000, 1, 1e7),
-		AgeMs: float64(toMillis(in.Duration("age", 24*time.Hour, time.Second, 10000*time.Hour)))}
-	in.RejectUnknown()
+	block = r.Block("history", false)
+	d.History = store.Retention{Versions: block.Int("versions", 10000, 1, 1e7),
+		AgeMs: float64(toMillis(block.Duration("age", 24*time.Hour, time.Second, 10000*time.Hour)))}
+	block.RejectUnknown()
 
-	in = r.Block("poll", false)
-	longest := in.Duration("longest_wait", 30*time.Second, time.Second, time.Hour)
-	out.Service.MaxWait = toMillis(longest)
-	idle := in.Duration("idle", 2*time.Minute, time.Second, time.Hour)
+	block = r.Block("poll", false)
+	longest := block.Duration("longest_wait", 30*time.Second, time.Second, time.Hour)
+	d.Service.MaxWait = toMillis(longest)
+	idle := block.Duration("idle", 2*time.Minute, time.Second, time.Hour)
 	if idle < longest {
-		in.Fail("longest_wait", "%v is longer than a connection may be idle, %v", longest, idle)
+		block.Fail("longest_wait", "%v is longer than the idle timeout of a connection, %v", longest, idle)
 	}
-	if out.SliceLease != nil {
-		// A poll is sent anew often enough that what its answer says is covered by the lease.
-		out.Service.MaxWait = min(out.Service.MaxWait, toMillis(out.SliceLease.TTL/3))
+	if d.SliceLease != nil {
+		// A proxy polls again within a third of the time to live, so that its tables stay covered by the slice lease.
+		d.Service.MaxWait = min(d.Service.MaxWait, toMillis(d.SliceLease.TTL/3))
 	}
-	out.Service.MaxBases = in.Int("kept_versions", 256, 1, 100000)
-	out.LongPoll = longpoll.Limits{MostHead: in.Size("most_head", 16<<10, 512, 1<<20),
-		MostBody:    in.Size("most_body", 4<<20, 512, 64<<20),
-		SlowRequest: in.Duration("slow_request", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
-		Idle:        idle, Write: in.Duration("slow_answer", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
-		LongestWait: out.Service.MaxWait}
-	if out.MQTT != nil {
-		out.MQTT.Limits.LongestWait = out.Service.MaxWait
+	d.Service.MaxBases = block.Int("kept_versions", 256, 1, 100000)
+	d.LongPoll = longpoll.Limits{MostHead: block.Size("most_head", 16<<10, 512, 1<<20),
+		MostBody:    block.Size("most_body", 4<<20, 512, 64<<20),
+		SlowRequest: block.Duration("slow_request", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
+		Idle:        idle, Write: block.Duration("slow_answer", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
+		LongestWait: d.Service.MaxWait}
+	if d.MQTT != nil {
+		d.MQTT.Limits.LongestWait = d.Service.MaxWait
 	}
-	in.RejectUnknown()
+	block.RejectUnknown()
 }
 
-// custody says by what leases slices are held, where there are several directors.
-func (out *Director) readSliceLease(r *Reader) {
-	f := &out.Service.Config
+// readSliceLease reads the block custody, which is present if several directors hold the slices under leases.
+func (d *Director) readSliceLease(r *Reader) {
+	config := &d.Service.Config
 	all, _ := r.Blocks("custody", 0, 0, 1)
 	if len(all) == 0 {
 		return
 	}
-	in := all[0]
-	t := &lease.Terms{Consul: in.String("consul", out.Discovery.Consul), Prefix: in.String("prefix", "vetchwood"),
-		TTL: in.Duration("ttl", 10*time.Second, 200*time.Millisecond, time.Hour), LockDelay: in.Duration("lock_delay", 0, 0, time.Minute),
-		URL: in.String("advertise", "http://"+out.Listen), Slices: f.Slices}
+	block := all[0]
+	t := &lease.Terms{Consul: block.String("consul", d.Discovery.Consul), Prefix: block.String("prefix", "vetchwood"),
+		TTL: block.Duration("ttl", 10*time.Second, 200*time.Millisecond, time.Hour), LockDelay: block.Duration("lock_delay", 0, 0, time.Minute),
+		URL: block.String("advertise", "http://"+d.Listen), Slices: config.Slices}
 	if u, err := url.Parse(t.Consul); err != nil || t.Consul != "" && (u.Host == "" || u.Scheme != "http") {
-		in.Fail("consul", "%q is no http URL", t.Consul)
+		block.Fail("consul", "%q is not an http URL", t.Consul)
 	}
 	if u, err := url.Parse(t.URL); err != nil || u.Host == "" || u.Scheme != "http" {
-		in.Fail("advertise", "%q is no http URL", t.URL)
+		block.Fail("advertise", "%q is not an http URL", t.URL)
 	}
-	if f.Slices == 0 {
-		in.Fail("", "custody takes slices: without them each director has tables of its own for the proxies that poll it")
+	if config.Slices == 0 {
+		block.Fail("", "custody requires slices: without them, each director has separate tables for the proxies that poll it")
 	}
-	if f.SingleOwner {
-		in.Fail("", "custody is not yet to be had where slices have single owners")
+	if config.SingleOwner {
+		block.Fail("", "custody is not supported with one_owner")
 	}
-	out.Service.QueriesPeers = in.Bool("learn", true)
-	out.SliceLease, out.Service.SlicesLeased = t, true
-	in.RejectUnknown()
+	d.Service.QueriesPeers = block.Bool("learn", true)
+	d.SliceLease, d.Service.SlicesLeased = t, true
+	block.RejectUnknown()
 }
 
-// mqtt says how the second front listens, where there is one.
-func (out *Director) readMQTT(r *Reader) {
+// readMQTT reads the block mqtt, which is present if the director also listens for MQTT.
+func (d *Director) readMQTT(r *Reader) {
 	all, _ := r.Blocks("mqtt", 0, 0, 1)
 	if len(all) == 0 {
 		return
 	}
-	in := all[0]
-	m := &MQTT{Listen: out.readSocket(in, "listen", Required)}
-	if m.Listen != "" && (m.Listen == out.Listen || m.Listen == out.Admin) {
-		in.Fail("listen", "is the same socket as another of the director's")
+	block := all[0]
+	m := &MQTT{Listen: d.readSocket(block, "listen", Required)}
+	if m.Listen != "" && (m.Listen == d.Listen || m.Listen == d.Admin) {
+		block.Fail("listen", "is the same socket as listen or admin of the director")
 	}
-	m.Limits = mqtt.Limits{MostPacket: in.Size("most_packet", 4<<20, 512, 64<<20),
-		Connect:   in.Duration("connect", 10*time.Second, 100*time.Millisecond, time.Minute),
-		KeepAlive: in.Duration("keep_alive", time.Minute, time.Second, 10*time.Hour), Write: in.Duration("slow_packet", 10*time.Second, 100*time.Millisecond, 10*time.Minute)}
-	m.Limits.Sessions = in.Int("sessions", 2*out.Service.Config.Proxies+100, 1, 1e6)
-	m.Limits.Expiry = toMillis(in.Duration("session", 5*time.Minute, 0, 24*time.Hour))
-	m.Limits.Unanswered = toMillis(in.Duration("unanswered", 30*time.Second, time.Second, time.Hour))
-	m.Limits.Connects = in.Number("connects_per_second", 2000, 1, 1e6)
-	m.Limits.Watchers = in.Int("watchers", 50, 0, 200)
-	out.MQTT = m
-	in.RejectUnknown()
+	m.Limits = mqtt.Limits{MostPacket: block.Size("most_packet", 4<<20, 512, 64<<20),
+		Connect:   block.Duration("connect", 10*time.Second, 100*time.Millisecond, time.Minute),
+		KeepAlive: block.Duration("keep_alive", time.Minute, time.Second, 10*time.Hour), Write: block.Duration("slow_packet", 10*time.Second, 100*time.Millisecond, 10*time.Minute)}
+	m.Limits.Sessions = block.Int("sessions", 2*d.Service.Config.Proxies+100, 1, 1e6)
+	m.Limits.Expiry = toMillis(block.Duration("session", 5*time.Minute, 0, 24*time.Hour))
+	m.Limits.Unanswered = toMillis(block.Duration("unanswered", 30*time.Second, time.Second, time.Hour))
+	m.Limits.Connects = block.Number("connects_per_second", 2000, 1, 1e6)
+	m.Limits.Watchers = block.Int("watchers", 50, 0, 200)
+	d.MQTT = m
+	block.RejectUnknown()
 }
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -1,5 +1,5 @@
-// Package settings reads the HCL files. All that is wrong with a file is reported in one go, each with file,
-// line and column. What comes out are derived figures; the raw ones are not kept.
+// Package settings reads the settings files of directors and proxies, which are written in HCL. All errors in a file are
+// reported together, each with file, line and column. The results are values in the units that the program uses.
 package settings
 
 import (
@@ -19,19 +19,21 @@
 	"github.com/zclconf/go-cty/cty/convert"
 )
 
-// Reader takes a block apart and gathers what is wrong.
+// Reader reads the attributes and nested blocks of one block and collects the errors found in the file.
 type Reader struct {
 	diagnostics *diagnostics
-	Name        string // of the block: its type and labels
+	Name        string // type and labels of the block, or "the file" at the top level
 	body        *hclsyntax.Body
 	defRange    hcl.Range
-	knownAttrs  map[string]bool
-	knownBlocks map[string]bool
+	knownAttrs  map[string]bool // attributes read so far
+	knownBlocks map[string]bool // types of blocks read so far
 }
 
+// diagnostics collects the errors of a file. All readers of the file share it.
 type diagnostics struct{ list hcl.Diagnostics }
 
-// Open parses a file, or the text given for it.
+// Open parses text as the contents of the named file, or reads the file if text is nil. It returns the reader of the
+// top level.
 func Open(name string, text []byte) (*Reader, error) {
 	p := hclparse.NewParser()
 	var f *hcl.File
@@ -49,8 +51,9 @@
 		knownBlocks: map[string]bool{}}, nil
 }
 
+// newInvalidError converts diagnostics to an InvalidError whose texts start with the position.
 func newInvalidError(diags hcl.Diagnostics) error {
-	var lines []string
+	var problems []string
 	for _, d := range diags {
 		at := ""
 		if d.Subject != nil {
@@ -60,17 +63,17 @@
 		if d.Detail != "" {
 			text += ": " + d.Detail
 		}
-		lines = append(lines, at+text)
+		problems = append(problems, at+text)
 	}
-	return &InvalidError{lines}
+	return &InvalidError{problems}
 }
 
-// Invalid is all that is wrong with a file, a line each.
+// InvalidError holds all errors found in a file, one text each.
 type InvalidError struct{ Problems []string }
 
 func (e *InvalidError) Error() string { return strings.Join(e.Problems, "\n") }
 
-// Fail notes something wrong with an attribute, or with the block where it is not there.
+// Fail records an error at an attribute, or at the block if the block has no such attribute.
 func (r *Reader) Fail(attr, format string, args ...any) {
 	at := r.defRange
 	if a := r.body.Attributes[attr]; a != nil {
@@ -83,12 +86,13 @@
 	r.diagnostics.list = append(r.diagnostics.list, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: what, Subject: &at})
 }
 
-// value reads an attribute as a type.
-func (r *Reader) value(attr string, need bool, want cty.Type) (cty.Value, bool) {
+// value reads an attribute and converts it to a type. It returns false if the attribute is missing or invalid, and
+// records an error unless the attribute is missing and not required.
+func (r *Reader) value(attr string, required bool, want cty.Type) (cty.Value, bool) {
 	r.knownAttrs[attr] = true
 	a := r.body.Attributes[attr]
 	if a == nil {
-		if need {
+		if required {
 			r.Fail("", "%s needs %s", r.Name, attr)
 		}
 		return cty.NilVal, false
@@ -106,174 +110,178 @@
 	return v, true
 }
 
-// Text reads a string, one of a few where they are given.
-func (r *Reader) String(attr, otherwise string, among ...string) string {
-	v, ok := r.value(attr, otherwise == Required, cty.String)
+// String reads a string. If allowed values are given, the string must be one of them.
+func (r *Reader) String(attr, fallback string, allowed ...string) string {
+	v, ok := r.value(attr, fallback == Required, cty.String)
 	if !ok {
-		if otherwise == Required {
+		if fallback == Required {
 			return ""
 		}
-		return otherwise
+		return fallback
 	}
 	s := v.AsString()
-	if len(among) > 0 && !slices.Contains(among, s) {
-		r.Fail(attr, "%q is none of %s", s, strings.Join(among, ", "))
+	if len(allowed) > 0 && !slices.Contains(allowed, s) {
+		r.Fail(attr, "%q is not one of %s", s, strings.Join(allowed, ", "))
 	}
 	return s
 }
 
-// Needed stands for no default.
+// Required, given as the fallback of a string, makes the attribute mandatory.
 const Required = "\x00"
 
-// Number reads a number between two bounds. NaN as the default means that it is needed.
-func (r *Reader) Number(attr string, otherwise, least, most float64) float64 {
-	v, ok := r.value(attr, math.IsNaN(otherwise), cty.Number)
+// Number reads a number between two bounds. A fallback of NaN makes the attribute mandatory.
+func (r *Reader) Number(attr string, fallback, minimum, maximum float64) float64 {
+	v, ok := r.value(attr, math.IsNaN(fallback), cty.Number)
 	if !ok {
-		if math.IsNaN(otherwise) {
-			return least
+		if math.IsNaN(fallback) {
+			return minimum
 		}
-		return otherwise
+		return fallback
 	}
 	f, _ := v.AsBigFloat().Float64()
-	if f < least || f > most {
-		r.Fail(attr, "%v is not between %v and %v", f, least, most)
-		return max(least, min(most, f))
+	if f < minimum || f > maximum {
+		r.Fail(attr, "%v is not between %v and %v", f, minimum, maximum)
+		return max(minimum, min(maximum, f))
 	}
 	return f
 }
 
-// Whole reads a whole number. A default under the least means that it is needed.
-func (r *Reader) Int(attr string, otherwise, least, most int) int {
-	need := float64(otherwise)
-	if otherwise < least {
-		need = math.NaN()
+// Int reads a whole number between two bounds. A fallback below the minimum makes the attribute mandatory.
+func (r *Reader) Int(attr string, fallback, minimum, maximum int) int {
+	numberFallback := float64(fallback)
+	if fallback < minimum {
+		numberFallback = math.NaN()
 	}
-	f := r.Number(attr, need, float64(least), float64(most))
+	f := r.Number(attr, numberFallback, float64(minimum), float64(maximum))
 	if f != math.Trunc(f) {
 		r.Fail(attr, "%v is not a whole number", f)
 	}
 	return int(f)
 }
 
-// Truth reads true or false.
-func (r *Reader) Bool(attr string, otherwise bool) bool {
+// Bool reads a Boolean.
+func (r *Reader) Bool(attr string, fallback bool) bool {
 	if v, ok := r.value(attr, false, cty.Bool); ok {
 		return v.True()
 	}
-	return otherwise
+	return fallback
 }
 
-// Span reads a duration with its unit, between two bounds. A negative default means that it is needed.
-func (r *Reader) Duration(attr string, otherwise, least, most time.Duration) time.Duration {
-	v, ok := r.value(attr, otherwise < 0, cty.String)
+// Duration reads a duration with its unit, between two bounds. A negative fallback makes the attribute mandatory.
+func (r *Reader) Duration(attr string, fallback, minimum, maximum time.Duration) time.Duration {
+	v, ok := r.value(attr, fallback < 0, cty.String)
 	if !ok {
-		return max(least, otherwise)
+		return max(minimum, fallback)
 	}
 	d, err := time.ParseDuration(v.AsString())
 	if err != nil {
-		r.Fail(attr, "%q is no duration with a unit, such as \"1.5s\" or \"250ms\"", v.AsString())
-		return max(least, otherwise)
+		r.Fail(attr, "%q is not a duration with a unit, such as \"1.5s\" or \"250ms\"", v.AsString())
+		return max(minimum, fallback)
 	}
-	if d < least || d > most {
-		r.Fail(attr, "%v is not between %v and %v", d, least, most)
+	if d < minimum || d > maximum {
+		r.Fail(attr, "%v is not between %v and %v", d, minimum, maximum)
 	}
 	return d
 }
 
 var sizePattern = regexp.MustCompile(`^([0-9]+)(B|KiB|MiB|GiB)$`)
 
-// Size reads a number of bytes with its unit.
-func (r *Reader) Size(attr string, otherwise, least, most int) int {
+// Size reads a number of bytes with its unit, between two bounds.
+func (r *Reader) Size(attr string, fallback, minimum, maximum int) int {
 	v, ok := r.value(attr, false, cty.String)
 	if !ok {
-		return otherwise
+		return fallback
 	}
 	m := sizePattern.FindStringSubmatch(v.AsString())
 	if m == nil {
-		r.Fail(attr, "%q is no size with a unit, such as \"16KiB\"", v.AsString())
-		return otherwise
+		r.Fail(attr, "%q is not a size with a unit, such as \"16KiB\"", v.AsString())
+		return fallback
 	}
 	n, err := strconv.Atoi(m[1])
 	n <<= map[string]uint{"B": 0, "KiB": 10, "MiB": 20, "GiB": 30}[m[2]]
-	if err != nil || n < least || n > most {
-		r.Fail(attr, "%s is not between %d and %d bytes", v.AsString(), least, most)
+	if err != nil || n < minimum || n > maximum {
+		r.Fail(attr, "%s is not between %d and %d bytes", v.AsString(), minimum, maximum)
 	}
 	return n
 }
 
-// Texts reads a list of strings without repeats.
-func (r *Reader) Strings(attr string, need bool, among ...string) (out []string) {
-	v, ok := r.value(attr, need, cty.List(cty.String))
+// Strings reads a list of distinct strings. If allowed values are given, each string must be one of them. A required
+// list must not be empty.
+func (r *Reader) Strings(attr string, required bool, allowed ...string) (out []string) {
+	v, ok := r.value(attr, required, cty.List(cty.String))
 	if !ok {
 		return nil
 	}
 	for _, e := range v.AsValueSlice() {
 		s := e.AsString()
 		if slices.Contains(out, s) {
-			r.Fail(attr, "%q is named twice", s)
+			r.Fail(attr, "%q is listed twice", s)
 		}
-		if len(among) > 0 && !slices.Contains(among, s) {
-			r.Fail(attr, "%q is none of %s", s, strings.Join(among, ", "))
+		if len(allowed) > 0 && !slices.Contains(allowed, s) {
+			r.Fail(attr, "%q is not one of %s", s, strings.Join(allowed, ", "))
 		}
 		out = append(out, s)
 	}
-	if need && len(out) == 0 {
+	if required && len(out) == 0 {
 		r.Fail(attr, "is empty")
 	}
 	return out
 }
 
-// Blocks gives the blocks of a type, in order; each must have so many labels.
-func (r *Reader) Blocks(kind string, labels int, least, most int) (out []*Reader, names []string) {
-	return r.blocks(kind, labels, least, most, false)
+// Blocks returns the readers and names of the blocks of a type, in the order of the file. Each block must have the
+// given number of labels. Its name consists of its labels and must be unique.
+func (r *Reader) Blocks(kind string, labels int, minimum, maximum int) (out []*Reader, names []string) {
+	return r.blocks(kind, labels, minimum, maximum, false)
 }
 
-// Repeated gives blocks whose label may come again.
+// RepeatableBlocks returns the blocks of a type with one label each. Several blocks may have the same label.
 func (r *Reader) RepeatableBlocks(kind string) (out []*Reader, names []string) {
 	return r.blocks(kind, 1, 0, math.MaxInt, true)
 }
 
-func (r *Reader) blocks(kind string, labels int, least, most int, again bool) (out []*Reader, names []string) {
+func (r *Reader) blocks(kind string, labels int, minimum, maximum int, repeatable bool) (out []*Reader, names []string) {
 	r.knownBlocks[kind] = true
 	for _, b := range r.body.Blocks {
 		if b.Type != kind {
 			continue
 		}
-		in := &Reader{diagnostics: r.diagnostics, Name: strings.TrimSpace(kind + " " + strings.Join(b.Labels, " ")), body: b.Body,
+		block := &Reader{diagnostics: r.diagnostics, Name: strings.TrimSpace(kind + " " + strings.Join(b.Labels, " ")), body: b.Body,
 			defRange: b.DefRange(), knownAttrs: map[string]bool{}, knownBlocks: map[string]bool{}}
 		name := strings.Join(b.Labels, " ")
 		if len(b.Labels) != labels {
-			in.Fail("", "%s takes %d labels, not %d", kind, labels, len(b.Labels))
+			block.Fail("", "%s takes %d labels, not %d", kind, labels, len(b.Labels))
 		} else if labels > 0 && name == "" {
-			in.Fail("", "%s has an empty label", kind)
-		} else if !again && labels > 0 && slices.Contains(names, name) {
-			in.Fail("", "%s %q is there twice", kind, name)
+			block.Fail("", "%s has an empty label", kind)
+		} else if !repeatable && labels > 0 && slices.Contains(names, name) {
+			block.Fail("", "%s %q is declared twice", kind, name)
 		}
-		out, names = append(out, in), append(names, name)
+		out, names = append(out, block), append(names, name)
 	}
-	if len(out) < least {
+	if len(out) < minimum {
 		r.Fail("", "%s needs a block %s", r.Name, kind)
 	}
-	if len(out) > most {
-		out[most].Fail("", "%s is there %d times, of %d at most", kind, len(out), most)
+	if len(out) > maximum {
+		out[maximum].Fail("", "%s is declared %d times, but at most %d are permitted", kind, len(out), maximum)
 	}
 	return out, names
 }
 
-// One gives the one block of a type; an empty one where there is none and it may be left out.
-func (r *Reader) Block(kind string, need bool) *Reader {
-	least := 0
-	if need {
-		least = 1
-	}
-	if all, _ := r.Blocks(kind, 0, least, 1); len(all) > 0 {
+// Block returns the reader of the only block of a type. If there is none, the reader is empty: it returns fallbacks,
+// and its errors are discarded.
+func (r *Reader) Block(kind string, required bool) *Reader {
+	minimum := 0
+	if required {
+		minimum = 1
+	}
+	if all, _ := r.Blocks(kind, 0, minimum, 1); len(all) > 0 {
 		return all[0]
 	}
 	return &Reader{diagnostics: &diagnostics{}, Name: kind, body: &hclsyntax.Body{}, defRange: r.defRange, knownAttrs: map[string]bool{},
 		knownBlocks: map[string]bool{}}
 }
 
-// Done notes what was given and not asked for. Each block's reader ends with it.
+// RejectUnknown records an error for each attribute and nested block that has not been read. It must be called after
+// everything known in the block has been read.
 func (r *Reader) RejectUnknown() {
 	for _, name := range slices.Sorted(maps.Keys(r.body.Attributes)) {
 		if !r.knownAttrs[name] {
@@ -293,7 +301,7 @@
 	}
 }
 
-// Err is all that was wrong so far, by place.
+// Err returns all errors recorded in the file so far, ordered by position, or nil if there are none.
 func (r *Reader) Err() error {
 	if !r.diagnostics.list.HasErrors() {
 		return nil
@@ -307,12 +315,13 @@
 	return newInvalidError(r.diagnostics.list)
 }
 
-// Has says whether there is a block of a type.
+// HasBlock reports whether there is a block of a type.
 func (r *Reader) HasBlock(kind string) bool {
 	return slices.ContainsFunc(r.body.Blocks, func(b *hclsyntax.Block) bool { return b.Type == kind })
 }
 
-// Flat gives each attribute of the file by its path, such as `service.route[read].slo`, as it is written.
+// Flatten returns the source text of each attribute by its path, such as `service.route[read].slo`. Blocks have entries
+// with a fixed text, so that a comparison of two files shows added and removed blocks.
 func Flatten(text []byte, name string) (map[string]string, error) {
 	f, diags := hclparse.NewParser().ParseHCL(text, name)
 	if diags.HasErrors() {
--- a/internal/settings/relay.go
+++ b/internal/settings/relay.go
@@ -10,41 +10,41 @@
 	"vetchwood/internal/choose"
 )
 
-// Relaying is what a proxy needs to run.
+// Relay holds the settings of a proxy.
 type Relay struct {
 	Name           string
 	Listen, Admin  string
 	Zone           string
-	Directors      []string // base URLs, the first preferred at the start
-	FollowAll      bool     // each of them, for the slices that it holds; else one, and the next when it fails
-	SnapshotPath   string   // file of the last document; empty: none
-	ExpectedRate   float64  // calls a second that it ordinarily gets, roughly
+	Directors      []string // base URLs; the first is used at the start
+	FollowAll      bool     // follows each director for the slices it owns; otherwise one, and the next if it fails
+	SnapshotPath   string   // file in which the last document is kept; empty: none
+	ExpectedRate   float64  // approximate number of calls per second in ordinary operation
 	PollWait       time.Duration
 	ReportInterval time.Duration
 	Routes         []choose.Match
 	Limits         carry.Limits
 	Clients        ClientLimits
 	HostConns      HostConns
-	TraceOneIn     int // calls; 0: none
+	TraceOneIn     int // one call in this many is traced; 0: none
 	DrainTimeout   time.Duration
 }
 
-// RelayFront guards the proxy against its clients.
+// ClientLimits bound what clients may take up of the proxy.
 type ClientLimits struct {
 	MaxHead, MaxBody            int
 	RequestTimeout, IdleTimeout time.Duration
 }
 
-// RelayHosts is how it meets hosts.
+// HostConns holds the settings of the connections to hosts.
 type HostConns struct {
 	ConnectTimeout, IdleTimeout time.Duration
-	MaxBuffered                 int // bytes of an answer that are held until it is whole
+	MaxBuffered                 int // bytes of a response that are held back until it is complete
 }
 
-// LoadRelay reads a proxy's file.
+// LoadRelay reads a proxy's settings file.
 func LoadRelay(path string) (*Relay, error) { return loadRelay(path, nil) }
 
-// ParseRelay reads a proxy's settings from text.
+// ParseRelay reads a proxy's settings from text. The name is that of the file in errors.
 func ParseRelay(name string, text []byte) (*Relay, error) { return loadRelay(name, text) }
 
 func loadRelay(path string, text []byte) (*Relay, error) {
@@ -53,34 +53,34 @@
 		return nil, err
 	}
 	top.Name = "the file"
-	out, sockets := &Relay{}, &Director{}
+	relay, sockets := &Relay{}, &Director{}
 	if all, names := top.Blocks("relay", 1, 1, 1); len(all) > 0 {
 		r := all[0]
-		out.Name = names[0]
-		out.Listen = sockets.readSocket(r, "listen", Required)
-		if out.Admin = sockets.readSocket(r, "admin", ""); out.Admin != "" && out.Admin == out.Listen {
+		relay.Name = names[0]
+		relay.Listen = sockets.readSocket(r, "listen", Required)
+		if relay.Admin = sockets.readSocket(r, "admin", ""); relay.Admin != "" && relay.Admin == relay.Listen {
 			r.Fail("admin", "is the same socket as listen")
 		}
-		out.Zone, out.Limits.Zone = r.String("zone", ""), r.String("zone", "")
-		if out.SnapshotPath = r.String("kept", ""); out.SnapshotPath != "" && !filepath.IsAbs(out.SnapshotPath) {
-			out.SnapshotPath = filepath.Join(filepath.Dir(path), out.SnapshotPath)
+		relay.Zone, relay.Limits.Zone = r.String("zone", ""), r.String("zone", "")
+		if relay.SnapshotPath = r.String("kept", ""); relay.SnapshotPath != "" && !filepath.IsAbs(relay.SnapshotPath) {
+			relay.SnapshotPath = filepath.Join(filepath.Dir(path), relay.SnapshotPath)
 		}
 		scheme := map[string]string{"mqtt": "mqtt"}[r.String("front", "poll", "poll", "mqtt")]
 		if scheme == "" {
 			scheme = "http"
 		}
-		out.Directors = r.Strings("directors", true)
-		for _, d := range out.Directors {
+		relay.Directors = r.Strings("directors", true)
+		for _, d := range relay.Directors {
 			if u, err := url.Parse(d); err != nil || u.Scheme != scheme || u.Host == "" {
-				r.Fail("directors", "%q is no %s URL, as front asks for", d, scheme)
+				r.Fail("directors", "%q is not a %s URL, as the setting front requires", d, scheme)
 			}
 		}
-		out.FollowAll = r.String("follow", "one", "one", "all") == "all"
-		out.ExpectedRate = r.Number("rate", 0, 0, 1e6)
-		out.PollWait = r.Duration("wait", 20*time.Second, time.Second, time.Hour)
-		out.ReportInterval = r.Duration("report_every", 500*time.Millisecond, 10*time.Millisecond, time.Minute)
-		out.TraceOneIn = r.Int("trace_one_in", 0, 0, 1e9)
-		out.DrainTimeout = r.Duration("drain", 5*time.Second, 0, time.Hour)
+		relay.FollowAll = r.String("follow", "one", "one", "all") == "all"
+		relay.ExpectedRate = r.Number("rate", 0, 0, 1e6)
+		relay.PollWait = r.Duration("wait", 20*time.Second, time.Second, time.Hour)
+		relay.ReportInterval = r.Duration("report_every", 500*time.Millisecond, 10*time.Millisecond, time.Minute)
+		relay.TraceOneIn = r.Int("trace_one_in", 0, 0, 1e9)
+		relay.DrainTimeout = r.Duration("drain", 5*time.Second, 0, time.Hour)
 		r.RejectUnknown()
 	}
 	routes, names := top.Blocks("route", 1, 1, 1000)
@@ -99,24 +99,24 @@
 				m.KeyName = name
 			}
 		default:
-			r.Fail("key", "%q is none of path, header:NAME, query:NAME", key)
+			r.Fail("key", "%q is not one of path, header:NAME, query:NAME", key)
 		}
 		m.IdempotencyHeader = strings.ToLower(r.String("mark", "idempotency-key"))
-		out.Routes = append(out.Routes, m)
+		relay.Routes = append(relay.Routes, m)
 		r.RejectUnknown()
 	}
-	b := top.Block("bounds", false)
-	out.Limits.MaxInFlight = b.Int("in_hand", 1000, 1, 1e6)
-	out.Limits.MaxQueued = b.Int("queue", 200, 0, 1e5)
-	out.Limits.MaxPerHost = b.Int("per_host", 100, 1, 1e5)
-	out.Limits.TableWaitMs = float64(toMillis(b.Duration("waits_for_table", 500*time.Millisecond, 0, time.Minute)))
-	out.Clients = ClientLimits{MaxHead: b.Size("most_head", 16<<10, 512, 1<<20), MaxBody: b.Size("most_body", 1<<20, 0, 1<<30),
-		RequestTimeout: b.Duration("slow_request", 10*time.Second, 10*time.Millisecond, time.Hour),
-		IdleTimeout:    b.Duration("client_idle", time.Minute, 100*time.Millisecond, 24*time.Hour)}
-	out.HostConns = HostConns{ConnectTimeout: b.Duration("connect", 300*time.Millisecond, time.Millisecond, time.Minute),
-		IdleTimeout: b.Duration("host_idle", 15*time.Second, 100*time.Millisecond, time.Hour),
-		MaxBuffered: b.Size("answer_buffer", 64<<10, 0, 64<<20)}
-	b.RejectUnknown()
+	bounds := top.Block("bounds", false)
+	relay.Limits.MaxInFlight = bounds.Int("in_hand", 1000, 1, 1e6)
+	relay.Limits.MaxQueued = bounds.Int("queue", 200, 0, 1e5)
+	relay.Limits.MaxPerHost = bounds.Int("per_host", 100, 1, 1e5)
+	relay.Limits.TableWaitMs = float64(toMillis(bounds.Duration("waits_for_table", 500*time.Millisecond, 0, time.Minute)))
+	relay.Clients = ClientLimits{MaxHead: bounds.Size("most_head", 16<<10, 512, 1<<20), MaxBody: bounds.Size("most_body", 1<<20, 0, 1<<30),
+		RequestTimeout: bounds.Duration("slow_request", 10*time.Second, 10*time.Millisecond, time.Hour),
+		IdleTimeout:    bounds.Duration("client_idle", time.Minute, 100*time.Millisecond, 24*time.Hour)}
+	relay.HostConns = HostConns{ConnectTimeout: bounds.Duration("connect", 300*time.Millisecond, time.Millisecond, time.Minute),
+		IdleTimeout: bounds.Duration("host_idle", 15*time.Second, 100*time.Millisecond, time.Hour),
+		MaxBuffered: bounds.Size("answer_buffer", 64<<10, 0, 64<<20)}
+	bounds.RejectUnknown()
 	top.RejectUnknown()
-	return out, top.Err()
+	return relay, top.Err()
 }
