--- a/bench/engines/engines_test.go
+++ b/bench/engines/engines_test.go
@@ -1,5 +1,5 @@
-// Package engines measures embedded stores on the director's write pattern, so that the choice can be looked at again. It
-// is a module of its own: the program needs only the one that was chosen.
+// Package engines measures embedded stores with the write pattern of a director, so that the choice of a store can be
+// checked again. It is a module of its own because the program needs only the chosen store.
 package engines
 
 import (
@@ -16,10 +16,11 @@
 	"go.etcd.io/bbolt"
 )
 
-// A step of a large deployment: five of 160 tables change, now and then a mask; the state's records and the history's
-// are written in one durable batch.
+// record is one key with its value.
 type record struct{ key, value []byte }
 
+// step returns the records that version n of a large deployment writes in one durable batch, those of the state and of
+// the history: up to 5 of 160 tables change. Every 64th version adds a record of the size of a snapshot of all tables.
 func step(n uint64, r *rand.Rand) (out []record) {
 	type table struct {
 		From, To uint64
@@ -41,17 +42,19 @@
 	return out
 }
 
+// engine is a store under measurement.
 type engine interface {
 	write([]record) error
 	close() error
 }
 
+// bolt is bbolt as an engine.
 type bolt struct{ db *bbolt.DB }
 
-func (b bolt) write(all []record) error {
+func (b bolt) write(records []record) error {
 	return b.db.Update(func(tx *bbolt.Tx) error {
 		bucket, err := tx.CreateBucketIfNotExists([]byte("b"))
-		for _, r := range all {
+		for _, r := range records {
 			if err == nil {
 				err = bucket.Put(r.key, r.value)
 			}
@@ -61,11 +64,12 @@
 }
 func (b bolt) close() error { return b.db.Close() }
 
+// pebbles is Pebble as an engine.
 type pebbles struct{ db *pebble.DB }
 
-func (p pebbles) write(all []record) error {
+func (p pebbles) write(records []record) error {
 	b := p.db.NewBatch()
-	for _, r := range all {
+	for _, r := range records {
 		if err := b.Set(r.key, r.value, nil); err != nil {
 			return err
 		}
@@ -74,6 +78,7 @@
 }
 func (p pebbles) close() error { return p.db.Close() }
 
+// quiet is a Pebble logger that discards all but fatal messages.
 type quiet struct{}
 
 func (quiet) Infof(string, ...any)  {}
@@ -82,6 +87,7 @@
 	panic(fmt.Sprintf(f, a...))
 }
 
+// engines opens each engine in a directory.
 var engines = map[string]func(dir string) (engine, error){
 	"bbolt": func(dir string) (engine, error) {
 		db, err := bbolt.Open(filepath.Join(dir, "db"), 0o600, &bbolt.Options{FreelistType: bbolt.FreelistMapType})
@@ -93,6 +99,7 @@
 	},
 }
 
+// size returns the total size in bytes of the files in a directory.
 func size(dir string) (n int64) {
 	filepath.Walk(dir, func(_ string, i os.FileInfo, err error) error {
 		if err == nil && !i.IsDir() {
@@ -103,6 +110,7 @@
 	return n
 }
 
+// BenchmarkSteps measures the time per version, the stored bytes per version and the time to open the store again.
 func BenchmarkSteps(b *testing.B) {
 	for _, name := range []string{"bbolt", "pebble"} {
 		b.Run(name, func(b *testing.B) {
@@ -122,11 +130,11 @@
 				b.Fatal(err)
 			}
 			b.ReportMetric(float64(size(dir))/float64(n), "B/version")
-			began := time.Now()
+			start := time.Now()
 			if e, err = engines[name](dir); err != nil {
 				b.Fatal(err)
 			}
-			b.ReportMetric(float64(time.Since(began).Microseconds())/1000, "ms-to-open")
+			b.ReportMetric(float64(time.Since(start).Microseconds())/1000, "ms-to-open")
 			e.close()
 		})
 	}
--- a/cmd/vetchwood/commands.go
+++ b/cmd/vetchwood/commands.go
@@ -22,6 +22,7 @@
 	"vetchwood/internal/standin"
 )
 
+// unixMs returns the current time in milliseconds since the Unix epoch.
 func unixMs() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
 type runCmd struct {
@@ -51,6 +52,7 @@
 	File string `arg:"" help:"A director's or a proxy's settings (HCL)." type:"path"`
 }
 
+// Run validates a settings file and prints a summary of it.
 func (c *checkCmd) Run(out io.Writer) error {
 	if top, err := settings.Open(c.File, nil); err == nil && top.HasBlock("relay") {
 		s, err := settings.LoadRelay(c.File)
@@ -58,9 +60,9 @@
 			return err
 		}
 		fmt.Fprintf(out, "%s: valid\n  relay %s listens on %s and follows %s\n", c.File, s.Name, s.Listen, strings.Join(s.Directors, ", "))
-		fmt.Fprintf(out, "  holds %d calls, %d more wait; %d at one host\n", s.Limits.MaxInFlight, s.Limits.MaxQueued, s.Limits.MaxPerHost)
+		fmt.Fprintf(out, "  at most %d calls in flight, %d queued, %d in flight at one host\n", s.Limits.MaxInFlight, s.Limits.MaxQueued, s.Limits.MaxPerHost)
 		for _, r := range s.Routes {
-			fmt.Fprintf(out, "  route %-24s %s%s, mark %s\n", r.Route, r.Prefix, map[bool]string{true: ", any method"}[len(r.Methods) == 0], r.IdempotencyHeader)
+			fmt.Fprintf(out, "  route %-24s %s%s, idempotency header %s\n", r.Route, r.Prefix, map[bool]string{true: ", any method"}[len(r.Methods) == 0], r.IdempotencyHeader)
 		}
 		return nil
 	}
@@ -68,42 +70,42 @@
 	if err != nil {
 		return err
 	}
-	f := s.Service.Config
+	config := s.Service.Config
 	fmt.Fprintf(out, "%s: valid\n", c.File)
-	for _, l := range []struct {
-		name string
-		v    any
+	for _, row := range []struct {
+		name  string
+		value any
 	}{{"director", s.Name}, {"listens on", s.Listen}, {"store", s.StorePath}, {"zones", strings.Join(s.Service.Zones, ", ")},
-		{"tables", map[bool]string{true: fmt.Sprintf("%d slices of keys", f.Slices), false: "by proxy"}[f.Slices > 0]},
-		{"pick", s.Service.Pick}, {"proxies at most", f.Proxies},
-		{"a proxy has left after", fmt.Sprintf("%v ms without a poll", s.Service.Lease)},
-		{"drains kept within", fmt.Sprintf("%v ms", f.DrainGrace)}, {"bare at most", fmt.Sprintf("%v ms", f.EmptyTableLimit)},
-		{"a cold host bears", fmt.Sprintf("%v times what it can do, for %v ms, until %v ms after its start", f.ColdOverloadLimit, f.ColdFailAfter, f.WarmAfter)},
-		{"channel", fmt.Sprintf("%v lines a second, %v wait at most: %.1f s", f.LinesPerSecond, f.QueueLimit, f.QueueLimit/f.LinesPerSecond)},
-		{"one line to all proxies costs", fmt.Sprintf("%v lines, %.0f ms of the channel", float64(f.Proxies)*(f.MessageOverhead+2),
-			1000*float64(f.Proxies)*(f.MessageOverhead+2)/f.LinesPerSecond)},
-		{"memory", fmt.Sprintf("%d MiB, for %d connections at most if there are descriptors", s.Memory>>20, budget.Resources{Memory: s.Memory, Descriptors: 1 << 30}.Limits().MaxConnections)},
-		{"longest wait of a poll", fmt.Sprintf("%v ms", s.Service.MaxWait)}} {
-		fmt.Fprintf(out, "  %-30s %v\n", l.name, l.v)
+		{"tables", map[bool]string{true: fmt.Sprintf("%d slices of keys", config.Slices), false: "by proxy"}[config.Slices > 0]},
+		{"pick", s.Service.Pick}, {"maximum number of proxies", config.Proxies},
+		{"proxy lease", fmt.Sprintf("%v ms without a poll", s.Service.Lease)},
+		{"drain grace period", fmt.Sprintf("%v ms", config.DrainGrace)}, {"table empty for at most", fmt.Sprintf("%v ms", config.EmptyTableLimit)},
+		{"cold host overload limit", fmt.Sprintf("%v times its capacity for %v ms, until %v ms after its start", config.ColdOverloadLimit, config.ColdFailAfter, config.WarmAfter)},
+		{"channel", fmt.Sprintf("%v lines per second, at most %v queued (%.1f s)", config.LinesPerSecond, config.QueueLimit, config.QueueLimit/config.LinesPerSecond)},
+		{"cost of a line to all proxies", fmt.Sprintf("%v lines, %.0f ms of the channel", float64(config.Proxies)*(config.MessageOverhead+2),
+			1000*float64(config.Proxies)*(config.MessageOverhead+2)/config.LinesPerSecond)},
+		{"memory", fmt.Sprintf("%d MiB, enough for %d connections if file descriptors suffice", s.Memory>>20, budget.Resources{Memory: s.Memory, Descriptors: 1 << 30}.Limits().MaxConnections)},
+		{"maximum wait of a poll", fmt.Sprintf("%v ms", s.Service.MaxWait)}} {
+		fmt.Fprintf(out, "  %-30s %v\n", row.name, row.value)
 	}
 	for i, r := range s.Service.Routes {
-		fmt.Fprintf(out, "  route %-24s importance %v, SLO time %v ms, time limit %v ms, %s\n", r.Name, f.Routes[i].Importance,
+		fmt.Fprintf(out, "  route %-24s importance %v, SLO time %v ms, time limit %v ms, %s\n", r.Name, config.Routes[i].Importance,
 			r.SLOMs, r.TimeLimitMs, r.Repeat)
 	}
 	return nil
 }
 
 type hostCmd struct {
-	ID     string        `help:"Id in the list." required:""`
-	Listen string        `help:"Where to listen." default:"127.0.0.1:0"`
-	Roster string        `help:"URL of the roster to register at."`
+	ID     string        `help:"Id in the host list." required:""`
+	Listen string        `help:"Address to listen on." default:"127.0.0.1:0"`
+	Roster string        `help:"URL of the discovery service to register with."`
 	Zone   string        `help:"Zone of the host."`
-	Cell   string        `help:"Cell of the host: hosts that drop each other's repeats."`
-	Cores  int           `help:"Calls worked on at a time." default:"4"`
-	Queue  int           `help:"Calls that may wait." default:"16"`
-	Cold   float64       `help:"Part of its work that it can do right after its start." default:"0.2"`
-	Warm   time.Duration `help:"How long until it can do all of it." default:"15s"`
-	Span   time.Duration `help:"How long repeats of a keyed call are dropped." default:"4s"`
+	Cell   string        `help:"Cell of the host: a host drops repeats of keyed calls that any host of its cell received."`
+	Cores  int           `help:"Calls processed concurrently." default:"4"`
+	Queue  int           `help:"Calls that may be queued." default:"16"`
+	Cold   float64       `help:"Share of its capacity that the host has right after its start." default:"0.2"`
+	Warm   time.Duration `help:"Time from the start until the host has its full capacity." default:"15s"`
+	Span   time.Duration `help:"Time during which repeats of a keyed call are dropped." default:"4s"`
 }
 
 func (c *hostCmd) Run(ctx context.Context, log *slog.Logger) error {
@@ -134,8 +136,8 @@
 }
 
 type rosterCmd struct {
-	Listen string        `help:"Where to listen." default:"127.0.0.1:8500"`
-	Delay  time.Duration `help:"How late changes show." default:"0s"`
+	Listen string        `help:"Address to listen on." default:"127.0.0.1:8500"`
+	Delay  time.Duration `help:"Delay until changes of the list become visible." default:"0s"`
 }
 
 func (c *rosterCmd) Run(ctx context.Context, log *slog.Logger) error {
@@ -150,11 +152,11 @@
 }
 
 type rehearseCmd struct {
-	Name  string `arg:"" help:"A day that comes with the program (bad-day, demo), or a file with one."`
+	Name  string `arg:"" help:"Name of a built-in day (bad-day, demo), or a file that describes one."`
 	JSON  bool   `help:"Print the verdict as JSON."`
-	Keep  string `help:"Folder to keep the director's store, settings and log in." type:"path"`
-	API   string `help:"Where the director listens." default:""`
-	Front string `help:"By which proxies follow: poll, mqtt or mixed." enum:"poll,mqtt,mixed," default:""`
+	Keep  string `help:"Folder in which the director's store, settings and log are kept." type:"path"`
+	API   string `help:"Address that the director listens on." default:""`
+	Front string `help:"How proxies follow the director: poll, mqtt or mixed." enum:"poll,mqtt,mixed," default:""`
 }
 
 func (c *rehearseCmd) Run(ctx context.Context, out io.Writer, log *slog.Logger) error {
--- a/cmd/vetchwood/fault.go
+++ b/cmd/vetchwood/fault.go
@@ -9,10 +9,10 @@
 )
 
 type faultCmd struct {
-	File string `arg:"" help:"What to break between which two loopback sockets (HCL)." type:"path"`
+	File string `arg:"" help:"Script of the faults and of the two loopback sockets (HCL)." type:"path"`
 }
 
-// Run prints a line of JSON for each fault, as it is done.
+// Run injects the faults of the script and prints a line of JSON for each one when it takes place.
 func (c *faultCmd) Run(ctx context.Context, out io.Writer, log *slog.Logger) error {
 	s, err := fault.Read(c.File, nil)
 	if err != nil {
--- a/cmd/vetchwood/load.go
+++ b/cmd/vetchwood/load.go
@@ -10,29 +10,30 @@
 )
 
 type loadCmd struct {
-	File string `arg:"" help:"What is asked of which director (HCL): steps of a rate, or a storm." type:"path"`
-	Plot string `help:"Write an SVG plot there." type:"path"`
+	File string `arg:"" help:"Script of the load and of the director (HCL): steps with a constant rate, or storms." type:"path"`
+	Plot string `help:"File to which an SVG plot is written." type:"path"`
 }
 
-// Run prints a line of JSON for each second.
+// Run puts load on a director and prints a line of JSON for each second. The results of a run that fails are printed,
+// too.
 func (c *loadCmd) Run(ctx context.Context, out io.Writer) error {
 	s, err := load.Read(c.File, nil)
 	if err != nil {
 		return err
 	}
-	all, err := load.Run(ctx, s, nil)
+	seconds, err := load.Run(ctx, s, nil)
 	enc := json.NewEncoder(out)
-	for _, sec := range all {
-		enc.Encode(sec)
+	for _, second := range seconds {
+		enc.Encode(second)
 	}
-	if c.Plot != "" && len(all) > 0 {
-		f, failed := os.Create(c.Plot)
-		if failed != nil {
-			return failed
+	if c.Plot != "" && len(seconds) > 0 {
+		f, plotErr := os.Create(c.Plot)
+		if plotErr != nil {
+			return plotErr
 		}
 		defer f.Close()
-		if failed := load.Plot(f, c.File, all); failed != nil {
-			return failed
+		if plotErr := load.Plot(f, c.File, seconds); plotErr != nil {
+			return plotErr
 		}
 	}
 	return err
--- a/cmd/vetchwood/main_test.go
+++ b/cmd/vetchwood/main_test.go
@@ -22,16 +22,16 @@
 	for _, c := range []struct {
 		args   string
 		status int
-		says   string
+		want   string
 	}{
 		{"--help", 0, "rehearse"}, {"run --help", 0, "settings"}, {"host --help", 0, "stand-in host"}, {"check " + good, 0, "64 slices of keys"},
 		{"check " + wrong, 2, "wrong.hcl:12:12: slices: 0.5 is not a whole number"}, {"check /nowhere.hcl", 2, "nowhere.hcl"},
 		{"rehearse no-such-day", 2, "no-such-day"}, {"sing", 2, "unexpected argument sing"}, {"", 2, "expected one of"},
 		{"run " + good + " --log-level=loud", 2, "log-level"}, {"rehearse " + wrong, 2, "knows no"}, {"run " + wrong, 2, "wrong.hcl"},
 	} {
-		var out, errs bytes.Buffer
-		if status := run(strings.Fields(c.args), &out, &errs); status != c.status || !strings.Contains(out.String()+errs.String(), c.says) {
-			t.Errorf("vetchwood %s: status %d, %s%s", c.args, status, out.String(), errs.String())
+		var stdout, stderr bytes.Buffer
+		if status := run(strings.Fields(c.args), &stdout, &stderr); status != c.status || !strings.Contains(stdout.String()+stderr.String(), c.want) {
+			t.Errorf("vetchwood %s: exit status %d: %s%s", c.args, status, stdout.String(), stderr.String())
 		}
 	}
 }
--- a/cmd/vetchwood/platform.go
+++ b/cmd/vetchwood/platform.go
@@ -11,10 +11,11 @@
 	"vetchwood/internal/platform"
 )
 
-// caught are the signals of a director in service. They are asked for before anything else is done: one that came earlier than its
-// handler would end the process.
+// signals receives the signals sent to a director on the platform. It is set up before anything else, because a signal
+// that arrives before its handler would end the process.
 var signals = make(chan os.Signal, 8)
 
+// notifySignals starts the delivery of signals if the platform command is requested.
 func notifySignals(args []string) {
 	if slices.Contains(args, "platform") {
 		signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/vetchwood/tables.go
+++ b/cmd/vetchwood/tables.go
@@ -26,17 +26,17 @@
 
 	List     tablesList     `cmd:"" help:"List versions, the newest first."`
 	Show     tablesShow     `cmd:"" help:"Show the tables of a version."`
-	Diff     tablesDiff     `cmd:"" help:"Show what differs between two versions."`
-	Rollback tablesRollback `cmd:"" help:"Go back to a version: its tables are pinned until they are released."`
-	Pin      tablesPin      `cmd:"" help:"Pin tables as they are now, until they are released."`
+	Diff     tablesDiff     `cmd:"" help:"Show the differences between two versions."`
+	Rollback tablesRollback `cmd:"" help:"Roll back to a version. Its tables stay pinned until they are released."`
+	Pin      tablesPin      `cmd:"" help:"Pin the current tables until they are released."`
 	Pins     tablesPins     `cmd:"" help:"Show which tables are pinned, and which lines could not be honoured."`
-	Release  tablesRelease  `cmd:"" help:"Give pinned tables back to the director."`
-	Verify   tablesVerify   `cmd:"" help:"Read every record of the history."`
+	Release  tablesRelease  `cmd:"" help:"Release pinned tables, so that the director changes them again."`
+	Verify   tablesVerify   `cmd:"" help:"Verify every record of the history."`
 }
 
 func (c *tablesCmd) client() operate.Client { return operate.Client{URL: strings.TrimRight(c.At, "/")} }
 
-// show prints what was told, as JSON or by a table.
+// print writes v as JSON, or by the given function in columns that tabs separate.
 func (c *tablesCmd) print(out io.Writer, v any, table func(w io.Writer)) error {
 	if c.JSON {
 		enc := json.NewEncoder(out)
@@ -48,31 +48,32 @@
 	return w.Flush()
 }
 
+// formatTime formats a time given in milliseconds since the Unix epoch.
 func formatTime(ms float64) string { return time.UnixMilli(int64(ms)).Format("2006-01-02 15:04:05") }
 
 type tablesList struct {
-	Most int `help:"How many." default:"20"`
+	Most int `help:"Maximum number of versions." default:"20"`
 }
 
 func (c *tablesList) Run(ctx context.Context, out io.Writer, p *program) error {
-	var all []store.Version
-	if err := p.Tables.client().Get(ctx, fmt.Sprintf("versions?most=%d", c.Most), &all); err != nil {
+	var versions []store.Version
+	if err := p.Tables.client().Get(ctx, fmt.Sprintf("versions?most=%d", c.Most), &versions); err != nil {
 		return err
 	}
-	return p.Tables.print(out, all, func(w io.Writer) {
+	return p.Tables.print(out, versions, func(w io.Writer) {
 		fmt.Fprintln(w, "version\tat\ttables\tmasks\tlevels\tby\twhy")
-		for _, v := range all {
-			who, mark := v.Who, map[bool]string{true: "yes"}
+		for _, v := range versions {
+			who, yes := v.Who, map[bool]string{true: "yes"}
 			if who == "" {
-				who = "the module"
+				who = "decision module"
 			}
-			fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%s\t%s\t%s\n", v.Step, formatTime(v.At), v.Tables, mark[v.Masks], mark[v.Levels], who, v.Why)
+			fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%s\t%s\t%s\n", v.Step, formatTime(v.At), v.Tables, yes[v.Masks], yes[v.Levels], who, v.Why)
 		}
 	})
 }
 
 type tablesShow struct {
-	Version tables.Step `arg:"" help:"Which."`
+	Version tables.Step `arg:"" help:"Version to show."`
 }
 
 func (c *tablesShow) Run(ctx context.Context, out io.Writer, p *program) error {
@@ -89,8 +90,8 @@
 }
 
 type tablesDiff struct {
-	From tables.Step `arg:"" help:"The older."`
-	To   tables.Step `arg:"" help:"The newer."`
+	From tables.Step `arg:"" help:"Older version."`
+	To   tables.Step `arg:"" help:"Newer version."`
 }
 
 func (c *tablesDiff) Run(ctx context.Context, out io.Writer, p *program) error {
@@ -116,20 +117,22 @@
 			fmt.Fprintf(w, "+ opened\t%s\t\n", h)
 		}
 		if len(d.Lines)+len(d.Masked)+len(d.Unmasked) == 0 {
-			fmt.Fprintln(w, "no line differs")
+			fmt.Fprintln(w, "no lines or masks differ")
 		}
 	})
 }
 
 type tablesRollback struct {
-	Version tables.Step     `arg:"" help:"The version to go back to."`
+	Version tables.Step     `arg:"" help:"Version to roll back to."`
 	Table   []logic.TableID `help:"Only these tables."`
-	Why     string          `help:"Why, for the history." required:""`
-	Since   tables.Step     `help:"The newest version seen; refuse if another operator changed something after it."`
-	Force   bool            `help:"Whatever part of the traffic it moves."`
-	Yes     bool            `help:"Don't ask."`
+	Why     string          `help:"Reason, recorded in the history." required:""`
+	Since   tables.Step     `help:"Newest version seen. The rollback is refused if another operator made a change after it."`
+	Force   bool            `help:"Roll back regardless of the share of the traffic that moves."`
+	Yes     bool            `help:"Do not ask for confirmation."`
 }
 
+// Run rolls tables back after a dry run. Unless the flag --yes is given, it shows the effects found by the dry run and
+// asks for confirmation.
 func (c *tablesRollback) Run(ctx context.Context, out io.Writer, p *program) error {
 	client := p.Tables.client()
 	if c.Since == 0 {
@@ -141,28 +144,28 @@
 			c.Since = newest[0].Step
 		}
 	}
-	wish := operate.Request{To: c.Version, Tables: c.Table, LastSeen: c.Since, Who: currentUser(), Why: c.Why, Force: c.Force, DryRun: true}
-	var would, done control.OperationResult
-	if err := client.Post(ctx, "rollback", wish, &would); err != nil {
+	request := operate.Request{To: c.Version, Tables: c.Table, LastSeen: c.Since, Who: currentUser(), Why: c.Why, Force: c.Force, DryRun: true}
+	var preview, done control.OperationResult
+	if err := client.Post(ctx, "rollback", request, &preview); err != nil {
 		return err
 	}
 	if !c.Yes {
-		fmt.Fprintf(out, "%d tables go back to version %d; %.1f%% of the slices go to other hosts.\n", len(would.Tables), c.Version, 100*would.MovedFraction)
-		printFaults(out, would)
-		fmt.Fprint(out, "Go on? [y/N] ")
+		fmt.Fprintf(out, "%d tables return to version %d; %.1f%% of the slices move to other hosts.\n", len(preview.Tables), c.Version, 100*preview.MovedFraction)
+		printFaults(out, preview)
+		fmt.Fprint(out, "Continue? [y/N] ")
 		line, _ := bufio.NewReader(os.Stdin).ReadString('\n')
 		if !strings.EqualFold(strings.TrimSpace(line), "y") {
-			return fmt.Errorf("nothing was changed")
+			return fmt.Errorf("rollback not confirmed: nothing was changed")
 		}
 	}
-	wish.DryRun = false
-	if err := client.Post(ctx, "rollback", wish, &done); err != nil {
+	request.DryRun = false
+	if err := client.Post(ctx, "rollback", request, &done); err != nil {
 		return err
 	}
 	return p.Tables.print(out, done, func(w io.Writer) {
 		fmt.Fprintf(w, "version %d: %d tables as in version %d, pinned until `tables release`\n", done.Version, len(done.Tables), c.Version)
 		if done.Deferred > 0 {
-			fmt.Fprintf(w, "%d of them follow as the channel has room\n", done.Deferred)
+			fmt.Fprintf(w, "%d of them will follow when the channel has room\n", done.Deferred)
 		}
 		printFaults(w, done)
 	})
@@ -170,21 +173,23 @@
 
 type tablesPin struct {
 	Table []logic.TableID `help:"Only these tables."`
-	Why   string          `help:"Why, for the history." required:""`
+	Why   string          `help:"Reason, recorded in the history." required:""`
 }
 
+// Run pins tables by a rollback to the newest version.
 func (c *tablesPin) Run(ctx context.Context, out io.Writer, p *program) error {
 	var newest []store.Version
 	if err := p.Tables.client().Get(ctx, "versions?most=1", &newest); err != nil {
 		return err
 	}
 	if len(newest) == 0 {
-		return errors.New("there is no version yet")
+		return errors.New("the history has no version yet")
 	}
-	back := tablesRollback{Version: newest[0].Step, Table: c.Table, Why: c.Why, Since: newest[0].Step, Yes: true}
-	return back.Run(ctx, out, p)
+	rollback := tablesRollback{Version: newest[0].Step, Table: c.Table, Why: c.Why, Since: newest[0].Step, Yes: true}
+	return rollback.Run(ctx, out, p)
 }
 
+// printFaults lists the pinned lines that are not honoured.
 func printFaults(w io.Writer, o control.OperationResult) {
 	for _, t := range o.Tables {
 		for _, f := range t.Faults {
@@ -193,6 +198,7 @@
 	}
 }
 
+// currentUser returns the user name that is recorded in the history.
 func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -208,7 +214,7 @@
 		return err
 	}
 	return p.Tables.print(out, o, func(w io.Writer) {
-		fmt.Fprintf(w, "%d tables are pinned; %d of them wait for room in the channel\n", len(o.Tables), o.Deferred)
+		fmt.Fprintf(w, "%d tables are pinned; %d of them are waiting for room in the channel\n", len(o.Tables), o.Deferred)
 		for _, t := range o.Tables {
 			fmt.Fprintf(w, "table %d\tas in version %d\tby %s\n", t.Table, t.Step, t.Who)
 		}
@@ -218,7 +224,7 @@
 
 type tablesRelease struct {
 	Table []logic.TableID `help:"Only these tables."`
-	Why   string          `help:"Why, for the history." required:""`
+	Why   string          `help:"Reason, recorded in the history." required:""`
 }
 
 func (c *tablesRelease) Run(ctx context.Context, out io.Writer, p *program) error {
@@ -226,11 +232,12 @@
 	if err := p.Tables.client().Post(ctx, "release", operate.Request{Tables: c.Table, Who: currentUser(), Why: c.Why}, &o); err != nil {
 		return err
 	}
-	return p.Tables.print(out, o, func(w io.Writer) { fmt.Fprintf(w, "version %d: %d tables given back\n", o.Version, len(o.Tables)) })
+	return p.Tables.print(out, o, func(w io.Writer) { fmt.Fprintf(w, "version %d: %d tables released\n", o.Version, len(o.Tables)) })
 }
 
 type tablesVerify struct{}
 
+// Run verifies the history and fails if a record is wrong.
 func (c *tablesVerify) Run(ctx context.Context, out io.Writer, p *program) error {
 	var v operate.VerifyResult
 	if err := p.Tables.client().Get(ctx, "verify", &v); err != nil {
--- a/cmd/vetchwood/watch.go
+++ b/cmd/vetchwood/watch.go
@@ -18,29 +18,29 @@
 
 type watchCmd struct {
 	Director string        `arg:"" help:"URL of a director: http://HOST:PORT to poll, mqtt://HOST:PORT to subscribe."`
-	Table    []string      `help:"Only these tables (may be repeated)."`
-	JSON     bool          `help:"A line of JSON for each change."`
-	For      time.Duration `help:"End after so long; by default at a signal." default:"0s"`
+	Table    []string      `help:"Print only these tables (may be repeated)."`
+	JSON     bool          `help:"Print a line of JSON for each change."`
+	For      time.Duration `help:"Time after which to stop; 0 runs until a signal." default:"0s"`
 }
 
-// Run prints what differs from one version to the next, as it comes.
+// Run prints the differences from each version to the next as they arrive.
 func (c *watchCmd) Run(ctx context.Context, out io.Writer, log *slog.Logger) error {
 	if c.For > 0 {
-		var end context.CancelFunc
-		ctx, end = context.WithTimeout(ctx, c.For)
-		defer end()
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, c.For)
+		defer cancel()
 	}
-	var was *tables.Document
+	var previous *tables.Document
 	f := follow.New(follow.Source{Directors: []string{c.Director}, Proxy: fmt.Sprintf("watch-%08x", rand.Uint32()), Watch: true, Wait: 20 * time.Second,
 		Log: log, Seen: func(u follow.Update) {
-			c.printChanges(out, was, u)
-			was = u.Doc
+			c.printChanges(out, previous, u)
+			previous = u.Doc
 		}})
 	f.Run(ctx)
 	return nil
 }
 
-// change is one line of the output.
+// change is one line of the output. The values of What are part of the JSON format.
 type change struct {
 	At      string         `json:"at"`
 	Version string         `json:"version"`
@@ -52,82 +52,85 @@
 	To      any            `json:"to,omitempty"`
 }
 
-func (c *watchCmd) printChanges(out io.Writer, was *tables.Document, u follow.Update) {
+// printChanges prints the differences between the previous document and the one of an update, or a summary if there is
+// no previous one.
+func (c *watchCmd) printChanges(out io.Writer, previous *tables.Document, u follow.Update) {
 	at := time.UnixMilli(int64(u.Doc.At)).Format("15:04:05.000")
-	say := func(x change) {
+	report := func(x change) {
 		x.At, x.Version = at, u.Doc.Version
 		if c.JSON {
 			json.NewEncoder(out).Encode(x)
 			return
 		}
-		parts := []string{x.At, x.Version, x.What}
+		fields := []string{x.At, x.Version, x.What}
 		for name, v := range map[string]string{"table ": x.Table, "route ": x.Route, "": string(x.Host)} {
 			if v != "" {
-				parts = append(parts, name+v)
+				fields = append(fields, name+v)
 			}
 		}
-		slices.Sort(parts[3:])
+		slices.Sort(fields[3:])
 		if x.From != nil || x.To != nil {
-			parts = append(parts, fmt.Sprintf("%v -> %v", orNone(x.From), orNone(x.To)))
+			fields = append(fields, fmt.Sprintf("%v -> %v", orNone(x.From), orNone(x.To)))
 		}
-		fmt.Fprintln(out, strings.Join(parts, "  "))
+		fmt.Fprintln(out, strings.Join(fields, "  "))
 	}
-	if was == nil {
+	if previous == nil {
 		lines := 0
 		for _, t := range u.Doc.Tables {
 			lines += len(t.Lines)
 		}
-		say(change{What: fmt.Sprintf("snapshot: %d tables, %d lines, %d hosts, %d masked", len(u.Doc.Tables), lines, len(u.Doc.Hosts), len(u.Doc.Masked))})
+		report(change{What: fmt.Sprintf("snapshot: %d tables, %d lines, %d hosts, %d masked", len(u.Doc.Tables), lines, len(u.Doc.Hosts), len(u.Doc.Masked))})
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(u.Doc.Tables)) {
-		before, now := was.Tables[name], u.Doc.Tables[name]
+		before, now := previous.Tables[name], u.Doc.Tables[name]
 		if before == now || len(c.Table) > 0 && !slices.Contains(c.Table, name) {
 			continue
 		}
 		if before == nil {
 			before = &tables.Table{}
-			say(change{Table: name, What: "table comes"})
+			report(change{Table: name, What: "table comes"})
 		}
 		for _, a := range slices.Sorted(maps.Keys(now.Lines)) {
-			if w, had := before.Lines[a]; !had {
-				say(change{Table: name, Host: a, What: "line", To: now.Lines[a]})
-			} else if w != now.Lines[a] {
-				say(change{Table: name, Host: a, What: "line", From: w, To: now.Lines[a]})
+			if weight, found := before.Lines[a]; !found {
+				report(change{Table: name, Host: a, What: "line", To: now.Lines[a]})
+			} else if weight != now.Lines[a] {
+				report(change{Table: name, Host: a, What: "line", From: weight, To: now.Lines[a]})
 			}
 		}
 		for _, a := range slices.Sorted(maps.Keys(before.Lines)) {
-			if _, stays := now.Lines[a]; !stays {
-				say(change{Table: name, Host: a, What: "line", From: before.Lines[a]})
+			if _, found := now.Lines[a]; !found {
+				report(change{Table: name, Host: a, What: "line", From: before.Lines[a]})
 			}
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(was.Tables)) {
+	for _, name := range slices.Sorted(maps.Keys(previous.Tables)) {
 		if u.Doc.Tables[name] == nil && (len(c.Table) == 0 || slices.Contains(c.Table, name)) {
-			say(change{Table: name, What: "table goes"})
+			report(change{Table: name, What: "table goes"})
 		}
 	}
 	if len(c.Table) > 0 {
 		return
 	}
 	for _, a := range slices.Sorted(maps.Keys(u.Doc.Masked)) {
-		if !was.Masked[a] {
-			say(change{Host: a, What: "masked"})
+		if !previous.Masked[a] {
+			report(change{Host: a, What: "masked"})
 		}
 	}
-	for _, a := range slices.Sorted(maps.Keys(was.Masked)) {
+	for _, a := range slices.Sorted(maps.Keys(previous.Masked)) {
 		if !u.Doc.Masked[a] {
-			say(change{Host: a, What: "open"})
+			report(change{Host: a, What: "open"})
 		}
 	}
 	for _, r := range slices.Sorted(maps.Keys(u.Doc.Routes)) {
-		if before, now := was.Routes[r], u.Doc.Routes[r]; before.Level != now.Level {
-			say(change{Route: r, What: "level", From: fmt.Sprintf("%v, %d tries", before.Level.Level, before.Tries),
+		if before, now := previous.Routes[r], u.Doc.Routes[r]; before.Level != now.Level {
+			report(change{Route: r, What: "level", From: fmt.Sprintf("%v, %d tries", before.Level.Level, before.Tries),
 				To: fmt.Sprintf("%v, %d tries", now.Level.Level, now.Tries)})
 		}
 	}
 }
 
+// orNone returns the text "none" in place of nil.
 func orNone(v any) any {
 	if v == nil {
 		return "none"
--- a/internal/live/live.go
+++ b/internal/live/live.go
@@ -1,4 +1,4 @@
-// Package live tells a budget how much of the heap is live.
+// Package live reports the size of the live heap to the memory budget.
 package live
 
 import (
@@ -9,8 +9,9 @@
 	"vetchwood/internal/budget"
 )
 
-// Watch does so until the context ends. What is garbage already doesn't count, and reading it stops nothing.
-func Watch(ctx context.Context, ledger *budget.Budget) {
+// Watch sets the live heap size of the budget every 100 ms until the context ends. Objects that are already garbage do
+// not count, and reading the size does not stop the program.
+func Watch(ctx context.Context, b *budget.Budget) {
 	sample := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
@@ -21,6 +22,6 @@
 		case <-tick.C:
 		}
 		metrics.Read(sample)
-		ledger.SetLiveHeap(int64(sample[0].Value.Uint64()))
+		b.SetLiveHeap(int64(sample[0].Value.Uint64()))
 	}
 }
--- a/internal/lrs/lrs.go
+++ b/internal/lrs/lrs.go
@@ -1,5 +1,6 @@
-// Package lrs is the form of proxies' sums: the JSON mapping of the published Load Reporting Service's
-// LoadStatsRequest, as far as it is used here. A route is a cluster, a slice or table its cluster_service_name.
+// Package lrs implements the format of load reports of proxies: the JSON mapping of LoadStatsRequest of the published
+// Load Reporting Service (LRS), as far as it is used here. A route is a cluster, and a slice or table is its
+// cluster_service_name.
 package lrs
 
 import (
@@ -16,34 +17,41 @@
 	"vetchwood/logic"
 )
 
-// Count is a 64-bit number, which the JSON mapping writes as a string and reads as either.
+// Count is a 64-bit number. The JSON mapping writes it as a string and accepts a string or a number.
 type Count uint64
 
+// MarshalJSON implements json.Marshaler.
 func (c Count) MarshalJSON() ([]byte, error) {
 	return strconv.AppendQuote(nil, strconv.FormatUint(uint64(c), 10)), nil
 }
 
+// UnmarshalJSON implements json.Unmarshaler. It accepts numbers below 2^53, which JSON readers represent exactly.
 func (c *Count) UnmarshalJSON(b []byte) error {
 	n, err := strconv.ParseUint(string(bytes.Trim(b, `"`)), 10, 53)
 	if err != nil {
-		return fmt.Errorf("%.30s is no count", b)
+		return fmt.Errorf("%.30s is not a count below 2^53", b)
 	}
 	*c = Count(n)
 	return nil
 }
 
+// The messages of the JSON mapping.
 type (
+	// Request is a load report, a LoadStatsRequest.
 	Request struct {
 		Node         Node           `json:"node"`
 		ClusterStats []ClusterStats `json:"cluster_stats"`
 	}
+	// Node identifies the proxy that sends the report.
 	Node struct {
 		ID       string   `json:"id"`
 		Locality Locality `json:"locality"`
 	}
+	// Locality is a zone.
 	Locality struct {
 		Zone string `json:"zone,omitempty"`
 	}
+	// ClusterStats holds the statistics of a route, or of one slice or table of it.
 	ClusterStats struct {
 		Name               string          `json:"cluster_name"`
 		ServiceName        string          `json:"cluster_service_name,omitempty"`
@@ -51,11 +59,13 @@
 		TotalDropped       Count           `json:"total_dropped_requests,omitempty"`
 		LoadReportInterval string          `json:"load_report_interval,omitempty"`
 	}
+	// LocalityStats holds the statistics of the hosts in a locality.
 	LocalityStats struct {
 		Locality  Locality        `json:"locality"`
 		Endpoints []EndpointStats `json:"upstream_endpoint_stats,omitempty"`
 		Metrics   []MetricStats   `json:"load_metric_stats,omitempty"`
 	}
+	// EndpointStats holds the statistics of tries at a host.
 	EndpointStats struct {
 		Address    Address       `json:"address"`
 		Successful Count         `json:"total_successful_requests"`
@@ -63,13 +73,16 @@
 		Issued     Count         `json:"total_issued_requests"`
 		Metrics    []MetricStats `json:"load_metric_stats,omitempty"`
 	}
+	// Address is the address of a host.
 	Address struct {
 		Socket Socket `json:"socket_address"`
 	}
+	// Socket is an IP address and port.
 	Socket struct {
 		Address string `json:"address"`
 		Port    int    `json:"port_value"`
 	}
+	// MetricStats is the sum of a metric over the requests that reported it.
 	MetricStats struct {
 		Name     string  `json:"metric_name"`
 		Finished Count   `json:"num_requests_finished_with_metric"`
@@ -77,21 +90,22 @@
 	}
 )
 
-// Metrics of our own, beside those of orca: the time of answers at an endpoint, and at a locality the calls
-// that came for the route (tries are counted at endpoints), and those let in that got no answer.
+// Metrics of this project, in addition to those of package orca. AnswerMs is the total time of answers at an endpoint.
+// At a locality, Calls is the number of calls that arrived for the route (tries are counted at endpoints) and Unanswered
+// the number of admitted calls that got no answer.
 const (
 	AnswerMs   = "vetchwood.answer_ms"
 	Calls      = "vetchwood.calls"
 	Unanswered = "vetchwood.unanswered"
 )
 
-// At makes the address of a host.
+// AddressOf converts the address of a host.
 func AddressOf(a tables.Address) (Address, error) {
 	p, err := netip.ParseAddrPort(string(a))
 	return Address{Socket{p.Addr().String(), int(p.Port())}}, err
 }
 
-// Read turns a body into a report. Every error names the place.
+// Decode converts a body to a report. Each error names the position in the body.
 func Decode(body []byte) (r control.Report, err error) {
 	var q Request
 	dec := json.NewDecoder(bytes.NewReader(body))
@@ -132,10 +146,11 @@
 	return r, nil
 }
 
+// hostTries converts the statistics of an endpoint to those of tries at a host.
 func (e EndpointStats) hostTries() (t control.HostTries, err error) {
 	ip, err := netip.ParseAddr(e.Address.Socket.Address)
 	if err != nil || e.Address.Socket.Port < 1 || e.Address.Socket.Port > 65535 {
-		return t, fmt.Errorf("address %.40q, port %d: no socket address", e.Address.Socket.Address, e.Address.Socket.Port)
+		return t, fmt.Errorf("address %.40q, port %d: not a socket address", e.Address.Socket.Address, e.Address.Socket.Port)
 	}
 	if e.Successful > 1e9 || e.Errors > 1e9 {
 		return t, fmt.Errorf("more than 1e9 requests")
--- a/internal/lrs/lrs_test.go
+++ b/internal/lrs/lrs_test.go
@@ -26,14 +26,14 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(r.Calls, []control.RouteCalls{{Route: "read", Table: "17", Calls: 12, Unanswered: 2}}) {
-		t.Errorf("%+v", r.Calls)
+		t.Errorf("calls: %+v", r.Calls)
 	}
 	if len(r.Tries) != 1 || r.Proxy != "p1" {
-		t.Fatalf("%+v", r)
+		t.Fatalf("report: %+v", r)
 	}
 	h := r.Tries[0]
 	if h.Address != "127.0.0.1:7001" || h.Ended != 10 || h.Unanswered != 1 || h.AnsweredMs != 900 || *h.Load.Utilization != 0.75 || h.Load.Throughput != nil {
-		t.Errorf("%+v", h)
+		t.Errorf("tries: %+v", h)
 	}
 }
 
@@ -41,13 +41,13 @@
 	for text, want := range map[string]Count{`"7"`: 7, `7`: 7, `"9007199254740991"`: 1<<53 - 1} {
 		var c Count
 		if err := json.Unmarshal([]byte(text), &c); err != nil || c != want {
-			t.Errorf("%s: %d, %v", text, c, err)
+			t.Errorf("%s decoded as %d, %v", text, c, err)
 		}
 	}
 	for _, text := range []string{`-1`, `"x"`, `1.5`, `"99999999999999999999"`, `{}`} {
 		var c Count
 		if err := json.Unmarshal([]byte(text), &c); err == nil {
-			t.Errorf("%s became %d", text, c)
+			t.Errorf("%s decoded as %d, want an error", text, c)
 		}
 	}
 }
@@ -61,12 +61,12 @@
 		}
 		for _, h := range r.Tries {
 			if h.Ended < h.Unanswered || h.Unanswered < 0 || !(h.AnsweredMs >= 0) || h.Address == "" {
-				t.Fatalf("%+v", h)
+				t.Fatalf("inconsistent tries: %+v", h)
 			}
 		}
 		for _, c := range r.Calls {
 			if c.Calls < 0 || c.Unanswered < 0 {
-				t.Fatalf("%+v", c)
+				t.Fatalf("negative calls: %+v", c)
 			}
 		}
 	})
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -1,5 +1,6 @@
-// Package operate is the operators' endpoint and its client: what versions there are, how they differ, going back to
-// one, holding tables and letting them go. What comes of a wish is decided in packages control and pins.
+// Package operate is the HTTP endpoint for operators and its client: listing and comparing versions of the tables,
+// rolling back to one, pinning tables and releasing them. The effects of a request are decided in packages control and
+// pins.
 package operate
 
 import (
@@ -23,25 +24,25 @@
 	"vetchwood/logic"
 )
 
-// Director is what the endpoint needs of one.
+// Director is the part of a director that the endpoint uses.
 type Director interface {
 	Ask(ctx context.Context, in func(control.Ticket) any) (control.Answer, error)
 }
 
-// Store is what it needs of the history.
+// Store is the part of the history that the endpoint uses.
 type Store interface {
 	Versions(most int) ([]store.Version, error)
 	At(tables.Step) (control.SavedState, error)
 	Verify() (int, []error)
 }
 
-// Path is where it is mounted.
+// Path is the URL path under which the endpoint is mounted.
 const Path = "/v1/operator/"
 
-// Wish is the body of a rollback or a release.
+// Request is the body of a rollback or a release.
 type Request struct {
 	To       tables.Step     `json:"to,omitempty"`
-	Tables   []logic.TableID `json:"tables,omitempty"` // empty: all
+	Tables   []logic.TableID `json:"tables,omitempty"` // empty for all tables
 	LastSeen tables.Step     `json:"since,omitempty"`
 	Who      string          `json:"who"`
 	Why      string          `json:"why"`
@@ -49,15 +50,15 @@
 	DryRun   bool            `json:"dry,omitempty"`
 }
 
-// LineChange is one line that differs between two versions.
+// LineChange is a line that differs between two versions. A weight of 0 means that the line is absent.
 type LineChange struct {
 	Table string         `json:"table"`
 	Host  tables.Address `json:"host"`
-	From  float64        `json:"from"` // 0: not there
+	From  float64        `json:"from"` // weight
 	To    float64        `json:"to"`
 }
 
-// Difference is that between two versions.
+// Difference holds the differences between two versions.
 type Difference struct {
 	From     tables.Step      `json:"from"`
 	To       tables.Step      `json:"to"`
@@ -67,28 +68,28 @@
 	Levels   bool             `json:"levels"`
 }
 
-// Verified is what a look through all records found.
+// VerifyResult is the result of verifying all records of the history.
 type VerifyResult struct {
 	Records int      `json:"records"`
 	Wrong   []string `json:"wrong"`
 }
 
-// Handler serves the endpoint, to this machine alone.
+// Handler serves the endpoint. It rejects requests that do not come from the loopback interface.
 func Handler(d Director, s Store) http.Handler {
 	mux := http.NewServeMux()
-	number := func(r *http.Request, name string, otherwise uint64) (uint64, error) {
+	uintParam := func(r *http.Request, name string, fallback uint64) (uint64, error) {
 		text := r.URL.Query().Get(name)
 		if text == "" {
-			return otherwise, nil
+			return fallback, nil
 		}
 		n, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			return 0, fmt.Errorf("%s: %.40q is no whole number", name, text)
+			return 0, fmt.Errorf("%s: %.40q is not a whole number", name, text)
 		}
 		return n, nil
 	}
 	mux.HandleFunc("GET "+Path+"versions", func(w http.ResponseWriter, r *http.Request) {
-		most, err := number(r, "most", 50)
+		most, err := uintParam(r, "most", 50)
 		if err != nil {
 			writeProblem(w, http.StatusBadRequest, err)
 			return
@@ -98,14 +99,14 @@
 	mux.HandleFunc("GET "+Path+"versions/{step}", func(w http.ResponseWriter, r *http.Request) {
 		step, err := strconv.ParseUint(r.PathValue("step"), 10, 64)
 		if err != nil {
-			writeProblem(w, http.StatusBadRequest, fmt.Errorf("version %.40q is no whole number", r.PathValue("step")))
+			writeProblem(w, http.StatusBadRequest, fmt.Errorf("version %.40q is not a whole number", r.PathValue("step")))
 			return
 		}
 		respond(w)(s.At(tables.Step(step)))
 	})
 	mux.HandleFunc("GET "+Path+"diff", func(w http.ResponseWriter, r *http.Request) {
-		from, err1 := number(r, "from", 0)
-		to, err2 := number(r, "to", 0)
+		from, err1 := uintParam(r, "from", 0)
+		to, err2 := uintParam(r, "to", 0)
 		if err := errors.Join(err1, err2); err != nil {
 			writeProblem(w, http.StatusBadRequest, err)
 			return
@@ -137,16 +138,16 @@
 		if !ok {
 			return
 		}
-		was, err := s.At(q.To)
+		target, err := s.At(q.To)
 		if err != nil {
 			respond(w)(nil, err)
 			return
 		}
-		content := was.Tables
+		content := target.Tables
 		if len(q.Tables) > 0 {
 			content = map[logic.TableID]*tables.Table{}
 			for _, id := range q.Tables {
-				if content[id] = was.Tables[id]; content[id] == nil {
+				if content[id] = target.Tables[id]; content[id] == nil {
 					writeProblem(w, http.StatusNotFound, fmt.Errorf("version %d has no table %d", q.To, id))
 					return
 				}
@@ -165,13 +166,14 @@
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if at, err := netip.ParseAddrPort(r.RemoteAddr); err != nil || !at.Addr().Unmap().IsLoopback() {
-			writeProblem(w, http.StatusForbidden, errors.New("operators ask from the director's own machine"))
+			writeProblem(w, http.StatusForbidden, errors.New("operator requests are accepted only from the director's own machine"))
 			return
 		}
 		mux.ServeHTTP(w, r)
 	})
 }
 
+// decodeRequest decodes the body of a request. If the body is invalid, it writes the error and returns false.
 func decodeRequest(w http.ResponseWriter, r *http.Request) (q Request, ok bool) {
 	dec := json.NewDecoder(io.LimitReader(r.Body, 1<<20))
 	dec.DisallowUnknownFields()
@@ -182,6 +184,8 @@
 	return q, true
 }
 
+// forward passes a request to the director and writes its answer. Refusals include the result that the operation would
+// have had, where the director gives one.
 func forward(w http.ResponseWriter, r *http.Request, d Director, in func(control.Ticket) any) {
 	ctx, cancel := context.WithTimeout(r.Context(), 10*time.Second)
 	defer cancel()
@@ -192,7 +196,7 @@
 	case a.Kind == control.Done:
 		respond(w)(a.Body, nil)
 	default:
-		operated, _ := a.Body.(*control.OperationResult)
+		result, _ := a.Body.(*control.OperationResult)
 		status := map[control.AnswerKind]int{control.Invalid: http.StatusBadRequest, control.Conflict: http.StatusConflict,
 			control.Refused: http.StatusUnprocessableEntity}[a.Kind]
 		w.Header().Set("Content-Type", "application/problem+json")
@@ -201,10 +205,11 @@
 			Type, Title, Detail string
 			Status              int
 			Operated            *control.OperationResult `json:"operated,omitempty"`
-		}{"about:blank", http.StatusText(status), a.Reason, status, operated})
+		}{"about:blank", http.StatusText(status), a.Reason, status, result})
 	}
 }
 
+// respond returns a function that writes a value as JSON, or an error as a problem with the status that fits it.
 func respond(w http.ResponseWriter) func(v any, err error) {
 	return func(v any, err error) {
 		var corrupt *store.Corrupt
@@ -222,13 +227,14 @@
 	}
 }
 
+// writeProblem writes an error as a problem document (RFC 9457).
 func writeProblem(w http.ResponseWriter, status int, err error) {
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(map[string]any{"type": "about:blank", "title": http.StatusText(status), "status": status, "detail": err.Error()})
 }
 
-// Diff compares two versions, by table and host.
+// Diff compares two versions by table and host.
 func Diff(a, b control.SavedState) *Difference {
 	d := &Difference{From: a.Step, To: b.Step, Lines: []LineChange{}, Masked: []tables.Address{}, Unmasked: []tables.Address{},
 		Levels: !slices.Equal(a.Levels, b.Levels)}
@@ -245,15 +251,15 @@
 		return t.Lines
 	}
 	for _, id := range slices.Sorted(maps.Keys(ids)) {
-		was, is := lines(a.Tables[id]), lines(b.Tables[id])
-		hosts := maps.Clone(was)
+		before, after := lines(a.Tables[id]), lines(b.Tables[id])
+		hosts := maps.Clone(before)
 		if hosts == nil {
 			hosts = map[tables.Address]float64{}
 		}
-		maps.Copy(hosts, is)
+		maps.Copy(hosts, after)
 		for _, h := range slices.Sorted(maps.Keys(hosts)) {
-			if was[h] != is[h] {
-				d.Lines = append(d.Lines, LineChange{strconv.Itoa(int(id)), h, was[h], is[h]})
+			if before[h] != after[h] {
+				d.Lines = append(d.Lines, LineChange{strconv.Itoa(int(id)), h, before[h], after[h]})
 			}
 		}
 	}
@@ -270,10 +276,10 @@
 	return d
 }
 
-// Client asks a director's endpoint.
+// Client sends requests to a director's endpoint.
 type Client struct{ URL string }
 
-// Refusal is a director's no.
+// ResponseError is a response with a status other than 200.
 type ResponseError struct {
 	Status int
 	Detail string
@@ -281,20 +287,21 @@
 
 func (e *ResponseError) Error() string { return e.Detail }
 
-// Get reads what is at a path.
+// Get reads the resource at a path below Path into the value that to points to.
 func (c Client) Get(ctx context.Context, path string, to any) error {
 	return c.do(ctx, http.MethodGet, path, nil, to)
 }
 
-// Post sends a wish.
-func (c Client) Post(ctx context.Context, path string, w Request, to any) error {
-	body, err := json.Marshal(w)
+// Post sends a request to a path below Path and reads the answer into the value that to points to.
+func (c Client) Post(ctx context.Context, path string, r Request, to any) error {
+	body, err := json.Marshal(r)
 	if err != nil {
 		return err
 	}
 	return c.do(ctx, http.MethodPost, path, body, to)
 }
 
+// do sends one request. Connections are not reused.
 func (c Client) do(ctx context.Context, method, path string, body []byte, to any) error {
 	req, err := http.NewRequestWithContext(ctx, method, c.URL+Path+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -1,5 +1,5 @@
-// Package orca reads and writes load reports in answers: the header `endpoint-load-metrics` of the published
-// Open Request Cost Aggregation, in its TEXT and JSON forms.
+// Package orca reads and writes load reports in HTTP responses. It implements the TEXT and JSON forms of the header
+// `endpoint-load-metrics` of the published Open Request Cost Aggregation (ORCA).
 package orca
 
 import (
@@ -12,10 +12,10 @@
 	"vetchwood/logic"
 )
 
-// Header is the name of the answer's header.
+// Header is the name of the response header.
 const Header = "endpoint-load-metrics"
 
-// Names of the metrics that the module can use.
+// Names of the metrics that the decision module uses.
 const (
 	Utilization   = "cpu_utilization"
 	Throughput    = "rps_fractional"
@@ -25,7 +25,8 @@
 	RecentLatency = "named_metrics.recent_ms"
 )
 
-// Set puts a metric where it belongs; one that is not known, or no number, is passed over.
+// SetMetric sets the metric of the given name. Unknown names and values that are negative, infinite or not numbers are
+// ignored.
 func SetMetric(l *logic.Load, name string, v float64) {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return
@@ -46,7 +47,7 @@
 	}
 }
 
-// Each gives the metrics that a load holds, by name.
+// EachMetric calls yield with the name and value of each metric that a load report holds.
 func EachMetric(l logic.Load, yield func(name string, v float64)) {
 	for _, m := range []struct {
 		name string
@@ -58,7 +59,7 @@
 	}
 }
 
-// Text is the TEXT form.
+// Format returns the TEXT form of a load report.
 func Format(l logic.Load) string {
 	var parts []string
 	EachMetric(l, func(name string, v float64) {
@@ -67,7 +68,7 @@
 	return "TEXT " + strings.Join(parts, ",")
 }
 
-// Parse reads either form.
+// Parse reads a header in either form. An empty header is an empty load report.
 func Parse(header string) (l logic.Load, err error) {
 	form, rest, _ := strings.Cut(strings.TrimSpace(header), " ")
 	switch form {
@@ -108,7 +109,7 @@
 	return l, nil
 }
 
-// Of is a load by the names of its metrics; unknown ones are passed over.
+// FromMetrics returns the load report with the given metrics. Unknown names are ignored.
 func FromMetrics(metrics map[string]float64) (l logic.Load) {
 	for name, v := range metrics {
 		SetMetric(&l, name, v)
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -7,6 +7,7 @@
 	"vetchwood/logic"
 )
 
+// valueOrMinus1 returns the value that p points to, or -1 if p is nil.
 func valueOrMinus1(p *float64) float64 {
 	if p == nil {
 		return -1
@@ -25,12 +26,12 @@
 	} {
 		l, err := Parse(header)
 		if got := [4]float64{valueOrMinus1(l.Utilization), valueOrMinus1(l.Throughput), valueOrMinus1(l.Backlog), valueOrMinus1(l.ErrorRate)}; err != nil || got != want {
-			t.Errorf("%q: %v, %v", header, got, err)
+			t.Errorf("Parse(%q) = %v, %v", header, got, err)
 		}
 	}
-	for header, says := range map[string]string{"TEXT cpu_utilization=much": "cpu_utilization", "JSON {": "JSON", "BIN AAAA": `"BIN"`} {
-		if _, err := Parse(header); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%q: %v", header, err)
+	for header, want := range map[string]string{"TEXT cpu_utilization=much": "cpu_utilization", "JSON {": "JSON", "BIN AAAA": `"BIN"`} {
+		if _, err := Parse(header); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("Parse(%q): error %v", header, err)
 		}
 	}
 }
@@ -45,11 +46,11 @@
 		}
 		EachMetric(l, func(name string, v float64) {
 			if !(v >= 0) {
-				t.Fatalf("%s is %v", name, v)
+				t.Fatalf("metric %s is %v, want a value of at least 0", name, v)
 			}
 		})
 		if again, err := Parse(Format(l)); err != nil || (again.Utilization == nil) != (l.Utilization == nil) {
-			t.Fatalf("%q became %q: %v", header, Format(l), err)
+			t.Fatalf("%q formatted as %q, which parses with error %v or another utilization", header, Format(l), err)
 		}
 	})
 }
