--- a/internal/lrs/lrs.go
+++ b/internal/lrs/lrs.go
@@ -29,7 +29,7 @@
 func (c *Count) UnmarshalJSON(b []byte) error {
 	n, err := strconv.ParseUint(string(bytes.Trim(b, `"`)), 10, 53)
 	if err != nil {
-		return fmt.Errorf("%.30s is not a count below 2^53", b)
+		return fmt.Errorf("%.30s is no count", b)
 	}
 	*c = Count(n)
 	return nil
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -84,7 +84,7 @@
 		}
 		n, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			return 0, fmt.Errorf("%s: %.40q is not a whole number", name, text)
+			return 0, fmt.Errorf("%s: %.40q is no whole number", name, text)
 		}
 		return n, nil
 	}
@@ -99,7 +99,7 @@
 	mux.HandleFunc("GET "+Path+"versions/{step}", func(w http.ResponseWriter, r *http.Request) {
 		step, err := strconv.ParseUint(r.PathValue("step"), 10, 64)
 		if err != nil {
-			writeProblem(w, http.StatusBadRequest, fmt.Errorf("version %.40q is not a whole number", r.PathValue("step")))
+			writeProblem(w, http.StatusBadRequest, fmt.Errorf("version %.40q is no whole number", r.PathValue("step")))
 			return
 		}
 		respond(w)(s.At(tables.Step(step)))
