--- a/internal/longpoll/ask.go
+++ b/internal/longpoll/ask.go
@@ -128,7 +128,7 @@
 	if !hasJSONBody(r) {
 		return newProblem(http.StatusUnsupportedMediaType, "a load report must have a JSON content type")
 	}
-	q, err := lrs.Read(r.body)
+	q, err := lrs.Decode(r.body)
 	if err != nil {
 		return newProblem(http.StatusBadRequest, "%v", err)
 	}
--- a/internal/mqtt/server.go
+++ b/internal/mqtt/server.go
@@ -343,7 +343,7 @@
 		refuse(subscribe.QuotaExceeded, "the director is overloaded")
 		return
 	}
-	r, err := lrs.Read(c.Payload)
+	r, err := lrs.Decode(c.Payload)
 	if err == nil && r.Proxy != "" && r.Proxy != proxy {
 		err = errors.New("load stats: node.id is not the proxy of the topic")
 	}
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -1,5 +1,5 @@
-// Package orca reads and writes load reports in answers: the header `endpoint-load-metrics` of the published
-// Open Request Cost Aggregation, in its TEXT and JSON forms.
+// Package orca reads and writes load reports in HTTP responses. It implements the TEXT and JSON forms of the header
+// `endpoint-load-metrics` of the published Open Request Cost Aggregation (ORCA).
 package orca
 
 import (
@@ -12,62 +12,63 @@
 	"vetchwood/logic"
 )
 
-// Header is the name of the answer's header.
+// Header is the name of the response header.
 const Header = "endpoint-load-metrics"
 
-// Names of the metrics that the module can use.
+// Names of the metrics that the decision module uses.
 const (
-	Busy   = "cpu_utilization"
-	Rate   = "rps_fractional"
-	Errors = "eps"
-	Queue  = "named_metrics.queue"
-	InHand = "named_metrics.in_hand"
-	Recent = "named_metrics.recent_ms"
+	Utilization   = "cpu_utilization"
+	Throughput    = "rps_fractional"
+	ErrorRate     = "eps"
+	Backlog       = "named_metrics.queue"
+	Outstanding   = "named_metrics.in_hand"
+	RecentLatency = "named_metrics.recent_ms"
 )
 
-// Set puts a metric where it belongs; one that is not known, or no number, is passed over.
-func Set(l *logic.Load, name string, v float64) {
+// SetMetric sets the metric of the given name. Unknown names and values that are negative, infinite or not numbers are
+// ignored.
+func SetMetric(l *logic.Load, name string, v float64) {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return
 	}
 	switch name {
-	case Busy:
+	case Utilization:
 		l.Utilization = &v
-	case Rate:
+	case Throughput:
 		l.Throughput = &v
-	case Errors:
+	case ErrorRate:
 		l.ErrorRate = &v
-	case Queue:
+	case Backlog:
 		l.Backlog = &v
-	case InHand:
+	case Outstanding:
 		l.Outstanding = &v
-	case Recent:
+	case RecentLatency:
 		l.RecentLatency = &v
 	}
 }
 
-// Each gives the metrics that a load holds, by name.
-func Each(l logic.Load, yield func(name string, v float64)) {
+// EachMetric calls yield with the name and value of each metric that a load report holds.
+func EachMetric(l logic.Load, yield func(name string, v float64)) {
 	for _, m := range []struct {
 		name string
 		v    *float64
-	}{{Busy, l.Utilization}, {Rate, l.Throughput}, {Errors, l.ErrorRate}, {Queue, l.Backlog}, {InHand, l.Outstanding}, {Recent, l.RecentLatency}} {
+	}{{Utilization, l.Utilization}, {Throughput, l.Throughput}, {ErrorRate, l.ErrorRate}, {Backlog, l.Backlog}, {Outstanding, l.Outstanding}, {RecentLatency, l.RecentLatency}} {
 		if m.v != nil {
 			yield(m.name, *m.v)
 		}
 	}
 }
 
-// Text is the TEXT form.
-func Text(l logic.Load) string {
+// Format returns the TEXT form of a load report.
+func Format(l logic.Load) string {
 	var parts []string
-	Each(l, func(name string, v float64) {
+	EachMetric(l, func(name string, v float64) {
 		parts = append(parts, name+"="+strconv.FormatFloat(v, 'g', 6, 64))
 	})
 	return "TEXT " + strings.Join(parts, ",")
 }
 
-// Parse reads either form.
+// Parse reads a header in either form. An empty header is an empty load report.
 func Parse(header string) (l logic.Load, err error) {
 	form, rest, _ := strings.Cut(strings.TrimSpace(header), " ")
 	switch form {
@@ -81,25 +82,25 @@
 			if err != nil {
 				return l, fmt.Errorf("%s: metric %.40q: not a number", Header, name)
 			}
-			Set(&l, strings.TrimSpace(name), v)
+			SetMetric(&l, strings.TrimSpace(name), v)
 		}
 	case "JSON":
 		var all struct {
-			Busy   *float64           `json:"cpu_utilization"`
-			Rate   *float64           `json:"rps_fractional"`
-			Errors *float64           `json:"eps"`
-			Named  map[string]float64 `json:"named_metrics"`
+			Utilization *float64           `json:"cpu_utilization"`
+			Throughput  *float64           `json:"rps_fractional"`
+			ErrorRate   *float64           `json:"eps"`
+			Named       map[string]float64 `json:"named_metrics"`
 		}
 		if err := json.Unmarshal([]byte(rest), &all); err != nil {
 			return l, fmt.Errorf("%s: %w", Header, err)
 		}
-		for name, v := range map[string]*float64{Busy: all.Busy, Rate: all.Rate, Errors: all.Errors} {
+		for name, v := range map[string]*float64{Utilization: all.Utilization, Throughput: all.Throughput, ErrorRate: all.ErrorRate} {
 			if v != nil {
-				Set(&l, name, *v)
+				SetMetric(&l, name, *v)
 			}
 		}
 		for name, v := range all.Named {
-			Set(&l, "named_metrics."+name, v)
+			SetMetric(&l, "named_metrics."+name, v)
 		}
 	case "":
 	default:
@@ -108,10 +109,10 @@
 	return l, nil
 }
 
-// Of is a load by the names of its metrics; unknown ones are passed over.
-func Of(metrics map[string]float64) (l logic.Load) {
+// FromMetrics returns the load report with the given metrics. Unknown names are ignored.
+func FromMetrics(metrics map[string]float64) (l logic.Load) {
 	for name, v := range metrics {
-		Set(&l, name, v)
+		SetMetric(&l, name, v)
 	}
 	return l
 }
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -7,7 +7,8 @@
 	"vetchwood/logic"
 )
 
-func of(p *float64) float64 {
+// valueOrMinus1 returns the value that p points to, or -1 if p is nil.
+func valueOrMinus1(p *float64) float64 {
 	if p == nil {
 		return -1
 	}
@@ -24,13 +25,13 @@
 		"":     {-1, -1, -1, -1},
 	} {
 		l, err := Parse(header)
-		if got := [4]float64{of(l.Utilization), of(l.Throughput), of(l.Backlog), of(l.ErrorRate)}; err != nil || got != want {
-			t.Errorf("%q: %v, %v", header, got, err)
+		if got := [4]float64{valueOrMinus1(l.Utilization), valueOrMinus1(l.Throughput), valueOrMinus1(l.Backlog), valueOrMinus1(l.ErrorRate)}; err != nil || got != want {
+			t.Errorf("Parse(%q) = %v, %v", header, got, err)
 		}
 	}
-	for header, says := range map[string]string{"TEXT cpu_utilization=much": "cpu_utilization", "JSON {": "JSON", "BIN AAAA": `"BIN"`} {
-		if _, err := Parse(header); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%q: %v", header, err)
+	for header, want := range map[string]string{"TEXT cpu_utilization=much": "cpu_utilization", "JSON {": "JSON", "BIN AAAA": `"BIN"`} {
+		if _, err := Parse(header); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("Parse(%q): error %v", header, err)
 		}
 	}
 }
@@ -43,20 +44,20 @@
 		if err != nil {
 			return
 		}
-		Each(l, func(name string, v float64) {
+		EachMetric(l, func(name string, v float64) {
 			if !(v >= 0) {
-				t.Fatalf("%s is %v", name, v)
+				t.Fatalf("metric %s is %v, want a value of at least 0", name, v)
 			}
 		})
-		if again, err := Parse(Text(l)); err != nil || (again.Utilization == nil) != (l.Utilization == nil) {
-			t.Fatalf("%q became %q: %v", header, Text(l), err)
+		if again, err := Parse(Format(l)); err != nil || (again.Utilization == nil) != (l.Utilization == nil) {
+			t.Fatalf("%q formatted as %q, which parses with error %v or another utilization", header, Format(l), err)
 		}
 	})
 }
 
-func TestTextWritesWhatIsThere(t *testing.T) {
+func TestFormatWritesPresentMetrics(t *testing.T) {
 	busy, rate := 0.25, 12.0
-	if got := Text(logic.Load{Utilization: &busy, Throughput: &rate}); got != "TEXT cpu_utilization=0.25,rps_fractional=12" {
+	if got := Format(logic.Load{Utilization: &busy, Throughput: &rate}); got != "TEXT cpu_utilization=0.25,rps_fractional=12" {
 		t.Fatal(got)
 	}
 }
--- a/internal/settings/director.go
+++ b/internal/settings/director.go
@@ -18,44 +18,45 @@
 	"vetchwood/logic"
 )
 
-// Running is what a director needs to run.
-type Running struct {
+// Director holds the settings of a director.
+type Director struct {
 	Name          string
 	Listen, Admin string
 	StorePath     string
-	Memory        int64             // that the process may use
-	Written       map[string]string // each attribute by its path, as it stands in the file
+	Memory        int64             // bytes that the process may use
+	Attributes    map[string]string // source text of each attribute by its path, see Flatten
 	Service       control.Service
-	Front         longpoll.Limits
-	Roster        Roster
+	LongPoll      longpoll.Limits
+	Discovery     Discovery
 	History       store.Retention
 	ProbePath     string
 	ProbeTimeout  time.Duration
-	Custody       *lease.Config // nil: all slices are this director's
-	MQTT          *MQTT         // nil: the first front alone
+	SliceLease    *lease.Config // nil: this director owns all slices
+	MQTT          *MQTT         // nil: long polling only
 }
 
-// MQTT is the second front's.
+// MQTT holds the settings of the MQTT front.
 type MQTT struct {
 	Listen string
 	Limits mqtt.Limits
 }
 
-// Roster says where the list of hosts comes from.
-type Roster struct {
+// Discovery holds the settings of the source of the host list.
+type Discovery struct {
 	Consul, Service string
-	Wait            time.Duration
+	QueryWait       time.Duration
 }
 
-func millis(d time.Duration) logic.Millis { return logic.Millis(float64(d.Microseconds()) / 1000) }
+// toMillis converts a duration to milliseconds, with a resolution of 1 µs.
+func toMillis(d time.Duration) logic.Millis { return logic.Millis(float64(d.Microseconds()) / 1000) }
 
-// Load reads a director's file.
-func Load(path string) (*Running, error) { return load(path, nil) }
+// LoadDirector reads a director's settings file.
+func LoadDirector(path string) (*Director, error) { return loadDirector(path, nil) }
 
-// Parse reads a director's settings from text; name stands for the file in errors.
-func Parse(name string, text []byte) (*Running, error) { return load(name, text) }
+// ParseDirector reads a director's settings from text. The name is that of the file in errors.
+func ParseDirector(name string, text []byte) (*Director, error) { return loadDirector(name, text) }
 
-func load(path string, text []byte) (_ *Running, err error) {
+func loadDirector(path string, text []byte) (_ *Director, err error) {
 	if text == nil {
 		if text, err = os.ReadFile(path); err != nil {
 			return nil, err
@@ -66,269 +67,273 @@
 		return nil, err
 	}
 	r.Name = "the file"
-	out := &Running{}
-	if out.Written, err = Flat(text, path); err != nil {
+	d := &Director{}
+	if d.Attributes, err = Flatten(text, path); err != nil {
 		return nil, err
 	}
-	f := &out.Service.Config
+	config := &d.Service.Config
 	if all, names := r.Blocks("director", 1, 1, 1); len(all) > 0 {
-		out.director(all[0], names[0], path)
-		out.Service.Name = names[0]
+		d.readDirector(all[0], names[0], path)
+		d.Service.Name = names[0]
 	}
-	out.service(r.One("service", true))
-	out.hosts(r.One("hosts", true), f)
-	out.proxies(r.One("proxies", true), f)
-	out.channel(r.One("channel", true), f)
-	out.rest(r)
-	r.Done()
-	return out, r.Err()
+	d.readService(r.Block("service", true))
+	d.readHosts(r.Block("hosts", true), config)
+	d.readProxies(r.Block("proxies", true), config)
+	d.readChannel(r.Block("channel", true), config)
+	d.readOtherBlocks(r)
+	r.RejectUnknown()
+	return d, r.Err()
 }
 
-func (out *Running) socket(r *Reader, attr, otherwise string) string {
-	s := r.Text(attr, otherwise)
+// readSocket reads a host:port address.
+func (d *Director) readSocket(r *Reader, attr, fallback string) string {
+	s := r.String(attr, fallback)
 	if _, _, err := net.SplitHostPort(s); err != nil && s != "" {
-		r.Fail(attr, "%q is no host:port", s)
+		r.Fail(attr, "%q is not a host:port address", s)
 	}
 	return s
 }
 
-func (out *Running) director(r *Reader, name, path string) {
-	out.Name = name
-	out.Listen = out.socket(r, "listen", Needed)
-	if out.Admin = out.socket(r, "admin", ""); out.Admin != "" && out.Admin == out.Listen {
+func (d *Director) readDirector(r *Reader, name, path string) {
+	d.Name = name
+	d.Listen = d.readSocket(r, "listen", Required)
+	if d.Admin = d.readSocket(r, "admin", ""); d.Admin != "" && d.Admin == d.Listen {
 		r.Fail("admin", "is the same socket as listen")
 	}
-	if out.StorePath = r.Text("store", Needed); !filepath.IsAbs(out.StorePath) {
-		out.StorePath = filepath.Join(filepath.Dir(path), out.StorePath)
+	if d.StorePath = r.String("store", Required); !filepath.IsAbs(d.StorePath) {
+		d.StorePath = filepath.Join(filepath.Dir(path), d.StorePath)
 	}
-	out.Memory = int64(r.Size("memory", 1<<30, 64<<20, 1<<40))
-	zone := r.Text("zone", "")
-	out.Service.Zones = []string{zone} // its place is found once the service's zones are known
-	r.Done()
+	d.Memory = int64(r.Size("memory", 1<<30, 64<<20, 1<<40))
+	zone := r.String("zone", "")
+	d.Service.Zones = []string{zone} // replaced by readService, which determines its index
+	r.RejectUnknown()
 }
 
-var repeats = map[string]logic.Idempotency{"repeatable": logic.Idempotent, "keyed": logic.IdempotentByKey, "mutating": logic.NonIdempotent}
-var reaches = map[string]logic.DedupScope{"": logic.DedupNone, "all": logic.DedupAll, "zone": logic.DedupZone,
+var idempotencyByName = map[string]logic.Idempotency{"repeatable": logic.Idempotent, "keyed": logic.IdempotentByKey, "mutating": logic.NonIdempotent}
+var dedupScopeByName = map[string]logic.DedupScope{"": logic.DedupNone, "all": logic.DedupAll, "zone": logic.DedupZone,
 	"cell": logic.DedupCell}
 
-func (out *Running) service(r *Reader) {
-	f, own := &out.Service.Config, ""
-	if len(out.Service.Zones) > 0 {
-		own = out.Service.Zones[0]
+func (d *Director) readService(r *Reader) {
+	config, ownZone := &d.Service.Config, ""
+	if len(d.Service.Zones) > 0 {
+		ownZone = d.Service.Zones[0]
 	}
-	zones := r.Texts("zones", true)
-	out.Service.Zones = zones
-	found := own == ""
+	zones := r.Strings("zones", true)
+	d.Service.Zones = zones
+	found := ownZone == ""
 	for i, z := range zones {
-		if z == own {
-			f.Zone, found = logic.ZoneID(i), true
+		if z == ownZone {
+			config.Zone, found = logic.ZoneID(i), true
 		}
 	}
 	if !found {
-		r.Fail("zones", "the director's zone %q is not among them", own)
+		r.Fail("zones", "the director's zone %q is not among them", ownZone)
 	}
-	out.Service.Pick = r.Text("pick", "lottery", "lottery", "wheel", "pair")
-	f.Pick = map[string]logic.PickPolicy{"wheel": logic.PickRoundRobin, "pair": logic.PickTwoChoices}[out.Service.Pick]
-	f.Slices = r.Whole("slices", 0, 0, 4096)
-	if f.SingleOwner = r.Truth("one_owner", false); f.SingleOwner && f.Slices == 0 {
-		r.Fail("one_owner", "takes slices")
+	d.Service.Pick = r.String("pick", "lottery", "lottery", "wheel", "pair")
+	config.Pick = map[string]logic.PickPolicy{"wheel": logic.PickRoundRobin, "pair": logic.PickTwoChoices}[d.Service.Pick]
+	config.Slices = r.Int("slices", 0, 0, 4096)
+	if config.SingleOwner = r.Bool("one_owner", false); config.SingleOwner && config.Slices == 0 {
+		r.Fail("one_owner", "requires slices")
 	}
-	f.WarmKeys = r.Truth("warm_keys", false)
-	f.Levels = map[string]logic.LevelUnit{"share": logic.LevelShare, "rate": logic.LevelRate}[r.Text("levels", "share",
+	config.WarmKeys = r.Bool("warm_keys", false)
+	config.Levels = map[string]logic.LevelUnit{"share": logic.LevelShare, "rate": logic.LevelRate}[r.String("levels", "share",
 		"share", "rate", "none")]
 	routes, names := r.Blocks("route", 1, 1, 63)
-	for i, in := range routes {
-		out.route(in, names[i])
+	for i, block := range routes {
+		d.readRoute(block, names[i])
 	}
-	r.Done()
+	r.RejectUnknown()
 }
 
-func (out *Running) route(r *Reader, name string) {
-	f := &out.Service.Config
-	repeat := r.Text("repeat", Needed, "repeatable", "keyed", "mutating")
-	reach := r.Text("reach", "", "", "all", "zone", "cell")
-	span := r.Span("span", 0, 0, time.Hour)
+func (d *Director) readRoute(r *Reader, name string) {
+	config := &d.Service.Config
+	repeat := r.String("repeat", Required, "repeatable", "keyed", "mutating")
+	reach := r.String("reach", "", "", "all", "zone", "cell")
+	span := r.Duration("span", 0, 0, time.Hour)
 	if keyed := repeat == "keyed"; keyed != (reach != "") || keyed != (span > 0) {
-		r.Fail("repeat", "reach and span belong to keyed routes, and those need both")
+		r.Fail("repeat", "reach and span are required on keyed routes and not permitted on others")
 	}
-	slo := r.Span("slo", -1, time.Millisecond, time.Hour)
-	limit := r.Span("time_limit", -1, time.Millisecond, time.Hour)
+	slo := r.Duration("slo", -1, time.Millisecond, time.Hour)
+	limit := r.Duration("time_limit", -1, time.Millisecond, time.Hour)
 	if limit < slo {
 		r.Fail("time_limit", "%v is shorter than the SLO time, %v", limit, slo)
 	}
-	route := logic.Route{SLO: millis(slo), TimeLimit: millis(limit), DedupWindow: millis(span),
+	route := logic.Route{SLO: toMillis(slo), TimeLimit: toMillis(limit), DedupWindow: toMillis(span),
 		Importance: r.Number("importance", math.NaN(), 0, 1e6), LateShare: r.Number("late_share", 0, 0, 1),
-		Idempotency: repeats[repeat], DedupScope: reaches[reach], OwnZone: r.Truth("own_zone", false),
-		IsWrite: r.Truth("writes", false)}
-	f.Routes = append(f.Routes, route)
-	out.Service.Routes = append(out.Service.Routes, control.RouteInfo{Name: name, Route: tables.Route{
+		Idempotency: idempotencyByName[repeat], DedupScope: dedupScopeByName[reach], OwnZone: r.Bool("own_zone", false),
+		IsWrite: r.Bool("writes", false)}
+	config.Routes = append(config.Routes, route)
+	d.Service.Routes = append(d.Service.Routes, control.RouteInfo{Name: name, Route: tables.Route{
 		Idempotency: repeat, DedupScope: reach, DedupWindowMs: float64(route.DedupWindow), SLOMs: float64(route.SLO),
 		TimeLimitMs: float64(route.TimeLimit), Importance: route.Importance, Writes: route.IsWrite,
 		OwnZone: route.OwnZone}})
-	r.Done()
+	r.RejectUnknown()
 }
 
-func (out *Running) hosts(r *Reader, f *logic.Config) {
-	f.ColdCapacity = r.Number("cold_from", 0.2, 0.01, 1)
-	f.WarmAfter = millis(r.Span("warm_after", -1, 0, time.Hour))
-	f.ColdOverloadLimit = r.Number("tip_multiple", 3, 1, 1000)
-	f.ColdFailAfter = millis(r.Span("fall_after", 2*time.Second, 0, time.Hour))
-	f.DrainGrace = millis(r.Span("drain_grace", -1, 100*time.Millisecond, time.Hour))
-	f.Weighted = r.Truth("weighted", false)
-	f.RejectedMayHaveRun = r.Truth("full_may_have_run", true)
-	f.RemovalIsAdvisory = r.Truth("gone_is_advice", false)
+func (d *Director) readHosts(r *Reader, config *logic.Config) {
+	config.ColdCapacity = r.Number("cold_from", 0.2, 0.01, 1)
+	config.WarmAfter = toMillis(r.Duration("warm_after", -1, 0, time.Hour))
+	config.ColdOverloadLimit = r.Number("tip_multiple", 3, 1, 1000)
+	config.ColdFailAfter = toMillis(r.Duration("fall_after", 2*time.Second, 0, time.Hour))
+	config.DrainGrace = toMillis(r.Duration("drain_grace", -1, 100*time.Millisecond, time.Hour))
+	config.Weighted = r.Bool("weighted", false)
+	config.RejectedMayHaveRun = r.Bool("full_may_have_run", true)
+	config.RemovalIsAdvisory = r.Bool("gone_is_advice", false)
 	names := map[string]string{"busy": "utilization", "rate": "throughput", "queue": "backlog",
 		"in_hand": "outstanding", "recent": "recent_ms", "errors": "errors_per_s"}
-	for _, l := range r.Texts("load", false, "busy", "rate", "queue", "in_hand", "recent", "errors") {
-		f.LoadColumns = append(f.LoadColumns, names[l])
+	for _, l := range r.Strings("load", false, "busy", "rate", "queue", "in_hand", "recent", "errors") {
+		config.LoadColumns = append(config.LoadColumns, names[l])
 	}
-	p := r.One("probe", false)
-	f.MayProbe = r.Has("probe")
-	out.ProbePath = p.Text("path", "/")
-	out.ProbeTimeout = p.Span("timeout", 250*time.Millisecond, time.Millisecond, time.Minute)
-	p.Done()
-	r.Done()
+	p := r.Block("probe", false)
+	config.MayProbe = r.HasBlock("probe")
+	d.ProbePath = p.String("path", "/")
+	d.ProbeTimeout = p.Duration("timeout", 250*time.Millisecond, time.Millisecond, time.Minute)
+	p.RejectUnknown()
+	r.RejectUnknown()
 }
 
-func (out *Running) proxies(r *Reader, f *logic.Config) {
-	f.Proxies = r.Whole("most", 0, 1, 65535)
-	names := r.Text("names", ".+")
+func (d *Director) readProxies(r *Reader, config *logic.Config) {
+	config.Proxies = r.Int("most", 0, 1, 65535)
+	names := r.String("names", ".+")
 	pattern, err := regexp.Compile(`\A(?:` + names + `)\z`)
 	if err != nil {
-		r.Fail("names", "no regular expression: %v", err)
+		r.Fail("names", "not a valid regular expression: %v", err)
 		pattern = regexp.MustCompile(".+")
 	}
-	out.Service.ProxyNames = pattern
-	out.Service.Lease = millis(r.Span("lease", 3*time.Second, 200*time.Millisecond, time.Hour))
-	f.EmptyTableLimit = millis(r.Span("bare_limit", -1, time.Millisecond, time.Hour))
-	f.EjectAfterFailures = r.Whole("ejects_after", 0, 0, 1000)
-	f.DefaultRetries = r.Whole("tries", 1, 0, 3)
-	f.TryTimeout = r.Number("try_wait", 1.2, 0.01, 100)
-	f.TableWait = millis(r.Span("waits_for_table", 0, 0, time.Minute))
-	f.WriteLease = millis(r.Span("write_lease", 0, 0, time.Hour))
-	f.WriteSettle = millis(r.Span("write_settle", 0, 0, time.Hour))
-	for i := range out.Service.Routes {
-		out.Service.Routes[i].Level = tables.Level{Level: 1, RetryMode: f.DefaultRetries}
-		if f.Levels == logic.LevelRate {
-			out.Service.Routes[i].Level.Level = 1e6
+	d.Service.ProxyNames = pattern
+	d.Service.Lease = toMillis(r.Duration("lease", 3*time.Second, 200*time.Millisecond, time.Hour))
+	config.EmptyTableLimit = toMillis(r.Duration("bare_limit", -1, time.Millisecond, time.Hour))
+	config.EjectAfterFailures = r.Int("ejects_after", 0, 0, 1000)
+	config.DefaultRetries = r.Int("tries", 1, 0, 3)
+	config.TryTimeout = r.Number("try_wait", 1.2, 0.01, 100)
+	config.TableWait = toMillis(r.Duration("waits_for_table", 0, 0, time.Minute))
+	config.WriteLease = toMillis(r.Duration("write_lease", 0, 0, time.Hour))
+	config.WriteSettle = toMillis(r.Duration("write_settle", 0, 0, time.Hour))
+	for i := range d.Service.Routes {
+		d.Service.Routes[i].Level = tables.Level{Level: 1, RetryMode: config.DefaultRetries}
+		if config.Levels == logic.LevelRate {
+			d.Service.Routes[i].Level.Level = 1e6
 		}
 	}
-	r.Done()
+	r.RejectUnknown()
 }
 
-func (out *Running) channel(r *Reader, f *logic.Config) {
-	f.LinesPerSecond = r.Number("lines_per_second", math.NaN(), 1, 1e7)
-	f.QueueLimit = r.Number("queue_lines", math.NaN(), 1, 1e8)
-	f.MessageOverhead = r.Number("head_lines", 0, 0, 1e4)
-	f.Transit = millis(r.Span("transit", 20*time.Millisecond, 0, time.Minute))
-	f.WorstTransit = millis(r.Span("worst_transit", 250*time.Millisecond, 0, time.Minute))
-	if f.WorstTransit < f.Transit {
+func (d *Director) readChannel(r *Reader, config *logic.Config) {
+	config.LinesPerSecond = r.Number("lines_per_second", math.NaN(), 1, 1e7)
+	config.QueueLimit = r.Number("queue_lines", math.NaN(), 1, 1e8)
+	config.MessageOverhead = r.Number("head_lines", 0, 0, 1e4)
+	config.Transit = toMillis(r.Duration("transit", 20*time.Millisecond, 0, time.Minute))
+	config.WorstTransit = toMillis(r.Duration("worst_transit", 250*time.Millisecond, 0, time.Minute))
+	if config.WorstTransit < config.Transit {
 		r.Fail("worst_transit", "is shorter than transit")
 	}
-	f.MessageLimit = r.Whole("messages", 0, 0, 1e6)
-	f.MessageWindow = millis(r.Span("message_span", 10*time.Second, 0, time.Hour))
-	// What can't be put off must fit: a message with one line for every proxy, twice.
-	if least := 2 * float64(f.Proxies) * (f.MessageOverhead + 2); f.QueueLimit < least {
-		r.Fail("queue_lines", "%v is under %v: two messages of one line for each of %d proxies", f.QueueLimit, least, f.Proxies)
+	config.MessageLimit = r.Int("messages", 0, 0, 1e6)
+	config.MessageWindow = toMillis(r.Duration("message_span", 10*time.Second, 0, time.Hour))
+	// Orders that cannot be deferred must fit into the queue: two messages of one line and a stamp to
+	// every proxy.
+	if minimum := 2 * float64(config.Proxies) * (config.MessageOverhead + 2); config.QueueLimit < minimum {
+		r.Fail("queue_lines", "%v is less than %v, the size of two messages of one line to each of %d proxies", config.QueueLimit, minimum, config.Proxies)
 	}
-	r.Done()
+	r.RejectUnknown()
 }
 
-func (out *Running) rest(r *Reader) {
-	f := &out.Service.Config
-	f.Directors = 1
-	in := r.One("reports", false)
-	f.ReportInterval = millis(in.Span("every", 500*time.Millisecond, 10*time.Millisecond, time.Minute))
-	f.ReportLinesPerSecond = in.Number("lines_per_second", 1000, 1, 1e6)
-	in.Done()
+// readOtherBlocks reads the blocks reports, roster, custody, mqtt, history and poll. The block poll comes last, as it
+// depends on whether slices are leased.
+func (d *Director) readOtherBlocks(r *Reader) {
+	config := &d.Service.Config
+	config.Directors = 1
+	block := r.Block("reports", false)
+	config.ReportInterval = toMillis(block.Duration("every", 500*time.Millisecond, 10*time.Millisecond, time.Minute))
+	config.ReportLinesPerSecond = block.Number("lines_per_second", 1000, 1, 1e6)
+	block.RejectUnknown()
 
-	in = r.One("roster", true)
-	out.Roster.Consul = in.Text("consul", Needed)
-	if u, err := url.Parse(out.Roster.Consul); err != nil || out.Roster.Consul != "" && (u.Host == "" || u.Scheme != "http") {
-		in.Fail("consul", "%q is no http URL", out.Roster.Consul)
+	block = r.Block("roster", true)
+	d.Discovery.Consul = block.String("consul", Required)
+	if u, err := url.Parse(d.Discovery.Consul); err != nil || d.Discovery.Consul != "" && (u.Host == "" || u.Scheme != "http") {
+		block.Fail("consul", "%q is not an http URL", d.Discovery.Consul)
 	}
-	out.Roster.Service = in.Text("service", Needed)
-	out.Roster.Wait = in.Span("wait", 30*time.Second, 100*time.Millisecond, 10*time.Minute)
-	in.Done()
+	d.Discovery.Service = block.String("service", Required)
+	d.Discovery.QueryWait = block.Duration("wait", 30*time.Second, 100*time.Millisecond, 10*time.Minute)
+	block.RejectUnknown()
 
-	out.custody(r)
-	out.mqtt(r)
+	d.readSliceLease(r)
+	d.readMQTT(r)
 
-	in = r.One("history", false)
-	out.History = store.Retention{Versions: in.Whole("versions", 10000, 1, 1e7),
-		AgeMs: float64(millis(in.Span("age", 24*time.Hour, time.Second, 10000*time.Hour)))}
-	in.Done()
+	block = r.Block("history", false)
+	d.History = store.Retention{Versions: block.Int("versions", 10000, 1, 1e7),
+		AgeMs: float64(toMillis(block.Duration("age", 24*time.Hour, time.Second, 10000*time.Hour)))}
+	block.RejectUnknown()
 
-	in = r.One("poll", false)
-	longest := in.Span("longest_wait", 30*time.Second, time.Second, time.Hour)
-	out.Service.MaxWait = millis(longest)
-	idle := in.Span("idle", 2*time.Minute, time.Second, time.Hour)
+	block = r.Block("poll", false)
+	longest := block.Duration("longest_wait", 30*time.Second, time.Second, time.Hour)
+	d.Service.MaxWait = toMillis(longest)
+	idle := block.Duration("idle", 2*time.Minute, time.Second, time.Hour)
 	if idle < longest {
-		in.Fail("longest_wait", "%v is longer than a connection may be idle, %v", longest, idle)
+		block.Fail("longest_wait", "%v is longer than the idle timeout of a connection, %v", longest, idle)
 	}
-	if out.Custody != nil {
-		// A poll is sent anew often enough that what its answer says is covered by the lease.
-		out.Service.MaxWait = min(out.Service.MaxWait, millis(out.Custody.TTL/3))
+	if d.SliceLease != nil {
+		// A proxy polls again within a third of the time to live, so that its tables stay covered by the slice lease.
+		d.Service.MaxWait = min(d.Service.MaxWait, toMillis(d.SliceLease.TTL/3))
 	}
-	out.Service.MaxBases = in.Whole("kept_versions", 256, 1, 100000)
-	out.Front = longpoll.Limits{MaxHeadBytes: in.Size("most_head", 16<<10, 512, 1<<20),
-		MaxBodyBytes:   in.Size("most_body", 4<<20, 512, 64<<20),
-		RequestTimeout: in.Span("slow_request", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
-		IdleTimeout:    idle, WriteTimeout: in.Span("slow_answer", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
-		MaxWait: out.Service.MaxWait}
-	if out.MQTT != nil {
-		out.MQTT.Limits.MaxWait = out.Service.MaxWait
+	d.Service.MaxBases = block.Int("kept_versions", 256, 1, 100000)
+	d.LongPoll = longpoll.Limits{MaxHeadBytes: block.Size("most_head", 16<<10, 512, 1<<20),
+		MaxBodyBytes:   block.Size("most_body", 4<<20, 512, 64<<20),
+		RequestTimeout: block.Duration("slow_request", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
+		IdleTimeout:    idle, WriteTimeout: block.Duration("slow_answer", 10*time.Second, 100*time.Millisecond, 10*time.Minute),
+		MaxWait: d.Service.MaxWait}
+	if d.MQTT != nil {
+		d.MQTT.Limits.MaxWait = d.Service.MaxWait
 	}
-	in.Done()
+	block.RejectUnknown()
 }
 
-// custody says by what leases slices are held, where there are several directors.
-func (out *Running) custody(r *Reader) {
-	f := &out.Service.Config
+// readSliceLease reads the block custody, which is present if several directors hold the slices under leases.
+func (d *Director) readSliceLease(r *Reader) {
+	config := &d.Service.Config
 	all, _ := r.Blocks("custody", 0, 0, 1)
 	if len(all) == 0 {
 		return
 	}
-	in := all[0]
-	t := &lease.Config{ConsulURL: in.Text("consul", out.Roster.Consul), KeyPrefix: in.Text("prefix", "vetchwood"),
-		TTL: in.Span("ttl", 10*time.Second, 200*time.Millisecond, time.Hour), LockDelay: in.Span("lock_delay", 0, 0, time.Minute),
-		AdvertiseURL: in.Text("advertise", "http://"+out.Listen), SliceCount: f.Slices}
+	block := all[0]
+	t := &lease.Config{ConsulURL: block.String("consul", d.Discovery.Consul), KeyPrefix: block.String("prefix", "vetchwood"),
+		TTL: block.Duration("ttl", 10*time.Second, 200*time.Millisecond, time.Hour), LockDelay: block.Duration("lock_delay", 0, 0, time.Minute),
+		AdvertiseURL: block.String("advertise", "http://"+d.Listen), SliceCount: config.Slices}
 	if u, err := url.Parse(t.ConsulURL); err != nil || t.ConsulURL != "" && (u.Host == "" || u.Scheme != "http") {
-		in.Fail("consul", "%q is no http URL", t.ConsulURL)
+		block.Fail("consul", "%q is not an http URL", t.ConsulURL)
 	}
 	if u, err := url.Parse(t.AdvertiseURL); err != nil || u.Host == "" || u.Scheme != "http" {
-		in.Fail("advertise", "%q is no http URL", t.AdvertiseURL)
+		block.Fail("advertise", "%q is not an http URL", t.AdvertiseURL)
 	}
-	if f.Slices == 0 {
-		in.Fail("", "custody takes slices: without them each director has tables of its own for the proxies that poll it")
+	if config.Slices == 0 {
+		block.Fail("", "custody requires slices: without them, each director has separate tables for the proxies that poll it")
 	}
-	if f.SingleOwner {
-		in.Fail("", "custody is not yet to be had where slices have single owners")
+	if config.SingleOwner {
+		block.Fail("", "custody is not supported with one_owner")
 	}
-	out.Service.QueriesPeers = in.Truth("learn", true)
-	out.Custody, out.Service.SlicesLeased = t, true
-	in.Done()
+	d.Service.QueriesPeers = block.Bool("learn", true)
+	d.SliceLease, d.Service.SlicesLeased = t, true
+	block.RejectUnknown()
 }
 
-// mqtt says how the second front listens, where there is one.
-func (out *Running) mqtt(r *Reader) {
+// readMQTT reads the block mqtt, which is present if the director also listens for MQTT.
+func (d *Director) readMQTT(r *Reader) {
 	all, _ := r.Blocks("mqtt", 0, 0, 1)
 	if len(all) == 0 {
 		return
 	}
-	in := all[0]
-	m := &MQTT{Listen: out.socket(in, "listen", Needed)}
-	if m.Listen != "" && (m.Listen == out.Listen || m.Listen == out.Admin) {
-		in.Fail("listen", "is the same socket as another of the director's")
+	block := all[0]
+	m := &MQTT{Listen: d.readSocket(block, "listen", Required)}
+	if m.Listen != "" && (m.Listen == d.Listen || m.Listen == d.Admin) {
+		block.Fail("listen", "is the same socket as listen or admin of the director")
 	}
-	m.Limits = mqtt.Limits{MaxPacketBytes: in.Size("most_packet", 4<<20, 512, 64<<20),
-		ConnectTimeout: in.Span("connect", 10*time.Second, 100*time.Millisecond, time.Minute),
-		MaxKeepAlive:   in.Span("keep_alive", time.Minute, time.Second, 10*time.Hour), WriteTimeout: in.Span("slow_packet", 10*time.Second, 100*time.Millisecond, 10*time.Minute)}
-	m.Limits.MaxSessions = in.Whole("sessions", 2*out.Service.Config.Proxies+100, 1, 1e6)
-	m.Limits.MaxExpiry = millis(in.Span("session", 5*time.Minute, 0, 24*time.Hour))
-	m.Limits.AckTimeout = millis(in.Span("unanswered", 30*time.Second, time.Second, time.Hour))
-	m.Limits.ConnectsPerSecond = in.Number("connects_per_second", 2000, 1, 1e6)
-	m.Limits.MaxWatchers = in.Whole("watchers", 50, 0, 200)
-	out.MQTT = m
-	in.Done()
+	m.Limits = mqtt.Limits{MaxPacketBytes: block.Size("most_packet", 4<<20, 512, 64<<20),
+		ConnectTimeout: block.Duration("connect", 10*time.Second, 100*time.Millisecond, time.Minute),
+		MaxKeepAlive:   block.Duration("keep_alive", time.Minute, time.Second, 10*time.Hour), WriteTimeout: block.Duration("slow_packet", 10*time.Second, 100*time.Millisecond, 10*time.Minute)}
+	m.Limits.MaxSessions = block.Int("sessions", 2*d.Service.Config.Proxies+100, 1, 1e6)
+	m.Limits.MaxExpiry = toMillis(block.Duration("session", 5*time.Minute, 0, 24*time.Hour))
+	m.Limits.AckTimeout = toMillis(block.Duration("unanswered", 30*time.Second, time.Second, time.Hour))
+	m.Limits.ConnectsPerSecond = block.Number("connects_per_second", 2000, 1, 1e6)
+	m.Limits.MaxWatchers = block.Int("watchers", 50, 0, 200)
+	d.MQTT = m
+	block.RejectUnknown()
 }
