--- a/cmd/vetchwood/commands.go
+++ b/cmd/vetchwood/commands.go
@@ -107,9 +107,9 @@
 }
 
 func (c *hostCmd) Run(ctx context.Context, log *slog.Logger) error {
-	h := standin.NewHost(standin.HostShape{Cores: c.Cores, Queue: c.Queue, ColdFrom: c.Cold, Warm: c.Warm, Tip: 3,
-		Fall: 2 * time.Second, Memory: standin.NewMemory(c.Span), Book: &judge.Book{}, Now: unixMs}, "")
-	if err := h.StartAt(c.Listen, false); err != nil {
+	h := standin.NewHost(standin.HostConfig{Cores: c.Cores, Queue: c.Queue, ColdCapacity: c.Cold, WarmAfter: c.Warm, ColdOverloadLimit: 3,
+		ColdFailAfter: 2 * time.Second, Dedup: standin.NewDeduplicator(c.Span), Recorder: &judge.Recorder{}, Now: unixMs}, "")
+	if err := h.StartOn(c.Listen, false); err != nil {
 		return err
 	}
 	log.Info("host.started", "id", c.ID, "address", string(h.Address))
@@ -123,7 +123,7 @@
 			return err
 		}
 		err = client.Agent().ServiceRegister(&api.AgentServiceRegistration{ID: c.ID, Name: "hosts", Address: ip, Port: port,
-			Meta: map[string]string{roster.MetaZone: c.Zone, roster.MetaCell: c.Cell, roster.MetaStarted: fmt.Sprintf("%.0f", h.Born())}})
+			Meta: map[string]string{roster.MetaZone: c.Zone, roster.MetaCell: c.Cell, roster.MetaStarted: fmt.Sprintf("%.0f", h.StartedAt())}})
 		if err != nil {
 			return err
 		}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -89,12 +89,12 @@
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- Run(ctx, s, slog.New(slog.DiscardHandler)) }()
-		storm := &load.Script{Director: listen, Names: "p%d", Zone: "a", Limit: time.Second}
-		for _, k := range []load.Kind{load.New, load.Polls} {
-			storm.Steps = append(storm.Steps, load.Step{Name: string(k), Kind: k, Rate: 3000, Storm: 500, Proxies: 1500, Connections: 300, For: time.Second})
+		storm := &load.Script{Director: listen, NameFormat: "p%d", Zone: "a", TimeLimit: time.Second}
+		for _, k := range []load.Kind{load.InitialPolls, load.Polls} {
+			storm.Steps = append(storm.Steps, load.Step{Name: string(k), Kind: k, Rate: 3000, Burst: 500, Proxies: 1500, Connections: 300, Duration: time.Second})
 		}
-		for _, err = load.Run(t.Context(), &load.Script{Director: listen, Names: "p%d", Limit: time.Second,
-			Steps: []load.Step{{Kind: load.Polls, Rate: 10, Proxies: 1, Connections: 1, For: 100 * time.Millisecond}}}, nil); err != nil; {
+		for _, err = load.Run(t.Context(), &load.Script{Director: listen, NameFormat: "p%d", TimeLimit: time.Second,
+			Steps: []load.Step{{Kind: load.Polls, Rate: 10, Proxies: 1, Connections: 1, Duration: 100 * time.Millisecond}}}, nil); err != nil; {
 			time.Sleep(20 * time.Millisecond) // until the director listens
 			_, err = load.Run(t.Context(), storm, nil)
 		}
--- a/internal/fault/between.go
+++ b/internal/fault/between.go
@@ -12,18 +12,18 @@
 )
 
 // Done is one fault as it was done, for the log.
-type Done struct {
-	At         float64 `json:"at_ms"` // since the start
-	Connection int     `json:"connection"`
-	Way        Way     `json:"way"`
-	Kind       Kind    `json:"kind"`
-	Rule       string  `json:"rule"`
-	What       string  `json:"what"`
+type Record struct {
+	At         float64   `json:"at_ms"` // since the start
+	Connection int       `json:"connection"`
+	Direction  Direction `json:"way"`
+	Kind       Kind      `json:"kind"`
+	Rule       string    `json:"rule"`
+	What       string    `json:"what"`
 }
 
 // Between stands between clients and a server. It uses the standard library's sockets and not netpoll: that closes a connection as a whole
 // when its peer has closed one half, which is a fault that is to be played here.
-type Between struct {
+type Injector struct {
 	script *Script
 	ln     net.Listener
 	began  time.Time
@@ -35,19 +35,19 @@
 }
 
 // New listens. What is done is written to the log, a line of JSON each.
-func New(s *Script, log io.Writer) (*Between, error) {
+func New(s *Script, log io.Writer) (*Injector, error) {
 	ln, err := net.Listen("tcp", s.Listen)
 	if err != nil {
 		return nil, err
 	}
-	return &Between{script: s, ln: ln, began: time.Now(), log: json.NewEncoder(log), open: map[net.Conn]bool{}}, nil
+	return &Injector{script: s, ln: ln, began: time.Now(), log: json.NewEncoder(log), open: map[net.Conn]bool{}}, nil
 }
 
 // Addr is where it listens.
-func (b *Between) Addr() net.Addr { return b.ln.Addr() }
+func (b *Injector) Addr() net.Addr { return b.ln.Addr() }
 
 // Run passes on until the context ends; then all connections are closed.
-func (b *Between) Run(ctx context.Context) error {
+func (b *Injector) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		b.ln.Close()
 		b.mu.Lock()
@@ -74,15 +74,15 @@
 	}
 }
 
-func (b *Between) now() time.Duration { return time.Since(b.began) }
+func (b *Injector) now() time.Duration { return time.Since(b.began) }
 
-func (b *Between) did(connection int, way Way, a Act) {
+func (b *Injector) did(connection int, way Direction, a Action) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.log.Encode(Done{float64(b.now().Microseconds()) / 1000, connection, way, a.Kind, a.Rule, a.String()})
+	b.log.Encode(Record{float64(b.now().Microseconds()) / 1000, connection, way, a.Kind, a.Rule, a.String()})
 }
 
-func (b *Between) keep(c net.Conn, open bool) {
+func (b *Injector) keep(c net.Conn, open bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.open[c] = true; !open {
@@ -91,7 +91,7 @@
 }
 
 // pass is one connection's life.
-func (b *Between) pass(ctx context.Context, n int, client *net.TCPConn) {
+func (b *Injector) pass(ctx context.Context, n int, client *net.TCPConn) {
 	b.keep(client, true)
 	defer b.keep(client, false)
 	defer client.Close()
@@ -117,9 +117,9 @@
 }
 
 // way passes one direction on.
-func (b *Between) way(ctx context.Context, n int, way Way, from, to *net.TCPConn, cut func()) {
+func (b *Injector) way(ctx context.Context, n int, way Direction, from, to *net.TCPConn, cut func()) {
 	s := NewStream(b.script.Rules, b.script.Seed, n, way)
-	acts := make(chan Act, 1024)
+	acts := make(chan Action, 1024)
 	var writing sync.WaitGroup
 	writing.Go(func() {
 		for a := range acts {
@@ -148,10 +148,10 @@
 	for {
 		from.SetReadDeadline(time.Now().Add(20 * time.Millisecond)) // so that what time alone brings comes
 		k, err := from.Read(buf)
-		for _, a := range s.Pass(b.now(), buf[:k]) {
+		for _, a := range s.Process(b.now(), buf[:k]) {
 			acts <- a
 		}
-		for _, a := range s.Wake(b.now()) {
+		for _, a := range s.CheckTime(b.now()) {
 			acts <- a
 		}
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/fault/between_test.go
+++ b/internal/fault/between_test.go
@@ -34,14 +34,14 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, line := range strings.Split(strings.TrimSpace(b.buf.String()), "\n") {
-		var d Done
+		var d Record
 		if line == "" {
 			continue
 		}
 		if err := json.Unmarshal([]byte(line), &d); err != nil {
 			t.Fatal(err)
 		}
-		out = append(out, fmt.Sprint(d.Connection, d.Way, d.Kind, d.Rule, d.What))
+		out = append(out, fmt.Sprint(d.Connection, d.Direction, d.Kind, d.Rule, d.What))
 	}
 	return out
 }
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -10,11 +10,11 @@
 )
 
 // Way is a direction: of what the client sends, or of what the server does.
-type Way string
+type Direction string
 
 const (
-	Up   Way = "up"
-	Down Way = "down"
+	Up   Direction = "up"
+	Down Direction = "down"
 )
 
 // Kind of fault.
@@ -33,45 +33,45 @@
 type Rule struct {
 	Name       string
 	Kind       Kind
-	Way        Way
-	From       time.Duration // since the start
-	For        time.Duration // 0: without end
-	After      int64         // bytes of its way that pass first
+	Direction  Direction
+	StartAfter time.Duration // since the start
+	Duration   time.Duration // 0: without end
+	Offset     int64         // bytes of its way that pass first
 	Bytes      int64         // that it concerns; 0: all that follow
 	Connection int           // the first is 1; 0: all
-	By         time.Duration // of a delay
+	DelayBy    time.Duration // of a delay
 	Rate       int64         // of a throttle, bytes a second
 }
 
-func (r Rule) holds(now time.Duration, connection int, way Way) bool {
-	return r.Way == way && (r.Connection == 0 || r.Connection == connection) && now >= r.From && (r.For == 0 || now < r.From+r.For)
+func (r Rule) holds(now time.Duration, connection int, way Direction) bool {
+	return r.Direction == way && (r.Connection == 0 || r.Connection == connection) && now >= r.StartAfter && (r.Duration == 0 || now < r.StartAfter+r.Duration)
 }
 
 // Act is one thing to do, in order. Bytes go on not before At.
-type Act struct {
-	Kind  Kind   // empty: the bytes go on
-	Rule  string // whose doing it is
-	Place int64  // of the first byte concerned, in its way
-	Bytes []byte
-	At    time.Duration
-	Was   byte // of what was garbled
+type Action struct {
+	Kind     Kind   // empty: the bytes go on
+	Rule     string // whose doing it is
+	Offset   int64  // of the first byte concerned, in its way
+	Bytes    []byte
+	At       time.Duration
+	Original byte // of what was garbled
 }
 
-func (a Act) String() string {
+func (a Action) String() string {
 	switch a.Kind {
 	case Garble:
-		return fmt.Sprintf("byte %d: %02x for %02x", a.Place, a.Bytes[0], a.Was)
+		return fmt.Sprintf("byte %d: %02x for %02x", a.Offset, a.Bytes[0], a.Original)
 	case Drop, Delay, Throttle:
-		return fmt.Sprintf("bytes %d to %d", a.Place, a.Place+int64(len(a.Bytes))-1)
+		return fmt.Sprintf("bytes %d to %d", a.Offset, a.Offset+int64(len(a.Bytes))-1)
 	}
-	return fmt.Sprintf("at byte %d", a.Place)
+	return fmt.Sprintf("at byte %d", a.Offset)
 }
 
 // Stream is one way of one connection.
 type Stream struct {
 	rules      []Rule
 	connection int
-	way        Way
+	way        Direction
 	place      int64
 	free       time.Duration // when what went before has gone on
 	spent      map[int]bool  // rules that act once, and have
@@ -80,7 +80,7 @@
 }
 
 // NewStream begins one. Its chance depends on the seed, the connection and the way alone.
-func NewStream(rules []Rule, seed uint64, connection int, way Way) *Stream {
+func NewStream(rules []Rule, seed uint64, connection int, way Direction) *Stream {
 	turn := uint64(connection) << 1
 	if way == Down {
 		turn++
@@ -94,11 +94,11 @@
 		if s.spent[i] || !r.holds(now, s.connection, s.way) {
 			continue
 		}
-		until := r.After + r.Bytes
+		until := r.Offset + r.Bytes
 		if r.Kind == Garble {
-			until = r.After + 1
+			until = r.Offset + 1
 		}
-		for _, edge := range []int64{r.After, until} {
+		for _, edge := range []int64{r.Offset, until} {
 			if edge > place && edge < end {
 				end = edge
 			}
@@ -108,7 +108,7 @@
 }
 
 // Pass takes what came and says what to do with it. After a cut, or the end of its way, nothing more passes.
-func (s *Stream) Pass(now time.Duration, in []byte) (acts []Act) {
+func (s *Stream) Process(now time.Duration, in []byte) (acts []Action) {
 	for len(in) > 0 && !s.over {
 		n := s.next(now, s.place, s.place+int64(len(in))) - s.place
 		acts = append(acts, s.part(now, in[:n])...)
@@ -119,41 +119,41 @@
 }
 
 // Wake says what a time alone brings: a cut, or the end of a way, that is not for bytes to bring.
-func (s *Stream) Wake(now time.Duration) []Act {
+func (s *Stream) CheckTime(now time.Duration) []Action {
 	for i, r := range s.rules {
-		if (r.Kind == Cut || r.Kind == HalfClose) && r.After == 0 && !s.spent[i] && !s.over && r.holds(now, s.connection, s.way) {
+		if (r.Kind == Cut || r.Kind == HalfClose) && r.Offset == 0 && !s.spent[i] && !s.over && r.holds(now, s.connection, s.way) {
 			s.over = true
-			return []Act{{Kind: r.Kind, Rule: r.Name, Place: s.place, At: now}}
+			return []Action{{Kind: r.Kind, Rule: r.Name, Offset: s.place, At: now}}
 		}
 	}
 	return nil
 }
 
 // part treats bytes that all rules treat alike.
-func (s *Stream) part(now time.Duration, in []byte) (acts []Act) {
+func (s *Stream) part(now time.Duration, in []byte) (acts []Action) {
 	at := max(now, s.free)
-	out := Act{Place: s.place, Bytes: append([]byte(nil), in...), At: at}
+	out := Action{Offset: s.place, Bytes: append([]byte(nil), in...), At: at}
 	for i, r := range s.rules {
-		if s.spent[i] || !r.holds(now, s.connection, s.way) || s.place < r.After || r.Bytes > 0 && s.place >= r.After+r.Bytes {
+		if s.spent[i] || !r.holds(now, s.connection, s.way) || s.place < r.Offset || r.Bytes > 0 && s.place >= r.Offset+r.Bytes {
 			continue
 		}
 		switch r.Kind {
 		case Delay:
-			out.At = max(out.At, now+r.By)
+			out.At = max(out.At, now+r.DelayBy)
 			out.Kind, out.Rule = Delay, r.Name
 		case Throttle:
 			out.At += time.Duration(float64(len(in)) / float64(r.Rate) * float64(time.Second))
 			out.Kind, out.Rule = Throttle, r.Name
 		case Drop:
-			return append(acts, Act{Kind: Drop, Rule: r.Name, Place: s.place, Bytes: out.Bytes, At: at})
+			return append(acts, Action{Kind: Drop, Rule: r.Name, Offset: s.place, Bytes: out.Bytes, At: at})
 		case Garble:
 			s.spent[i] = true
 			was := out.Bytes[0]
 			out.Bytes[0] ^= byte(1 + s.chance.IntN(255))
-			acts = append(acts, Act{Kind: Garble, Rule: r.Name, Place: s.place, Bytes: out.Bytes[:1:1], At: at, Was: was})
+			acts = append(acts, Action{Kind: Garble, Rule: r.Name, Offset: s.place, Bytes: out.Bytes[:1:1], At: at, Original: was})
 		case HalfClose, Cut:
 			s.over = true
-			return append(acts, Act{Kind: r.Kind, Rule: r.Name, Place: s.place, At: at})
+			return append(acts, Action{Kind: r.Kind, Rule: r.Name, Offset: s.place, At: at})
 		}
 	}
 	s.free = out.At
--- a/internal/fault/script.go
+++ b/internal/fault/script.go
@@ -35,11 +35,11 @@
 	rules, names := top.Blocks("rule", 1, 0, 1000)
 	for i, in := range rules {
 		rule := Rule{Name: names[i], Kind: Kind(in.Text("kind", settings.Needed, string(Delay), string(Throttle), string(Drop), string(Garble), string(HalfClose), string(Cut))),
-			Way: Way(in.Text("way", string(Down), string(Up), string(Down))), From: in.Span("from", 0, 0, 24*time.Hour), For: in.Span("for", 0, 0, 24*time.Hour),
-			After: int64(in.Whole("after", 0, 0, 1<<40)), Bytes: int64(in.Whole("bytes", 0, 0, 1<<40)), Connection: in.Whole("connection", 0, 0, 1<<30)}
+			Direction: Direction(in.Text("way", string(Down), string(Up), string(Down))), StartAfter: in.Span("from", 0, 0, 24*time.Hour), Duration: in.Span("for", 0, 0, 24*time.Hour),
+			Offset: int64(in.Whole("after", 0, 0, 1<<40)), Bytes: int64(in.Whole("bytes", 0, 0, 1<<40)), Connection: in.Whole("connection", 0, 0, 1<<30)}
 		switch rule.Kind {
 		case Delay:
-			rule.By = in.Span("by", -1, time.Millisecond, time.Hour)
+			rule.DelayBy = in.Span("by", -1, time.Millisecond, time.Hour)
 		case Throttle:
 			rule.Rate = int64(in.Whole("rate", 0, 1, 1<<40))
 		}
--- a/internal/judge/book.go
+++ b/internal/judge/book.go
@@ -14,17 +14,17 @@
 type (
 	// Arrival is a try as its host saw it.
 	Arrival struct {
-		At           float64
-		Host         tables.Address
-		Proxy, Route string
-		Call         string
-		Work, Born   float64
-		Cores        int
-		Effect       bool // it ran
-		Dropped      bool // a repeat that the host knew
+		At                    float64
+		Host                  tables.Address
+		Proxy, Route          string
+		Call                  string
+		WorkMs, HostStartedAt float64
+		Cores                 int
+		Executed              bool // it ran
+		Deduplicated          bool // a repeat that the host knew
 	}
 	// Sent is a try as its proxy sent it.
-	Sent struct {
+	Try struct {
 		At          float64
 		Proxy, Call string
 		Table       string // by which it went; there where several directors share them
@@ -32,45 +32,45 @@
 	}
 	// Outcome ends a call.
 	Outcome struct {
-		At, Took  float64
-		Proxy     string
-		Route     string
-		Throttled bool
-		Answered  bool
+		At, Latency float64
+		Proxy       string
+		Route       string
+		Throttled   bool
+		Answered    bool
 	}
 	// Held is a proxy's new document, or its joining or leaving (Doc nil).
-	Held struct {
+	ProxyUpdate struct {
 		At     float64
 		Proxy  string
 		Joined bool
 		Doc    *tables.Document
 		Lines  int
-		Whole  bool
+		Full   bool
 		// Director is whose word it is, where there are several; Raw is that one's own document.
-		Director string
-		Raw      *tables.Document
-		reads    bool // it came by a slice's change of hands, which proxies read by themselves
+		Director    string
+		DirectorDoc *tables.Document
+		reads       bool // it came by a slice's change of hands, which proxies read by themselves
 	}
 	// Charge is a slice's holder from a time on, as the store of leases has it; "" is nobody.
-	Charge struct {
+	Ownership struct {
 		At       float64
 		Table    string
 		Director string
 		Fence    uint64
 	}
 	// Told is a list as the director was told it.
-	Told struct {
-		At    float64
-		To    string // which director, where there are several
-		Hosts []ToldHost
+	HostList struct {
+		At       float64
+		Director string // which director, where there are several
+		Hosts    []ListedHost
 	}
-	ToldHost struct {
-		Address tables.Address
-		State   logic.HostState
-		Born    float64
+	ListedHost struct {
+		Address   tables.Address
+		State     logic.HostState
+		StartedAt float64
 	}
 	// Note is what the rehearsal did.
-	Note struct {
+	Action struct {
 		At   float64
 		Text string
 	}
@@ -78,33 +78,53 @@
 )
 
 // Book gathers records from many goroutines.
-type Book struct {
-	mu       sync.Mutex
-	Arrivals []Arrival
-	Sents    []Sent
-	Outcomes []Outcome
-	Helds    []Held
-	Tolds    []Told
-	Notes    []Note
-	Falls    []Sent
-	Charges  []Charge
+type Recorder struct {
+	mu           sync.Mutex
+	Arrivals     []Arrival
+	Tries        []Try
+	Outcomes     []Outcome
+	ProxyUpdates []ProxyUpdate
+	HostLists    []HostList
+	Actions      []Action
+	Collapses    []Try
+	Ownerships   []Ownership
 }
 
-func (b *Book) Arrive(a Arrival) { b.mu.Lock(); b.Arrivals = append(b.Arrivals, a); b.mu.Unlock() }
-func (b *Book) Send(s Sent)      { b.mu.Lock(); b.Sents = append(b.Sents, s); b.mu.Unlock() }
-func (b *Book) End(o Outcome)    { b.mu.Lock(); b.Outcomes = append(b.Outcomes, o); b.mu.Unlock() }
-func (b *Book) Hold(h Held)      { b.mu.Lock(); b.Helds = append(b.Helds, h); b.mu.Unlock() }
-func (b *Book) Charged(c Charge) { b.mu.Lock(); b.Charges = append(b.Charges, c); b.mu.Unlock() }
-func (b *Book) Tell(t Told)      { b.mu.Lock(); b.Tolds = append(b.Tolds, t); b.mu.Unlock() }
-func (b *Book) Happened(n Note)  { b.mu.Lock(); b.Notes = append(b.Notes, n); b.mu.Unlock() }
-func (b *Book) Fell(h tables.Address, at float64) {
+func (b *Recorder) AddArrival(a Arrival) {
+	b.mu.Lock()
+	b.Arrivals = append(b.Arrivals, a)
+	b.mu.Unlock()
+}
+func (b *Recorder) AddTry(s Try) { b.mu.Lock(); b.Tries = append(b.Tries, s); b.mu.Unlock() }
+func (b *Recorder) AddOutcome(o Outcome) {
+	b.mu.Lock()
+	b.Outcomes = append(b.Outcomes, o)
+	b.mu.Unlock()
+}
+func (b *Recorder) AddProxyUpdate(h ProxyUpdate) {
+	b.mu.Lock()
+	b.ProxyUpdates = append(b.ProxyUpdates, h)
+	b.mu.Unlock()
+}
+func (b *Recorder) AddOwnership(c Ownership) {
+	b.mu.Lock()
+	b.Ownerships = append(b.Ownerships, c)
+	b.mu.Unlock()
+}
+func (b *Recorder) AddHostList(t HostList) {
+	b.mu.Lock()
+	b.HostLists = append(b.HostLists, t)
+	b.mu.Unlock()
+}
+func (b *Recorder) AddAction(n Action) { b.mu.Lock(); b.Actions = append(b.Actions, n); b.mu.Unlock() }
+func (b *Recorder) AddCollapse(h tables.Address, at float64) {
 	b.mu.Lock()
-	b.Falls = append(b.Falls, Sent{At: at, Host: h})
+	b.Collapses = append(b.Collapses, Try{At: at, Host: h})
 	b.mu.Unlock()
 }
 
 // Counts are how the day goes, for a line on a terminal.
-func (b *Book) Counts() (calls, answered, throttled int, step tables.Step) {
+func (b *Recorder) Counts() (calls, answered, throttled int, step tables.Step) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, o := range b.Outcomes {
@@ -115,7 +135,7 @@
 			throttled++
 		}
 	}
-	for _, h := range b.Helds {
+	for _, h := range b.ProxyUpdates {
 		if h.Doc != nil {
 			step = max(step, h.Doc.Step)
 		}
@@ -124,7 +144,7 @@
 }
 
 // Ability is the part of its work that a host can do so many milliseconds after its start.
-func Ability(age, coldFrom float64, warm time.Duration) float64 {
+func ColdStartCapacity(age, coldFrom float64, warm time.Duration) float64 {
 	if warm <= 0 {
 		return 1
 	}
@@ -133,7 +153,7 @@
 
 // Tipped is the work sent to a host in the window that ends now, as a part of what a cold one bears; 1 tips it.
 // It forgets what lies before the window. A warm host can't be tipped.
-func Tipped(work *[]Work, now, born float64, cores int, coldFrom float64, warm time.Duration, tip float64, fall time.Duration) float64 {
+func ColdOverload(work *[]Work, now, born float64, cores int, coldFrom float64, warm time.Duration, tip float64, fall time.Duration) float64 {
 	span := float64(fall.Milliseconds())
 	for len(*work) > 0 && now-(*work)[0].At > span {
 		*work = (*work)[1:]
@@ -147,27 +167,27 @@
 	}
 	// A call or two is chance, not a load.
 	slack := 2 * sum / float64(max(1, len(*work)))
-	return max(0, sum-slack) / (tip * Ability(now-born, coldFrom, warm) * span * float64(cores))
+	return max(0, sum-slack) / (tip * ColdStartCapacity(now-born, coldFrom, warm) * span * float64(cores))
 }
 
 // LastTold is the list as it was told last.
-func (b *Book) LastTold() (Told, bool) {
+func (b *Recorder) LastHostList() (HostList, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.Tolds) == 0 {
-		return Told{}, false
+	if len(b.HostLists) == 0 {
+		return HostList{}, false
 	}
-	return b.Tolds[len(b.Tolds)-1], true
+	return b.HostLists[len(b.HostLists)-1], true
 }
 
 // Reached says when the last proxy held a version, in milliseconds after a time, and how many answers the slowest took
 // from then on.
-func (b *Book) Reached(step tables.Step, from float64) (ms float64, answers int) {
+func (b *Recorder) Propagation(step tables.Step, from float64) (ms float64, answers int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	took := map[string]int{}
 	there := map[string]bool{}
-	for _, h := range b.Helds {
+	for _, h := range b.ProxyUpdates {
 		if h.Doc == nil || h.At < from || there[h.Proxy] {
 			continue
 		}
--- a/internal/judge/charge.go
+++ b/internal/judge/charge.go
@@ -14,38 +14,38 @@
 // store gave it the slice.
 
 // own is a director's own document.
-func (h Held) own() *tables.Document {
-	if h.Raw != nil {
-		return h.Raw
+func (h ProxyUpdate) own() *tables.Document {
+	if h.DirectorDoc != nil {
+		return h.DirectorDoc
 	}
 	return h.Doc
 }
 
 // reading marks versions by which slices changed hands.
-func (b *Book) reading() {
+func (b *Recorder) reading() {
 	type pair struct{ proxy, director string }
 	last := map[pair]*tables.Document{}
-	for i, h := range b.Helds {
-		if h.Doc == nil || h.Raw == nil {
+	for i, h := range b.ProxyUpdates {
+		if h.Doc == nil || h.DirectorDoc == nil {
 			continue
 		}
 		at := pair{h.Proxy, h.Director}
 		if was := last[at]; was != nil {
-			for name, t := range h.Raw.Tables {
-				b.Helds[i].reads = b.Helds[i].reads || was.Tables[name] == nil || was.Tables[name].Fence != t.Fence
+			for name, t := range h.DirectorDoc.Tables {
+				b.ProxyUpdates[i].reads = b.ProxyUpdates[i].reads || was.Tables[name] == nil || was.Tables[name].Fence != t.Fence
 			}
 			for name := range was.Tables {
-				b.Helds[i].reads = b.Helds[i].reads || h.Raw.Tables[name] == nil
+				b.ProxyUpdates[i].reads = b.ProxyUpdates[i].reads || h.DirectorDoc.Tables[name] == nil
 			}
 		}
-		last[at] = h.Raw
+		last[at] = h.DirectorDoc
 	}
 }
 
 // joinedSpans are when a proxy was joined to a director.
-func (b *Book) joinedSpans(until float64) map[[2]string][]span {
+func (b *Recorder) joinedSpans(until float64) map[[2]string][]span {
 	out := map[[2]string][]span{}
-	for _, h := range b.Helds {
+	for _, h := range b.ProxyUpdates {
 		at := [2]string{h.Proxy, h.Director}
 		all := out[at]
 		if h.Doc == nil && h.Joined {
@@ -58,14 +58,14 @@
 }
 
 // outSpans are when a director was told that a host drains or is gone.
-func (b *Book) outSpans() map[string]map[tables.Address][]span {
+func (b *Recorder) outSpans() map[string]map[tables.Address][]span {
 	outs := map[string]map[tables.Address][]span{}
 	wases := map[string]map[tables.Address]bool{}
-	for _, told := range b.Tolds {
-		if outs[told.To] == nil {
-			outs[told.To], wases[told.To] = map[tables.Address][]span{}, map[tables.Address]bool{}
+	for _, told := range b.HostLists {
+		if outs[told.Director] == nil {
+			outs[told.Director], wases[told.Director] = map[tables.Address][]span{}, map[tables.Address]bool{}
 		}
-		out, was := outs[told.To], wases[told.To]
+		out, was := outs[told.Director], wases[told.Director]
 		now := map[tables.Address]bool{}
 		for _, h := range told.Hosts {
 			now[h.Address] = h.State == logic.Up
@@ -89,18 +89,18 @@
 
 // drains is the third rule: nothing is sent to a host for longer than the grace after the director in charge was told
 // that it drains or is gone. The clock runs from the proxy's joining or the slice's giving, if that is later.
-func (b *Book) drains(t Terms) Rule {
-	r := Rule{Name: "drains kept", Kept: true, Limit: t.Grace, Unit: "ms"}
+func (b *Recorder) drains(t Criteria) Rule {
+	r := Rule{Name: "drains kept", Kept: true, Limit: t.DrainGrace, Unit: "ms"}
 	outs, joined := b.outSpans(), b.joinedSpans(t.Until)
-	charges := map[string][]Charge{}
-	for _, c := range b.Charges {
+	charges := map[string][]Ownership{}
+	for _, c := range b.Ownerships {
 		charges[c.Table] = append(charges[c.Table], c)
 	}
-	for _, s := range b.Sents {
-		in := Charge{At: math.Inf(-1)}
-		if len(b.Charges) > 0 {
+	for _, s := range b.Tries {
+		in := Ownership{At: math.Inf(-1)}
+		if len(b.Ownerships) > 0 {
 			all := charges[s.Table]
-			i, _ := slices.BinarySearchFunc(all, s.At, func(c Charge, at float64) int { return before(c.At, at) })
+			i, _ := slices.BinarySearchFunc(all, s.At, func(c Ownership, at float64) int { return before(c.At, at) })
 			if i == 0 || all[i-1].Director == "" {
 				continue // nobody's
 			}
@@ -124,11 +124,11 @@
 }
 
 // InCharge are the holders of now.
-func (b *Book) InCharge() (out []Charge) {
+func (b *Recorder) Owners() (out []Ownership) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	last := map[string]Charge{}
-	for _, c := range b.Charges {
+	last := map[string]Ownership{}
+	for _, c := range b.Ownerships {
 		last[c.Table] = c
 	}
 	for _, table := range slices.Sorted(maps.Keys(last)) {
@@ -147,11 +147,11 @@
 }
 
 // Gaps are the times without a holder between two times, by the store; one that has not ended goes to the later.
-func (b *Book) Gaps(from, until float64) (out []Gap) {
+func (b *Recorder) Gaps(from, until float64) (out []Gap) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	since := map[string]float64{}
-	for _, c := range b.Charges {
+	for _, c := range b.Ownerships {
 		at, open := since[c.Table]
 		if c.Director == "" && !open {
 			since[c.Table] = c.At
@@ -172,11 +172,11 @@
 
 // Without gives, for each table that a director held at a time, how long it was until the next holder had it; or, where
 // again is set, until a proxy heard from that director itself.
-func (b *Book) Without(director string, from, until float64, again bool) (ms []float64) {
+func (b *Recorder) FailoverTimes(director string, from, until float64, again bool) (ms []float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	held, next := map[string]uint64{}, map[string]float64{}
-	for _, c := range b.Charges {
+	for _, c := range b.Ownerships {
 		switch fence, had := held[c.Table]; {
 		case c.At <= from && c.Director == director:
 			held[c.Table] = c.Fence
@@ -187,8 +187,8 @@
 		}
 	}
 	back := until
-	for _, h := range b.Helds {
-		if again && h.Director == director && h.Raw != nil && h.At > from+onTheWay {
+	for _, h := range b.ProxyUpdates {
+		if again && h.Director == director && h.DirectorDoc != nil && h.At > from+onTheWay {
 			back = min(back, h.At)
 		}
 	}
@@ -208,18 +208,18 @@
 
 // Words are, for each table that changed hands after a time, how long it was until each proxy that followed it held the
 // new holder's word; the longest of them.
-func (b *Book) Words(from, until float64) (longest float64) {
+func (b *Recorder) LongestHandover(from, until float64) (longest float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	given := map[string]Charge{}
-	for _, c := range b.Charges {
+	given := map[string]Ownership{}
+	for _, c := range b.Ownerships {
 		if c.Director != "" && c.At >= from && c.At < until {
 			given[c.Table] = c
 		}
 	}
 	have := map[[2]string]bool{}
-	for _, h := range b.Helds {
-		if h.Raw == nil || h.At < from {
+	for _, h := range b.ProxyUpdates {
+		if h.DirectorDoc == nil || h.At < from {
 			continue
 		}
 		for name, c := range given {
@@ -233,8 +233,8 @@
 }
 
 // Sends are all tries so far.
-func (b *Book) Sends() []Sent {
+func (b *Recorder) TriesSoFar() []Try {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.Clone(b.Sents)
+	return slices.Clone(b.Tries)
 }
--- a/internal/judge/verdict.go
+++ b/internal/judge/verdict.go
@@ -12,21 +12,21 @@
 )
 
 // Terms are what the rules are judged by.
-type Terms struct {
-	Routes      map[string]tables.Route
-	LateShare   map[string]float64
-	Slices      int
-	Bare        float64 // milliseconds
-	Grace       float64
-	Warm        time.Duration
-	ColdFrom    float64
-	Tip         float64
-	Fall        time.Duration
-	Queue       float64 // lines
-	Head        float64
-	Messages    int
-	MessageSpan float64
-	From, Until float64 // of the day
+type Criteria struct {
+	Routes            map[string]tables.Route
+	LateShare         map[string]float64
+	Slices            int
+	EmptyTableLimit   float64 // milliseconds
+	DrainGrace        float64
+	WarmAfter         time.Duration
+	ColdCapacity      float64
+	ColdOverloadLimit float64
+	ColdFailAfter     time.Duration
+	QueueLimit        float64 // lines
+	MessageOverhead   float64
+	MessageLimit      int
+	MessageWindow     float64
+	From, Until       float64 // of the day
 }
 
 // Rule is the verdict on one of them: what was measured, and what it may be.
@@ -41,41 +41,41 @@
 
 // Verdict is that on a day.
 type Verdict struct {
-	Rules     []Rule             `json:"rules"`
-	Service   float64            `json:"service"` // importance answered in time over importance asked for
-	WorstTen  float64            `json:"service_worst_10s"`
-	ByRoute   map[string]float64 `json:"service_by_route"`
-	Calls     int                `json:"calls"`
-	Answered  int                `json:"answered"`
-	Throttled int                `json:"throttled"`
-	Dropped   int                `json:"dropped"`
-	Tries     int                `json:"tries"`
-	Steps     int                `json:"versions_seen"`
-	Backwards int                `json:"sent_backwards"`
-	Falls     int                `json:"hosts_fallen"`
-	MedianMs  float64            `json:"answer_ms_p50"`
-	P99Ms     float64            `json:"answer_ms_p99"`
-	Lists     int                `json:"lists_told"`
-	Whole     int                `json:"whole_documents"`
-	Deltas    int                `json:"deltas"`
+	Rules           []Rule             `json:"rules"`
+	Service         float64            `json:"service"` // importance answered in time over importance asked for
+	WorstTenSeconds float64            `json:"service_worst_10s"`
+	ByRoute         map[string]float64 `json:"service_by_route"`
+	Calls           int                `json:"calls"`
+	Answered        int                `json:"answered"`
+	Throttled       int                `json:"throttled"`
+	Dropped         int                `json:"dropped"`
+	Tries           int                `json:"tries"`
+	Versions        int                `json:"versions_seen"`
+	Regressions     int                `json:"sent_backwards"`
+	Collapses       int                `json:"hosts_fallen"`
+	P50Ms           float64            `json:"answer_ms_p50"`
+	P99Ms           float64            `json:"answer_ms_p99"`
+	HostLists       int                `json:"lists_told"`
+	FullDocuments   int                `json:"whole_documents"`
+	Deltas          int                `json:"deltas"`
 }
 
 // Kept says whether all rules held.
 func (v Verdict) Kept() bool {
-	return v.Backwards == 0 && !slices.ContainsFunc(v.Rules, func(r Rule) bool { return !r.Kept })
+	return v.Regressions == 0 && !slices.ContainsFunc(v.Rules, func(r Rule) bool { return !r.Kept })
 }
 
 // Judge reads the book once the day is over.
-func (b *Book) Judge(t Terms) Verdict {
+func (b *Recorder) Judge(t Criteria) Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	slices.SortStableFunc(b.Arrivals, func(a, c Arrival) int { return before(a.At, c.At) })
-	slices.SortStableFunc(b.Sents, func(a, c Sent) int { return before(a.At, c.At) })
-	slices.SortStableFunc(b.Helds, func(a, c Held) int { return before(a.At, c.At) })
-	slices.SortStableFunc(b.Tolds, func(a, c Told) int { return before(a.At, c.At) })
-	slices.SortStableFunc(b.Charges, func(a, c Charge) int { return before(a.At, c.At) })
+	slices.SortStableFunc(b.Tries, func(a, c Try) int { return before(a.At, c.At) })
+	slices.SortStableFunc(b.ProxyUpdates, func(a, c ProxyUpdate) int { return before(a.At, c.At) })
+	slices.SortStableFunc(b.HostLists, func(a, c HostList) int { return before(a.At, c.At) })
+	slices.SortStableFunc(b.Ownerships, func(a, c Ownership) int { return before(a.At, c.At) })
 	b.reading()
-	v := Verdict{Tries: len(b.Sents), Falls: len(b.Falls), Lists: len(b.Tolds)}
+	v := Verdict{Tries: len(b.Tries), Collapses: len(b.Collapses), HostLists: len(b.HostLists)}
 	v.Rules = []Rule{b.bare(t), b.twice(t), b.drains(t), b.cold(t), b.queue(t), b.messages(t)}
 	b.service(t, &v)
 	b.versions(&v)
@@ -96,16 +96,16 @@
 type span struct{ from, to float64 }
 
 // warmListed is when the list told the director of an open host that is warm.
-func (b *Book) warmListed(t Terms) (out []span) {
-	for i, told := range b.Tolds {
+func (b *Recorder) warmListed(t Criteria) (out []span) {
+	for i, told := range b.HostLists {
 		until := t.Until
-		if i+1 < len(b.Tolds) {
-			until = b.Tolds[i+1].At
+		if i+1 < len(b.HostLists) {
+			until = b.HostLists[i+1].At
 		}
 		from := math.Inf(1)
 		for _, h := range told.Hosts {
 			if h.State == logic.Up {
-				from = min(from, max(told.At, h.Born+float64(t.Warm.Milliseconds())))
+				from = min(from, max(told.At, h.StartedAt+float64(t.WarmAfter.Milliseconds())))
 			}
 		}
 		if from < until {
@@ -120,12 +120,12 @@
 }
 
 // bare is the first rule: no joined proxy without a line to pick.
-func (b *Book) bare(t Terms) Rule {
-	r := Rule{Name: "no proxy without a line", Kept: true, Limit: t.Bare, Unit: "ms"}
+func (b *Recorder) bare(t Criteria) Rule {
+	r := Rule{Name: "no proxy without a line", Kept: true, Limit: t.EmptyTableLimit, Unit: "ms"}
 	warm := b.warmListed(t)
 	since := map[string]map[string]float64{} // proxy, table: bare from then on
 	with := map[string]map[string]bool{}     // proxy, directors
-	joined := func(h Held) int {
+	joined := func(h ProxyUpdate) int {
 		if with[h.Proxy] == nil {
 			with[h.Proxy] = map[string]bool{}
 		}
@@ -146,7 +146,7 @@
 			}
 		}
 	}
-	for _, h := range b.Helds {
+	for _, h := range b.ProxyUpdates {
 		if since[h.Proxy] == nil {
 			since[h.Proxy] = map[string]float64{}
 		}
@@ -191,11 +191,11 @@
 }
 
 // twice is the second: no effect twice by our orders. The callers of a rehearsal don't repeat by themselves.
-func (b *Book) twice(t Terms) Rule {
+func (b *Recorder) twice(t Criteria) Rule {
 	r := Rule{Name: "no effect twice", Kept: true, Unit: "calls"}
 	ran := map[string]int{}
 	for _, a := range b.Arrivals {
-		if a.Effect && a.Call != "" && t.Routes[a.Route].Idempotency != "repeatable" {
+		if a.Executed && a.Call != "" && t.Routes[a.Route].Idempotency != "repeatable" {
 			if ran[a.Call]++; ran[a.Call] == 2 {
 				r.Worst++
 				r.Where = fmt.Sprintf("call %s of %s at %s", a.Call, a.Route, a.Host)
@@ -207,14 +207,14 @@
 }
 
 // cold is the fourth: no host that has just started is pushed over by what was sent after its start was known.
-func (b *Book) cold(t Terms) Rule {
+func (b *Recorder) cold(t Criteria) Rule {
 	r := Rule{Name: "no cold host pushed over", Kept: true, Limit: 1, Unit: "of what it bears"}
 	known := map[tables.Address][]float64{} // when the director first heard of each start
 	births := map[tables.Address]float64{}
-	for _, told := range b.Tolds {
+	for _, told := range b.HostLists {
 		for _, h := range told.Hosts {
-			if h.State == logic.Up && h.Born != births[h.Address] {
-				births[h.Address] = h.Born
+			if h.State == logic.Up && h.StartedAt != births[h.Address] {
+				births[h.Address] = h.StartedAt
 				known[h.Address] = append(known[h.Address], told.At)
 			}
 		}
@@ -222,16 +222,16 @@
 	work := map[tables.Address][]Work{}
 	born := map[tables.Address]float64{}
 	for _, a := range b.Arrivals {
-		if born[a.Host] != a.Born {
-			born[a.Host], work[a.Host] = a.Born, nil
+		if born[a.Host] != a.HostStartedAt {
+			born[a.Host], work[a.Host] = a.HostStartedAt, nil
 		}
-		heard := slices.ContainsFunc(known[a.Host], func(at float64) bool { return at >= a.Born && at <= a.At })
+		heard := slices.ContainsFunc(known[a.Host], func(at float64) bool { return at >= a.HostStartedAt && at <= a.At })
 		if !heard {
 			continue // the director could not know
 		}
-		w := append(work[a.Host], Work{a.At, a.Work})
-		if part := Tipped(&w, a.At, a.Born, a.Cores, t.ColdFrom, t.Warm, t.Tip, t.Fall); part > r.Worst {
-			r.Worst, r.Where = part, fmt.Sprintf("host %s, %.1f s after its start", a.Host, (a.At-a.Born)/1000)
+		w := append(work[a.Host], Work{a.At, a.WorkMs})
+		if part := ColdOverload(&w, a.At, a.HostStartedAt, a.Cores, t.ColdCapacity, t.WarmAfter, t.ColdOverloadLimit, t.ColdFailAfter); part > r.Worst {
+			r.Worst, r.Where = part, fmt.Sprintf("host %s, %.1f s after its start", a.Host, (a.At-a.HostStartedAt)/1000)
 		}
 		work[a.Host] = w
 	}
@@ -240,13 +240,13 @@
 }
 
 // queue is the fifth, as seen from outside: a version's lines wait from when it was ordered until they come.
-func (b *Book) queue(t Terms) Rule {
-	r := Rule{Name: "a short queue", Kept: true, Limit: t.Queue, Unit: "lines"}
+func (b *Recorder) queue(t Criteria) Rule {
+	r := Rule{Name: "a short queue", Kept: true, Limit: t.QueueLimit, Unit: "lines"}
 	type edge struct{ at, lines float64 }
 	edges := map[string][]edge{}
-	for _, h := range b.Helds {
-		if h.Doc != nil && !h.Whole && !h.reads && h.Doc.At < h.At {
-			lines := float64(h.Lines) + t.Head
+	for _, h := range b.ProxyUpdates {
+		if h.Doc != nil && !h.Full && !h.reads && h.Doc.At < h.At {
+			lines := float64(h.Lines) + t.MessageOverhead
 			edges[h.Director] = append(edges[h.Director], edge{h.Doc.At, lines}, edge{h.At, -lines})
 		}
 	}
@@ -264,28 +264,28 @@
 	return r
 }
 
-func (b *Book) messages(t Terms) Rule {
-	r := Rule{Name: "the message limit", Kept: true, Limit: float64(t.Messages), Unit: "messages"}
+func (b *Recorder) messages(t Criteria) Rule {
+	r := Rule{Name: "the message limit", Kept: true, Limit: float64(t.MessageLimit), Unit: "messages"}
 	type pair struct{ proxy, director string }
 	times := map[pair][]float64{}
-	for _, h := range b.Helds {
-		if h.Doc == nil || h.Whole || h.reads {
+	for _, h := range b.ProxyUpdates {
+		if h.Doc == nil || h.Full || h.reads {
 			continue
 		}
 		to := pair{h.Proxy, h.Director}
 		all := append(times[to], h.At)
-		for h.At-all[0] > t.MessageSpan {
+		for h.At-all[0] > t.MessageWindow {
 			all = all[1:]
 		}
 		if times[to] = all; float64(len(all)) > r.Worst {
 			r.Worst, r.Where = float64(len(all)), "proxy "+h.Proxy
 		}
 	}
-	r.Kept = t.Messages == 0 || r.Worst <= r.Limit
+	r.Kept = t.MessageLimit == 0 || r.Worst <= r.Limit
 	return r
 }
 
-func (b *Book) service(t Terms, v *Verdict) {
+func (b *Recorder) service(t Criteria, v *Verdict) {
 	type sum struct{ got, asked float64 }
 	var whole sum
 	routes, tens := map[string]*sum{}, map[int]*sum{}
@@ -301,14 +301,14 @@
 			v.Dropped++
 		default:
 			v.Answered++
-			took = append(took, o.Took)
-			if o.Took <= route.SLOMs {
+			took = append(took, o.Latency)
+			if o.Latency <= route.SLOMs {
 				got = route.Importance
-			} else if o.Took <= route.TimeLimitMs {
+			} else if o.Latency <= route.TimeLimitMs {
 				got = route.Importance * t.LateShare[o.Route]
 			}
 		}
-		at := int((o.At - o.Took - t.From) / 10000)
+		at := int((o.At - o.Latency - t.From) / 10000)
 		if routes[o.Route] == nil {
 			routes[o.Route] = &sum{}
 		}
@@ -319,48 +319,48 @@
 			s.got, s.asked = s.got+got, s.asked+route.Importance
 		}
 	}
-	v.Service, v.WorstTen, v.ByRoute = whole.got/max(1e-9, whole.asked), 1, map[string]float64{}
+	v.Service, v.WorstTenSeconds, v.ByRoute = whole.got/max(1e-9, whole.asked), 1, map[string]float64{}
 	for name, s := range routes {
 		v.ByRoute[name] = s.got / max(1e-9, s.asked)
 	}
 	for _, s := range tens {
 		if s.asked > whole.asked/100 {
-			v.WorstTen = min(v.WorstTen, s.got/s.asked)
+			v.WorstTenSeconds = min(v.WorstTenSeconds, s.got/s.asked)
 		}
 	}
 	if slices.Sort(took); len(took) > 0 {
-		v.MedianMs, v.P99Ms = took[len(took)/2], took[len(took)*99/100]
+		v.P50Ms, v.P99Ms = took[len(took)/2], took[len(took)*99/100]
 	}
 }
 
 // versions counts what proxies held, and whether any was ever sent back.
-func (b *Book) versions(v *Verdict) {
+func (b *Recorder) versions(v *Verdict) {
 	type pair struct{ proxy, director string }
 	last, seen := map[pair]*tables.Document{}, map[string]bool{}
 	fences := map[pair]uint64{}
-	for _, h := range b.Helds {
+	for _, h := range b.ProxyUpdates {
 		if h.Doc == nil {
 			continue
 		}
 		own, to := h.own(), pair{h.Proxy, h.Director}
 		if was := last[to]; was != nil && was.History == own.History && own.Step < was.Step {
-			v.Backwards++
+			v.Regressions++
 		}
-		if h.Raw != nil {
+		if h.DirectorDoc != nil {
 			for name, t := range h.Doc.Tables { // in force: never an earlier holder's after a later one's
 				of := pair{h.Proxy, name}
 				if t.Fence < fences[of] {
-					v.Backwards++
+					v.Regressions++
 				}
 				fences[of] = max(fences[of], t.Fence)
 			}
 		}
-		if h.Whole {
-			v.Whole++
+		if h.Full {
+			v.FullDocuments++
 		} else {
 			v.Deltas++
 		}
 		last[to], seen[own.Version] = own, true
 	}
-	v.Steps = len(seen)
+	v.Versions = len(seen)
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -198,7 +198,7 @@
 // fleet is a set of managers over one store, with the fences that were granted to each.
 type fleet struct {
 	registry     *standin.Registry
-	connections  []*standin.Door
+	connections  []*standin.Link
 	managers     []*lease.Manager
 	history      *history
 	mu           sync.Mutex
@@ -215,11 +215,11 @@
 	}
 	t.Cleanup(f.registry.Close)
 	sessions := map[string]string{} // by key, the last known session
-	f.registry.Locks.Changed = func(key, session, holder string, lockIndex uint64, _ func(string) string) {
+	f.registry.KV.OnLockChange = func(key, session, holder string, lockIndex uint64, _ func(string) string) {
 		if !strings.Contains(key, "/slices/") {
 			return
 		}
-		if previous := sessions[key]; session == "" && previous != "" && holder == standin.Ended {
+		if previous := sessions[key]; session == "" && previous != "" && holder == standin.SessionEnded {
 			at := f.history.now()
 			f.history.add(200, key, request{op: "end", session: previous}, at, response{outcome: "ok"}, at)
 		}
@@ -233,7 +233,7 @@
 
 func (f *fleet) start(t *testing.T, i int) {
 	if len(f.connections) == i {
-		d, err := f.registry.Open(fmt.Sprint("d", i), uint64(i))
+		d, err := f.registry.NewLink(fmt.Sprint("d", i), uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -305,28 +305,28 @@
 			t.Parallel()
 			f := startFleet(t, 3)
 			f.awaitOwnership(t, 0, 1, 2)
-			f.registry.Locks.Promise(!breaksLocks)
+			f.registry.KV.EnforceLocks(!breaksLocks)
 			draw := rand.New(rand.NewPCG(11, 5))
 			for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 				i := draw.IntN(3)
 				switch draw.IntN(6) {
 				case 0:
-					f.connections[i].Set(standin.DoorFaults{Cut: true})
+					f.connections[i].SetFaults(standin.LinkFaults{Cut: true})
 				case 1:
-					f.connections[i].Set(standin.DoorFaults{Lose: 0.3})
+					f.connections[i].SetFaults(standin.LinkFaults{LossRate: 0.3})
 				case 2:
-					f.connections[i].Set(standin.DoorFaults{Slow: 60 * time.Millisecond, Lose: 0.1})
+					f.connections[i].SetFaults(standin.LinkFaults{Delay: 60 * time.Millisecond, LossRate: 0.1})
 				case 3:
-					f.registry.Locks.End(fmt.Sprint("p d", i))
+					f.registry.KV.InvalidateSessions(fmt.Sprint("p d", i))
 				case 4:
-					f.registry.Locks.Away(draw.IntN(2) == 0)
+					f.registry.KV.SetUnavailable(draw.IntN(2) == 0)
 				default:
-					f.connections[i].Set(standin.DoorFaults{})
+					f.connections[i].SetFaults(standin.LinkFaults{})
 				}
 			}
-			f.registry.Locks.Away(false)
+			f.registry.KV.SetUnavailable(false)
 			for _, d := range f.connections {
-				d.Set(standin.DoorFaults{})
+				d.SetFaults(standin.LinkFaults{})
 			}
 			f.awaitOwnership(t, 0, 1, 2)
 			f.requestHeldSlices(t)
@@ -419,7 +419,7 @@
 	f.mu.Lock()
 	before := maps.Clone(f.highestFence)
 	f.mu.Unlock()
-	f.registry.Locks.Wipe()
+	f.registry.KV.Wipe()
 	time.Sleep(ttl / 2)
 	f.awaitOwnership(t, 0, 1)
 	f.mu.Lock()
--- a/internal/load/line.go
+++ b/internal/load/line.go
@@ -120,7 +120,7 @@
 func (l *line) late(now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.hand) > 0 && l.hand[0].kind != Waits && now-l.hand[0].due > l.limit && l.conn != nil {
+	if len(l.hand) > 0 && l.hand[0].kind != PendingPolls && now-l.hand[0].due > l.limit && l.conn != nil {
 		l.conn.Close()
 	}
 }
@@ -171,10 +171,10 @@
 		text = append(text, "?zone="+zone...)
 	}
 	text = append(text, " HTTP/1.1\r\nHost: d\r\nA-IM: json-patch\r\n"...)
-	if k == Waits {
+	if k == PendingPolls {
 		text = append(text, "Prefer: wait=30\r\n"...)
 	}
-	if tag != "" && k != New {
+	if tag != "" && k != InitialPolls {
 		text = append(text, "If-None-Match: "+tag+"\r\n"...)
 	}
 	return append(text, "\r\n"...)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -18,21 +18,21 @@
 
 // Second is what became of the requests that should have gone out in one.
 type Second struct {
-	At       int     `json:"second"`
-	Step     string  `json:"step"`
-	Asked    int     `json:"asked"`
-	Answered int     `json:"answered"`
-	Away     int     `json:"sent_away"` // told to come later
-	Failed   int     `json:"failed"`
-	P50      float64 `json:"p50_ms"` // of those answered
-	P99      float64 `json:"p99_ms"`
-	Max      float64 `json:"max_ms"`
-	CPU      float64 `json:"director_cpu,omitempty"` // cores that the director used
-	Resident float64 `json:"director_mib,omitempty"`
+	At          int     `json:"second"`
+	Step        string  `json:"step"`
+	Scheduled   int     `json:"asked"`
+	Answered    int     `json:"answered"`
+	Rejected    int     `json:"sent_away"` // told to come later
+	Failed      int     `json:"failed"`
+	P50         float64 `json:"p50_ms"` // of those answered
+	P99         float64 `json:"p99_ms"`
+	Max         float64 `json:"max_ms"`
+	CPU         float64 `json:"director_cpu,omitempty"` // cores that the director used
+	ResidentMiB float64 `json:"director_mib,omitempty"`
 	// Change is how long after they were ordered versions reached those that waited for them.
 	Changes   int     `json:"told,omitempty"`
-	Change50  float64 `json:"change_p50_ms,omitempty"`
-	Change99  float64 `json:"change_p99_ms,omitempty"`
+	ChangeP50 float64 `json:"change_p50_ms,omitempty"`
+	ChangeP99 float64 `json:"change_p99_ms,omitempty"`
 	ChangeMax float64 `json:"change_max_ms,omitempty"`
 
 	times, changes *hdrhistogram.Histogram
@@ -67,7 +67,7 @@
 		most = max(most, st.Connections)
 	}
 	for i := range most {
-		r.lines = append(r.lines, &line{place: i, to: s.Director, limit: s.Limit, done: r.ended})
+		r.lines = append(r.lines, &line{place: i, to: s.Director, limit: s.TimeLimit, done: r.ended})
 	}
 	r.began = time.Now()
 	done, stop := context.WithCancel(ctx)
@@ -77,7 +77,7 @@
 	draw := rand.New(rand.NewPCG(1, 2))
 	at := time.Duration(0)
 	for _, st := range s.Steps {
-		end := at + st.For
+		end := at + st.Duration
 		switch {
 		case st.Flood > 0:
 			r.flood.Store(true)
@@ -86,7 +86,7 @@
 			}
 			r.rest(ctx, end)
 			r.flood.Store(false)
-		case st.Kind == Waits:
+		case st.Kind == PendingPolls:
 			r.flood.Store(true)
 			for i := range st.Proxies {
 				r.wait(i, st)
@@ -97,7 +97,7 @@
 				l.close()
 			}
 		default:
-			for range st.Storm {
+			for range st.Burst {
 				r.fire(st, at)
 			}
 			for due := at; st.Rate > 0; {
@@ -113,7 +113,7 @@
 		}
 		at = end
 	}
-	for over := time.Now().Add(s.Limit + time.Second); r.inHand.Load() > 0 && time.Now().Before(over); {
+	for over := time.Now().Add(s.TimeLimit + time.Second); r.inHand.Load() > 0 && time.Now().Before(over); {
 		time.Sleep(5 * time.Millisecond)
 	}
 	for _, l := range r.lines {
@@ -173,7 +173,7 @@
 	n := r.serial.Add(1)
 	sec := r.second(due, st.Name)
 	r.mu.Lock()
-	sec.Asked++
+	sec.Scheduled++
 	r.mu.Unlock()
 	a := asked{due, st.Kind, sec, n % uint64(st.Proxies)}
 	if r.inHand.Add(1) > mostInHand {
@@ -183,7 +183,7 @@
 	l := r.lines[n%uint64(st.Connections)]
 	text := r.word(st.Kind, a.proxy)
 	l.mu.Lock()
-	alone, busy := l.conn == nil || len(l.hand) > 8, st.Alone && (len(l.hand) > 0 || l.dialing)
+	alone, busy := l.conn == nil || len(l.hand) > 8, st.OnePerConnection && (len(l.hand) > 0 || l.dialing)
 	l.dialing = l.conn == nil && !busy
 	l.mu.Unlock()
 	if busy {
@@ -198,10 +198,10 @@
 }
 
 func (r *Runner) word(k Kind, proxy uint64) []byte {
-	name := fmt.Sprintf(r.script.Names, proxy)
+	name := fmt.Sprintf(r.script.NameFormat, proxy)
 	if k == Reports {
 		if _, known := r.known.LoadOrStore(name, true); !known {
-			k = New // it has to poll first; that is its request
+			k = InitialPolls // it has to poll first; that is its request
 		}
 	}
 	return request(make([]byte, 0, 256), k, name, r.script.Zone, *r.tag.Load())
@@ -215,11 +215,11 @@
 	all := make([]asked, n)
 	for i := range all {
 		all[i] = asked{due, st.Kind, sec, r.serial.Add(1) % uint64(st.Proxies)}
-		text = request(text, st.Kind, fmt.Sprintf(r.script.Names, all[i].proxy), r.script.Zone, *r.tag.Load())
+		text = request(text, st.Kind, fmt.Sprintf(r.script.NameFormat, all[i].proxy), r.script.Zone, *r.tag.Load())
 	}
 	r.inHand.Add(int64(n))
 	r.mu.Lock()
-	sec.Asked += n
+	sec.Scheduled += n
 	r.mu.Unlock()
 	go l.send(text, all...)
 }
@@ -229,19 +229,19 @@
 	due := time.Since(r.began)
 	sec := r.second(due, st.Name)
 	r.inHand.Add(1)
-	go r.lines[i].send(r.word(Waits, uint64(i)), asked{due, Waits, sec, uint64(i)})
+	go r.lines[i].send(r.word(PendingPolls, uint64(i)), asked{due, PendingPolls, sec, uint64(i)})
 }
 
 // ended counts a request that is answered, or has failed; in a flood, or while polls wait, the next follows.
 func (r *Runner) ended(l *line, f fate) {
 	took := time.Since(r.began) - f.due
 	r.inHand.Add(-1)
-	if f.kind == Waits {
+	if f.kind == PendingPolls {
 		r.told(l, f)
 		return
 	}
 	if f.status == http.StatusNotFound && f.kind == Reports {
-		r.known.Delete(fmt.Sprintf(r.script.Names, f.proxy)) // it has left meanwhile, and polls again first
+		r.known.Delete(fmt.Sprintf(r.script.NameFormat, f.proxy)) // it has left meanwhile, and polls again first
 	}
 	if f.etag != "" && (f.status == http.StatusOK || f.status == http.StatusIMUsed) {
 		r.tag.Store(&f.etag)
@@ -249,8 +249,8 @@
 	r.mu.Lock()
 	switch {
 	case f.status == http.StatusServiceUnavailable:
-		f.sec.Away++
-	case f.status > 0 && f.status < 400 && took <= r.script.Limit:
+		f.sec.Rejected++
+	case f.status > 0 && f.status < 400 && took <= r.script.TimeLimit:
 		f.sec.Answered++
 		f.sec.times.RecordValue(max(1, took.Microseconds()))
 	default:
@@ -271,7 +271,7 @@
 func (r *Runner) at() *Step {
 	now := time.Since(r.began)
 	for i := range r.script.Steps {
-		if now -= r.script.Steps[i].For; now < 0 {
+		if now -= r.script.Steps[i].Duration; now < 0 {
 			return &r.script.Steps[i]
 		}
 	}
@@ -281,7 +281,7 @@
 // told takes what a poll that waited was told, and holds the next one.
 func (r *Runner) told(l *line, f fate) {
 	st := r.at()
-	if st == nil || st.Kind != Waits || !r.flood.Load() {
+	if st == nil || st.Kind != PendingPolls || !r.flood.Load() {
 		return
 	}
 	i := l.place
@@ -298,11 +298,11 @@
 	case f.status == 0:
 		sec.Failed++
 	case f.status == http.StatusServiceUnavailable:
-		sec.Away++
+		sec.Rejected++
 	default:
 		sec.Answered++
 	}
-	sec.Asked++
+	sec.Scheduled++
 	r.mu.Unlock()
 	if f.etag != "" {
 		r.tag.Store(&f.etag)
@@ -311,9 +311,9 @@
 		time.AfterFunc(time.Duration(500+rand.IntN(1000))*time.Millisecond, func() { r.wait(i, *st) })
 		return
 	}
-	name := fmt.Sprintf(r.script.Names, i)
+	name := fmt.Sprintf(r.script.NameFormat, i)
 	r.inHand.Add(1)
-	l.send(request(make([]byte, 0, 256), Waits, name, r.script.Zone, f.etag), asked{time.Since(r.began), Waits, sec, uint64(i)})
+	l.send(request(make([]byte, 0, 256), PendingPolls, name, r.script.Zone, f.etag), asked{time.Since(r.began), PendingPolls, sec, uint64(i)})
 }
 
 // ordered is when a version was, by a difference that leads to it: Unix milliseconds.
@@ -377,7 +377,7 @@
 		now := time.Now()
 		sec := r.second(time.Duration(n)*time.Second, "")
 		r.mu.Lock()
-		sec.CPU, sec.Resident = (s.CPUTime()-last)/now.Sub(at).Seconds(), float64(s.ResidentMemory())/(1<<20)
+		sec.CPU, sec.ResidentMiB = (s.CPUTime()-last)/now.Sub(at).Seconds(), float64(s.ResidentMemory())/(1<<20)
 		r.mu.Unlock()
 		last, at = s.CPUTime(), now
 	}
@@ -390,7 +390,7 @@
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	out.P50, out.P99, out.Max = ms(out.times, 50), ms(out.times, 99), float64(out.times.Max())/1000
 	if out.Changes > 0 {
-		out.Change50, out.Change99, out.ChangeMax = ms(out.changes, 50), ms(out.changes, 99), float64(out.changes.Max())/1000
+		out.ChangeP50, out.ChangeP99, out.ChangeMax = ms(out.changes, 50), ms(out.changes, 99), float64(out.changes.Max())/1000
 	}
 	return out
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -54,10 +54,10 @@
 		t.Fatal(err, len(all))
 	}
 	p, r := all[0], all[1]
-	if p.Asked < 140 || p.Answered != p.Asked || p.P99 < 350 || p.P50 > 350 || gate.Load() < 60 {
+	if p.Scheduled < 140 || p.Answered != p.Scheduled || p.P99 < 350 || p.P50 > 350 || gate.Load() < 60 {
 		t.Errorf("a stall of half a second: %+v, %d asked in it", p, gate.Load())
 	}
-	if r.Asked < 80 || r.Away < 50 || r.Away+r.Answered != r.Asked {
+	if r.Scheduled < 80 || r.Rejected < 50 || r.Rejected+r.Answered != r.Scheduled {
 		t.Errorf("sent away: %+v", r)
 	}
 	var b bytes.Buffer
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -12,7 +12,7 @@
 	const width, height, left, top, gap = 900.0, 230.0, 70.0, 40.0, 60.0
 	most, slow := 1.0, 1.0
 	for _, s := range all {
-		most, slow = max(most, float64(s.Asked)), max(slow, s.P99)
+		most, slow = max(most, float64(s.Scheduled)), max(slow, s.P99)
 	}
 	x := func(i int) float64 { return left + width*float64(i)/math.Max(1, float64(len(all)-1)) }
 	line := func(y0, most float64, of func(Second) float64) string {
@@ -44,8 +44,8 @@
 		name, colour string
 		of           func(Second) float64
 	}
-	panel(top+10, most, "requests a second", []curve{{"asked", "#888", func(s Second) float64 { return float64(s.Asked) }},
-		{"answered", "#1a7f37", func(s Second) float64 { return float64(s.Answered) }}, {"sent away", "#bf8700", func(s Second) float64 { return float64(s.Away) }},
+	panel(top+10, most, "requests a second", []curve{{"asked", "#888", func(s Second) float64 { return float64(s.Scheduled) }},
+		{"answered", "#1a7f37", func(s Second) float64 { return float64(s.Answered) }}, {"sent away", "#bf8700", func(s Second) float64 { return float64(s.Rejected) }},
 		{"failed", "#cf222e", func(s Second) float64 { return float64(s.Failed) }}})
 	second := top + height + gap
 	panel(second, slow, "milliseconds until answered, from when it should have been asked", []curve{
--- a/internal/load/script.go
+++ b/internal/load/script.go
@@ -16,33 +16,33 @@
 type Kind string
 
 const (
-	New     Kind = "new"     // polls of proxies that hold nothing
-	Polls   Kind = "polls"   // polls that acknowledge what was told last
-	Reports Kind = "reports" // sums, of proxies that have polled
-	Waits   Kind = "waits"   // polls that wait for a change, one for each proxy at a time
+	InitialPolls Kind = "new"     // polls of proxies that hold nothing
+	Polls        Kind = "polls"   // polls that acknowledge what was told last
+	Reports      Kind = "reports" // sums, of proxies that have polled
+	PendingPolls Kind = "waits"   // polls that wait for a change, one for each proxy at a time
 )
 
 // Step is a stretch of the script.
 type Step struct {
-	Name        string
-	Kind        Kind
-	Rate        float64 // requests a second
-	Storm       int     // requests at once, at the step's start
-	Flood       int     // requests in hand on each connection, without end
-	Proxies     int     // that the requests are of, in turn
-	Connections int
-	Alone       bool // one request in hand on each connection, as a proxy has; what finds its connection busy has failed
-	For         time.Duration
+	Name             string
+	Kind             Kind
+	Rate             float64 // requests a second
+	Burst            int     // requests at once, at the step's start
+	Flood            int     // requests in hand on each connection, without end
+	Proxies          int     // that the requests are of, in turn
+	Connections      int
+	OnePerConnection bool // one request in hand on each connection, as a proxy has; what finds its connection busy has failed
+	Duration         time.Duration
 }
 
 // Script is what is asked of whom.
 type Script struct {
-	Director string // host:port
-	Names    string // of proxies; %d is the number
-	Zone     string
-	Limit    time.Duration
-	PID      int // of the director, to tell what it costs; 0: not told
-	Steps    []Step
+	Director   string // host:port
+	NameFormat string // of proxies; %d is the number
+	Zone       string
+	TimeLimit  time.Duration
+	PID        int // of the director, to tell what it costs; 0: not told
+	Steps      []Step
 }
 
 // Read reads a script; all its faults are told at once.
@@ -59,22 +59,22 @@
 	} else {
 		s.Director = u.Host
 	}
-	if s.Names = r.Text("names", "relay-%d"); strings.Count(s.Names, "%d") != 1 {
-		r.Fail("names", "%q does not have one %%d", s.Names)
+	if s.NameFormat = r.Text("names", "relay-%d"); strings.Count(s.NameFormat, "%d") != 1 {
+		r.Fail("names", "%q does not have one %%d", s.NameFormat)
 	}
 	s.Zone = r.Text("zone", "")
-	s.Limit = r.Span("time_limit", 5*time.Second, time.Millisecond, time.Minute)
+	s.TimeLimit = r.Span("time_limit", 5*time.Second, time.Millisecond, time.Minute)
 	s.PID = r.Whole("pid", 0, 0, 1<<30)
 	r.Done()
 	steps, names := top.Blocks("step", 1, 1, 1000)
 	for i, in := range steps {
-		st := Step{Name: names[i], Kind: Kind(in.Text("kind", settings.Needed, string(New), string(Polls), string(Reports), string(Waits))),
-			Rate: in.Number("rate", 0, 0, 1e6), Storm: in.Whole("storm", 0, 0, 1e6), Flood: in.Whole("flood", 0, 0, 1000),
-			Proxies: in.Whole("proxies", 100, 1, 1e6), For: in.Span("for", -1, time.Second, time.Hour)}
+		st := Step{Name: names[i], Kind: Kind(in.Text("kind", settings.Needed, string(InitialPolls), string(Polls), string(Reports), string(PendingPolls))),
+			Rate: in.Number("rate", 0, 0, 1e6), Burst: in.Whole("storm", 0, 0, 1e6), Flood: in.Whole("flood", 0, 0, 1000),
+			Proxies: in.Whole("proxies", 100, 1, 1e6), Duration: in.Span("for", -1, time.Second, time.Hour)}
 		st.Connections = in.Whole("connections", min(st.Proxies, 4096), 1, 60000)
-		st.Alone = in.Truth("alone", false)
+		st.OnePerConnection = in.Truth("alone", false)
 		ways := 0
-		for _, set := range []bool{st.Rate > 0 || st.Storm > 0, st.Flood > 0, st.Kind == Waits} {
+		for _, set := range []bool{st.Rate > 0 || st.Burst > 0, st.Flood > 0, st.Kind == PendingPolls} {
 			if set {
 				ways++
 			}
@@ -82,7 +82,7 @@
 		switch {
 		case ways != 1:
 			in.Fail("", "a step needs a rate or a storm, or a flood, or kind = \"waits\", and no two of these")
-		case st.Kind == Waits && st.Connections != st.Proxies:
+		case st.Kind == PendingPolls && st.Connections != st.Proxies:
 			st.Connections = st.Proxies // a poll that waits holds its connection
 		}
 		in.Done()
--- a/internal/platform/rollout_test.go
+++ b/internal/platform/rollout_test.go
@@ -132,18 +132,18 @@
 
 // addHost starts a host and lists it at discovery.
 func (f *fleet) addHost(name string, cell int, warm bool) {
-	shape := standin.HostShape{Cores: 1, Queue: 60, ColdFrom: 0.35, Warm: warmUpTime, Tip: 1e6, Fall: time.Hour,
-		Book: &judge.Book{},
-		Now:  func() float64 { return float64(time.Now().UnixMilli()) }}
+	shape := standin.HostConfig{Cores: 1, Queue: 60, ColdCapacity: 0.35, WarmAfter: warmUpTime, ColdOverloadLimit: 1e6, ColdFailAfter: time.Hour,
+		Recorder: &judge.Recorder{},
+		Now:      func() float64 { return float64(time.Now().UnixMilli()) }}
 	h := standin.NewHost(shape, "")
 	if err := h.Start(warm); err != nil {
 		f.t.Fatal(err)
 	}
-	f.t.Cleanup(h.Die)
+	f.t.Cleanup(h.Kill)
 	f.mu.Lock()
 	f.hosts[name] = h
 	f.mu.Unlock()
-	f.discovery.setEntry(name, string(h.Address), cell, "active", h.Born())
+	f.discovery.setEntry(name, string(h.Address), cell, "active", h.StartedAt())
 }
 
 // startDirector starts the director process and returns its listening address.
@@ -241,7 +241,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	request, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+string(address)+"/", nil)
-	request.Header.Set(standin.HeaderWork, fmt.Sprint(callCPUTime.Milliseconds()))
+	request.Header.Set(standin.HeaderWorkMs, fmt.Sprint(callCPUTime.Milliseconds()))
 	began := time.Now()
 	response, err := f.client.Do(request)
 	spent := time.Since(began)
--- a/internal/rehearse/directors.go
+++ b/internal/rehearse/directors.go
@@ -27,8 +27,8 @@
 type director struct {
 	name, file, log string
 	running         *settings.Running
-	door            *standin.Door // its way to the list and the leases, where there are several
-	facts           *standin.Door // the others' way to what it knows
+	door            *standin.Link // its way to the list and the leases, where there are several
+	facts           *standin.Link // the others' way to what it knows
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
@@ -56,14 +56,14 @@
 		"Listen": s.script.Listen, "Admin": s.script.Admin, "Proxies": strconv.Itoa(max(24, s.script.Fleet.Proxies+s.script.Fleet.Phantoms)),
 		"Lines": strconv.Itoa(8000 * max(1, (s.script.Fleet.Proxies+s.script.Fleet.Phantoms)/12))}
 	if s.script.Fleet.Directors > 1 {
-		if d.door, err = s.registry.Open(d.name, uint64(i)); err != nil {
+		if d.door, err = s.registry.NewLink(d.name, uint64(i)); err != nil {
 			return err
 		}
 		fill["Store"], fill["Roster"] = filepath.Join(s.dir, d.name+".db"), d.door.URL()
 		if fill["Listen"], err = freePort(); err != nil {
 			return err
 		}
-		if d.facts, err = standin.Before(d.name, uint64(i), fill["Listen"]); err != nil {
+		if d.facts, err = standin.NewLinkTo(d.name, uint64(i), fill["Listen"]); err != nil {
 			return err
 		}
 		fill["Custody"] = fmt.Sprintf("custody {\n  prefix = %q\n  ttl    = %q\n  advertise = %q\n}\n", prefix, leaseOf, d.facts.URL())
@@ -105,7 +105,7 @@
 
 // charges has the store of leases tell the book who holds what.
 func (s *stage) charges() {
-	s.registry.Locks.Changed = func(key, session, holder string, count uint64, value func(string) string) {
+	s.registry.KV.OnLockChange = func(key, session, holder string, count uint64, value func(string) string) {
 		number, is := strings.CutPrefix(key, prefix+"/slices/")
 		slice, err := strconv.Atoi(number)
 		if !is || err != nil {
@@ -116,7 +116,7 @@
 			director = strings.TrimPrefix(holder, prefix+" ")
 		}
 		base, _ := strconv.ParseUint(value(prefix+"/epoch"), 10, 64)
-		s.book.Charged(judge.Charge{At: s.now(), Table: strconv.Itoa(slice), Director: director, Fence: base + count})
+		s.book.AddOwnership(judge.Ownership{At: s.now(), Table: strconv.Itoa(slice), Director: director, Fence: base + count})
 	}
 }
 
@@ -266,20 +266,20 @@
 		over = func() error { say(who + " goes on"); d.pause(false); return nil }
 	case "cut_director":
 		say(who + " is cut off from the list and the leases")
-		d.door.Set(standin.DoorFaults{Cut: true})
-		over = func() error { say(who + " is back"); d.door.Set(standin.DoorFaults{}); return nil }
+		d.door.SetFaults(standin.LinkFaults{Cut: true})
+		over = func() error { say(who + " is back"); d.door.SetFaults(standin.LinkFaults{}); return nil }
 	case "lossy_director":
 		say(who + " loses requests and answers")
-		d.door.Set(standin.DoorFaults{Lose: t.Part, Slow: 30 * time.Millisecond})
-		over = func() error { d.door.Set(standin.DoorFaults{}); return nil }
+		d.door.SetFaults(standin.LinkFaults{LossRate: t.Part, Delay: 30 * time.Millisecond})
+		over = func() error { d.door.SetFaults(standin.LinkFaults{}); return nil }
 	case "cut_peer":
 		say("no other director hears from " + d.name + ", which hears from them")
-		d.facts.Set(standin.DoorFaults{Cut: true})
-		over = func() error { d.facts.Set(standin.DoorFaults{}); return nil }
+		d.facts.SetFaults(standin.LinkFaults{Cut: true})
+		over = func() error { d.facts.SetFaults(standin.LinkFaults{}); return nil }
 	case "flap_leases":
 		say(who + " loses its session again and again")
 		for end := time.Now().Add(t.Last); time.Now().Before(end); {
-			s.registry.Locks.End(prefix + " " + d.name)
+			s.registry.KV.InvalidateSessions(prefix + " " + d.name)
 			if !s.sleep(ctx, 400*time.Millisecond) {
 				return nil
 			}
@@ -308,12 +308,12 @@
 				h.Longest = max(h.Longest, g.Ms)
 			}
 		default:
-			h.Each = s.book.Without(h.Director, h.from, until, h.Trouble != "cut_director")
+			h.Each = s.book.FailoverTimes(h.Director, h.from, until, h.Trouble != "cut_director")
 			for _, ms := range h.Each {
 				h.Longest = max(h.Longest, ms)
 			}
 		}
-		h.Word = s.book.Words(h.from, h.until)
+		h.Word = s.book.LongestHandover(h.from, h.until)
 	}
 	return s.hands
 }
@@ -321,18 +321,18 @@
 // leasesAway is a store that answers nobody. Who held a slice is in charge of it until the lease is over that was
 // renewed last; from then on nobody can know, until it is back.
 func (s *stage) leasesAway(ctx context.Context, long time.Duration) {
-	s.registry.Locks.Away(true)
+	s.registry.KV.SetUnavailable(true)
 	if !s.sleep(ctx, min(long, leaseOf)) {
 		return
 	}
-	held := s.book.InCharge()
+	held := s.book.Owners()
 	for _, c := range held {
-		s.book.Charged(judge.Charge{At: s.now(), Table: c.Table})
+		s.book.AddOwnership(judge.Ownership{At: s.now(), Table: c.Table})
 	}
 	s.sleep(ctx, long-leaseOf)
-	s.registry.Locks.Away(false)
+	s.registry.KV.SetUnavailable(false)
 	for _, c := range held {
 		c.At = s.now()
-		s.book.Charged(c)
+		s.book.AddOwnership(c)
 	}
 }
--- a/internal/rehearse/directors_test.go
+++ b/internal/rehearse/directors_test.go
@@ -111,8 +111,8 @@
 			t.Errorf("%+v", r)
 		}
 	}
-	if v.Backwards > 0 || v.Calls < 100 {
-		t.Errorf("%d words of deposed directors followed; %d calls", v.Backwards, v.Calls)
+	if v.Regressions > 0 || v.Calls < 100 {
+		t.Errorf("%d words of deposed directors followed; %d calls", v.Regressions, v.Calls)
 	}
 }
 
@@ -156,23 +156,23 @@
 	d, host := s.directors[1], s.hosts[2]
 	d.stop(syscall.SIGKILL)
 	eventually(t, "the other director has all", func() bool { return s.directors[0].metric("vetchwood_slices_held") == 64 })
-	d.door.Set(standin.DoorFaults{NoList: true})
+	d.door.SetFaults(standin.LinkFaults{BlockDiscovery: true})
 	if err := d.start(s.command); err != nil {
 		t.Error(err)
 		return math.Inf(1), 1
 	}
 	time.Sleep(leaseOf - 100*time.Millisecond) // just before it counts as steady
-	s.registry.State(host.id, logic.Draining)
+	s.registry.SetState(host.id, logic.Draining)
 	eventually(t, "it has its part again", func() bool { return d.metric("vetchwood_slices_held") > 0 })
 	given := map[string]float64{}
-	for _, c := range s.book.InCharge() {
+	for _, c := range s.book.Owners() {
 		if c.Director == d.name {
 			given[c.Table] = c.At
 		}
 	}
 	grace := float64(s.running.Service.Config.DrainGrace)
 	time.Sleep(time.Duration(grace)*time.Millisecond + 4*time.Second)
-	for _, x := range s.book.Sends() {
+	for _, x := range s.book.TriesSoFar() {
 		if at, mine := given[x.Table]; mine && x.Host == host.Address && x.At > at {
 			latest = max(latest, x.At-at)
 			if x.At > at+grace {
--- a/internal/rehearse/play.go
+++ b/internal/rehearse/play.go
@@ -178,12 +178,12 @@
 	}
 }
 
-func (s *stage) terms(from, until float64) judge.Terms {
+func (s *stage) terms(from, until float64) judge.Criteria {
 	f := s.running.Service.Config
-	t := judge.Terms{Routes: map[string]tables.Route{}, LateShare: map[string]float64{}, Slices: f.Slices,
-		Bare: float64(f.EmptyTableLimit), Grace: float64(f.DrainGrace), Warm: span(f.WarmAfter), ColdFrom: f.ColdCapacity,
-		Tip: f.ColdOverloadLimit, Fall: span(f.ColdFailAfter), Queue: f.QueueLimit, Head: f.MessageOverhead, Messages: f.MessageLimit,
-		MessageSpan: float64(f.MessageWindow), From: from, Until: until}
+	t := judge.Criteria{Routes: map[string]tables.Route{}, LateShare: map[string]float64{}, Slices: f.Slices,
+		EmptyTableLimit: float64(f.EmptyTableLimit), DrainGrace: float64(f.DrainGrace), WarmAfter: span(f.WarmAfter), ColdCapacity: f.ColdCapacity,
+		ColdOverloadLimit: f.ColdOverloadLimit, ColdFailAfter: span(f.ColdFailAfter), QueueLimit: f.QueueLimit, MessageOverhead: f.MessageOverhead, MessageLimit: f.MessageLimit,
+		MessageWindow: float64(f.MessageWindow), From: from, Until: until}
 	for i, r := range s.running.Service.Routes {
 		t.Routes[r.Name], t.LateShare[r.Name] = r.Route, f.Routes[i].LateShare
 	}
@@ -196,7 +196,7 @@
 	live   bool
 	quiet  bool
 	mu     sync.Mutex
-	book   *judge.Book
+	book   *judge.Recorder
 	began  time.Time
 	length time.Duration
 }
@@ -208,7 +208,7 @@
 }
 
 func (p *shown) happened(what string) {
-	p.book.Happened(judge.Note{Text: what})
+	p.book.AddAction(judge.Action{Text: what})
 	if p.quiet {
 		return
 	}
@@ -250,19 +250,19 @@
 	for _, r := range v.Rules {
 		fmt.Fprintf(w, "%s\t%s\t%.4g\t%.4g\t%s\t%s\n", r.Name, map[bool]string{true: "yes", false: "NO"}[r.Kept], r.Worst, r.Limit, r.Unit, r.Where)
 	}
-	fmt.Fprintf(w, "no proxy sent backwards\t%s\t%d\t0\ttimes\t\n", map[bool]string{true: "yes", false: "NO"}[v.Backwards == 0], v.Backwards)
+	fmt.Fprintf(w, "no proxy sent backwards\t%s\t%d\t0\ttimes\t\n", map[bool]string{true: "yes", false: "NO"}[v.Regressions == 0], v.Regressions)
 	fmt.Fprintln(w, "\t\t\t\t\t")
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "service %.3f (importance answered within the SLO time over importance asked for), worst 10 s %.3f\n", v.Service, v.WorstTen)
+	fmt.Fprintf(out, "service %.3f (importance answered within the SLO time over importance asked for), worst 10 s %.3f\n", v.Service, v.WorstTenSeconds)
 	w = tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for name, s := range v.ByRoute {
 		fmt.Fprintf(w, "  route %s\t%.3f\n", name, s)
 	}
 	fmt.Fprintf(w, "calls\t%d\tanswered %d, throttled %d, dropped %d; %d tries\n", v.Calls, v.Answered, v.Throttled, v.Dropped, v.Tries)
-	fmt.Fprintf(w, "answers\t%.0f ms\tmedian; 99 in 100 within %.0f ms\n", v.MedianMs, v.P99Ms)
-	fmt.Fprintf(w, "versions seen\t%d\t%d deltas, %d whole documents; %d lists told\n", v.Steps, v.Deltas, v.Whole, v.Lists)
+	fmt.Fprintf(w, "answers\t%.0f ms\tmedian; 99 in 100 within %.0f ms\n", v.P50Ms, v.P99Ms)
+	fmt.Fprintf(w, "versions seen\t%d\t%d deltas, %d whole documents; %d lists told\n", v.Versions, v.Deltas, v.FullDocuments, v.HostLists)
 	fmt.Fprintf(w, "lines waiting\t%.0f\tat most, by the director's own count; %.0f messages to one proxy\n", extra.MostWaiting, extra.MostMessages)
 	for _, u := range extra.Rollbacks {
 		fmt.Fprintf(w, "back to version %d\t%d ms\tuntil the last of %d proxies held it; %d polls at most, %d lines not honoured\n", u.To,
@@ -276,7 +276,7 @@
 		fmt.Fprintf(w, "storm of %s\t%d asked\t%d answered, %d sent away, %d failed; 99 in 100 within %.0f ms in its worst second\n", x.Ask, x.Asked,
 			x.Answered, x.Away, x.Failed, x.SlowMs)
 	}
-	fmt.Fprintf(w, "hosts fallen\t%d\t\n", v.Falls)
+	fmt.Fprintf(w, "hosts fallen\t%d\t\n", v.Collapses)
 	if extra.Folder != "" {
 		fmt.Fprintf(w, "kept in\t%s\t\n", extra.Folder)
 	}
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -64,7 +64,7 @@
 	if wrong := json.Unmarshal(out.Bytes(), &v); err != nil || wrong != nil {
 		t.Fatalf("%v, %v\n%s", err, wrong, out.Bytes())
 	}
-	if v.Calls < 500 || v.Steps < 5 || v.Deltas < 20 || v.Lists < 5 || len(v.Rules) != 6 {
+	if v.Calls < 500 || v.Versions < 5 || v.Deltas < 20 || v.HostLists < 5 || len(v.Rules) != 6 {
 		t.Fatalf("the day has seen too little to be a witness\n%s", out.Bytes())
 	}
 	if v.Service < 0.8 {
@@ -132,17 +132,17 @@
 	for round := range kills {
 		// Each change of the list leads to versions; the kill comes at another point of their way.
 		h := s.hosts[round%6]
-		s.registry.State(h.id, logic.Draining)
+		s.registry.SetState(h.id, logic.Draining)
 		moment := time.Duration(20+35*round) * time.Millisecond
 		if kills != 10 {
 			moment = time.Duration(drawn.Float64() * 400 * float64(time.Millisecond))
 		}
 		time.Sleep(moment)
-		s.killAndStartOver(t, func() { s.registry.State(h.id, logic.Up) })
+		s.killAndStartOver(t, func() { s.registry.SetState(h.id, logic.Up) })
 	}
 	v := s.book.Judge(s.terms(0, s.now()))
-	if v.Backwards > 0 {
-		t.Fatalf("%d times a proxy was sent backwards", v.Backwards)
+	if v.Regressions > 0 {
+		t.Fatalf("%d times a proxy was sent backwards", v.Regressions)
 	}
 	if v.Deltas < kills {
 		t.Fatalf("only %d differences: what was held was not known again", v.Deltas)
@@ -210,11 +210,11 @@
 		if round > 200 {
 			t.Fatal("the disk never fills up")
 		}
-		s.registry.State(s.hosts[round%6].id, []logic.HostState{logic.Draining, logic.Up}[round/6%2])
+		s.registry.SetState(s.hosts[round%6].id, []logic.HostState{logic.Draining, logic.Up}[round/6%2])
 		time.Sleep(60 * time.Millisecond)
 	}
 	for _, h := range s.hosts[:5] {
-		s.registry.State(h.id, logic.Up)
+		s.registry.SetState(h.id, logic.Up)
 	}
 	time.Sleep(300 * time.Millisecond)
 	if told, stored := s.highest(), s.stored(); told > stored {
@@ -285,12 +285,12 @@
 	s := small(t, 6, 3)
 	ask, ctx := s.operators(), t.Context()
 	good := s.version()
-	s.registry.State(s.hosts[0].id, logic.Draining)
-	s.registry.State(s.hosts[1].id, logic.Draining)
+	s.registry.SetState(s.hosts[0].id, logic.Draining)
+	s.registry.SetState(s.hosts[1].id, logic.Draining)
 	eventually(t, "tables change", func() bool { return s.version() > good })
 	time.Sleep(700 * time.Millisecond)
-	s.registry.State(s.hosts[0].id, logic.Up)
-	s.registry.State(s.hosts[1].id, logic.Up)
+	s.registry.SetState(s.hosts[0].id, logic.Up)
+	s.registry.SetState(s.hosts[1].id, logic.Up)
 	time.Sleep(300 * time.Millisecond)
 	var all []store.Version
 	if err := ask.Get(ctx, "versions?most=100", &all); err != nil || len(all) < 3 || all[0].Step <= good {
--- a/internal/rehearse/rogue_test.go
+++ b/internal/rehearse/rogue_test.go
@@ -26,13 +26,13 @@
 // sockets and with the same judge as on any day: a judge that can't find a fault is no judge.
 type rogue struct {
 	t        *testing.T
-	book     *judge.Book
+	book     *judge.Recorder
 	epoch    time.Time
 	registry *standin.Registry
 	hosts    []*standin.Host
 	relay    *relay.Relay
 	client   *standin.Client
-	terms    judge.Terms
+	terms    judge.Criteria
 
 	mu      sync.Mutex
 	tickets atomic.Uint64
@@ -122,8 +122,8 @@
 		go func() {
 			defer all.Done()
 			time.Sleep(over * time.Duration(i) / time.Duration(n))
-			r.client.Make(context.Background(), standin.Call{ID: fmt.Sprintf("%s-%d-%d", route, n, i), Route: route, Key: "k", Work: work,
-				Keyed: route == "note", TimeLimit: 2 * time.Second})
+			r.client.Do(context.Background(), standin.Call{ID: fmt.Sprintf("%s-%d-%d", route, n, i), Route: route, SliceKey: "k", WorkMs: work,
+				SendIdempotencyKey: route == "note", TimeLimit: 2 * time.Second})
 		}()
 	}
 	all.Wait()
@@ -131,16 +131,16 @@
 
 func newRogue(t *testing.T) *rogue {
 	t.Parallel()
-	r := &rogue{t: t, book: &judge.Book{}, epoch: time.Now(), waiting: map[control.Ticket]control.Poll{}, kept: map[tables.Tag]*tables.Document{},
-		terms: judge.Terms{Slices: 1, Bare: 500, Grace: 500, Warm: 10 * time.Second, ColdFrom: 0.2, Tip: 3, Fall: time.Second, Queue: 60,
-			Head: 16, Messages: 8, MessageSpan: 10000, Routes: map[string]tables.Route{"read": {Idempotency: "repeatable"}, "note": {Idempotency: "keyed"}}}}
+	r := &rogue{t: t, book: &judge.Recorder{}, epoch: time.Now(), waiting: map[control.Ticket]control.Poll{}, kept: map[tables.Tag]*tables.Document{},
+		terms: judge.Criteria{Slices: 1, EmptyTableLimit: 500, DrainGrace: 500, WarmAfter: 10 * time.Second, ColdCapacity: 0.2, ColdOverloadLimit: 3, ColdFailAfter: time.Second, QueueLimit: 60,
+			MessageOverhead: 16, MessageLimit: 8, MessageWindow: 10000, Routes: map[string]tables.Route{"read": {Idempotency: "repeatable"}, "note": {Idempotency: "keyed"}}}}
 	var err error
 	if r.registry, err = standin.NewRegistry("127.0.0.1:0", r.book, r.now, 0); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 2 {
-		h := standin.NewHost(standin.HostShape{Cores: 4, Queue: 100, ColdFrom: 0.2, Warm: 10 * time.Second, Tip: 1e9, Fall: time.Second,
-			Memory: standin.NewMemory(4 * time.Second), Book: r.book, Now: r.now}, "")
+		h := standin.NewHost(standin.HostConfig{Cores: 4, Queue: 100, ColdCapacity: 0.2, WarmAfter: 10 * time.Second, ColdOverloadLimit: 1e9, ColdFailAfter: time.Second,
+			Dedup: standin.NewDeduplicator(4 * time.Second), Recorder: r.book, Now: r.now}, "")
 		if err := h.Start(true); err != nil {
 			t.Fatal(err)
 		}
@@ -171,12 +171,12 @@
 	}
 	if r.relay, err = relay.New(set, relay.Hooks{
 		OnTry: func(_, mark, _ string, host tables.Address) {
-			r.book.Send(judge.Sent{At: r.now(), Proxy: "p", Call: mark, Host: host})
+			r.book.AddTry(judge.Try{At: r.now(), Proxy: "p", Call: mark, Host: host})
 		},
 		OnUpdate: func(u follow.Update) {
-			r.book.Hold(judge.Held{At: r.now(), Proxy: "p", Doc: u.Doc, Lines: u.Lines, Whole: u.Whole})
+			r.book.AddProxyUpdate(judge.ProxyUpdate{At: r.now(), Proxy: "p", Doc: u.Doc, Lines: u.Lines, Full: u.Whole})
 		},
-		OnJoinChange: func(_ string, on bool) { r.book.Hold(judge.Held{At: r.now(), Proxy: "p", Joined: on}) },
+		OnJoinChange: func(_ string, on bool) { r.book.AddProxyUpdate(judge.ProxyUpdate{At: r.now(), Proxy: "p", Joined: on}) },
 	}, log); err != nil {
 		t.Fatal(err)
 	}
@@ -188,7 +188,7 @@
 		<-done
 		r.front.Close()
 		for _, h := range r.hosts {
-			h.Die()
+			h.Kill()
 		}
 		r.registry.Close()
 	})
@@ -197,8 +197,8 @@
 	return r
 }
 
-func (r *rogue) told() []judge.ToldHost {
-	last, ok := r.book.LastTold()
+func (r *rogue) told() []judge.ListedHost {
+	last, ok := r.book.LastHostList()
 	if !ok {
 		return nil
 	}
@@ -210,9 +210,9 @@
 	r.t.Helper()
 	r.terms.Until = r.now()
 	v := r.book.Judge(r.terms)
-	if len(r.book.Sents) == 0 && len(r.book.Outcomes) > 0 {
+	if len(r.book.Tries) == 0 && len(r.book.Outcomes) > 0 {
 		o := r.book.Outcomes[0]
-		r.t.Errorf("%d calls, none of which was tried; the first took %.1f ms: %+v", len(r.book.Outcomes), o.Took, o)
+		r.t.Errorf("%d calls, none of which was tried; the first took %.1f ms: %+v", len(r.book.Outcomes), o.Latency, o)
 	}
 	found := name == ""
 	for _, rule := range v.Rules {
@@ -247,7 +247,7 @@
 func TestAnEffectTwiceIsFound(t *testing.T) {
 	r := newRogue(t)
 	for _, h := range r.hosts {
-		h.Set(standin.HostFaults{LoseAnswer: 1})
+		h.SetFaults(standin.HostFaults{ResponseLossRate: 1})
 	}
 	r.tell(r.all(1), 3, 0)
 	eventually(t, "the proxy has it", func() bool { return r.relay.Document().Step == 2 })
@@ -257,7 +257,7 @@
 
 func TestABrokenDrainIsFound(t *testing.T) {
 	r := newRogue(t)
-	r.registry.State("h0", logic.Draining)
+	r.registry.SetState("h0", logic.Draining)
 	eventually(t, "the list is told", func() bool {
 		told := r.told()
 		return told[0].State == logic.Draining || told[1].State == logic.Draining
@@ -268,11 +268,11 @@
 
 func TestAColdHostPushedOverIsFound(t *testing.T) {
 	r := newRogue(t)
-	r.hosts[0].Die()
+	r.hosts[0].Kill()
 	eventually(t, "it starts again", func() bool { return r.hosts[0].Start(false) == nil })
-	r.registry.Put("h0", r.hosts[0].Address, "a", "0", r.hosts[0].Born())
+	r.registry.Put("h0", r.hosts[0].Address, "a", "0", r.hosts[0].StartedAt())
 	eventually(t, "the list is told", func() bool {
-		return r.told()[0].Born > 0 || r.told()[1].Born > 0
+		return r.told()[0].StartedAt > 0 || r.told()[1].StartedAt > 0
 	})
 	r.tell(map[tables.Address]float64{r.hosts[0].Address: 1}, 1, 0)
 	eventually(t, "the proxy has it", func() bool { return r.relay.Document().Step == 2 })
--- a/internal/rehearse/script.go
+++ b/internal/rehearse/script.go
@@ -179,7 +179,7 @@
 			case "times":
 				t.Times = in.Number("times", 2, 1, 100)
 			case "storm":
-				t.Ask = load.Kind(in.Text("ask", settings.Needed, string(load.New), string(load.Polls), string(load.Reports)))
+				t.Ask = load.Kind(in.Text("ask", settings.Needed, string(load.InitialPolls), string(load.Polls), string(load.Reports)))
 				t.Rate, t.Burst = in.Number("rate", math.NaN(), 1, 1e6), in.Whole("burst", 0, 0, 1e5)
 				if s.Fleet.Phantoms == 0 {
 					in.Fail("", "takes a fleet with phantoms")
--- a/internal/rehearse/stage.go
+++ b/internal/rehearse/stage.go
@@ -33,7 +33,7 @@
 type stage struct {
 	script   *Script
 	running  *settings.Running
-	book     *judge.Book
+	book     *judge.Recorder
 	log      *slog.Logger
 	dir      string
 	command  func(file string) *exec.Cmd
@@ -46,7 +46,7 @@
 	spare     int // hosts born so far, for new ids
 	proxies   []*proxy
 	directors []*director
-	memories  map[string]*standin.Memory
+	memories  map[string]*standin.Deduplicator
 	busy      sync.WaitGroup
 	random    *rand.Rand
 	routes    map[string]tables.Route
@@ -97,8 +97,8 @@
 }
 
 func raiseOnce(ctx context.Context, script *Script, dir string, command func(string) *exec.Cmd, log *slog.Logger) (s *stage, err error) {
-	s = &stage{script: script, book: &judge.Book{}, log: log, dir: dir, command: command, epoch: time.Now(),
-		memories: map[string]*standin.Memory{}, random: rand.New(rand.NewPCG(1, 2))}
+	s = &stage{script: script, book: &judge.Recorder{}, log: log, dir: dir, command: command, epoch: time.Now(),
+		memories: map[string]*standin.Deduplicator{}, random: rand.New(rand.NewPCG(1, 2))}
 	defer func() {
 		if err != nil {
 			s.lower()
@@ -184,7 +184,7 @@
 	}
 	stopping.Wait()
 	for _, h := range s.hosts {
-		h.Die()
+		h.Kill()
 	}
 	for _, d := range s.directors {
 		if d.door != nil {
@@ -213,17 +213,17 @@
 		for _, r := range f.Routes {
 			span = max(span, time.Duration(float64(r.DedupWindow)*float64(time.Millisecond)))
 		}
-		s.memories[cell] = standin.NewMemory(span)
+		s.memories[cell] = standin.NewDeduplicator(span)
 	}
 	m := &member{id: fmt.Sprintf("host-%02d", n+1), zone: zone, cell: cell}
-	m.Host = standin.NewHost(standin.HostShape{Cores: fleet.Cores, Queue: fleet.Queue, ColdFrom: f.ColdCapacity,
-		Warm: span(f.WarmAfter), Tip: f.ColdOverloadLimit, Fall: span(f.ColdFailAfter), Memory: s.memories[cell], Book: s.book,
+	m.Host = standin.NewHost(standin.HostConfig{Cores: fleet.Cores, Queue: fleet.Queue, ColdCapacity: f.ColdCapacity,
+		WarmAfter: span(f.WarmAfter), ColdOverloadLimit: f.ColdOverloadLimit, ColdFailAfter: span(f.ColdFailAfter), Dedup: s.memories[cell], Recorder: s.book,
 		Now: s.now}, "")
 	if err := m.Start(warm); err != nil {
 		return nil, err
 	}
 	s.hosts = append(s.hosts, m)
-	s.registry.Put(m.id, m.Address, m.zone, m.cell, m.Born())
+	s.registry.Put(m.id, m.Address, m.zone, m.cell, m.StartedAt())
 	return m, nil
 }
 
@@ -251,7 +251,7 @@
 		map[bool]string{true: "all", false: "one"}[len(s.directors) > 1], map[bool]string{true: "mqtt", false: "poll"}[mqtt],
 		s.script.Load.Peak/float64(s.script.Fleet.Proxies), int(s.running.Service.Config.ReportInterval))
 	for _, r := range s.script.Routes {
-		text += fmt.Sprintf("route %q {\n  prefix = %q\n  key = \"header:%s\"\n}\n", r.Name, "/"+r.Name, standin.HeaderSlice)
+		text += fmt.Sprintf("route %q {\n  prefix = %q\n  key = \"header:%s\"\n}\n", r.Name, "/"+r.Name, standin.HeaderSliceKey)
 	}
 	if p.set, err = settings.ParseRelay(name+".hcl", []byte(text)); err != nil {
 		return err
@@ -269,17 +269,17 @@
 	for tries := 0; ; tries++ {
 		p.Relay, err = relay.New(p.set, relay.Hooks{
 			OnTry: func(_, mark, table string, host tables.Address) {
-				s.book.Send(judge.Sent{At: s.now(), Proxy: name, Call: mark, Table: table, Host: host})
+				s.book.AddTry(judge.Try{At: s.now(), Proxy: name, Call: mark, Table: table, Host: host})
 			},
 			OnUpdate: func(u follow.Update) {
-				h := judge.Held{At: s.now(), Proxy: name, Doc: u.Doc, Lines: u.Lines, Whole: u.Whole}
+				h := judge.ProxyUpdate{At: s.now(), Proxy: name, Doc: u.Doc, Lines: u.Lines, Full: u.Whole}
 				if len(s.directors) > 1 {
-					h.Raw, h.Director = u.Raw, s.directors[u.From].name
+					h.DirectorDoc, h.Director = u.Raw, s.directors[u.From].name
 				}
-				s.book.Hold(h)
+				s.book.AddProxyUpdate(h)
 			},
 			OnJoinChange: func(director string, on bool) {
-				s.book.Hold(judge.Held{At: s.now(), Proxy: name, Joined: on, Director: s.named(director)})
+				s.book.AddProxyUpdate(judge.ProxyUpdate{At: s.now(), Proxy: name, Joined: on, Director: s.named(director)})
 			},
 		}, s.log)
 		if err == nil {
@@ -321,8 +321,8 @@
 			}
 		}
 		call := standin.Call{ID: fmt.Sprintf("%d-%d", i, serial), Route: route.Name,
-			Key: "key-" + strconv.FormatUint(zipf.Uint64(), 10), Work: float64(route.Work.Milliseconds()) * (0.5 + draw.Float64()),
-			Keyed: s.routes[route.Name].Idempotency == "keyed", TimeLimit: time.Duration(s.routes[route.Name].TimeLimitMs * float64(time.Millisecond))}
+			SliceKey: "key-" + strconv.FormatUint(zipf.Uint64(), 10), WorkMs: float64(route.Work.Milliseconds()) * (0.5 + draw.Float64()),
+			SendIdempotencyKey: s.routes[route.Name].Idempotency == "keyed", TimeLimit: time.Duration(s.routes[route.Name].TimeLimitMs * float64(time.Millisecond))}
 		s.mu.Lock()
 		to := s.proxies[i]
 		for k := range s.proxies { // the clients of one that is down go to others
@@ -335,7 +335,7 @@
 		s.busy.Add(1)
 		go func() {
 			defer s.busy.Done()
-			to.client.Make(context.Background(), call)
+			to.client.Do(context.Background(), call)
 		}()
 	}
 }
@@ -388,10 +388,10 @@
 		say(t.Kind + ":" + ids(hosts))
 		for _, h := range hosts {
 			if t.Kind == "die" {
-				h.Die()
-				s.registry.State(h.id, logic.Gone)
+				h.Kill()
+				s.registry.SetState(h.id, logic.Gone)
 			} else {
-				h.Set(standin.HostFaults{Silent: true})
+				h.SetFaults(standin.HostFaults{Silent: true})
 			}
 		}
 		if t.Kind == "silent" { // the list takes long to notice a machine that says nothing
@@ -400,7 +400,7 @@
 				return nil
 			}
 			for _, h := range hosts {
-				s.registry.State(h.id, logic.Gone)
+				s.registry.SetState(h.id, logic.Gone)
 			}
 			t.Last -= noticed
 		}
@@ -408,7 +408,7 @@
 			return nil
 		}
 		for _, h := range hosts {
-			h.Die()
+			h.Kill()
 			if err := s.again(h); err != nil {
 				return err
 			}
@@ -419,11 +419,11 @@
 		hosts := s.pick(t.Hosts)
 		say(t.Kind + ":" + ids(hosts))
 		for _, h := range hosts {
-			h.Set(standin.HostFaults{Hang: t.Kind == "hang", Slow: t.Times, LoseAnswer: t.Part})
+			h.SetFaults(standin.HostFaults{Hang: t.Kind == "hang", SlowFactor: t.Times, ResponseLossRate: t.Part})
 		}
 		s.sleep(ctx, t.Last)
 		for _, h := range hosts {
-			h.Set(standin.HostFaults{})
+			h.SetFaults(standin.HostFaults{})
 		}
 		say("over: " + t.Kind)
 		s.well(hosts...)
@@ -434,13 +434,13 @@
 			hosts = hosts[len(batch):]
 			say("drain:" + ids(batch))
 			for _, h := range batch {
-				s.registry.State(h.id, logic.Draining)
+				s.registry.SetState(h.id, logic.Draining)
 			}
 			if !s.sleep(ctx, t.Drain) {
 				return nil
 			}
 			for _, h := range batch {
-				h.Die()
+				h.Kill()
 				s.registry.Remove(h.id)
 				if m, err := s.addHost(false); err != nil {
 					return err
@@ -456,7 +456,7 @@
 			gone[h.id] = true
 		}
 		say("the list forgets" + ids(missing) + " and names hosts that are none of ours")
-		s.registry.Wrong(func(all []*api.ServiceEntry) (out []*api.ServiceEntry) {
+		s.registry.Distort(func(all []*api.ServiceEntry) (out []*api.ServiceEntry) {
 			for _, e := range all {
 				if !gone[e.Service.ID] {
 					out = append(out, e)
@@ -472,19 +472,19 @@
 			return out
 		})
 		s.sleep(ctx, t.Last)
-		s.registry.Wrong(nil)
+		s.registry.Distort(nil)
 		say("the list is right again")
 		s.well(missing...)
 	case "list_empty":
 		say("the list is empty")
-		s.registry.Wrong(func([]*api.ServiceEntry) []*api.ServiceEntry { return nil })
+		s.registry.Distort(func([]*api.ServiceEntry) []*api.ServiceEntry { return nil })
 		s.sleep(ctx, t.Last)
-		s.registry.Wrong(nil)
+		s.registry.Distort(nil)
 	case "list_away":
 		say("the list is away")
-		s.registry.Away(true)
+		s.registry.SetUnavailable(true)
 		s.sleep(ctx, t.Last)
-		s.registry.Away(false)
+		s.registry.SetUnavailable(false)
 	case "kill_director", "stop_director", "pause_director", "cut_director", "lossy_director", "flap_leases", "cut_peer":
 		return s.upset(ctx, t, say)
 	case "leases_away":
@@ -542,6 +542,6 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	s.registry.Put(h.id, h.Address, h.zone, h.cell, h.Born())
+	s.registry.Put(h.id, h.Address, h.zone, h.cell, h.StartedAt())
 	return nil
 }
--- a/internal/rehearse/storm.go
+++ b/internal/rehearse/storm.go
@@ -22,11 +22,11 @@
 func (s *stage) storm(ctx context.Context, t Trouble, say func(string)) error {
 	say(fmt.Sprintf("a storm of %s: %.0f a second, %d at once", t.Ask, t.Rate, t.Burst))
 	ends := time.Now().Add(t.Last)
-	script := &load.Script{Director: s.running.Listen, Names: "relay-9%d", Zone: s.running.Service.Zones[0], Limit: 2 * time.Second}
-	st := load.Step{Name: string(t.Ask), Kind: t.Ask, Rate: t.Rate, Storm: t.Burst, Proxies: s.script.Fleet.Phantoms,
+	script := &load.Script{Director: s.running.Listen, NameFormat: "relay-9%d", Zone: s.running.Service.Zones[0], TimeLimit: 2 * time.Second}
+	st := load.Step{Name: string(t.Ask), Kind: t.Ask, Rate: t.Rate, Burst: t.Burst, Proxies: s.script.Fleet.Phantoms,
 		Connections: min(1000, s.script.Fleet.Phantoms)}
 	for {
-		st.For = max(time.Second, time.Until(ends))
+		st.Duration = max(time.Second, time.Until(ends))
 		script.Steps = []load.Step{st}
 		all, err := load.Run(ctx, script, nil)
 		if err != nil && ctx.Err() == nil && time.Now().Before(ends) { // the director is down: the storm is there as it comes back
@@ -35,9 +35,9 @@
 		}
 		sum := Storm{Ask: t.Ask}
 		for _, x := range all {
-			sum.Asked += x.Asked
+			sum.Asked += x.Scheduled
 			sum.Answered += x.Answered
-			sum.Away += x.Away
+			sum.Away += x.Rejected
 			sum.Failed += x.Failed
 			sum.SlowMs = max(sum.SlowMs, x.P99)
 		}
--- a/internal/rehearse/undo.go
+++ b/internal/rehearse/undo.go
@@ -53,7 +53,7 @@
 			return nil
 		}
 	}
-	u.SlowestMs, u.MostPolls = s.book.Reached(o.Version, began)
+	u.SlowestMs, u.MostPolls = s.book.Propagation(o.Version, began)
 	s.mu.Lock()
 	s.rollbacks = append(s.rollbacks, u)
 	s.mu.Unlock()
--- a/internal/roster/follow_test.go
+++ b/internal/roster/follow_test.go
@@ -69,9 +69,9 @@
 		return len(l) == 2 && l[0] == control.HostEntry{ID: "h1", Address: "127.0.0.1:7001", Zone: "a", Cell: "a-0", Weight: 1} &&
 			l[1].Born == 1234567.5
 	})
-	r.State("h1", logic.Draining)
+	r.SetState("h1", logic.Draining)
 	rec.await(t, "a drain", func(l []control.HostEntry) bool { return l[0].State == logic.Draining })
-	r.State("h1", logic.Gone)
+	r.SetState("h1", logic.Gone)
 	rec.await(t, "a failed check", func(l []control.HostEntry) bool { return l[0].State == logic.Gone })
 	r.Remove("h1")
 	rec.await(t, "a removal", func(l []control.HostEntry) bool { return len(l) == 1 })
@@ -82,15 +82,15 @@
 		t.Fatalf("an unchanged list was passed on %d times", after-before)
 	}
 	// The server is unavailable and returns with a lower index: a change made meanwhile must be passed on.
-	r.Away(true)
+	r.SetUnavailable(true)
 	r.Put("h3", "127.0.0.1:7003", "a", "a-1", 0)
 	time.Sleep(300 * time.Millisecond)
-	r.Away(false)
+	r.SetUnavailable(false)
 	rec.await(t, "a change while the server was unavailable", func(l []control.HostEntry) bool { return len(l) == 2 })
 	r.Put("h4", "127.0.0.1:7004", "a", "a-1", 0)
 	rec.await(t, "a change at the lower index", func(l []control.HostEntry) bool { return len(l) == 3 })
 	// Wrong and empty lists are passed on. An entry without a valid address is skipped.
-	r.Wrong(func(all []*api.ServiceEntry) []*api.ServiceEntry {
+	r.Distort(func(all []*api.ServiceEntry) []*api.ServiceEntry {
 		invalid := *all[0]
 		service := *invalid.Service
 		service.ID, service.Address, service.Port = "ghost", "not an address", 0
@@ -98,7 +98,7 @@
 		return []*api.ServiceEntry{&invalid, all[1]}
 	})
 	rec.await(t, "a wrong list", func(l []control.HostEntry) bool { return len(l) == 1 && l[0].ID == "h3" })
-	r.Wrong(func([]*api.ServiceEntry) []*api.ServiceEntry { return nil })
+	r.Distort(func([]*api.ServiceEntry) []*api.ServiceEntry { return nil })
 	rec.await(t, "an empty list", func(l []control.HostEntry) bool { return len(l) == 0 })
 	stop()
 	select {
--- a/internal/standin/door.go
+++ b/internal/standin/door.go
@@ -16,53 +16,55 @@
 
 // Door is a client's own way to a server, with troubles of its own. It drops requests and answers alike without a word, as a
 // network does.
-type Door struct {
+type Link struct {
 	Name string
 	ln   net.Listener
 	srv  *http.Server
 
 	mu     sync.Mutex
-	faults DoorFaults
+	faults LinkFaults
 	mended chan struct{} // closed when the faults change
 	random *rand.Rand
 }
 
 // DoorFaults are troubles on the way.
-type DoorFaults struct {
-	Cut    bool          // nothing comes through
-	NoList bool          // nothing of the list
-	Slow   time.Duration // each way takes longer
-	Lose   float64       // part of the requests, and of the answers, that is lost
+type LinkFaults struct {
+	Cut            bool          // nothing comes through
+	BlockDiscovery bool          // nothing of the list
+	Delay          time.Duration // each way takes longer
+	LossRate       float64       // part of the requests, and of the answers, that is lost
 }
 
 // doorOf tells a handler which way its request came.
 type doorOf struct{}
 
 // Open makes another way to the registry.
-func (r *Registry) Open(name string, seed uint64) (*Door, error) { return OpenDoor(name, seed, r.mux) }
+func (r *Registry) NewLink(name string, seed uint64) (*Link, error) {
+	return NewLink(name, seed, r.mux)
+}
 
 // Before makes a way to a server at an address.
-func Before(name string, seed uint64, address string) (*Door, error) {
-	return OpenDoor(name, seed, httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: address}))
+func NewLinkTo(name string, seed uint64, address string) (*Link, error) {
+	return NewLink(name, seed, httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: address}))
 }
 
 // OpenDoor makes a way to a handler.
-func OpenDoor(name string, seed uint64, to http.Handler) (*Door, error) {
+func NewLink(name string, seed uint64, to http.Handler) (*Link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Door{Name: name, ln: ln, mended: make(chan struct{}), random: rand.New(rand.NewPCG(seed, 3))}
+	d := &Link{Name: name, ln: ln, mended: make(chan struct{}), random: rand.New(rand.NewPCG(seed, 3))}
 	d.srv = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { d.pass(to, w, q) })}
 	go d.srv.Serve(ln)
 	return d, nil
 }
 
-func (d *Door) URL() string { return "http://" + d.ln.Addr().String() }
-func (d *Door) Close()      { d.srv.Close() }
+func (d *Link) URL() string { return "http://" + d.ln.Addr().String() }
+func (d *Link) Close()      { d.srv.Close() }
 
 // Set changes the troubles from now on, also for what is on its way.
-func (d *Door) Set(f DoorFaults) {
+func (d *Link) SetFaults(f LinkFaults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults = f
@@ -71,23 +73,23 @@
 }
 
 // way is one direction; false if what went by it is lost. What a cut holds up is lost too.
-func (d *Door) way(ctx context.Context, list bool) bool {
+func (d *Link) way(ctx context.Context, list bool) bool {
 	d.mu.Lock()
 	f, lost := d.faults, d.random.Float64()
 	mended := d.mended
 	d.mu.Unlock()
-	if f.Cut || f.NoList && list || lost < f.Lose {
+	if f.Cut || f.BlockDiscovery && list || lost < f.LossRate {
 		select {
 		case <-ctx.Done():
 		case <-mended:
 		}
 		return false
 	}
-	if f.Slow > 0 {
+	if f.Delay > 0 {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(f.Slow):
+		case <-time.After(f.Delay):
 		}
 	}
 	return true
@@ -104,7 +106,7 @@
 func (h *held) WriteHeader(status int)      { h.status = status }
 func (h *held) Write(b []byte) (int, error) { return h.body.Write(b) }
 
-func (d *Door) pass(to http.Handler, w http.ResponseWriter, q *http.Request) {
+func (d *Link) pass(to http.Handler, w http.ResponseWriter, q *http.Request) {
 	list := strings.HasPrefix(q.URL.Path, "/v1/health/")
 	if !d.way(q.Context(), list) {
 		panic(http.ErrAbortHandler)
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -20,38 +20,38 @@
 
 // Headers that callers and stand-in hosts agree on, beside the published ones.
 const (
-	HeaderWork  = "Vetchwood-Work-Ms" // what the call costs one core
-	HeaderCall  = "Vetchwood-Call"
-	HeaderProxy = "Vetchwood-Proxy"
-	HeaderRoute = "Vetchwood-Route"
-	HeaderKey   = "Idempotency-Key"
-	HeaderSlice = "Vetchwood-Key" // that places the call in a slice
+	HeaderWorkMs         = "Vetchwood-Work-Ms" // what the call costs one core
+	HeaderCall           = "Vetchwood-Call"
+	HeaderProxy          = "Vetchwood-Proxy"
+	HeaderRoute          = "Vetchwood-Route"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderSliceKey       = "Vetchwood-Key" // that places the call in a slice
 )
 
 // HostShape is what a stand-in host can do.
-type HostShape struct {
-	Cores, Queue int
-	ColdFrom     float64
-	Warm         time.Duration
-	Tip          float64
-	Fall         time.Duration
-	Memory       *Memory // of keyed calls, shared within a cell
-	Book         *judge.Book
-	Now          func() float64
+type HostConfig struct {
+	Cores, Queue      int
+	ColdCapacity      float64
+	WarmAfter         time.Duration
+	ColdOverloadLimit float64
+	ColdFailAfter     time.Duration
+	Dedup             *Deduplicator // of keyed calls, shared within a cell
+	Recorder          *judge.Recorder
+	Now               func() float64
 }
 
 // Memory drops repeats of keyed calls.
-type Memory struct {
+type Deduplicator struct {
 	mu   sync.Mutex
 	span float64
 	seen map[string]float64
 }
 
-func NewMemory(span time.Duration) *Memory {
-	return &Memory{span: float64(span.Milliseconds()), seen: map[string]float64{}}
+func NewDeduplicator(span time.Duration) *Deduplicator {
+	return &Deduplicator{span: float64(span.Milliseconds()), seen: map[string]float64{}}
 }
 
-func (m *Memory) repeat(key string, now float64) bool {
+func (m *Deduplicator) repeat(key string, now float64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if at, known := m.seen[key]; known && now-at < m.span {
@@ -70,7 +70,7 @@
 
 // Host is a stand-in host: cores, a queue, a cold start, and faults on command.
 type Host struct {
-	shape   HostShape
+	shape   HostConfig
 	Address tables.Address
 
 	mu     sync.Mutex
@@ -90,15 +90,15 @@
 
 // HostFaults are in force until they are set anew.
 type HostFaults struct {
-	Silent     bool    // takes connections and says nothing, and is gone from the list's health checks
-	Hang       bool    // takes calls and answers none
-	Slow       float64 // times slower; 0: not
-	LoseAnswer float64 // share of answers lost after the work
-	Refuse     bool    // draining: a polite no
+	Silent           bool    // takes connections and says nothing, and is gone from the list's health checks
+	Hang             bool    // takes calls and answers none
+	SlowFactor       float64 // times slower; 0: not
+	ResponseLossRate float64 // share of answers lost after the work
+	Reject           bool    // draining: a polite no
 }
 
 // NewHost makes a host that has yet to start. An address may be given to come back at.
-func NewHost(shape HostShape, address tables.Address) *Host {
+func NewHost(shape HostConfig, address tables.Address) *Host {
 	return &Host{shape: shape, Address: address}
 }
 
@@ -125,7 +125,7 @@
 }
 
 // Die ends the process, so to speak: connections break at once.
-func (h *Host) Die() {
+func (h *Host) Kill() {
 	h.mu.Lock()
 	srv := h.srv
 	h.mu.Unlock()
@@ -135,17 +135,17 @@
 }
 
 // Born is when it started, in Unix milliseconds; 0 is long ago.
-func (h *Host) Born() float64 { h.mu.Lock(); defer h.mu.Unlock(); return h.born }
+func (h *Host) StartedAt() float64 { h.mu.Lock(); defer h.mu.Unlock(); return h.born }
 
 // Set puts faults in force.
-func (h *Host) Set(f HostFaults) { h.mu.Lock(); h.faults = f; h.mu.Unlock() }
+func (h *Host) SetFaults(f HostFaults) { h.mu.Lock(); h.faults = f; h.mu.Unlock() }
 
 // Fallen says whether it was pushed over while cold.
-func (h *Host) Fallen() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.fallen }
+func (h *Host) Collapsed() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.fallen }
 
 // ability is the part of its work that it can do now.
 func (h *Host) ability(now float64) float64 {
-	return judge.Ability(now-h.born, h.shape.ColdFrom, h.shape.Warm)
+	return judge.ColdStartCapacity(now-h.born, h.shape.ColdCapacity, h.shape.WarmAfter)
 }
 
 func (h *Host) serve(w http.ResponseWriter, r *http.Request) {
@@ -163,19 +163,19 @@
 		return
 	}
 	call, proxy, route := r.Header.Get(HeaderCall), r.Header.Get(HeaderProxy), r.Header.Get(HeaderRoute)
-	ms, _ := strconv.ParseFloat(r.Header.Get(HeaderWork), 64)
-	key := r.Header.Get(HeaderKey)
-	known := judge.Arrival{At: now, Host: h.Address, Proxy: proxy, Route: route, Call: call, Work: ms, Born: h.born,
+	ms, _ := strconv.ParseFloat(r.Header.Get(HeaderWorkMs), 64)
+	key := r.Header.Get(HeaderIdempotencyKey)
+	known := judge.Arrival{At: now, Host: h.Address, Proxy: proxy, Route: route, Call: call, WorkMs: ms, HostStartedAt: h.born,
 		Cores: h.shape.Cores}
 	h.work = append(h.work, judge.Work{At: now, Ms: ms})
-	if judge.Tipped(&h.work, now, h.born, h.shape.Cores, h.shape.ColdFrom, h.shape.Warm, h.shape.Tip, h.shape.Fall) >= 1 {
+	if judge.ColdOverload(&h.work, now, h.born, h.shape.Cores, h.shape.ColdCapacity, h.shape.WarmAfter, h.shape.ColdOverloadLimit, h.shape.ColdFailAfter) >= 1 {
 		h.fallen = true
-		h.shape.Book.Fell(h.Address, now)
+		h.shape.Recorder.AddCollapse(h.Address, now)
 	}
-	if h.queued >= h.shape.Cores+h.shape.Queue || f.Refuse {
+	if h.queued >= h.shape.Cores+h.shape.Queue || f.Reject {
 		load := h.load
 		h.mu.Unlock()
-		h.shape.Book.Arrive(known)
+		h.shape.Recorder.AddArrival(known)
 		w.Header().Set(orca.Header, orca.Text(load))
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -184,9 +184,9 @@
 	cores := h.cores
 	h.mu.Unlock()
 	defer func() { h.mu.Lock(); h.queued--; h.mu.Unlock() }()
-	if key != "" && h.shape.Memory.repeat(key, now) {
-		known.Dropped = true // a repeat: it takes no effect and costs next to nothing
-		h.shape.Book.Arrive(known)
+	if key != "" && h.shape.Dedup.repeat(key, now) {
+		known.Deduplicated = true // a repeat: it takes no effect and costs next to nothing
+		h.shape.Recorder.AddArrival(known)
 		h.answer(w, r.Context(), f)
 		return
 	}
@@ -194,11 +194,11 @@
 	case cores <- struct{}{}:
 		defer func() { <-cores }()
 	case <-r.Context().Done():
-		h.shape.Book.Arrive(known)
+		h.shape.Recorder.AddArrival(known)
 		return
 	}
-	known.Effect = true
-	h.shape.Book.Arrive(known)
+	known.Executed = true
+	h.shape.Recorder.AddArrival(known)
 	if !h.busy(r.Context(), ms) {
 		return
 	}
@@ -212,8 +212,8 @@
 		h.mu.Lock()
 		now := h.shape.Now()
 		can := h.ability(now)
-		if h.faults.Slow > 0 {
-			can /= h.faults.Slow
+		if h.faults.SlowFactor > 0 {
+			can /= h.faults.SlowFactor
 		}
 		h.mu.Unlock()
 		took := min(grain, ms/can)
@@ -244,7 +244,7 @@
 	}
 	load := h.load
 	h.mu.Unlock()
-	if rand.Float64() < f.LoseAnswer {
+	if rand.Float64() < f.ResponseLossRate {
 		<-ctx.Done()
 		return
 	}
@@ -253,7 +253,7 @@
 }
 
 // StartAt starts at an address that may leave the port open.
-func (h *Host) StartAt(at string, warm bool) error {
+func (h *Host) StartOn(at string, warm bool) error {
 	h.Address = tables.Address(at)
 	return h.Start(warm)
 }
--- a/internal/standin/locks.go
+++ b/internal/standin/locks.go
@@ -17,10 +17,10 @@
 // Locks is a stand-in for Consul's key-value store and its sessions, as far as published and used here: check-and-set,
 // locks by session, a time to live that is a lower bound, lock-delay, blocking queries, transactions of at most 64
 // operations that do all or nothing.
-type Locks struct {
-	Late float64 // a session ends so many times its time to live after its last renewal; at least 1
+type KVStore struct {
+	SessionTTLFactor float64 // a session ends so many times its time to live after its last renewal; at least 1
 	// Changed hears of each lock that changes hands: the session and its name; nobody, or Ended where a session's end let go.
-	Changed func(key, session, holder string, lockIndex uint64, value func(key string) string)
+	OnLockChange func(key, session, holder string, lockIndex uint64, value func(key string) string)
 
 	indexed
 	pairs    map[string]*api.KVPair
@@ -30,7 +30,7 @@
 }
 
 // Ended stands for a holder's name where its session ended.
-const Ended = "(ended)"
+const SessionEnded = "(ended)"
 
 type session struct {
 	entry api.SessionEntry
@@ -41,12 +41,12 @@
 // mostOps is the published limit of a transaction.
 const mostOps = 64
 
-func NewLocks() *Locks {
-	return &Locks{Late: 1, indexed: indexed{index: 10, changed: make(chan struct{})}, pairs: map[string]*api.KVPair{}, sessions: map[string]*session{},
+func NewKVStore() *KVStore {
+	return &KVStore{SessionTTLFactor: 1, indexed: indexed{index: 10, changed: make(chan struct{})}, pairs: map[string]*api.KVPair{}, sessions: map[string]*session{},
 		delayed: map[string]time.Time{}}
 }
 
-func (l *Locks) mount(all *http.ServeMux) {
+func (l *KVStore) mount(all *http.ServeMux) {
 	mux := http.NewServeMux()
 	for _, path := range []string{"/v1/session/", "/v1/kv/", "/v1/txn"} {
 		all.HandleFunc(path, func(w http.ResponseWriter, q *http.Request) {
@@ -73,7 +73,7 @@
 }
 
 // Away stops all answers, or starts them again. A new leader gives each session its whole time to live anew.
-func (l *Locks) Away(away bool) {
+func (l *KVStore) SetUnavailable(away bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.away = away
@@ -86,7 +86,7 @@
 }
 
 // Wipe loses all that is kept, as a store that was raised anew.
-func (l *Locks) Wipe() {
+func (l *KVStore) Wipe() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.sessions {
@@ -98,14 +98,14 @@
 
 // Promise says whether a lock that is held is refused to others. A store that does not keep it is for checks that must
 // find it.
-func (l *Locks) Promise(kept bool) {
+func (l *KVStore) EnforceLocks(kept bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.careless = !kept
 }
 
 // End ends the sessions whose name has a prefix, as an operator may.
-func (l *Locks) End(prefix string) {
+func (l *KVStore) InvalidateSessions(prefix string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, s := range l.sessions {
@@ -115,7 +115,7 @@
 	}
 }
 
-func (l *Locks) create(w http.ResponseWriter, q *http.Request) {
+func (l *KVStore) create(w http.ResponseWriter, q *http.Request) {
 	var in struct{ Name, TTL, LockDelay, Behavior string }
 	if err := json.NewDecoder(q.Body).Decode(&in); err != nil {
 		http.Error(w, "Request decode failed: "+err.Error(), http.StatusBadRequest)
@@ -152,11 +152,11 @@
 	return b
 }
 
-func (l *Locks) lasts(s *session) time.Duration {
-	return time.Duration(float64(s.ttl) * max(1, l.Late))
+func (l *KVStore) lasts(s *session) time.Duration {
+	return time.Duration(float64(s.ttl) * max(1, l.SessionTTLFactor))
 }
 
-func (l *Locks) renew(w http.ResponseWriter, q *http.Request) {
+func (l *KVStore) renew(w http.ResponseWriter, q *http.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.sessions[q.PathValue("id")]
@@ -169,7 +169,7 @@
 }
 
 // drop ends a session. What it held is free, after the lock-delay if it was not let go by its holder.
-func (l *Locks) drop(id string, invalidated bool) {
+func (l *KVStore) drop(id string, invalidated bool) {
 	s := l.sessions[id]
 	if s == nil {
 		return
@@ -191,17 +191,17 @@
 			n.Session, n.ModifyIndex = "", l.index
 			l.pairs[key] = &n
 		}
-		l.tell(key, "", Ended, p.LockIndex)
+		l.tell(key, "", SessionEnded, p.LockIndex)
 	}
 	l.wake()
 }
 
-func (l *Locks) tell(key, session, holder string, lockIndex uint64) {
-	if l.Changed != nil {
+func (l *KVStore) tell(key, session, holder string, lockIndex uint64) {
+	if l.OnLockChange != nil {
 		if s := l.sessions[session]; s != nil {
 			holder = s.entry.Name
 		}
-		l.Changed(key, session, holder, lockIndex, func(key string) string {
+		l.OnLockChange(key, session, holder, lockIndex, func(key string) string {
 			if p := l.pairs[key]; p != nil {
 				return string(p.Value)
 			}
@@ -210,7 +210,7 @@
 	}
 }
 
-func (l *Locks) under(prefix string, whole bool) (out []*api.KVPair, index uint64) {
+func (l *KVStore) under(prefix string, whole bool) (out []*api.KVPair, index uint64) {
 	index = 1
 	for key, p := range l.pairs {
 		if key == prefix || whole && strings.HasPrefix(key, prefix) {
@@ -221,7 +221,7 @@
 	return out, max(index, l.index)
 }
 
-func (l *Locks) get(w http.ResponseWriter, q *http.Request) {
+func (l *KVStore) get(w http.ResponseWriter, q *http.Request) {
 	key, values := q.PathValue("key"), q.URL.Query()
 	l.mu.Lock()
 	if !l.await(w, q) {
@@ -245,7 +245,7 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-func (l *Locks) txn(w http.ResponseWriter, q *http.Request) {
+func (l *KVStore) txn(w http.ResponseWriter, q *http.Request) {
 	var ops []struct{ KV *api.KVTxnOp }
 	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, 512<<10))
 	if err == nil {
@@ -294,7 +294,7 @@
 }
 
 // do is one operation of a transaction; the pairs that it changes are copies.
-func (l *Locks) do(op *api.KVTxnOp) (*api.KVPair, string) {
+func (l *KVStore) do(op *api.KVTxnOp) (*api.KVPair, string) {
 	is := l.pairs[op.Key]
 	write := func(change func(*api.KVPair)) (*api.KVPair, string) {
 		n := &api.KVPair{Key: op.Key, CreateIndex: l.index}
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -22,9 +22,9 @@
 // Registry is a stand-in for the list of hosts: Consul's published HTTP interface, as far as its official client
 // uses it here. It can be late, wrong, empty, away, and start over with a lower index.
 type Registry struct {
-	Book  *judge.Book
-	Now   func() float64
-	Delay time.Duration // before a change shows
+	Recorder *judge.Recorder
+	Now      func() float64
+	Delay    time.Duration // before a change shows
 
 	indexed
 	entries map[string]*api.ServiceEntry
@@ -33,19 +33,19 @@
 	srv     *http.Server
 	ln      net.Listener
 	mux     *http.ServeMux
-	Locks   *Locks
+	KV      *KVStore
 }
 
 // NewRegistry listens.
-func NewRegistry(address string, book *judge.Book, now func() float64, delay time.Duration) (*Registry, error) {
-	r := &Registry{Book: book, Now: now, Delay: delay, indexed: indexed{index: 100, changed: make(chan struct{})},
-		entries: map[string]*api.ServiceEntry{}, mux: http.NewServeMux(), Locks: NewLocks()}
+func NewRegistry(address string, book *judge.Recorder, now func() float64, delay time.Duration) (*Registry, error) {
+	r := &Registry{Recorder: book, Now: now, Delay: delay, indexed: indexed{index: 100, changed: make(chan struct{})},
+		entries: map[string]*api.ServiceEntry{}, mux: http.NewServeMux(), KV: NewKVStore()}
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	mux := r.mux
-	r.Locks.mount(mux)
+	r.KV.mount(mux)
 	mux.HandleFunc("GET /v1/health/service/{name}", r.health)
 	mux.HandleFunc("PUT /v1/agent/service/register", r.register)
 	mux.HandleFunc("PUT /v1/agent/service/deregister/{id}", func(w http.ResponseWriter, q *http.Request) {
@@ -56,7 +56,7 @@
 		if q.URL.Query().Get("enable") == "true" {
 			state = logic.Draining
 		}
-		r.State(q.PathValue("id"), state)
+		r.SetState(q.PathValue("id"), state)
 	})
 	r.ln, r.srv = ln, &http.Server{Handler: mux}
 	go r.srv.Serve(ln)
@@ -94,7 +94,7 @@
 }
 
 // State says that a host drains, is up or fails its check.
-func (r *Registry) State(id string, state logic.HostState) {
+func (r *Registry) SetState(id string, state logic.HostState) {
 	r.change(func() {
 		if e := r.entries[id]; e != nil {
 			r.entries[id] = entry(e.Service, state)
@@ -106,12 +106,12 @@
 func (r *Registry) Remove(id string) { r.change(func() { delete(r.entries, id) }) }
 
 // Wrong makes what is shown differ from what is so; nil ends it.
-func (r *Registry) Wrong(f func([]*api.ServiceEntry) []*api.ServiceEntry) {
+func (r *Registry) Distort(f func([]*api.ServiceEntry) []*api.ServiceEntry) {
 	r.change(func() { r.wrong = f })
 }
 
 // Away stops all answers, or starts them again, with a lower index.
-func (r *Registry) Away(away bool) {
+func (r *Registry) SetUnavailable(away bool) {
 	r.mu.Lock()
 	r.away = away
 	if !away {
@@ -150,11 +150,11 @@
 		return
 	}
 	body, err := json.Marshal(append([]*api.ServiceEntry{}, r.shown...))
-	told := judge.Told{At: r.Now()}
-	told.To, _ = q.Context().Value(doorOf{}).(string)
+	told := judge.HostList{At: r.Now()}
+	told.Director, _ = q.Context().Value(doorOf{}).(string)
 	for _, e := range r.shown {
-		h := judge.ToldHost{Address: tables.Address(net.JoinHostPort(e.Service.Address, strconv.Itoa(e.Service.Port)))}
-		h.Born, _ = strconv.ParseFloat(e.Service.Meta[roster.MetaStarted], 64)
+		h := judge.ListedHost{Address: tables.Address(net.JoinHostPort(e.Service.Address, strconv.Itoa(e.Service.Port)))}
+		h.StartedAt, _ = strconv.ParseFloat(e.Service.Meta[roster.MetaStarted], 64)
 		for _, c := range e.Checks {
 			if strings.HasPrefix(c.CheckID, roster.MaintenanceCheckPrefix) {
 				h.State = logic.Draining
@@ -172,8 +172,8 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
-	if _, err := w.Write(body); err == nil && r.Book != nil {
-		r.Book.Tell(told)
+	if _, err := w.Write(body); err == nil && r.Recorder != nil {
+		r.Recorder.AddHostList(told)
 	}
 }
 
