--- a/internal/fault/between.go
+++ b/internal/fault/between.go
@@ -24,14 +24,14 @@
 // Between stands between clients and a server. It uses the standard library's sockets and not netpoll: that closes a connection as a whole
 // when its peer has closed one half, which is a fault that is to be played here.
 type Injector struct {
-	script *Script
-	ln     net.Listener
-	began  time.Time
-	mu     sync.Mutex
-	log    *json.Encoder
-	serial int
-	open   map[net.Conn]bool
-	all    sync.WaitGroup
+	script         *Script
+	ln             net.Listener
+	start          time.Time
+	mu             sync.Mutex
+	log            *json.Encoder
+	lastConnection int
+	conns          map[net.Conn]bool
+	handlers       sync.WaitGroup
 }
 
 // New listens. What is done is written to the log, a line of JSON each.
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Injector{script: s, ln: ln, began: time.Now(), log: json.NewEncoder(log), open: map[net.Conn]bool{}}, nil
+	return &Injector{script: s, ln: ln, start: time.Now(), log: json.NewEncoder(log), conns: map[net.Conn]bool{}}, nil
 }
 
 // Addr is where it listens.
@@ -52,7 +52,7 @@
 		b.ln.Close()
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		for c := range b.open {
+		for c := range b.conns {
 			c.Close()
 		}
 	})
@@ -60,40 +60,40 @@
 	for {
 		c, err := b.ln.Accept()
 		if err != nil {
-			b.all.Wait()
+			b.handlers.Wait()
 			if ctx.Err() != nil {
 				return nil
 			}
 			return err
 		}
 		b.mu.Lock()
-		b.serial++
-		n := b.serial
+		b.lastConnection++
+		n := b.lastConnection
 		b.mu.Unlock()
-		b.all.Go(func() { b.pass(ctx, n, c.(*net.TCPConn)) })
+		b.handlers.Go(func() { b.handle(ctx, n, c.(*net.TCPConn)) })
 	}
 }
 
-func (b *Injector) now() time.Duration { return time.Since(b.began) }
+func (b *Injector) now() time.Duration { return time.Since(b.start) }
 
-func (b *Injector) did(connection int, way Direction, a Action) {
+func (b *Injector) logAction(connection int, way Direction, a Action) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.log.Encode(Record{float64(b.now().Microseconds()) / 1000, connection, way, a.Kind, a.Rule, a.String()})
 }
 
-func (b *Injector) keep(c net.Conn, open bool) {
+func (b *Injector) track(c net.Conn, open bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.open[c] = true; !open {
-		delete(b.open, c)
+	if b.conns[c] = true; !open {
+		delete(b.conns, c)
 	}
 }
 
 // pass is one connection's life.
-func (b *Injector) pass(ctx context.Context, n int, client *net.TCPConn) {
-	b.keep(client, true)
-	defer b.keep(client, false)
+func (b *Injector) handle(ctx context.Context, n int, client *net.TCPConn) {
+	b.track(client, true)
+	defer b.track(client, false)
 	defer client.Close()
 	up, err := net.DialTimeout("tcp", b.script.To, 5*time.Second)
 	if err != nil {
@@ -101,8 +101,8 @@
 		return
 	}
 	server := up.(*net.TCPConn)
-	b.keep(server, true)
-	defer b.keep(server, false)
+	b.track(server, true)
+	defer b.track(server, false)
 	defer server.Close()
 	cut := func() {
 		client.SetLinger(0)
@@ -111,13 +111,13 @@
 		server.Close()
 	}
 	var both sync.WaitGroup
-	both.Go(func() { b.way(ctx, n, Up, client, server, cut) })
-	both.Go(func() { b.way(ctx, n, Down, server, client, cut) })
+	both.Go(func() { b.forward(ctx, n, Up, client, server, cut) })
+	both.Go(func() { b.forward(ctx, n, Down, server, client, cut) })
 	both.Wait()
 }
 
 // way passes one direction on.
-func (b *Injector) way(ctx context.Context, n int, way Direction, from, to *net.TCPConn, cut func()) {
+func (b *Injector) forward(ctx context.Context, n int, way Direction, from, to *net.TCPConn, cut func()) {
 	s := NewStream(b.script.Rules, b.script.Seed, n, way)
 	acts := make(chan Action, 1024)
 	var writing sync.WaitGroup
@@ -130,7 +130,7 @@
 				}
 			}
 			if a.Kind != "" {
-				b.did(n, way, a)
+				b.logAction(n, way, a)
 			}
 			switch a.Kind {
 			case Cut:
--- a/internal/fault/between_test.go
+++ b/internal/fault/between_test.go
@@ -18,19 +18,19 @@
 	"vetchwood/internal/tables"
 )
 
-type book struct {
+type faultLog struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (b *book) Write(p []byte) (int, error) {
+func (b *faultLog) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.Write(p)
 }
 
 // done are the faults that were logged, without their times.
-func (b *book) done(t *testing.T) (out []string) {
+func (b *faultLog) entries(t *testing.T) (out []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, line := range strings.Split(strings.TrimSpace(b.buf.String()), "\n") {
@@ -46,12 +46,12 @@
 	return out
 }
 
-func between(t *testing.T, to string, rules string) (string, *book) {
+func startInjector(t *testing.T, to string, rules string) (string, *faultLog) {
 	s, err := Read("f.hcl", []byte(fmt.Sprintf("fault {\n listen = \"127.0.0.1:0\"\n to = %q\n seed = 5\n}\n%s", to, rules)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := &book{}
+	log := &faultLog{}
 	b, err := New(s, log)
 	if err != nil {
 		t.Fatal(err)
@@ -127,7 +127,7 @@
 	mu.Lock()
 	wholes, deltas = 0, 0
 	mu.Unlock()
-	at, log := between(t, s.Listener.Addr().String(), fmt.Sprintf("rule \"bit\" {\n kind = \"garble\"\n after = %d\n connection = 1\n}\n", place))
+	at, log := startInjector(t, s.Listener.Addr().String(), fmt.Sprintf("rule \"bit\" {\n kind = \"garble\"\n after = %d\n connection = 1\n}\n", place))
 	var seen []tables.Tag
 	f := follow.New(follow.Source{Directors: []string{"http://" + at}, Proxy: "p", Wait: time.Second, Seen: func(u follow.Update) {
 		mu.Lock()
@@ -142,8 +142,8 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if len(log.done(t)) != 1 || deltas == 0 || wholes < 2 {
-		t.Errorf("faults %v, %d differences, %d whole documents", log.done(t), deltas, wholes)
+	if len(log.entries(t)) != 1 || deltas == 0 || wholes < 2 {
+		t.Errorf("faults %v, %d differences, %d whole documents", log.entries(t), deltas, wholes)
 	}
 	for _, tag := range seen {
 		if tag != one.Tag() && tag != two.Tag() {
@@ -153,7 +153,7 @@
 }
 
 // echo answers each line with itself, and says at the end how much came.
-func echo(t *testing.T) string {
+func startEcho(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 	return ln.Addr().String()
 }
 
-func say(t *testing.T, at, text string) (string, error) {
+func exchange(t *testing.T, at, text string) (string, error) {
 	c, err := net.Dial("tcp", at)
 	if err != nil {
 		t.Fatal(err)
@@ -192,7 +192,7 @@
 // What the sockets show of each fault, and that two runs of a script do the same.
 func TestFaultsOnSockets(t *testing.T) {
 	t.Parallel()
-	to := echo(t)
+	to := startEcho(t)
 	for _, c := range []struct{ rules, says string }{
 		{"", "hello[5 came]"},
 		{"rule \"a\" {\n kind = \"drop\"\n way = \"down\"\n}", ""},
@@ -204,23 +204,23 @@
 	} {
 		var logs [2][]string
 		for i := range logs {
-			at, log := between(t, to, c.rules)
+			at, log := startInjector(t, to, c.rules)
 			began := time.Now()
-			got, err := say(t, at, "hello")
+			got, err := exchange(t, at, "hello")
 			if err != nil || got != c.says {
 				t.Errorf("%s: %q, %v", c.rules, got, err)
 			}
 			if strings.Contains(c.rules, "throttle") && time.Since(began) < 90*time.Millisecond {
 				t.Errorf("%s: over after %v", c.rules, time.Since(began))
 			}
-			logs[i] = log.done(t)
+			logs[i] = log.entries(t)
 		}
 		if fmt.Sprint(logs[0]) != fmt.Sprint(logs[1]) || (len(logs[0]) == 0) == (strings.Contains(c.rules, "rule") && !strings.Contains(c.rules, "connection")) {
 			t.Errorf("%s: %v, and then %v", c.rules, logs[0], logs[1])
 		}
 	}
-	at, _ := between(t, to, "rule \"a\" {\n kind = \"cut\"\n way = \"up\"\n from = \"20ms\"\n}")
-	if got, err := say(t, at, "hello"); err == nil {
+	at, _ := startInjector(t, to, "rule \"a\" {\n kind = \"cut\"\n way = \"up\"\n from = \"20ms\"\n}")
+	if got, err := exchange(t, at, "hello"); err == nil {
 		t.Errorf("cut by time: %q without an error", got)
 	}
 }
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -43,7 +43,7 @@
 	Rate       int64         // of a throttle, bytes a second
 }
 
-func (r Rule) holds(now time.Duration, connection int, way Direction) bool {
+func (r Rule) applies(now time.Duration, connection int, way Direction) bool {
 	return r.Direction == way && (r.Connection == 0 || r.Connection == connection) && now >= r.StartAfter && (r.Duration == 0 || now < r.StartAfter+r.Duration)
 }
 
@@ -71,12 +71,12 @@
 type Stream struct {
 	rules      []Rule
 	connection int
-	way        Direction
-	place      int64
-	free       time.Duration // when what went before has gone on
-	spent      map[int]bool  // rules that act once, and have
-	chance     *rand.Rand
-	over       bool
+	direction  Direction
+	offset     int64
+	freeAt     time.Duration // when what went before has gone on
+	used       map[int]bool  // rules that act once, and have
+	rng        *rand.Rand
+	closed     bool
 }
 
 // NewStream begins one. Its chance depends on the seed, the connection and the way alone.
@@ -85,13 +85,13 @@
 	if way == Down {
 		turn++
 	}
-	return &Stream{rules: rules, connection: connection, way: way, spent: map[int]bool{}, chance: rand.New(rand.NewPCG(seed, turn))}
+	return &Stream{rules: rules, connection: connection, direction: way, used: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, turn))}
 }
 
 // next is a place at which some rule begins or ends to concern bytes, after a place; what lies before it is treated alike.
-func (s *Stream) next(now time.Duration, place, end int64) int64 {
+func (s *Stream) nextBoundary(now time.Duration, place, end int64) int64 {
 	for i, r := range s.rules {
-		if s.spent[i] || !r.holds(now, s.connection, s.way) {
+		if s.used[i] || !r.applies(now, s.connection, s.direction) {
 			continue
 		}
 		until := r.Offset + r.Bytes
@@ -109,11 +109,11 @@
 
 // Pass takes what came and says what to do with it. After a cut, or the end of its way, nothing more passes.
 func (s *Stream) Process(now time.Duration, in []byte) (acts []Action) {
-	for len(in) > 0 && !s.over {
-		n := s.next(now, s.place, s.place+int64(len(in))) - s.place
-		acts = append(acts, s.part(now, in[:n])...)
+	for len(in) > 0 && !s.closed {
+		n := s.nextBoundary(now, s.offset, s.offset+int64(len(in))) - s.offset
+		acts = append(acts, s.processChunk(now, in[:n])...)
 		in = in[n:]
-		s.place += n
+		s.offset += n
 	}
 	return acts
 }
@@ -121,20 +121,20 @@
 // Wake says what a time alone brings: a cut, or the end of a way, that is not for bytes to bring.
 func (s *Stream) CheckTime(now time.Duration) []Action {
 	for i, r := range s.rules {
-		if (r.Kind == Cut || r.Kind == HalfClose) && r.Offset == 0 && !s.spent[i] && !s.over && r.holds(now, s.connection, s.way) {
-			s.over = true
-			return []Action{{Kind: r.Kind, Rule: r.Name, Offset: s.place, At: now}}
+		if (r.Kind == Cut || r.Kind == HalfClose) && r.Offset == 0 && !s.used[i] && !s.closed && r.applies(now, s.connection, s.direction) {
+			s.closed = true
+			return []Action{{Kind: r.Kind, Rule: r.Name, Offset: s.offset, At: now}}
 		}
 	}
 	return nil
 }
 
 // part treats bytes that all rules treat alike.
-func (s *Stream) part(now time.Duration, in []byte) (acts []Action) {
-	at := max(now, s.free)
-	out := Action{Offset: s.place, Bytes: append([]byte(nil), in...), At: at}
+func (s *Stream) processChunk(now time.Duration, in []byte) (acts []Action) {
+	at := max(now, s.freeAt)
+	out := Action{Offset: s.offset, Bytes: append([]byte(nil), in...), At: at}
 	for i, r := range s.rules {
-		if s.spent[i] || !r.holds(now, s.connection, s.way) || s.place < r.Offset || r.Bytes > 0 && s.place >= r.Offset+r.Bytes {
+		if s.used[i] || !r.applies(now, s.connection, s.direction) || s.offset < r.Offset || r.Bytes > 0 && s.offset >= r.Offset+r.Bytes {
 			continue
 		}
 		switch r.Kind {
@@ -145,17 +145,17 @@
 			out.At += time.Duration(float64(len(in)) / float64(r.Rate) * float64(time.Second))
 			out.Kind, out.Rule = Throttle, r.Name
 		case Drop:
-			return append(acts, Action{Kind: Drop, Rule: r.Name, Offset: s.place, Bytes: out.Bytes, At: at})
+			return append(acts, Action{Kind: Drop, Rule: r.Name, Offset: s.offset, Bytes: out.Bytes, At: at})
 		case Garble:
-			s.spent[i] = true
+			s.used[i] = true
 			was := out.Bytes[0]
-			out.Bytes[0] ^= byte(1 + s.chance.IntN(255))
-			acts = append(acts, Action{Kind: Garble, Rule: r.Name, Offset: s.place, Bytes: out.Bytes[:1:1], At: at, Original: was})
+			out.Bytes[0] ^= byte(1 + s.rng.IntN(255))
+			acts = append(acts, Action{Kind: Garble, Rule: r.Name, Offset: s.offset, Bytes: out.Bytes[:1:1], At: at, Original: was})
 		case HalfClose, Cut:
-			s.over = true
-			return append(acts, Action{Kind: r.Kind, Rule: r.Name, Offset: s.place, At: at})
+			s.closed = true
+			return append(acts, Action{Kind: r.Kind, Rule: r.Name, Offset: s.offset, At: at})
 		}
 	}
-	s.free = out.At
+	s.freeAt = out.At
 	return append(acts, out)
 }
--- a/internal/judge/book.go
+++ b/internal/judge/book.go
@@ -47,9 +47,9 @@
 		Lines  int
 		Full   bool
 		// Director is whose word it is, where there are several; Raw is that one's own document.
-		Director    string
-		DirectorDoc *tables.Document
-		reads       bool // it came by a slice's change of hands, which proxies read by themselves
+		Director          string
+		DirectorDoc       *tables.Document
+		byOwnershipChange bool // it came by a slice's change of hands, which proxies read by themselves
 	}
 	// Charge is a slice's holder from a time on, as the store of leases has it; "" is nobody.
 	Ownership struct {
--- a/internal/judge/charge.go
+++ b/internal/judge/charge.go
@@ -14,7 +14,7 @@
 // store gave it the slice.
 
 // own is a director's own document.
-func (h ProxyUpdate) own() *tables.Document {
+func (h ProxyUpdate) directorDocument() *tables.Document {
 	if h.DirectorDoc != nil {
 		return h.DirectorDoc
 	}
@@ -22,7 +22,7 @@
 }
 
 // reading marks versions by which slices changed hands.
-func (b *Recorder) reading() {
+func (b *Recorder) markOwnershipChanges() {
 	type pair struct{ proxy, director string }
 	last := map[pair]*tables.Document{}
 	for i, h := range b.ProxyUpdates {
@@ -32,10 +32,10 @@
 		at := pair{h.Proxy, h.Director}
 		if was := last[at]; was != nil {
 			for name, t := range h.DirectorDoc.Tables {
-				b.ProxyUpdates[i].reads = b.ProxyUpdates[i].reads || was.Tables[name] == nil || was.Tables[name].Fence != t.Fence
+				b.ProxyUpdates[i].byOwnershipChange = b.ProxyUpdates[i].byOwnershipChange || was.Tables[name] == nil || was.Tables[name].Fence != t.Fence
 			}
 			for name := range was.Tables {
-				b.ProxyUpdates[i].reads = b.ProxyUpdates[i].reads || h.DirectorDoc.Tables[name] == nil
+				b.ProxyUpdates[i].byOwnershipChange = b.ProxyUpdates[i].byOwnershipChange || h.DirectorDoc.Tables[name] == nil
 			}
 		}
 		last[at] = h.DirectorDoc
@@ -58,7 +58,7 @@
 }
 
 // outSpans are when a director was told that a host drains or is gone.
-func (b *Recorder) outSpans() map[string]map[tables.Address][]span {
+func (b *Recorder) unavailableSpans() map[string]map[tables.Address][]span {
 	outs := map[string]map[tables.Address][]span{}
 	wases := map[string]map[tables.Address]bool{}
 	for _, told := range b.HostLists {
@@ -89,9 +89,9 @@
 
 // drains is the third rule: nothing is sent to a host for longer than the grace after the director in charge was told
 // that it drains or is gone. The clock runs from the proxy's joining or the slice's giving, if that is later.
-func (b *Recorder) drains(t Criteria) Rule {
+func (b *Recorder) checkDrains(t Criteria) Rule {
 	r := Rule{Name: "drains kept", Kept: true, Limit: t.DrainGrace, Unit: "ms"}
-	outs, joined := b.outSpans(), b.joinedSpans(t.Until)
+	outs, joined := b.unavailableSpans(), b.joinedSpans(t.Until)
 	charges := map[string][]Ownership{}
 	for _, c := range b.Ownerships {
 		charges[c.Table] = append(charges[c.Table], c)
@@ -100,7 +100,7 @@
 		in := Ownership{At: math.Inf(-1)}
 		if len(b.Ownerships) > 0 {
 			all := charges[s.Table]
-			i, _ := slices.BinarySearchFunc(all, s.At, func(c Ownership, at float64) int { return before(c.At, at) })
+			i, _ := slices.BinarySearchFunc(all, s.At, func(c Ownership, at float64) int { return compareTimes(c.At, at) })
 			if i == 0 || all[i-1].Director == "" {
 				continue // nobody's
 			}
@@ -188,7 +188,7 @@
 	}
 	back := until
 	for _, h := range b.ProxyUpdates {
-		if again && h.Director == director && h.DirectorDoc != nil && h.At > from+onTheWay {
+		if again && h.Director == director && h.DirectorDoc != nil && h.At > from+inFlightMs {
 			back = min(back, h.At)
 		}
 	}
@@ -204,7 +204,7 @@
 }
 
 // onTheWay is how long an answer may take that was written before its director's end.
-const onTheWay = 100
+const inFlightMs = 100
 
 // Words are, for each table that changed hands after a time, how long it was until each proxy that followed it held the
 // new holder's word; the longest of them.
--- a/internal/judge/verdict.go
+++ b/internal/judge/verdict.go
@@ -69,20 +69,20 @@
 func (b *Recorder) Judge(t Criteria) Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	slices.SortStableFunc(b.Arrivals, func(a, c Arrival) int { return before(a.At, c.At) })
-	slices.SortStableFunc(b.Tries, func(a, c Try) int { return before(a.At, c.At) })
-	slices.SortStableFunc(b.ProxyUpdates, func(a, c ProxyUpdate) int { return before(a.At, c.At) })
-	slices.SortStableFunc(b.HostLists, func(a, c HostList) int { return before(a.At, c.At) })
-	slices.SortStableFunc(b.Ownerships, func(a, c Ownership) int { return before(a.At, c.At) })
-	b.reading()
+	slices.SortStableFunc(b.Arrivals, func(a, c Arrival) int { return compareTimes(a.At, c.At) })
+	slices.SortStableFunc(b.Tries, func(a, c Try) int { return compareTimes(a.At, c.At) })
+	slices.SortStableFunc(b.ProxyUpdates, func(a, c ProxyUpdate) int { return compareTimes(a.At, c.At) })
+	slices.SortStableFunc(b.HostLists, func(a, c HostList) int { return compareTimes(a.At, c.At) })
+	slices.SortStableFunc(b.Ownerships, func(a, c Ownership) int { return compareTimes(a.At, c.At) })
+	b.markOwnershipChanges()
 	v := Verdict{Tries: len(b.Tries), Collapses: len(b.Collapses), HostLists: len(b.HostLists)}
-	v.Rules = []Rule{b.bare(t), b.twice(t), b.drains(t), b.cold(t), b.queue(t), b.messages(t)}
-	b.service(t, &v)
-	b.versions(&v)
+	v.Rules = []Rule{b.checkLines(t), b.checkEffects(t), b.checkDrains(t), b.checkColdHosts(t), b.checkQueue(t), b.checkMessages(t)}
+	b.measureService(t, &v)
+	b.countVersions(&v)
 	return v
 }
 
-func before(a, b float64) int {
+func compareTimes(a, b float64) int {
 	switch {
 	case a < b:
 		return -1
@@ -96,7 +96,7 @@
 type span struct{ from, to float64 }
 
 // warmListed is when the list told the director of an open host that is warm.
-func (b *Recorder) warmListed(t Criteria) (out []span) {
+func (b *Recorder) warmHostSpans(t Criteria) (out []span) {
 	for i, told := range b.HostLists {
 		until := t.Until
 		if i+1 < len(b.HostLists) {
@@ -120,9 +120,9 @@
 }
 
 // bare is the first rule: no joined proxy without a line to pick.
-func (b *Recorder) bare(t Criteria) Rule {
+func (b *Recorder) checkLines(t Criteria) Rule {
 	r := Rule{Name: "no proxy without a line", Kept: true, Limit: t.EmptyTableLimit, Unit: "ms"}
-	warm := b.warmListed(t)
+	warm := b.warmHostSpans(t)
 	since := map[string]map[string]float64{} // proxy, table: bare from then on
 	with := map[string]map[string]bool{}     // proxy, directors
 	joined := func(h ProxyUpdate) int {
@@ -191,7 +191,7 @@
 }
 
 // twice is the second: no effect twice by our orders. The callers of a rehearsal don't repeat by themselves.
-func (b *Recorder) twice(t Criteria) Rule {
+func (b *Recorder) checkEffects(t Criteria) Rule {
 	r := Rule{Name: "no effect twice", Kept: true, Unit: "calls"}
 	ran := map[string]int{}
 	for _, a := range b.Arrivals {
@@ -207,7 +207,7 @@
 }
 
 // cold is the fourth: no host that has just started is pushed over by what was sent after its start was known.
-func (b *Recorder) cold(t Criteria) Rule {
+func (b *Recorder) checkColdHosts(t Criteria) Rule {
 	r := Rule{Name: "no cold host pushed over", Kept: true, Limit: 1, Unit: "of what it bears"}
 	known := map[tables.Address][]float64{} // when the director first heard of each start
 	births := map[tables.Address]float64{}
@@ -240,19 +240,19 @@
 }
 
 // queue is the fifth, as seen from outside: a version's lines wait from when it was ordered until they come.
-func (b *Recorder) queue(t Criteria) Rule {
+func (b *Recorder) checkQueue(t Criteria) Rule {
 	r := Rule{Name: "a short queue", Kept: true, Limit: t.QueueLimit, Unit: "lines"}
 	type edge struct{ at, lines float64 }
 	edges := map[string][]edge{}
 	for _, h := range b.ProxyUpdates {
-		if h.Doc != nil && !h.Full && !h.reads && h.Doc.At < h.At {
+		if h.Doc != nil && !h.Full && !h.byOwnershipChange && h.Doc.At < h.At {
 			lines := float64(h.Lines) + t.MessageOverhead
 			edges[h.Director] = append(edges[h.Director], edge{h.Doc.At, lines}, edge{h.At, -lines})
 		}
 	}
 	for _, director := range slices.Sorted(maps.Keys(edges)) {
 		all := edges[director]
-		slices.SortStableFunc(all, func(a, c edge) int { return before(a.at, c.at) })
+		slices.SortStableFunc(all, func(a, c edge) int { return compareTimes(a.at, c.at) })
 		waiting := 0.0
 		for _, e := range all {
 			if waiting += e.lines; waiting > r.Worst {
@@ -264,12 +264,12 @@
 	return r
 }
 
-func (b *Recorder) messages(t Criteria) Rule {
+func (b *Recorder) checkMessages(t Criteria) Rule {
 	r := Rule{Name: "the message limit", Kept: true, Limit: float64(t.MessageLimit), Unit: "messages"}
 	type pair struct{ proxy, director string }
 	times := map[pair][]float64{}
 	for _, h := range b.ProxyUpdates {
-		if h.Doc == nil || h.Full || h.reads {
+		if h.Doc == nil || h.Full || h.byOwnershipChange {
 			continue
 		}
 		to := pair{h.Proxy, h.Director}
@@ -285,7 +285,7 @@
 	return r
 }
 
-func (b *Recorder) service(t Criteria, v *Verdict) {
+func (b *Recorder) measureService(t Criteria, v *Verdict) {
 	type sum struct{ got, asked float64 }
 	var whole sum
 	routes, tens := map[string]*sum{}, map[int]*sum{}
@@ -334,7 +334,7 @@
 }
 
 // versions counts what proxies held, and whether any was ever sent back.
-func (b *Recorder) versions(v *Verdict) {
+func (b *Recorder) countVersions(v *Verdict) {
 	type pair struct{ proxy, director string }
 	last, seen := map[pair]*tables.Document{}, map[string]bool{}
 	fences := map[pair]uint64{}
@@ -342,7 +342,7 @@
 		if h.Doc == nil {
 			continue
 		}
-		own, to := h.own(), pair{h.Proxy, h.Director}
+		own, to := h.directorDocument(), pair{h.Proxy, h.Director}
 		if was := last[to]; was != nil && was.History == own.History && own.Step < was.Step {
 			v.Regressions++
 		}
--- a/internal/load/line.go
+++ b/internal/load/line.go
@@ -11,67 +11,67 @@
 )
 
 // asked is a request that is yet to be answered.
-type asked struct {
-	due   time.Duration
-	kind  Kind
-	sec   *Second
-	proxy uint64
+type pendingRequest struct {
+	due    time.Duration
+	kind   Kind
+	second *Second
+	proxy  uint64
 }
 
 // fate is what became of one.
-type fate struct {
-	asked
+type result struct {
+	pendingRequest
 	status int // 0: it failed
 	etag   string
 	body   []byte // valid until the next answer
 }
 
 // line is a connection. What is sent on it is answered in order, and several may be in hand.
-type line struct {
-	place int
-	to    string
-	limit time.Duration
-	done  func(*line, fate)
+type connection struct {
+	index     int
+	address   string
+	timeLimit time.Duration
+	onResult  func(*connection, result)
 
 	mu      sync.Mutex
 	conn    net.Conn
 	dialing bool
-	hand    []asked // in hand, oldest first
+	pending []pendingRequest // in hand, oldest first
 	watch   *time.Timer
 }
 
 // send writes requests that are already put into words. What can't be sent has failed.
-func (l *line) send(text []byte, all ...asked) {
+func (l *connection) send(text []byte, all ...pendingRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
-		c, err := net.DialTimeout("tcp", l.to, l.limit)
+		c, err := net.DialTimeout("tcp", l.address, l.timeLimit)
 		if l.dialing = false; err != nil {
 			l.mu.Unlock()
 			for _, a := range all {
-				l.done(l, fate{asked: a})
+				l.onResult(l, result{pendingRequest: a})
 			}
 			l.mu.Lock()
 			return
 		}
 		l.conn = c
-		go l.read(c)
+		go l.readResponses(c)
 	}
-	l.hand = append(l.hand, all...)
+	l.pending = append(l.pending, all...)
 	c := l.conn
-	c.SetWriteDeadline(time.Now().Add(l.limit))
+	c.SetWriteDeadline(time.Now().Add(l.timeLimit))
 	if _, err := c.Write(text); err != nil {
 		c.Close() // its reader tells of what was in hand
 	}
 }
 
 // read takes answers until the connection ends.
-func (l *line) read(c net.Conn) {
+func (l *connection) readResponses(c net.Conn) {
 	in := bufio.NewReaderSize(c, 1<<10)
 	var head h1.Head
 	var body []byte
 	for {
-		text, err := wholeHead(in)
+		text, err := readHead(in)
 		if err != nil {
 			break
 		}
@@ -79,7 +79,7 @@
 		if wrong != nil || n == 0 || head.Chunked || head.ContentLength < 0 {
 			break
 		}
-		f := fate{status: head.Status, etag: string(head.Get("etag"))}
+		f := result{status: head.Status, etag: string(head.Get("etag"))}
 		closes, length := head.Close, int(head.ContentLength)
 		in.Discard(n)
 		if cap(body) < length {
@@ -90,42 +90,42 @@
 			break
 		}
 		l.mu.Lock()
-		if len(l.hand) == 0 || l.conn != c {
+		if len(l.pending) == 0 || l.conn != c {
 			l.mu.Unlock()
 			break
 		}
-		f.asked = l.hand[0]
-		if l.hand = l.hand[1:]; len(l.hand) == 0 {
-			l.hand = nil
+		f.pendingRequest = l.pending[0]
+		if l.pending = l.pending[1:]; len(l.pending) == 0 {
+			l.pending = nil
 		}
 		l.mu.Unlock()
-		l.done(l, f)
+		l.onResult(l, f)
 		if closes {
 			break
 		}
 	}
 	c.Close()
 	l.mu.Lock()
-	var lost []asked
+	var lost []pendingRequest
 	if l.conn == c {
-		lost, l.hand, l.conn = l.hand, nil, nil
+		lost, l.pending, l.conn = l.pending, nil, nil
 	}
 	l.mu.Unlock()
 	for _, a := range lost {
-		l.done(l, fate{asked: a})
+		l.onResult(l, result{pendingRequest: a})
 	}
 }
 
 // late ends a connection whose oldest request has waited too long.
-func (l *line) late(now time.Duration) {
+func (l *connection) closeIfLate(now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.hand) > 0 && l.hand[0].kind != PendingPolls && now-l.hand[0].due > l.limit && l.conn != nil {
+	if len(l.pending) > 0 && l.pending[0].kind != PendingPolls && now-l.pending[0].due > l.timeLimit && l.conn != nil {
 		l.conn.Close()
 	}
 }
 
-func (l *line) close() {
+func (l *connection) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-func wholeHead(in *bufio.Reader) ([]byte, error) {
+func readHead(in *bufio.Reader) ([]byte, error) {
 	for from := 0; ; {
 		if _, err := in.Peek(from + 1); err != nil {
 			return nil, err
@@ -158,7 +158,7 @@
 }
 
 // request puts one into words.
-func request(text []byte, k Kind, name, zone, tag string) []byte {
+func appendRequest(text []byte, k Kind, name, zone, tag string) []byte {
 	if k == Reports {
 		body := `{"node":{"id":` + strconv.Quote(name) + `}}`
 		text = append(text, "POST /v1/proxies/"+name+"/reports HTTP/1.1\r\nHost: d\r\nContent-Type: application/json\r\nContent-Length: "...)
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -11,16 +11,16 @@
 	"vetchwood/internal/judge"
 )
 
-// Client makes calls at a proxy and books how they end. It repeats nothing by itself.
+// Client makes calls at a proxy and records their outcomes. It never retries by itself.
 type Client struct {
-	Proxy    string // name, for the book
+	Proxy    string // name, for the records
 	URL      string // of the proxy
 	Recorder *judge.Recorder
-	Now      func() float64
+	Now      func() float64 // Unix milliseconds
 	http     *http.Client
 }
 
-// Call is one to be made.
+// Call is a call to be made.
 type Call struct {
 	ID, Route, SliceKey string
 	WorkMs              float64
@@ -28,26 +28,28 @@
 	TimeLimit           time.Duration
 }
 
-func NewClient(proxy, url string, book *judge.Recorder, now func() float64) *Client {
-	return &Client{Proxy: proxy, URL: url, Recorder: book, Now: now, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
+// NewClient returns a client of the proxy at url. The proxy's name and now are used for the records.
+func NewClient(proxy, url string, recorder *judge.Recorder, now func() float64) *Client {
+	return &Client{Proxy: proxy, URL: url, Recorder: recorder, Now: now, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 15 * time.Second, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}}
 }
 
-// Close lets go of its connections.
+// Close closes the client's idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Make carries out a call and books its end.
+// Do makes a call and records its outcome.
 func (c *Client) Do(ctx context.Context, call Call) judge.Outcome {
-	end := judge.Outcome{Proxy: c.Proxy, Route: call.Route}
-	began := c.Now()
+	outcome := judge.Outcome{Proxy: c.Proxy, Route: call.Route}
+	start := c.Now()
 	status := c.send(ctx, call)
-	end.Answered, end.Throttled = status >= 200 && status < 300, status == http.StatusTooManyRequests
-	end.At = c.Now()
-	end.Latency = end.At - began
-	c.Recorder.AddOutcome(end)
-	return end
+	outcome.Answered, outcome.Throttled = status >= 200 && status < 300, status == http.StatusTooManyRequests
+	outcome.At = c.Now()
+	outcome.Latency = outcome.At - start
+	c.Recorder.AddOutcome(outcome)
+	return outcome
 }
 
+// send returns the status of the response, or 0 if the call failed.
 func (c *Client) send(ctx context.Context, call Call) (status int) {
 	ctx, cancel := context.WithTimeout(ctx, call.TimeLimit)
 	defer cancel()
@@ -60,8 +62,8 @@
 		req.Header.Set(name, v)
 	}
 	if call.SendIdempotencyKey {
-		// Not by Set: the library tries requests again by itself that bear the header in its own spelling, and
-		// what the second try met would be taken for the first one's fate.
+		// Header.Set would write the canonical spelling, and net/http retries requests with that header by itself:
+		// the result of the retry would then be recorded as that of the first attempt.
 		req.Header["idempotency-key"] = []string{call.ID}
 	}
 	res, err := c.http.Do(req)
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -1,5 +1,5 @@
-// Package standin holds plain stand-ins for what surrounds a director: hosts, the list of hosts, and callers
-// behind a proxy. They are models on real sockets, for tests and rehearsals.
+// Package standin provides simple stand-ins for a director's surroundings: hosts, service discovery, the lease store,
+// and clients that call through a proxy. They use real sockets and serve tests and rehearsals.
 package standin
 
 import (
@@ -18,113 +18,116 @@
 	"vetchwood/logic"
 )
 
-// Headers that callers and stand-in hosts agree on, beside the published ones.
+// Headers of the calls that clients make at stand-in hosts.
 const (
-	HeaderWorkMs         = "Vetchwood-Work-Ms" // what the call costs one core
+	HeaderWorkMs         = "Vetchwood-Work-Ms" // CPU time that the call takes on one core
 	HeaderCall           = "Vetchwood-Call"
 	HeaderProxy          = "Vetchwood-Proxy"
 	HeaderRoute          = "Vetchwood-Route"
 	HeaderIdempotencyKey = "Idempotency-Key"
-	HeaderSliceKey       = "Vetchwood-Key" // that places the call in a slice
+	HeaderSliceKey       = "Vetchwood-Key" // determines the slice of the call
 )
 
-// HostShape is what a stand-in host can do.
+// HostConfig holds the properties of a stand-in host.
 type HostConfig struct {
-	Cores, Queue      int
-	ColdCapacity      float64
-	WarmAfter         time.Duration
-	ColdOverloadLimit float64
+	Cores, Queue      int           // calls executed at a time, and calls that may wait
+	ColdCapacity      float64       // fraction of the full capacity right after a start
+	WarmAfter         time.Duration // time from the start until full capacity
+	ColdOverloadLimit float64       // multiple of its capacity that a cold host bears over ColdFailAfter
 	ColdFailAfter     time.Duration
-	Dedup             *Deduplicator // of keyed calls, shared within a cell
+	Dedup             *Deduplicator // of calls with idempotency keys, shared within a cell
 	Recorder          *judge.Recorder
-	Now               func() float64
+	Now               func() float64 // Unix milliseconds
 }
 
-// Memory drops repeats of keyed calls.
+// Deduplicator detects repeats of calls with idempotency keys.
 type Deduplicator struct {
-	mu   sync.Mutex
-	span float64
-	seen map[string]float64
+	mu     sync.Mutex
+	window float64            // milliseconds
+	seen   map[string]float64 // time of the first call, by key
 }
 
-func NewDeduplicator(span time.Duration) *Deduplicator {
-	return &Deduplicator{span: float64(span.Milliseconds()), seen: map[string]float64{}}
+// NewDeduplicator returns a deduplicator that remembers keys for window.
+func NewDeduplicator(window time.Duration) *Deduplicator {
+	return &Deduplicator{window: float64(window.Milliseconds()), seen: map[string]float64{}}
 }
 
-func (m *Deduplicator) repeat(key string, now float64) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if at, known := m.seen[key]; known && now-at < m.span {
+// isRepeat returns whether the key was seen within the window, and remembers it if not.
+func (d *Deduplicator) isRepeat(key string, now float64) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if at, known := d.seen[key]; known && now-at < d.window {
 		return true
 	}
-	m.seen[key] = now
-	if len(m.seen) > 10000 {
-		for k, at := range m.seen {
-			if now-at >= m.span {
-				delete(m.seen, k)
+	d.seen[key] = now
+	if len(d.seen) > 10000 {
+		for k, at := range d.seen {
+			if now-at >= d.window {
+				delete(d.seen, k)
 			}
 		}
 	}
 	return false
 }
 
-// Host is a stand-in host: cores, a queue, a cold start, and faults on command.
+// Host is a stand-in host with a limited number of cores, a queue, a warm-up after each start, and faults on command.
 type Host struct {
-	shape   HostConfig
+	config  HostConfig
 	Address tables.Address
 
-	mu     sync.Mutex
-	ln     net.Listener
-	srv    *http.Server
-	born   float64
-	faults HostFaults
-	cores  chan struct{}
-	queued int
-	spent  float64 // core milliseconds in the report's period
-	done   float64
-	load   logic.Load
-	loadAt float64
-	work   []judge.Work
-	fallen bool
+	mu           sync.Mutex
+	ln           net.Listener
+	srv          *http.Server
+	startedAt    float64
+	faults       HostFaults
+	coreSlots    chan struct{}
+	queued       int     // calls admitted, those being executed included
+	coreMs       float64 // core milliseconds used since the last load report
+	completed    float64 // calls since the last load report
+	loadReport   logic.Load
+	loadReportAt float64
+	recentWork   []judge.Work // within ColdFailAfter
+	collapsed    bool         // answers nothing until its next start
 }
 
-// HostFaults are in force until they are set anew.
+// HostFaults are the faults of a host. They stay in force until the next SetFaults or Start.
 type HostFaults struct {
-	Silent           bool    // takes connections and says nothing, and is gone from the list's health checks
-	Hang             bool    // takes calls and answers none
-	SlowFactor       float64 // times slower; 0: not
-	ResponseLossRate float64 // share of answers lost after the work
-	Reject           bool    // draining: a polite no
+	Silent           bool    // accepts connections but answers nothing, health checks included
+	Hang             bool    // accepts calls but answers none; health checks pass
+	SlowFactor       float64 // divides the host's capacity; 0: no effect
+	ResponseLossRate float64 // fraction of responses that are lost after the work is done
+	Reject           bool    // answers all calls with 503, as a draining host does
 }
 
-// NewHost makes a host that has yet to start. An address may be given to come back at.
-func NewHost(shape HostConfig, address tables.Address) *Host {
-	return &Host{shape: shape, Address: address}
+// NewHost returns a host that has not started yet. Without an address it picks a loopback port at its first start and
+// keeps it.
+func NewHost(config HostConfig, address tables.Address) *Host {
+	return &Host{config: config, Address: address}
 }
 
-// Start listens; warm says that it counts as started long ago.
+// Start listens at the host's address. With warm, the host counts as started long ago and has its full capacity.
 func (h *Host) Start(warm bool) error {
-	at := string(h.Address)
-	if at == "" {
-		at = "127.0.0.1:0"
+	address := string(h.Address)
+	if address == "" {
+		address = "127.0.0.1:0"
 	}
-	ln, err := net.Listen("tcp", at)
+	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ln, h.Address = ln, tables.Address(ln.Addr().String())
-	h.cores, h.queued, h.faults, h.fallen, h.work = make(chan struct{}, h.shape.Cores), 0, HostFaults{}, false, nil
-	if h.born = h.shape.Now(); warm {
-		h.born = 0
+	h.coreSlots, h.queued, h.faults, h.collapsed, h.recentWork = make(chan struct{}, h.config.Cores), 0, HostFaults{}, false, nil
+	if h.startedAt = h.config.Now(); warm {
+		h.startedAt = 0
 	}
 	h.srv = &http.Server{Handler: http.HandlerFunc(h.serve)}
 	go h.srv.Serve(ln)
 	return nil
 }
 
-// Die ends the process, so to speak: connections break at once.
+// Kill closes the listener and all connections at once, as the death of a process does.
 func (h *Host) Kill() {
 	h.mu.Lock()
 	srv := h.srv
@@ -134,115 +137,119 @@
 	}
 }
 
-// Born is when it started, in Unix milliseconds; 0 is long ago.
-func (h *Host) StartedAt() float64 { h.mu.Lock(); defer h.mu.Unlock(); return h.born }
+// StartedAt returns when the host started, in Unix milliseconds; 0 means long ago.
+func (h *Host) StartedAt() float64 { h.mu.Lock(); defer h.mu.Unlock(); return h.startedAt }
 
-// Set puts faults in force.
+// SetFaults replaces the faults in force.
 func (h *Host) SetFaults(f HostFaults) { h.mu.Lock(); h.faults = f; h.mu.Unlock() }
 
-// Fallen says whether it was pushed over while cold.
-func (h *Host) Collapsed() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.fallen }
+// Collapsed returns whether the host has failed because of overload while it was cold.
+func (h *Host) Collapsed() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.collapsed }
 
-// ability is the part of its work that it can do now.
-func (h *Host) ability(now float64) float64 {
-	return judge.ColdStartCapacity(now-h.born, h.shape.ColdCapacity, h.shape.WarmAfter)
+// capacity is the fraction of the full capacity that the host has now, by its warm-up.
+func (h *Host) capacity(now float64) float64 {
+	return judge.ColdStartCapacity(now-h.startedAt, h.config.ColdCapacity, h.config.WarmAfter)
 }
 
 func (h *Host) serve(w http.ResponseWriter, r *http.Request) {
-	now := h.shape.Now()
+	now := h.config.Now()
 	h.mu.Lock()
 	f := h.faults
-	if h.fallen || f.Silent || f.Hang && r.URL.Path != "/health" {
+	if h.collapsed || f.Silent || f.Hang && r.URL.Path != "/health" {
 		h.mu.Unlock()
 		<-r.Context().Done()
 		return
 	}
 	if r.URL.Path == "/health" {
-		w.Header().Set(orca.Header, orca.Text(h.load))
+		w.Header().Set(orca.Header, orca.Text(h.loadReport))
 		h.mu.Unlock()
 		return
 	}
 	call, proxy, route := r.Header.Get(HeaderCall), r.Header.Get(HeaderProxy), r.Header.Get(HeaderRoute)
 	ms, _ := strconv.ParseFloat(r.Header.Get(HeaderWorkMs), 64)
 	key := r.Header.Get(HeaderIdempotencyKey)
-	known := judge.Arrival{At: now, Host: h.Address, Proxy: proxy, Route: route, Call: call, WorkMs: ms, HostStartedAt: h.born,
-		Cores: h.shape.Cores}
-	h.work = append(h.work, judge.Work{At: now, Ms: ms})
-	if judge.ColdOverload(&h.work, now, h.born, h.shape.Cores, h.shape.ColdCapacity, h.shape.WarmAfter, h.shape.ColdOverloadLimit, h.shape.ColdFailAfter) >= 1 {
-		h.fallen = true
-		h.shape.Recorder.AddCollapse(h.Address, now)
+	arrival := judge.Arrival{At: now, Host: h.Address, Proxy: proxy, Route: route, Call: call, WorkMs: ms, HostStartedAt: h.startedAt,
+		Cores: h.config.Cores}
+	h.recentWork = append(h.recentWork, judge.Work{At: now, Ms: ms})
+	if judge.ColdOverload(&h.recentWork, now, h.startedAt, h.config.Cores, h.config.ColdCapacity, h.config.WarmAfter,
+		h.config.ColdOverloadLimit, h.config.ColdFailAfter) >= 1 {
+		h.collapsed = true
+		h.config.Recorder.AddCollapse(h.Address, now)
 	}
-	if h.queued >= h.shape.Cores+h.shape.Queue || f.Reject {
-		load := h.load
+	if h.queued >= h.config.Cores+h.config.Queue || f.Reject {
+		load := h.loadReport
 		h.mu.Unlock()
-		h.shape.Recorder.AddArrival(known)
+		h.config.Recorder.AddArrival(arrival)
 		w.Header().Set(orca.Header, orca.Text(load))
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	h.queued++
-	cores := h.cores
+	cores := h.coreSlots
 	h.mu.Unlock()
 	defer func() { h.mu.Lock(); h.queued--; h.mu.Unlock() }()
-	if key != "" && h.shape.Dedup.repeat(key, now) {
-		known.Deduplicated = true // a repeat: it takes no effect and costs next to nothing
-		h.shape.Recorder.AddArrival(known)
-		h.answer(w, r.Context(), f)
+	if key != "" && h.config.Dedup.isRepeat(key, now) {
+		arrival.Deduplicated = true // a repeat is not executed and uses no core time
+		h.config.Recorder.AddArrival(arrival)
+		h.respond(w, r.Context(), f)
 		return
 	}
 	select {
 	case cores <- struct{}{}:
 		defer func() { <-cores }()
 	case <-r.Context().Done():
-		h.shape.Recorder.AddArrival(known)
+		h.config.Recorder.AddArrival(arrival)
 		return
 	}
-	known.Executed = true
-	h.shape.Recorder.AddArrival(known)
-	if !h.busy(r.Context(), ms) {
+	arrival.Executed = true
+	h.config.Recorder.AddArrival(arrival)
+	if !h.execute(r.Context(), ms) {
 		return
 	}
-	h.answer(w, r.Context(), f)
+	h.respond(w, r.Context(), f)
 }
 
-// busy works until the call's work is done, at what the host can do at each moment.
-func (h *Host) busy(ctx context.Context, ms float64) bool {
-	const grain = 20.0
+// execute takes as long as the call's work does at the capacity that the host has at each moment. It returns false if the
+// client gives up first.
+func (h *Host) execute(ctx context.Context, ms float64) bool {
+	const maxStepMs = 20.0
 	for ms > 0 {
 		h.mu.Lock()
-		now := h.shape.Now()
-		can := h.ability(now)
+		now := h.config.Now()
+		capacity := h.capacity(now)
 		if h.faults.SlowFactor > 0 {
-			can /= h.faults.SlowFactor
+			capacity /= h.faults.SlowFactor
 		}
 		h.mu.Unlock()
-		took := min(grain, ms/can)
+		took := min(maxStepMs, ms/capacity)
 		select {
 		case <-ctx.Done():
 			return false
 		case <-time.After(time.Duration(took * float64(time.Millisecond))):
 		}
-		// What the clock says it took, not what was asked for: a busy machine makes long grains.
-		real := max(took, h.shape.Now()-now)
-		ms -= real * can
+		// The elapsed time counts, not the requested one: on a busy machine a sleep lasts longer.
+		elapsed := max(took, h.config.Now()-now)
+		ms -= elapsed * capacity
 		h.mu.Lock()
-		h.spent += real
+		h.coreMs += elapsed
 		h.mu.Unlock()
 	}
 	return true
 }
 
-const loadEvery = 400.0
+// loadReportIntervalMs is the minimum time between two load reports of a host.
+const loadReportIntervalMs = 400.0
 
-func (h *Host) answer(w http.ResponseWriter, ctx context.Context, f HostFaults) {
+// respond writes the response with the current load report, or loses it by ResponseLossRate.
+func (h *Host) respond(w http.ResponseWriter, ctx context.Context, f HostFaults) {
 	h.mu.Lock()
-	now := h.shape.Now()
-	h.done++
-	if span := now - h.loadAt; span >= loadEvery {
-		busy, rate, queue := math.Min(1, h.spent/span/float64(h.shape.Cores)), h.done/span*1000, float64(max(0, h.queued-h.shape.Cores))
-		h.load, h.loadAt, h.spent, h.done = logic.Load{Utilization: &busy, Throughput: &rate, Backlog: &queue}, now, 0, 0
+	now := h.config.Now()
+	h.completed++
+	if span := now - h.loadReportAt; span >= loadReportIntervalMs {
+		busy, rate, queue := math.Min(1, h.coreMs/span/float64(h.config.Cores)), h.completed/span*1000, float64(max(0, h.queued-h.config.Cores))
+		h.loadReport, h.loadReportAt, h.coreMs, h.completed = logic.Load{Utilization: &busy, Throughput: &rate, Backlog: &queue}, now, 0, 0
 	}
-	load := h.load
+	load := h.loadReport
 	h.mu.Unlock()
 	if rand.Float64() < f.ResponseLossRate {
 		<-ctx.Done()
@@ -252,13 +259,13 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// StartAt starts at an address that may leave the port open.
-func (h *Host) StartOn(at string, warm bool) error {
-	h.Address = tables.Address(at)
+// StartOn starts the host at an address, whose port may be 0.
+func (h *Host) StartOn(address string, warm bool) error {
+	h.Address = tables.Address(address)
 	return h.Start(warm)
 }
 
-// IPPort are the parts of its address.
+// IPPort returns the IP address and the port of the host.
 func (h *Host) IPPort() (string, int, error) {
 	ip, port, err := net.SplitHostPort(string(h.Address))
 	if err != nil {
--- a/internal/standin/locks.go
+++ b/internal/standin/kv.go
@@ -14,114 +14,119 @@
 	"github.com/hashicorp/consul/api"
 )
 
-// Locks is a stand-in for Consul's key-value store and its sessions, as far as published and used here: check-and-set,
-// locks by session, a time to live that is a lower bound, lock-delay, blocking queries, transactions of at most 64
-// operations that do all or nothing.
+// KVStore is a stand-in for Consul's key-value store and sessions. It implements the documented behaviour that is used
+// here: check-and-set, locks by session, session TTLs that are lower bounds, lock-delay, blocking queries, and atomic
+// transactions of at most 64 operations.
 type KVStore struct {
-	SessionTTLFactor float64 // a session ends so many times its time to live after its last renewal; at least 1
-	// Changed hears of each lock that changes hands: the session and its name; nobody, or Ended where a session's end let go.
+	// SessionTTLFactor times its TTL after the last renewal, a session expires; values under 1 count as 1.
+	SessionTTLFactor float64
+	// OnLockChange is called for each lock that is taken or released, with the session and its name as the holder. After
+	// a release the session is empty, and the holder is empty or, if the session ended, SessionEnded.
 	OnLockChange func(key, session, holder string, lockIndex uint64, value func(key string) string)
 
-	indexed
-	pairs    map[string]*api.KVPair
-	sessions map[string]*session
-	delayed  map[string]time.Time // no lock before
-	careless bool
+	blockingIndex
+	pairs        map[string]*api.KVPair
+	sessions     map[string]*session
+	lockableFrom map[string]time.Time // end of the lock-delay, by key
+	ignoresLocks bool                 // grants locks that other sessions hold
 }
 
-// Ended stands for a holder's name where its session ended.
+// SessionEnded is the holder's name that OnLockChange gets when a lock is released by the end of its session.
 const SessionEnded = "(ended)"
 
 type session struct {
-	entry api.SessionEntry
-	ttl   time.Duration
-	end   *time.Timer
+	entry  api.SessionEntry
+	ttl    time.Duration
+	expiry *time.Timer
 }
 
-// mostOps is the published limit of a transaction.
-const mostOps = 64
+// maxTxnOps is Consul's documented limit of operations in a transaction.
+const maxTxnOps = 64
 
+// NewKVStore returns an empty store.
 func NewKVStore() *KVStore {
-	return &KVStore{SessionTTLFactor: 1, indexed: indexed{index: 10, changed: make(chan struct{})}, pairs: map[string]*api.KVPair{}, sessions: map[string]*session{},
-		delayed: map[string]time.Time{}}
+	return &KVStore{SessionTTLFactor: 1, blockingIndex: blockingIndex{index: 10, changed: make(chan struct{})},
+		pairs: map[string]*api.KVPair{}, sessions: map[string]*session{}, lockableFrom: map[string]time.Time{}}
 }
 
-func (l *KVStore) mount(all *http.ServeMux) {
+// mount adds the store's HTTP interface to parent.
+func (l *KVStore) mount(parent *http.ServeMux) {
 	mux := http.NewServeMux()
 	for _, path := range []string{"/v1/session/", "/v1/kv/", "/v1/txn"} {
-		all.HandleFunc(path, func(w http.ResponseWriter, q *http.Request) {
+		parent.HandleFunc(path, func(w http.ResponseWriter, q *http.Request) {
 			l.mu.Lock()
-			away := l.away
+			unavailable := l.unavailable
 			l.mu.Unlock()
-			if away {
-				leaderless(w)
+			if unavailable {
+				writeNoLeader(w)
 				return
 			}
 			mux.ServeHTTP(w, q)
 		})
 	}
-	mux.HandleFunc("PUT /v1/session/create", l.create)
-	mux.HandleFunc("PUT /v1/session/renew/{id}", l.renew)
+	mux.HandleFunc("PUT /v1/session/create", l.handleSessionCreate)
+	mux.HandleFunc("PUT /v1/session/renew/{id}", l.handleSessionRenew)
 	mux.HandleFunc("PUT /v1/session/destroy/{id}", func(w http.ResponseWriter, q *http.Request) {
 		l.mu.Lock()
-		l.drop(q.PathValue("id"), false)
+		l.endSession(q.PathValue("id"), false)
 		l.mu.Unlock()
-		answer(w, 0, true)
+		writeJSON(w, 0, true)
 	})
-	mux.HandleFunc("GET /v1/kv/{key...}", l.get)
-	mux.HandleFunc("PUT /v1/txn", l.txn)
+	mux.HandleFunc("GET /v1/kv/{key...}", l.handleGet)
+	mux.HandleFunc("PUT /v1/txn", l.handleTxn)
 }
 
-// Away stops all answers, or starts them again. A new leader gives each session its whole time to live anew.
-func (l *KVStore) SetUnavailable(away bool) {
+// SetUnavailable makes the store answer every request with an error, or ends that. Sessions don't expire meanwhile, and
+// get their full TTL afterwards, as from a new Consul leader.
+func (l *KVStore) SetUnavailable(unavailable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.away = away
+	l.unavailable = unavailable
 	for _, s := range l.sessions {
-		if s.end.Stop(); !away {
-			s.end.Reset(l.lasts(s))
+		if s.expiry.Stop(); !unavailable {
+			s.expiry.Reset(l.sessionLifetime(s))
 		}
 	}
-	l.wake()
+	l.notifyWaiters()
 }
 
-// Wipe loses all that is kept, as a store that was raised anew.
+// Wipe deletes all data and sessions, as if the store had been set up anew.
 func (l *KVStore) Wipe() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.sessions {
-		s.end.Stop()
+		s.expiry.Stop()
 	}
-	l.pairs, l.sessions, l.delayed, l.index = map[string]*api.KVPair{}, map[string]*session{}, map[string]time.Time{}, 1
-	l.wake()
+	l.pairs, l.sessions, l.lockableFrom, l.index = map[string]*api.KVPair{}, map[string]*session{}, map[string]time.Time{}, 1
+	l.notifyWaiters()
 }
 
-// Promise says whether a lock that is held is refused to others. A store that does not keep it is for checks that must
-// find it.
-func (l *KVStore) EnforceLocks(kept bool) {
+// EnforceLocks sets whether the store refuses locks that other sessions hold. A store that grants them is for tests of
+// the checks that have to detect this.
+func (l *KVStore) EnforceLocks(enforce bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.careless = !kept
+	l.ignoresLocks = !enforce
 }
 
-// End ends the sessions whose name has a prefix, as an operator may.
+// InvalidateSessions ends the sessions whose name begins with prefix, as an operator can.
 func (l *KVStore) InvalidateSessions(prefix string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, s := range l.sessions {
 		if strings.HasPrefix(s.entry.Name, prefix) {
-			l.drop(id, true)
+			l.endSession(id, true)
 		}
 	}
 }
 
-func (l *KVStore) create(w http.ResponseWriter, q *http.Request) {
+func (l *KVStore) handleSessionCreate(w http.ResponseWriter, q *http.Request) {
 	var in struct{ Name, TTL, LockDelay, Behavior string }
 	if err := json.NewDecoder(q.Body).Decode(&in); err != nil {
 		http.Error(w, "Request decode failed: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	s := &session{entry: api.SessionEntry{ID: fmt.Sprintf("%x", random()), Name: in.Name, TTL: in.TTL, Behavior: in.Behavior,
+	s := &session{entry: api.SessionEntry{ID: fmt.Sprintf("%x", randomID()), Name: in.Name, TTL: in.TTL, Behavior: in.Behavior,
 		LockDelay: 15 * time.Second}}
 	var err error
 	if s.ttl, err = time.ParseDuration(in.TTL); err != nil || s.ttl <= 0 {
@@ -137,26 +142,28 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	id := s.entry.ID
-	s.end = time.AfterFunc(l.lasts(s), func() {
+	s.expiry = time.AfterFunc(l.sessionLifetime(s), func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.drop(id, true)
+		l.endSession(id, true)
 	})
 	l.sessions[id] = s
-	answer(w, 0, map[string]string{"ID": id})
+	writeJSON(w, 0, map[string]string{"ID": id})
 }
 
-func random() []byte {
+// randomID returns the bytes of a new session ID.
+func randomID() []byte {
 	b := make([]byte, 16)
 	rand.Read(b)
 	return b
 }
 
-func (l *KVStore) lasts(s *session) time.Duration {
+// sessionLifetime is how long a session lives without a renewal.
+func (l *KVStore) sessionLifetime(s *session) time.Duration {
 	return time.Duration(float64(s.ttl) * max(1, l.SessionTTLFactor))
 }
 
-func (l *KVStore) renew(w http.ResponseWriter, q *http.Request) {
+func (l *KVStore) handleSessionRenew(w http.ResponseWriter, q *http.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.sessions[q.PathValue("id")]
@@ -164,17 +171,18 @@
 		http.Error(w, "Session id '"+q.PathValue("id")+"' not found", http.StatusNotFound)
 		return
 	}
-	s.end.Reset(l.lasts(s))
-	answer(w, 0, []*api.SessionEntry{&s.entry})
+	s.expiry.Reset(l.sessionLifetime(s))
+	writeJSON(w, 0, []*api.SessionEntry{&s.entry})
 }
 
-// drop ends a session. What it held is free, after the lock-delay if it was not let go by its holder.
-func (l *KVStore) drop(id string, invalidated bool) {
+// endSession ends a session and releases its locks; with invalidated, only after the lock-delay. The caller holds the
+// lock.
+func (l *KVStore) endSession(id string, invalidated bool) {
 	s := l.sessions[id]
 	if s == nil {
 		return
 	}
-	s.end.Stop()
+	s.expiry.Stop()
 	delete(l.sessions, id)
 	l.index++
 	for key, p := range l.pairs {
@@ -182,7 +190,7 @@
 			continue
 		}
 		if invalidated && s.entry.LockDelay > 0 {
-			l.delayed[key] = time.Now().Add(s.entry.LockDelay)
+			l.lockableFrom[key] = time.Now().Add(s.entry.LockDelay)
 		}
 		if s.entry.Behavior == api.SessionBehaviorDelete {
 			delete(l.pairs, key)
@@ -191,12 +199,13 @@
 			n.Session, n.ModifyIndex = "", l.index
 			l.pairs[key] = &n
 		}
-		l.tell(key, "", SessionEnded, p.LockIndex)
+		l.notifyLockChange(key, "", SessionEnded, p.LockIndex)
 	}
-	l.wake()
+	l.notifyWaiters()
 }
 
-func (l *KVStore) tell(key, session, holder string, lockIndex uint64) {
+// notifyLockChange calls OnLockChange. If the session exists, its name replaces holder.
+func (l *KVStore) notifyLockChange(key, session, holder string, lockIndex uint64) {
 	if l.OnLockChange != nil {
 		if s := l.sessions[session]; s != nil {
 			holder = s.entry.Name
@@ -210,10 +219,11 @@
 	}
 }
 
-func (l *KVStore) under(prefix string, whole bool) (out []*api.KVPair, index uint64) {
+// list returns the pair of a key or, with recurse, all pairs with that prefix, sorted by key, and the index to report.
+func (l *KVStore) list(prefix string, recurse bool) (out []*api.KVPair, index uint64) {
 	index = 1
 	for key, p := range l.pairs {
-		if key == prefix || whole && strings.HasPrefix(key, prefix) {
+		if key == prefix || recurse && strings.HasPrefix(key, prefix) {
 			out = append(out, p)
 		}
 	}
@@ -221,23 +231,24 @@
 	return out, max(index, l.index)
 }
 
-func (l *KVStore) get(w http.ResponseWriter, q *http.Request) {
+func (l *KVStore) handleGet(w http.ResponseWriter, q *http.Request) {
 	key, values := q.PathValue("key"), q.URL.Query()
 	l.mu.Lock()
-	if !l.await(w, q) {
+	if !l.waitForChange(w, q) {
 		return
 	}
-	pairs, index := l.under(key, values.Has("recurse"))
+	pairs, index := l.list(key, values.Has("recurse"))
 	l.mu.Unlock()
 	if len(pairs) == 0 {
 		w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, index, pairs)
+	writeJSON(w, index, pairs)
 }
 
-func answer(w http.ResponseWriter, index uint64, v any) {
+// writeJSON writes v as JSON, with a Consul index unless that is 0.
+func writeJSON(w http.ResponseWriter, index uint64, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if index > 0 {
 		w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
@@ -245,21 +256,21 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-func (l *KVStore) txn(w http.ResponseWriter, q *http.Request) {
+func (l *KVStore) handleTxn(w http.ResponseWriter, q *http.Request) {
 	var ops []struct{ KV *api.KVTxnOp }
 	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, 512<<10))
 	if err == nil {
 		err = json.Unmarshal(body, &ops)
 	}
-	if err != nil || len(ops) > mostOps {
+	if err != nil || len(ops) > maxTxnOps {
 		http.Error(w, "Transaction can't be read, is too large, or has more than 64 operations", http.StatusRequestEntityTooLarge)
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	was := l.pairs
-	l.pairs = make(map[string]*api.KVPair, len(was))
-	for k, p := range was {
+	previous := l.pairs
+	l.pairs = make(map[string]*api.KVPair, len(previous))
+	for k, p := range previous {
 		l.pairs[k] = p
 	}
 	l.index++
@@ -269,14 +280,14 @@
 			out.Errors = append(out.Errors, &api.TxnError{OpIndex: i, What: "unknown operation type"})
 			continue
 		}
-		if p, wrong := l.do(op.KV); wrong != "" {
-			out.Errors = append(out.Errors, &api.TxnError{OpIndex: i, What: wrong})
+		if p, failure := l.applyOp(op.KV); failure != "" {
+			out.Errors = append(out.Errors, &api.TxnError{OpIndex: i, What: failure})
 		} else if p != nil {
 			out.Results = append(out.Results, &api.TxnResult{KV: p})
 		}
 	}
 	if len(out.Errors) > 0 {
-		l.pairs, out.Results = was, nil
+		l.pairs, out.Results = previous, nil
 		l.index--
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(http.StatusConflict)
@@ -286,33 +297,34 @@
 	for _, op := range ops {
 		if verb := op.KV.Verb; verb == api.KVLock || verb == api.KVUnlock {
 			p := l.pairs[op.KV.Key]
-			l.tell(p.Key, p.Session, "", p.LockIndex)
+			l.notifyLockChange(p.Key, p.Session, "", p.LockIndex)
 		}
 	}
-	l.wake()
-	answer(w, 0, out)
+	l.notifyWaiters()
+	writeJSON(w, 0, out)
 }
 
-// do is one operation of a transaction; the pairs that it changes are copies.
-func (l *KVStore) do(op *api.KVTxnOp) (*api.KVPair, string) {
-	is := l.pairs[op.Key]
+// applyOp applies one operation of a transaction to copies of the pairs that it changes. It returns the pair for the
+// results, or the text of an error.
+func (l *KVStore) applyOp(op *api.KVTxnOp) (*api.KVPair, string) {
+	existing := l.pairs[op.Key]
 	write := func(change func(*api.KVPair)) (*api.KVPair, string) {
 		n := &api.KVPair{Key: op.Key, CreateIndex: l.index}
-		if is != nil {
-			*n = *is
+		if existing != nil {
+			*n = *existing
 		}
 		n.ModifyIndex = l.index
 		change(n)
 		l.pairs[op.Key] = n
-		told := *n
-		told.Value = nil
-		return &told, ""
+		result := *n
+		result.Value = nil
+		return &result, ""
 	}
 	switch op.Verb {
 	case api.KVSet:
 		return write(func(n *api.KVPair) { n.Value, n.Flags = op.Value, op.Flags })
 	case api.KVCAS:
-		if (is == nil) != (op.Index == 0) || is != nil && is.ModifyIndex != op.Index {
+		if (existing == nil) != (op.Index == 0) || existing != nil && existing.ModifyIndex != op.Index {
 			return nil, "failed to set key " + strconv.Quote(op.Key) + ", index is stale"
 		}
 		return write(func(n *api.KVPair) { n.Value, n.Flags = op.Value, op.Flags })
@@ -320,9 +332,9 @@
 		switch {
 		case l.sessions[op.Session] == nil:
 			return nil, "failed to lock key " + strconv.Quote(op.Key) + ", invalid session"
-		case is != nil && is.Session != "" && is.Session != op.Session && !l.careless:
+		case existing != nil && existing.Session != "" && existing.Session != op.Session && !l.ignoresLocks:
 			return nil, "failed to lock key " + strconv.Quote(op.Key) + ", lock is already held"
-		case time.Now().Before(l.delayed[op.Key]):
+		case time.Now().Before(l.lockableFrom[op.Key]):
 			return nil, "failed to lock key " + strconv.Quote(op.Key) + ", lock delay"
 		}
 		return write(func(n *api.KVPair) {
@@ -332,20 +344,20 @@
 			n.Session, n.Value = op.Session, op.Value
 		})
 	case api.KVUnlock:
-		if is == nil || is.Session != op.Session {
+		if existing == nil || existing.Session != op.Session {
 			return nil, "failed to unlock key " + strconv.Quote(op.Key) + ", lock isn't held by the session"
 		}
 		return write(func(n *api.KVPair) { n.Session, n.Value = "", op.Value })
 	case api.KVCheckSession:
-		if is == nil || is.Session != op.Session {
+		if existing == nil || existing.Session != op.Session {
 			return nil, "failed session check for key " + strconv.Quote(op.Key)
 		}
-		return is, ""
+		return existing, ""
 	case api.KVGet, api.KVGetOrEmpty:
-		if is == nil && op.Verb == api.KVGet {
+		if existing == nil && op.Verb == api.KVGet {
 			return nil, "key " + strconv.Quote(op.Key) + " doesn't exist"
 		}
-		return is, ""
+		return existing, ""
 	}
 	return nil, "unknown KV operation " + strconv.Quote(string(op.Verb))
 }
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -19,26 +19,26 @@
 	"vetchwood/logic"
 )
 
-// Registry is a stand-in for the list of hosts: Consul's published HTTP interface, as far as its official client
-// uses it here. It can be late, wrong, empty, away, and start over with a lower index.
+// Registry is a stand-in for service discovery by Consul: the part of its documented HTTP interface that its official
+// client uses here. Its host list can be late, wrong or empty, it can be unavailable, and its index can go backwards.
 type Registry struct {
 	Recorder *judge.Recorder
 	Now      func() float64
-	Delay    time.Duration // before a change shows
+	Delay    time.Duration // until a change is visible
 
-	indexed
-	entries map[string]*api.ServiceEntry
-	shown   []*api.ServiceEntry
-	wrong   func([]*api.ServiceEntry) []*api.ServiceEntry
+	blockingIndex
+	entries map[string]*api.ServiceEntry // by ID
+	visible []*api.ServiceEntry          // as answered, Delay after the changes
+	distort func([]*api.ServiceEntry) []*api.ServiceEntry
 	srv     *http.Server
 	ln      net.Listener
 	mux     *http.ServeMux
 	KV      *KVStore
 }
 
-// NewRegistry listens.
-func NewRegistry(address string, book *judge.Recorder, now func() float64, delay time.Duration) (*Registry, error) {
-	r := &Registry{Recorder: book, Now: now, Delay: delay, indexed: indexed{index: 100, changed: make(chan struct{})},
+// NewRegistry starts a registry at address. A nil recorder records nothing.
+func NewRegistry(address string, recorder *judge.Recorder, now func() float64, delay time.Duration) (*Registry, error) {
+	r := &Registry{Recorder: recorder, Now: now, Delay: delay, blockingIndex: blockingIndex{index: 100, changed: make(chan struct{})},
 		entries: map[string]*api.ServiceEntry{}, mux: http.NewServeMux(), KV: NewKVStore()}
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -46,8 +46,8 @@
 	}
 	mux := r.mux
 	r.KV.mount(mux)
-	mux.HandleFunc("GET /v1/health/service/{name}", r.health)
-	mux.HandleFunc("PUT /v1/agent/service/register", r.register)
+	mux.HandleFunc("GET /v1/health/service/{name}", r.handleHealth)
+	mux.HandleFunc("PUT /v1/agent/service/register", r.handleRegister)
 	mux.HandleFunc("PUT /v1/agent/service/deregister/{id}", func(w http.ResponseWriter, q *http.Request) {
 		r.Remove(q.PathValue("id"))
 	})
@@ -63,24 +63,28 @@
 	return r, nil
 }
 
+// URL returns the base URL of the registry.
 func (r *Registry) URL() string { return "http://" + r.ln.Addr().String() }
-func (r *Registry) Close()      { r.srv.Close() }
 
-// Put lists a host, or lists it anew after a start.
-func (r *Registry) Put(id string, a tables.Address, zone, cell string, born float64) {
-	host, port, _ := net.SplitHostPort(string(a))
+// Close closes the registry and its connections.
+func (r *Registry) Close() { r.srv.Close() }
+
+// Put registers a host, or replaces its entry after a start. startedAt is in Unix milliseconds; 0 means long ago.
+func (r *Registry) Put(id string, address tables.Address, zone, cell string, startedAt float64) {
+	host, port, _ := net.SplitHostPort(string(address))
 	n, _ := strconv.Atoi(port)
-	r.change(func() {
+	r.update(func() {
 		meta := map[string]string{roster.MetaZone: zone, roster.MetaCell: cell}
-		if born > 0 {
-			meta[roster.MetaStarted] = strconv.FormatFloat(born, 'f', 3, 64)
+		if startedAt > 0 {
+			meta[roster.MetaStarted] = strconv.FormatFloat(startedAt, 'f', 3, 64)
 		}
-		r.entries[id] = entry(&api.AgentService{ID: id, Service: "hosts", Address: host, Port: n, Meta: meta,
+		r.entries[id] = newEntry(&api.AgentService{ID: id, Service: "hosts", Address: host, Port: n, Meta: meta,
 			Weights: api.AgentWeights{Passing: 1, Warning: 1}}, logic.Up)
 	})
 }
 
-func entry(s *api.AgentService, state logic.HostState) *api.ServiceEntry {
+// newEntry returns the entry of a service in the given state, with its health checks.
+func newEntry(s *api.AgentService, state logic.HostState) *api.ServiceEntry {
 	check := &api.HealthCheck{Node: "node", CheckID: "service:" + s.ID, ServiceID: s.ID, Status: api.HealthPassing}
 	e := &api.ServiceEntry{Node: &api.Node{Node: "node", Address: "127.0.0.1"}, Service: s, Checks: api.HealthChecks{check}}
 	switch state {
@@ -93,66 +97,69 @@
 	return e
 }
 
-// State says that a host drains, is up or fails its check.
+// SetState makes a host up, draining (in maintenance) or gone (failing its health check).
 func (r *Registry) SetState(id string, state logic.HostState) {
-	r.change(func() {
+	r.update(func() {
 		if e := r.entries[id]; e != nil {
-			r.entries[id] = entry(e.Service, state)
+			r.entries[id] = newEntry(e.Service, state)
 		}
 	})
 }
 
-// Remove takes a host off the list.
-func (r *Registry) Remove(id string) { r.change(func() { delete(r.entries, id) }) }
+// Remove deregisters a host.
+func (r *Registry) Remove(id string) { r.update(func() { delete(r.entries, id) }) }
 
-// Wrong makes what is shown differ from what is so; nil ends it.
+// Distort applies f to the host list before it becomes visible; nil ends that.
 func (r *Registry) Distort(f func([]*api.ServiceEntry) []*api.ServiceEntry) {
-	r.change(func() { r.wrong = f })
+	r.update(func() { r.distort = f })
 }
 
-// Away stops all answers, or starts them again, with a lower index.
-func (r *Registry) SetUnavailable(away bool) {
+// SetUnavailable makes the registry answer list queries with an error, or ends that; its index is lower afterwards.
+func (r *Registry) SetUnavailable(unavailable bool) {
 	r.mu.Lock()
-	r.away = away
-	if !away {
+	r.unavailable = unavailable
+	if !unavailable {
 		r.index = 3
 	}
-	r.turn()
+	r.advance()
 	r.mu.Unlock()
 }
 
-func (r *Registry) change(f func()) {
+// update changes the registry by f, and makes the change visible after Delay.
+func (r *Registry) update(f func()) {
 	r.mu.Lock()
 	f()
 	r.mu.Unlock()
 	time.AfterFunc(r.Delay, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.shown = nil
+		r.visible = nil
 		for _, id := range slices.Sorted(maps.Keys(r.entries)) {
-			r.shown = append(r.shown, r.entries[id])
+			r.visible = append(r.visible, r.entries[id])
 		}
-		if r.wrong != nil {
-			r.shown = r.wrong(r.shown)
+		if r.distort != nil {
+			r.visible = r.distort(r.visible)
 		}
-		r.turn()
+		r.advance()
 	})
 }
 
-func (r *Registry) turn() {
+// advance increases the index and wakes the blocked queries. The caller holds the lock.
+func (r *Registry) advance() {
 	r.index++
-	r.wake()
+	r.notifyWaiters()
 }
 
-func (r *Registry) health(w http.ResponseWriter, q *http.Request) {
+// handleHealth answers with the visible host list and records what was sent.
+func (r *Registry) handleHealth(w http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
-	if !r.await(w, q) {
+	if !r.waitForChange(w, q) {
 		return
 	}
-	body, err := json.Marshal(append([]*api.ServiceEntry{}, r.shown...))
-	told := judge.HostList{At: r.Now()}
-	told.Director, _ = q.Context().Value(doorOf{}).(string)
-	for _, e := range r.shown {
+	body, err := json.Marshal(append([]*api.ServiceEntry{}, r.visible...))
+	list := judge.HostList{At: r.Now()}
+	list.Director, _ = q.Context().Value(linkNameKey{}).(string)
+	for _, e := range r.visible {
 		h := judge.ListedHost{Address: tables.Address(net.JoinHostPort(e.Service.Address, strconv.Itoa(e.Service.Port)))}
 		h.StartedAt, _ = strconv.ParseFloat(e.Service.Meta[roster.MetaStarted], 64)
 		for _, c := range e.Checks {
@@ -162,7 +169,7 @@
 				h.State = logic.Gone
 			}
 		}
-		told.Hosts = append(told.Hosts, h)
+		list.Hosts = append(list.Hosts, h)
 	}
 	index := r.index
 	r.mu.Unlock()
@@ -173,17 +180,17 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
 	if _, err := w.Write(body); err == nil && r.Recorder != nil {
-		r.Recorder.AddHostList(told)
+		r.Recorder.AddHostList(list)
 	}
 }
 
-func (r *Registry) register(w http.ResponseWriter, q *http.Request) {
+func (r *Registry) handleRegister(w http.ResponseWriter, q *http.Request) {
 	var in api.AgentServiceRegistration
 	if err := json.NewDecoder(q.Body).Decode(&in); err != nil || in.ID == "" || in.Port == 0 {
 		http.Error(w, "invalid registration", http.StatusBadRequest)
 		return
 	}
-	born, _ := strconv.ParseFloat(in.Meta[roster.MetaStarted], 64)
+	startedAt, _ := strconv.ParseFloat(in.Meta[roster.MetaStarted], 64)
 	r.Put(in.ID, tables.Address(net.JoinHostPort(in.Address, strconv.Itoa(in.Port))), in.Meta[roster.MetaZone],
-		in.Meta[roster.MetaCell], born)
+		in.Meta[roster.MetaCell], startedAt)
 }
