--- a/internal/fault/between_test.go
+++ b/internal/fault/injector_test.go
@@ -18,54 +18,56 @@
 	"vetchwood/internal/tables"
 )
 
+// faultLog collects an injector's log.
 type faultLog struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (b *faultLog) Write(p []byte) (int, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.buf.Write(p)
+func (l *faultLog) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.buf.Write(p)
 }
 
-// done are the faults that were logged, without their times.
-func (b *faultLog) entries(t *testing.T) (out []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, line := range strings.Split(strings.TrimSpace(b.buf.String()), "\n") {
-		var d Record
+// entries returns the injected faults by the log, without their times.
+func (l *faultLog) entries(t *testing.T) (out []string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, line := range strings.Split(strings.TrimSpace(l.buf.String()), "\n") {
+		var record Record
 		if line == "" {
 			continue
 		}
-		if err := json.Unmarshal([]byte(line), &d); err != nil {
+		if err := json.Unmarshal([]byte(line), &record); err != nil {
 			t.Fatal(err)
 		}
-		out = append(out, fmt.Sprint(d.Connection, d.Direction, d.Kind, d.Rule, d.What))
+		out = append(out, fmt.Sprint(record.Connection, record.Direction, record.Kind, record.Rule, record.What))
 	}
 	return out
 }
 
+// startInjector runs an injector in front of an address until the test ends.
 func startInjector(t *testing.T, to string, rules string) (string, *faultLog) {
 	s, err := Read("f.hcl", []byte(fmt.Sprintf("fault {\n listen = \"127.0.0.1:0\"\n to = %q\n seed = 5\n}\n%s", to, rules)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := &faultLog{}
-	b, err := New(s, log)
+	injector, err := New(s, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- b.Run(ctx) }()
+	done := make(chan error, 1)
+	go func() { done <- injector.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
-		if err := <-ended; err != nil {
+		if err := <-done; err != nil {
 			t.Error(err)
 		}
 	})
-	return b.Addr().String(), log
+	return injector.Addr().String(), log
 }
 
 func document(step tables.Step) *tables.Document {
@@ -77,23 +79,23 @@
 	return d.Seal(3, step, float64(step))
 }
 
-// A byte is garbled in the middle of a difference: the proxy's follower refuses it by its digest, or as no patch, asks for the whole,
-// and never holds anything that no director told.
+// A byte is garbled in the middle of a delta. The proxy's follower must reject the delta because of the digest or because
+// it is no valid patch, request the full document, and never use tables that the director didn't send.
 func TestAGarbledDifference(t *testing.T) {
 	one, two := document(1), document(2)
-	var wholes, deltas int
+	var fullCount, deltaCount int
 	var mu sync.Mutex
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch held := r.Header.Get("If-None-Match"); {
-		case held == "" && wholes == 0:
-			wholes++
+		case held == "" && fullCount == 0:
+			fullCount++
 			w.Header().Set("ETag", one.ETag())
 			w.Header().Set("Content-Type", tables.DocumentMediaType)
 			w.Write(one.JSON())
 		case strings.Contains(held, one.ETag()):
-			deltas++
+			deltaCount++
 			w.Header().Set("ETag", two.ETag())
 			w.Header().Set("IM", "json-patch")
 			w.Header().Set("Delta-Base", one.ETag())
@@ -104,15 +106,15 @@
 			time.Sleep(50 * time.Millisecond)
 			w.WriteHeader(http.StatusNotModified)
 		default:
-			wholes++
+			fullCount++
 			w.Header().Set("ETag", two.ETag())
 			w.Header().Set("Content-Type", tables.DocumentMediaType)
 			w.Write(two.JSON())
 		}
 	}))
 	defer s.Close()
-	// How long the answers are, so that the byte lies in the second one's body.
-	long := func(held string) int {
+	// The length of a response, to put the garbled byte into the body of the second one.
+	responseLength := func(held string) int {
 		c, err := net.Dial("tcp", s.Listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -123,13 +125,13 @@
 		all, _ := io.ReadAll(c)
 		return len(all)
 	}
-	place := long("") + long("If-None-Match: "+one.ETag()+"\r\n") - len(two.Delta(one))/2
+	offset := responseLength("") + responseLength("If-None-Match: "+one.ETag()+"\r\n") - len(two.Delta(one))/2
 	mu.Lock()
-	wholes, deltas = 0, 0
+	fullCount, deltaCount = 0, 0
 	mu.Unlock()
-	at, log := startInjector(t, s.Listener.Addr().String(), fmt.Sprintf("rule \"bit\" {\n kind = \"garble\"\n after = %d\n connection = 1\n}\n", place))
+	address, log := startInjector(t, s.Listener.Addr().String(), fmt.Sprintf("rule \"bit\" {\n kind = \"garble\"\n after = %d\n connection = 1\n}\n", offset))
 	var seen []tables.Tag
-	f := follow.New(follow.Source{Directors: []string{"http://" + at}, Proxy: "p", Wait: time.Second, Seen: func(u follow.Update) {
+	f := follow.New(follow.Source{Directors: []string{"http://" + address}, Proxy: "p", Wait: time.Second, Seen: func(u follow.Update) {
 		mu.Lock()
 		defer mu.Unlock()
 		seen = append(seen, u.Doc.Tag())
@@ -142,17 +144,17 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if len(log.entries(t)) != 1 || deltas == 0 || wholes < 2 {
-		t.Errorf("faults %v, %d differences, %d whole documents", log.entries(t), deltas, wholes)
+	if len(log.entries(t)) != 1 || deltaCount == 0 || fullCount < 2 {
+		t.Errorf("faults %v, %d deltas, %d full documents; want 1 fault, at least 1 delta and 2 full documents", log.entries(t), deltaCount, fullCount)
 	}
 	for _, tag := range seen {
 		if tag != one.Tag() && tag != two.Tag() {
-			t.Errorf("it held %v, which nobody told", tag)
+			t.Errorf("the proxy used version %v, which the director did not send", tag)
 		}
 	}
 }
 
-// echo answers each line with itself, and says at the end how much came.
+// startEcho starts a server that echoes its input and appends the number of bytes received.
 func startEcho(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -175,8 +177,9 @@
 	return ln.Addr().String()
 }
 
-func exchange(t *testing.T, at, text string) (string, error) {
-	c, err := net.Dial("tcp", at)
+// exchange sends text, closes its half of the connection, and returns what it receives.
+func exchange(t *testing.T, address, text string) (string, error) {
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,11 +192,11 @@
 	return string(out), err
 }
 
-// What the sockets show of each fault, and that two runs of a script do the same.
+// The effect of each fault at the sockets. Two runs of a script must have the same effects and logs.
 func TestFaultsOnSockets(t *testing.T) {
 	t.Parallel()
 	to := startEcho(t)
-	for _, c := range []struct{ rules, says string }{
+	for _, c := range []struct{ rules, want string }{
 		{"", "hello[5 came]"},
 		{"rule \"a\" {\n kind = \"drop\"\n way = \"down\"\n}", ""},
 		{"rule \"a\" {\n kind = \"drop\"\n way = \"up\"\n after = 1\n bytes = 3\n}", "ho[2 came]"},
@@ -204,24 +207,24 @@
 	} {
 		var logs [2][]string
 		for i := range logs {
-			at, log := startInjector(t, to, c.rules)
-			began := time.Now()
-			got, err := exchange(t, at, "hello")
-			if err != nil || got != c.says {
+			address, log := startInjector(t, to, c.rules)
+			start := time.Now()
+			got, err := exchange(t, address, "hello")
+			if err != nil || got != c.want {
 				t.Errorf("%s: %q, %v", c.rules, got, err)
 			}
-			if strings.Contains(c.rules, "throttle") && time.Since(began) < 90*time.Millisecond {
-				t.Errorf("%s: over after %v", c.rules, time.Since(began))
+			if strings.Contains(c.rules, "throttle") && time.Since(start) < 90*time.Millisecond {
+				t.Errorf("%s: took only %v", c.rules, time.Since(start))
 			}
 			logs[i] = log.entries(t)
 		}
 		if fmt.Sprint(logs[0]) != fmt.Sprint(logs[1]) || (len(logs[0]) == 0) == (strings.Contains(c.rules, "rule") && !strings.Contains(c.rules, "connection")) {
-			t.Errorf("%s: %v, and then %v", c.rules, logs[0], logs[1])
+			t.Errorf("%s: the two runs logged %v and %v", c.rules, logs[0], logs[1])
 		}
 	}
-	at, _ := startInjector(t, to, "rule \"a\" {\n kind = \"cut\"\n way = \"up\"\n from = \"20ms\"\n}")
-	if got, err := exchange(t, at, "hello"); err == nil {
-		t.Errorf("cut by time: %q without an error", got)
+	address, _ := startInjector(t, to, "rule \"a\" {\n kind = \"cut\"\n way = \"up\"\n from = \"20ms\"\n}")
+	if got, err := exchange(t, address, "hello"); err == nil {
+		t.Errorf("cut by time: received %q without an error", got)
 	}
 }
 
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -1,6 +1,7 @@
-// Package fault breaks what passes between two sockets, by a script: it delays, slows, drops, garbles, closes half of a connection or cuts
-// it, by time and by byte count. It knows nothing of what the bytes mean. This file decides, without I/O or clock: what came, at what
-// place of which connection, gives what is to be done, and the same seed gives the same.
+// Package fault injects faults into the TCP connections between two sockets, by a script: it delays, throttles, drops or
+// corrupts bytes, closes one half of a connection, or resets it, by time and by byte count. It doesn't interpret the bytes.
+// This file has the decisions, without I/O or clock: which actions follow for bytes at an offset of a connection. Equal seeds
+// give equal actions.
 package fault
 
 import (
@@ -9,54 +10,59 @@
 	"time"
 )
 
-// Way is a direction: of what the client sends, or of what the server does.
+// Direction is a direction of a connection: Up from the client to the server, or Down.
 type Direction string
 
+// The directions.
 const (
 	Up   Direction = "up"
 	Down Direction = "down"
 )
 
-// Kind of fault.
+// Kind is a kind of fault.
 type Kind string
 
+// The kinds of faults.
 const (
-	Delay     Kind = "delay"      // bytes go on so much later, in order
-	Throttle  Kind = "throttle"   // so many bytes a second
-	Drop      Kind = "drop"       // bytes are taken and go nowhere
-	Garble    Kind = "garble"     // one byte is another
-	HalfClose Kind = "half_close" // the end of this way is told, the other goes on
+	Delay     Kind = "delay"      // bytes are forwarded later, in order
+	Throttle  Kind = "throttle"   // the rate of bytes is limited
+	Drop      Kind = "drop"       // bytes are read and discarded
+	Garble    Kind = "garble"     // one byte is changed
+	HalfClose Kind = "half_close" // this direction is closed, the other goes on
 	Cut       Kind = "cut"        // the connection is reset
 )
 
-// Rule is one fault. It is in force from a time on, or from a byte on; for a time or so many bytes; on all connections or one.
+// Rule describes a fault. It applies within a period and within a range of bytes, on all connections or on one.
 type Rule struct {
 	Name       string
 	Kind       Kind
 	Direction  Direction
-	StartAfter time.Duration // since the start
-	Duration   time.Duration // 0: without end
-	Offset     int64         // bytes of its way that pass first
-	Bytes      int64         // that it concerns; 0: all that follow
-	Connection int           // the first is 1; 0: all
-	DelayBy    time.Duration // of a delay
-	Rate       int64         // of a throttle, bytes a second
+	StartAfter time.Duration // since the injector's start
+	Duration   time.Duration // 0: unlimited
+	Offset     int64         // bytes of the direction that pass first
+	Bytes      int64         // bytes that are affected; 0: all that follow
+	Connection int           // number of the connection, from 1; 0: all
+	DelayBy    time.Duration // of a Delay
+	Rate       int64         // of a Throttle, bytes per second
 }
 
-func (r Rule) applies(now time.Duration, connection int, way Direction) bool {
-	return r.Direction == way && (r.Connection == 0 || r.Connection == connection) && now >= r.StartAfter && (r.Duration == 0 || now < r.StartAfter+r.Duration)
+// applies returns whether the rule applies at a time to a direction of a connection, whatever the offset.
+func (r Rule) applies(now time.Duration, connection int, direction Direction) bool {
+	return r.Direction == direction && (r.Connection == 0 || r.Connection == connection) &&
+		now >= r.StartAfter && (r.Duration == 0 || now < r.StartAfter+r.Duration)
 }
 
-// Act is one thing to do, in order. Bytes go on not before At.
+// Action is a step to be carried out. Actions are carried out in order, and none before its time At.
 type Action struct {
-	Kind     Kind   // empty: the bytes go on
-	Rule     string // whose doing it is
-	Offset   int64  // of the first byte concerned, in its way
+	Kind     Kind   // empty: the bytes are forwarded without a fault
+	Rule     string // name of the rule that caused it
+	Offset   int64  // of the first affected byte, in its direction
 	Bytes    []byte
-	At       time.Duration
-	Original byte // of what was garbled
+	At       time.Duration // since the injector's start
+	Original byte          // value before a Garble
 }
 
+// String describes the action for the log.
 func (a Action) String() string {
 	switch a.Kind {
 	case Garble:
@@ -67,29 +73,31 @@
 	return fmt.Sprintf("at byte %d", a.Offset)
 }
 
-// Stream is one way of one connection.
+// Stream is one direction of a connection.
 type Stream struct {
 	rules      []Rule
 	connection int
 	direction  Direction
 	offset     int64
-	freeAt     time.Duration // when what went before has gone on
-	used       map[int]bool  // rules that act once, and have
+	freeAt     time.Duration // when the earlier bytes have been forwarded
+	used       map[int]bool  // rules that act only once and have done so
 	rng        *rand.Rand
 	closed     bool
 }
 
-// NewStream begins one. Its chance depends on the seed, the connection and the way alone.
-func NewStream(rules []Rule, seed uint64, connection int, way Direction) *Stream {
-	turn := uint64(connection) << 1
-	if way == Down {
-		turn++
+// NewStream returns the stream of a direction of a connection. Its random numbers depend only on the seed, the connection
+// and the direction.
+func NewStream(rules []Rule, seed uint64, connection int, direction Direction) *Stream {
+	sequence := uint64(connection) << 1
+	if direction == Down {
+		sequence++
 	}
-	return &Stream{rules: rules, connection: connection, direction: way, used: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, turn))}
+	return &Stream{rules: rules, connection: connection, direction: direction, used: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, sequence))}
 }
 
-// next is a place at which some rule begins or ends to concern bytes, after a place; what lies before it is treated alike.
-func (s *Stream) nextBoundary(now time.Duration, place, end int64) int64 {
+// nextBoundary returns the first offset between offset and end at which a rule begins or ends to apply, or end if there is
+// none. The same rules apply to all bytes before it.
+func (s *Stream) nextBoundary(now time.Duration, offset, end int64) int64 {
 	for i, r := range s.rules {
 		if s.used[i] || !r.applies(now, s.connection, s.direction) {
 			continue
@@ -98,27 +106,27 @@
 		if r.Kind == Garble {
 			until = r.Offset + 1
 		}
-		for _, edge := range []int64{r.Offset, until} {
-			if edge > place && edge < end {
-				end = edge
+		for _, boundary := range []int64{r.Offset, until} {
+			if boundary > offset && boundary < end {
+				end = boundary
 			}
 		}
 	}
 	return end
 }
 
-// Pass takes what came and says what to do with it. After a cut, or the end of its way, nothing more passes.
-func (s *Stream) Process(now time.Duration, in []byte) (acts []Action) {
+// Process returns the actions for bytes that were read. After a Cut or HalfClose there are no more.
+func (s *Stream) Process(now time.Duration, in []byte) (actions []Action) {
 	for len(in) > 0 && !s.closed {
 		n := s.nextBoundary(now, s.offset, s.offset+int64(len(in))) - s.offset
-		acts = append(acts, s.processChunk(now, in[:n])...)
+		actions = append(actions, s.processChunk(now, in[:n])...)
 		in = in[n:]
 		s.offset += n
 	}
-	return acts
+	return actions
 }
 
-// Wake says what a time alone brings: a cut, or the end of a way, that is not for bytes to bring.
+// CheckTime returns the Cut or HalfClose, if any, that is due by time alone, without any bytes.
 func (s *Stream) CheckTime(now time.Duration) []Action {
 	for i, r := range s.rules {
 		if (r.Kind == Cut || r.Kind == HalfClose) && r.Offset == 0 && !s.used[i] && !s.closed && r.applies(now, s.connection, s.direction) {
@@ -129,8 +137,8 @@
 	return nil
 }
 
-// part treats bytes that all rules treat alike.
-func (s *Stream) processChunk(now time.Duration, in []byte) (acts []Action) {
+// processChunk returns the actions for bytes to all of which the same rules apply.
+func (s *Stream) processChunk(now time.Duration, in []byte) (actions []Action) {
 	at := max(now, s.freeAt)
 	out := Action{Offset: s.offset, Bytes: append([]byte(nil), in...), At: at}
 	for i, r := range s.rules {
@@ -145,17 +153,17 @@
 			out.At += time.Duration(float64(len(in)) / float64(r.Rate) * float64(time.Second))
 			out.Kind, out.Rule = Throttle, r.Name
 		case Drop:
-			return append(acts, Action{Kind: Drop, Rule: r.Name, Offset: s.offset, Bytes: out.Bytes, At: at})
+			return append(actions, Action{Kind: Drop, Rule: r.Name, Offset: s.offset, Bytes: out.Bytes, At: at})
 		case Garble:
 			s.used[i] = true
-			was := out.Bytes[0]
+			original := out.Bytes[0]
 			out.Bytes[0] ^= byte(1 + s.rng.IntN(255))
-			acts = append(acts, Action{Kind: Garble, Rule: r.Name, Offset: s.offset, Bytes: out.Bytes[:1:1], At: at, Original: was})
+			actions = append(actions, Action{Kind: Garble, Rule: r.Name, Offset: s.offset, Bytes: out.Bytes[:1:1], At: at, Original: original})
 		case HalfClose, Cut:
 			s.closed = true
-			return append(acts, Action{Kind: r.Kind, Rule: r.Name, Offset: s.offset, At: at})
+			return append(actions, Action{Kind: r.Kind, Rule: r.Name, Offset: s.offset, At: at})
 		}
 	}
 	s.freeAt = out.At
-	return append(acts, out)
+	return append(actions, out)
 }
--- a/internal/fault/plan_test.go
+++ b/internal/fault/plan_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the rules and however the bytes are cut up as they come: nothing is reordered or made up, what goes on and what is dropped is
-// what came, garbled bytes are as many as was said and at their place, and the same seed does the same to the byte.
+// For any rules and any splitting of the input: bytes are neither reordered nor invented, the forwarded and the dropped bytes
+// together are the input, no more bytes differ than are reported as garbled, and equal seeds give equal actions.
 func TestWhatPasses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var rules []Rule
@@ -23,12 +23,12 @@
 		}
 		in := rapid.SliceOfN(rapid.Byte(), 1, 90).Draw(t, "bytes in")
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 40), 90, 90).Draw(t, "chunks")
-		play := func() (went, dropped, garbled []byte, ended bool, log string) {
-			s, now, rest, at := NewStream(rules, 7, 1, Up), time.Duration(0), in, time.Duration(0)
-			went = append(went, make([]byte, 0, len(in))...)
+		play := func() (forwarded, dropped, garbled []byte, ended bool, log string) {
+			s, now, remaining, lastAt := NewStream(rules, 7, 1, Up), time.Duration(0), in, time.Duration(0)
+			forwarded = append(forwarded, make([]byte, 0, len(in))...)
 			for _, n := range sizes {
-				n = min(n, len(rest))
-				for _, a := range s.Process(now, rest[:n]) {
+				n = min(n, len(remaining))
+				for _, a := range s.Process(now, remaining[:n]) {
 					log += fmt.Sprintln(a.Kind, a.Rule, a.Offset, a.At, a.Bytes)
 					switch a.Kind {
 					case Drop:
@@ -36,47 +36,47 @@
 					case Garble:
 						garbled = append(garbled, byte(a.Offset))
 						if a.Bytes[0] == a.Original {
-							t.Fatal("garbled into itself")
+							t.Fatal("a garbled byte has its original value")
 						}
 					case Cut, HalfClose:
 						ended = true
 					default:
-						if a.At < at || a.At < now {
-							t.Fatalf("goes on at %v, after what goes at %v, at %v", a.At, at, now)
+						if a.At < lastAt || a.At < now {
+							t.Fatalf("at %[3]v: bytes are due at %[1]v, bytes before them at %[2]v", a.At, lastAt, now)
 						}
-						at = a.At
-						went = append(went, a.Bytes...)
+						lastAt = a.At
+						forwarded = append(forwarded, a.Bytes...)
 					}
 				}
-				rest, now = rest[n:], now+3*time.Millisecond
+				remaining, now = remaining[n:], now+3*time.Millisecond
 			}
-			return went, dropped, garbled, ended, log
+			return forwarded, dropped, garbled, ended, log
 		}
-		went, dropped, garbled, ended, log := play()
+		forwarded, dropped, garbled, ended, log := play()
 		if _, _, _, _, again := play(); again != log {
-			t.Fatalf("not the same twice:\n%s\n%s", log, again)
+			t.Fatalf("two runs differ:\n%s\n%s", log, again)
 		}
-		if !ended && len(went)+len(dropped) != len(in) {
-			t.Fatalf("%d went, %d dropped, of %d", len(went), len(dropped), len(in))
+		if !ended && len(forwarded)+len(dropped) != len(in) {
+			t.Fatalf("%d bytes forwarded and %d dropped, of %d", len(forwarded), len(dropped), len(in))
 		}
 		if len(dropped) == 0 {
 			differ := 0
-			for i, b := range went {
+			for i, b := range forwarded {
 				if b != in[i] {
 					differ++
 				}
 			}
 			if differ > len(garbled) {
-				t.Fatalf("%d bytes differ, %d were garbled", differ, len(garbled))
+				t.Fatalf("%d bytes differ, but only %d were garbled", differ, len(garbled))
 			}
-			if len(garbled) == 0 && !bytes.Equal(went, in[:len(went)]) {
-				t.Fatalf("%x went, %x came", went, in)
+			if len(garbled) == 0 && !bytes.Equal(forwarded, in[:len(forwarded)]) {
+				t.Fatalf("forwarded %x of the input %x, without any garbled byte", forwarded, in)
 			}
 		}
 	})
 }
 
-// Each fault at its byte and its time.
+// Each fault actions at its offset and its time.
 func TestFaultsAtTheirPlace(t *testing.T) {
 	text := []byte("0123456789")
 	pass := func(r Rule, now time.Duration) string {
@@ -107,14 +107,14 @@
 		{"0123456789 ", Rule{Kind: Drop, Direction: Down, Connection: 2}},
 	} {
 		if got := pass(c.r, 0); got != c.want {
-			t.Errorf("%+v: %q, wanted %q", c.r, got, c.want)
+			t.Errorf("%+v: got %q, want %q", c.r, got, c.want)
 		}
 	}
-	acts := NewStream([]Rule{{Kind: Garble, Direction: Up, Offset: 5}}, 3, 1, Up).Process(0, text)
-	if len(acts) < 2 || acts[1].Kind != Garble || acts[1].Offset != 5 || acts[1].Original != '5' {
-		t.Errorf("%v", acts)
+	actions := NewStream([]Rule{{Kind: Garble, Direction: Up, Offset: 5}}, 3, 1, Up).Process(0, text)
+	if len(actions) < 2 || actions[1].Kind != Garble || actions[1].Offset != 5 || actions[1].Original != '5' {
+		t.Errorf("garbling byte 5: got %v", actions)
 	}
-	if acts := NewStream([]Rule{{Kind: Cut, Direction: Up, StartAfter: time.Second}}, 3, 1, Up).CheckTime(time.Second); len(acts) != 1 || acts[0].Kind != Cut {
-		t.Errorf("a cut by time, with nothing that passes: %v", acts)
+	if actions := NewStream([]Rule{{Kind: Cut, Direction: Up, StartAfter: time.Second}}, 3, 1, Up).CheckTime(time.Second); len(actions) != 1 || actions[0].Kind != Cut {
+		t.Errorf("a cut by time, without any bytes: got %v", actions)
 	}
 }
--- a/internal/fault/script.go
+++ b/internal/fault/script.go
@@ -7,14 +7,14 @@
 	"vetchwood/internal/settings"
 )
 
-// Script is what stands between which sockets, and what it does.
+// Script holds the two addresses and the faults to inject between them.
 type Script struct {
 	Listen, To string
 	Seed       uint64
 	Rules      []Rule
 }
 
-// Read reads a script; all its faults are told at once.
+// Read reads a script from text or, if that is nil, from the file at path. The error lists all mistakes.
 func Read(path string, text []byte) (*Script, error) {
 	top, err := settings.Open(path, text)
 	if err != nil {
@@ -27,7 +27,7 @@
 		*to = r.Text(attr, settings.Needed)
 		host, _, err := net.SplitHostPort(*to)
 		if ip := net.ParseIP(host); *to != "" && (err != nil || ip == nil || !ip.IsLoopback()) {
-			r.Fail(attr, "%q is no loopback address with a port", *to)
+			r.Fail(attr, "%q is not a loopback address with a port", *to)
 		}
 	}
 	s.Seed = uint64(r.Whole("seed", 1, 0, 1<<31))
