--- a/internal/fault/injector.go
+++ b/internal/fault/injector.go
@@ -21,9 +21,9 @@
 	What       string    `json:"what"`
 }
 
-// Injector forwards connections between clients and a server and injects faults. It uses the standard library's sockets
-// and not netpoll, which closes the whole connection when the peer closes one half: a half-closed connection is one of the
-// faults to be injected.
+// Injector forwards connections between clients and a server and injects faults. It uses the standard library's
+// sockets and not netpoll, which closes the whole connection when the peer closes one half: a half-closed connection
+// is one of the faults to be injected.
 type Injector struct {
 	script         *Script
 	ln             net.Listener
--- a/internal/fault/injector_test.go
+++ b/internal/fault/injector_test.go
@@ -79,8 +79,8 @@
 	return d.Seal(3, step, float64(step))
 }
 
-// A byte is garbled in the middle of a delta. The proxy's follower must reject the delta because of the digest or because
-// it is no valid patch, request the full document, and never use tables that the director didn't send.
+// A byte is garbled in the middle of a delta. The proxy's follower must reject the delta because of the digest or
+// because it is no valid patch, request the full document, and never use tables that the director didn't send.
 func TestAGarbledDifference(t *testing.T) {
 	one, two := document(1), document(2)
 	var fullCount, deltaCount int
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -1,7 +1,7 @@
-// Package fault injects faults into the TCP connections between two sockets, by a script: it delays, throttles, drops or
-// corrupts bytes, closes one half of a connection, or resets it, by time and by byte count. It doesn't interpret the bytes.
-// This file has the decisions, without I/O or clock: which actions follow for bytes at an offset of a connection. Equal seeds
-// give equal actions.
+// Package fault injects faults into the TCP connections between two sockets, by a script: it delays, throttles, drops
+// or corrupts bytes, closes one half of a connection, or resets it, by time and by byte count. It doesn't interpret
+// the bytes. This file has the decisions, without I/O or clock: which actions follow for bytes at an offset of a
+// connection. Equal seeds give equal actions.
 package fault
 
 import (
@@ -85,18 +85,19 @@
 	closed     bool
 }
 
-// NewStream returns the stream of a direction of a connection. Its random numbers depend only on the seed, the connection
-// and the direction.
+// NewStream returns the stream of a direction of a connection. Its random numbers depend only on the seed, the
+// connection and the direction.
 func NewStream(rules []Rule, seed uint64, connection int, direction Direction) *Stream {
 	sequence := uint64(connection) << 1
 	if direction == Down {
 		sequence++
 	}
-	return &Stream{rules: rules, connection: connection, direction: direction, used: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, sequence))}
+	return &Stream{rules: rules, connection: connection, direction: direction, used: map[int]bool{},
+		rng: rand.New(rand.NewPCG(seed, sequence))}
 }
 
-// nextBoundary returns the first offset between offset and end at which a rule begins or ends to apply, or end if there is
-// none. The same rules apply to all bytes before it.
+// nextBoundary returns the first offset between offset and end at which a rule begins or ends to apply, or end if
+// there is none. The same rules apply to all bytes before it.
 func (s *Stream) nextBoundary(now time.Duration, offset, end int64) int64 {
 	for i, r := range s.rules {
 		if s.used[i] || !r.applies(now, s.connection, s.direction) {
@@ -129,7 +130,8 @@
 // CheckTime returns the Cut or HalfClose, if any, that is due by time alone, without any bytes.
 func (s *Stream) CheckTime(now time.Duration) []Action {
 	for i, r := range s.rules {
-		if (r.Kind == Cut || r.Kind == HalfClose) && r.Offset == 0 && !s.used[i] && !s.closed && r.applies(now, s.connection, s.direction) {
+		if (r.Kind == Cut || r.Kind == HalfClose) && r.Offset == 0 && !s.used[i] && !s.closed &&
+			r.applies(now, s.connection, s.direction) {
 			s.closed = true
 			return []Action{{Kind: r.Kind, Rule: r.Name, Offset: s.offset, At: now}}
 		}
@@ -142,7 +144,8 @@
 	at := max(now, s.freeAt)
 	out := Action{Offset: s.offset, Bytes: append([]byte(nil), in...), At: at}
 	for i, r := range s.rules {
-		if s.used[i] || !r.applies(now, s.connection, s.direction) || s.offset < r.Offset || r.Bytes > 0 && s.offset >= r.Offset+r.Bytes {
+		if s.used[i] || !r.applies(now, s.connection, s.direction) || s.offset < r.Offset ||
+			r.Bytes > 0 && s.offset >= r.Offset+r.Bytes {
 			continue
 		}
 		switch r.Kind {
--- a/internal/fault/plan_test.go
+++ b/internal/fault/plan_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// For any rules and any splitting of the input: bytes are neither reordered nor invented, the forwarded and the dropped bytes
-// together are the input, no more bytes differ than are reported as garbled, and equal seeds give equal actions.
+// For any rules and any splitting of the input: bytes are neither reordered nor invented, the forwarded and the
+// dropped bytes together are the input, no more bytes differ than are reported as garbled, and equal seeds give equal
+// actions.
 func TestWhatPasses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var rules []Rule
--- a/internal/fault/script.go
+++ b/internal/fault/script.go
@@ -34,9 +34,11 @@
 	r.Done()
 	rules, names := top.Blocks("rule", 1, 0, 1000)
 	for i, in := range rules {
-		rule := Rule{Name: names[i], Kind: Kind(in.Text("kind", settings.Needed, string(Delay), string(Throttle), string(Drop), string(Garble), string(HalfClose), string(Cut))),
-			Direction: Direction(in.Text("way", string(Down), string(Up), string(Down))), StartAfter: in.Span("from", 0, 0, 24*time.Hour), Duration: in.Span("for", 0, 0, 24*time.Hour),
-			Offset: int64(in.Whole("after", 0, 0, 1<<40)), Bytes: int64(in.Whole("bytes", 0, 0, 1<<40)), Connection: in.Whole("connection", 0, 0, 1<<30)}
+		rule := Rule{Name: names[i], Kind: Kind(in.Text("kind", settings.Needed, string(Delay), string(Throttle), string(Drop),
+			string(Garble), string(HalfClose), string(Cut))), Direction: Direction(in.Text("way", string(Down), string(Up), string(Down))),
+			StartAfter: in.Span("from", 0, 0, 24*time.Hour), Duration: in.Span("for", 0, 0, 24*time.Hour),
+			Offset: int64(in.Whole("after", 0, 0, 1<<40)), Bytes: int64(in.Whole("bytes", 0, 0, 1<<40)),
+			Connection: in.Whole("connection", 0, 0, 1<<30)}
 		switch rule.Kind {
 		case Delay:
 			rule.DelayBy = in.Span("by", -1, time.Millisecond, time.Hour)
--- a/internal/judge/ownership.go
+++ b/internal/judge/ownership.go
@@ -10,8 +10,8 @@
 	"vetchwood/logic"
 )
 
-// This file has what the rules need where several directors share the slices. Each owner is responsible for a slice from
-// the time at which the lease store granted it.
+// This file has what the rules need where several directors share the slices. Each owner is responsible for a slice
+// from the time at which the lease store granted it.
 
 // directorDocument returns the director's own document, or the only one there is.
 func (h ProxyUpdate) directorDocument() *tables.Document {
@@ -58,8 +58,8 @@
 	return out
 }
 
-// unavailableSpans returns, by director, the times during which a host was draining, gone or missing by the lists that the
-// director received.
+// unavailableSpans returns, by director, the times during which a host was draining, gone or missing by the lists
+// that the director received.
 func (rec *Recorder) unavailableSpans() map[string]map[tables.Address][]span {
 	byDirector := map[string]map[tables.Address][]span{}
 	lastUp := map[string]map[tables.Address]bool{}
@@ -89,9 +89,9 @@
 	return byDirector
 }
 
-// checkDrains checks the third rule: a proxy sends nothing to a host later than the grace period after discovery informed
-// the responsible director that the host is draining or gone. The period begins when the proxy joined or when the slice was
-// granted, if that is later.
+// checkDrains checks the third rule: a proxy sends nothing to a host later than the grace period after discovery
+// informed the responsible director that the host is draining or gone. The period begins when the proxy joined or
+// when the slice was granted, if that is later.
 func (rec *Recorder) checkDrains(t Criteria) Rule {
 	r := Rule{Name: "drains kept", Kept: true, Limit: t.DrainGrace, Unit: "ms"}
 	unavailable, joined := rec.unavailableSpans(), rec.joinedSpans(t.Until)
@@ -173,8 +173,8 @@
 	return out
 }
 
-// FailoverTimes returns, for each table that a director owned at from, how many milliseconds passed until the next owner
-// had it. With returns, the time also ends when a proxy receives a document from that director again.
+// FailoverTimes returns, for each table that a director owned at from, how many milliseconds passed until the next
+// owner had it. With returns, the time also ends when a proxy receives a document from that director again.
 func (rec *Recorder) FailoverTimes(director string, from, until float64, returns bool) (ms []float64) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -209,8 +209,8 @@
 // inFlightMs is how long a response may still be in flight that the director wrote before it stopped.
 const inFlightMs = 100
 
-// LongestHandover returns the longest time, in milliseconds, from a table's last change of owner between from and until to
-// a document of the new owner at a proxy, over all tables and all proxies that received one.
+// LongestHandover returns the longest time, in milliseconds, from a table's last change of owner between from and
+// until to a document of the new owner at a proxy, over all tables and all proxies that received one.
 func (rec *Recorder) LongestHandover(from, until float64) (longest float64) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
--- a/internal/judge/recorder.go
+++ b/internal/judge/recorder.go
@@ -173,8 +173,9 @@
 	return min(1, coldCapacity+(1-coldCapacity)*max(0, age)/float64(warmAfter.Milliseconds()))
 }
 
-// ColdOverload is the work sent to a host during the last failAfter, as a fraction of what a cold host bears in that time:
-// limit times its capacity. At 1 the host fails. A warm host doesn't fail, and has 0. Older entries of work are removed.
+// ColdOverload is the work sent to a host during the last failAfter, as a fraction of what a cold host bears in that
+// time: limit times its capacity. At 1 the host fails. A warm host doesn't fail, and has 0. Older entries of work are
+// removed.
 func ColdOverload(work *[]Work, now, startedAt float64, cores int, coldCapacity float64, warmAfter time.Duration,
 	limit float64, failAfter time.Duration) float64 {
 	window := float64(failAfter.Milliseconds())
--- a/internal/judge/verdict.go
+++ b/internal/judge/verdict.go
@@ -42,7 +42,7 @@
 // Verdict is the result of a day: the verdicts on the rules, the quality of service, and counts.
 type Verdict struct {
 	Rules           []Rule             `json:"rules"`
-	Service         float64            `json:"service"` // importance of the calls answered in time, as a fraction of that of all calls
+	Service         float64            `json:"service"` // importance of calls answered in time over that of all calls
 	WorstTenSeconds float64            `json:"service_worst_10s"`
 	ByRoute         map[string]float64 `json:"service_by_route"`
 	Calls           int                `json:"calls"`
@@ -76,7 +76,8 @@
 	slices.SortStableFunc(rec.Ownerships, func(a, c Ownership) int { return compareTimes(a.At, c.At) })
 	rec.markOwnershipChanges()
 	v := Verdict{Tries: len(rec.Tries), Collapses: len(rec.Collapses), HostLists: len(rec.HostLists)}
-	v.Rules = []Rule{rec.checkLines(t), rec.checkEffects(t), rec.checkDrains(t), rec.checkColdHosts(t), rec.checkQueue(t), rec.checkMessages(t)}
+	v.Rules = []Rule{rec.checkLines(t), rec.checkEffects(t), rec.checkDrains(t), rec.checkColdHosts(t), rec.checkQueue(t),
+		rec.checkMessages(t)}
 	rec.measureService(t, &v)
 	rec.countVersions(&v)
 	return v
@@ -120,8 +121,8 @@
 	return out
 }
 
-// checkLines checks the first rule: no table of a joined proxy is without a usable line for longer than EmptyTableLimit.
-// Only the time counts during which the host list has a warm host.
+// checkLines checks the first rule: no table of a joined proxy is without a usable line for longer than
+// EmptyTableLimit. Only the time counts during which the host list has a warm host.
 func (rec *Recorder) checkLines(t Criteria) Rule {
 	r := Rule{Name: "no proxy without a line", Kept: true, Limit: t.EmptyTableLimit, Unit: "ms"}
 	warm := rec.warmHostSpans(t)
@@ -192,8 +193,8 @@
 	return r
 }
 
-// checkEffects checks the second rule: no call that isn't repeatable is executed twice. The clients of a rehearsal don't
-// retry by themselves, so each repeat is due to the director's orders.
+// checkEffects checks the second rule: no call that isn't repeatable is executed twice. The clients of a rehearsal
+// don't retry by themselves, so each repeat is due to the director's orders.
 func (rec *Recorder) checkEffects(t Criteria) Rule {
 	r := Rule{Name: "no effect twice", Kept: true, Unit: "calls"}
 	executions := map[string]int{}
@@ -209,8 +210,8 @@
 	return r
 }
 
-// checkColdHosts checks the fourth rule: no host that has just started fails because of the work that was sent to it after
-// a director knew of its start.
+// checkColdHosts checks the fourth rule: no host that has just started fails because of the work that was sent to it
+// after a director knew of its start.
 func (rec *Recorder) checkColdHosts(t Criteria) Rule {
 	r := Rule{Name: "no cold host pushed over", Kept: true, Limit: 1, Unit: "of what it bears"}
 	known := map[tables.Address][]float64{} // times at which a director first received each start
@@ -244,8 +245,8 @@
 	return r
 }
 
-// checkQueue checks the fifth rule, as far as it shows from outside: the lines of a delta are queued from the time of their
-// version until the proxy has them.
+// checkQueue checks the fifth rule, as far as it shows from outside: the lines of a delta are queued from the time of
+// their version until the proxy has them.
 func (rec *Recorder) checkQueue(t Criteria) Rule {
 	r := Rule{Name: "a short queue", Kept: true, Limit: t.QueueLimit, Unit: "lines"}
 	type edge struct{ at, lines float64 }
@@ -292,8 +293,8 @@
 	return r
 }
 
-// measureService computes the quality of service: in total, by route, and in the worst ten seconds. Periods with less than
-// 1 % of the day's demand don't count as the worst.
+// measureService computes the quality of service: in total, by route, and in the worst ten seconds. Periods with less
+// than 1 % of the day's demand don't count as the worst.
 func (rec *Recorder) measureService(t Criteria, v *Verdict) {
 	type sum struct{ earned, demand float64 }
 	var total sum
--- a/internal/load/connection.go
+++ b/internal/load/connection.go
@@ -10,23 +10,24 @@
 	"vetchwood/internal/h1"
 )
 
-// asked is a request that is yet to be answered.
+// pendingRequest is a request without a response yet.
 type pendingRequest struct {
-	due    time.Duration
+	dueAt  time.Duration
 	kind   Kind
 	second *Second
 	proxy  uint64
 }
 
-// fate is what became of one.
+// result is the outcome of a request.
 type result struct {
 	pendingRequest
-	status int // 0: it failed
+	status int // 0: no response
 	etag   string
-	body   []byte // valid until the next answer
+	body   []byte // valid until the next response
 }
 
-// line is a connection. What is sent on it is answered in order, and several may be in hand.
+// connection is a connection to the director that is opened when needed. Responses come in the order of the requests,
+// of which several may be pending.
 type connection struct {
 	index     int
 	address   string
@@ -36,38 +37,38 @@
 	mu      sync.Mutex
 	conn    net.Conn
 	dialing bool
-	pending []pendingRequest // in hand, oldest first
-	watch   *time.Timer
+	pending []pendingRequest // oldest first
+	timer   *time.Timer
 }
 
-// send writes requests that are already put into words. What can't be sent has failed.
-func (l *connection) send(text []byte, all ...pendingRequest) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.conn == nil {
-		c, err := net.DialTimeout("tcp", l.address, l.timeLimit)
-		if l.dialing = false; err != nil {
-			l.mu.Unlock()
-			for _, a := range all {
-				l.onResult(l, result{pendingRequest: a})
+// send writes the text of requests, opening the connection if necessary. Requests that can't be sent have failed.
+func (c *connection) send(text []byte, requests ...pendingRequest) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conn == nil {
+		conn, err := net.DialTimeout("tcp", c.address, c.timeLimit)
+		if c.dialing = false; err != nil {
+			c.mu.Unlock()
+			for _, request := range requests {
+				c.onResult(c, result{pendingRequest: request})
 			}
-			l.mu.Lock()
+			c.mu.Lock()
 			return
 		}
-		l.conn = c
-		go l.readResponses(c)
+		c.conn = conn
+		go c.readResponses(conn)
 	}
-	l.pending = append(l.pending, all...)
-	c := l.conn
-	c.SetWriteDeadline(time.Now().Add(l.timeLimit))
-	if _, err := c.Write(text); err != nil {
-		c.Close() // its reader tells of what was in hand
+	c.pending = append(c.pending, requests...)
+	conn := c.conn
+	conn.SetWriteDeadline(time.Now().Add(c.timeLimit))
+	if _, err := conn.Write(text); err != nil {
+		conn.Close() // readResponses reports the pending requests as failed
 	}
 }
 
-// read takes answers until the connection ends.
-func (l *connection) readResponses(c net.Conn) {
-	in := bufio.NewReaderSize(c, 1<<10)
+// readResponses reads responses until the connection ends. Requests that are pending then have failed.
+func (c *connection) readResponses(conn net.Conn) {
+	in := bufio.NewReaderSize(conn, 1<<10)
 	var head h1.Head
 	var body []byte
 	for {
@@ -75,64 +76,67 @@
 		if err != nil {
 			break
 		}
-		n, wrong := head.ParseResponse(text, 1<<16, nil)
-		if wrong != nil || n == 0 || head.Chunked || head.ContentLength < 0 {
+		n, parseErr := head.ParseResponse(text, 1<<16, nil)
+		if parseErr != nil || n == 0 || head.Chunked || head.ContentLength < 0 {
 			break
 		}
-		f := result{status: head.Status, etag: string(head.Get("etag"))}
+		res := result{status: head.Status, etag: string(head.Get("etag"))}
 		closes, length := head.Close, int(head.ContentLength)
 		in.Discard(n)
 		if cap(body) < length {
 			body = make([]byte, length)
 		}
-		f.body = body[:length]
-		if _, err = readFull(in, f.body); err != nil {
+		res.body = body[:length]
+		if _, err = readFull(in, res.body); err != nil {
 			break
 		}
-		l.mu.Lock()
-		if len(l.pending) == 0 || l.conn != c {
-			l.mu.Unlock()
+		c.mu.Lock()
+		if len(c.pending) == 0 || c.conn != conn {
+			c.mu.Unlock()
 			break
 		}
-		f.pendingRequest = l.pending[0]
-		if l.pending = l.pending[1:]; len(l.pending) == 0 {
-			l.pending = nil
+		res.pendingRequest = c.pending[0]
+		if c.pending = c.pending[1:]; len(c.pending) == 0 {
+			c.pending = nil
 		}
-		l.mu.Unlock()
-		l.onResult(l, f)
+		c.mu.Unlock()
+		c.onResult(c, res)
 		if closes {
 			break
 		}
 	}
-	c.Close()
-	l.mu.Lock()
-	var lost []pendingRequest
-	if l.conn == c {
-		lost, l.pending, l.conn = l.pending, nil, nil
+	conn.Close()
+	c.mu.Lock()
+	var unanswered []pendingRequest
+	if c.conn == conn {
+		unanswered, c.pending, c.conn = c.pending, nil, nil
 	}
-	l.mu.Unlock()
-	for _, a := range lost {
-		l.onResult(l, result{pendingRequest: a})
+	c.mu.Unlock()
+	for _, request := range unanswered {
+		c.onResult(c, result{pendingRequest: request})
 	}
 }
 
-// late ends a connection whose oldest request has waited too long.
-func (l *connection) closeIfLate(now time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.pending) > 0 && l.pending[0].kind != PendingPolls && now-l.pending[0].due > l.timeLimit && l.conn != nil {
-		l.conn.Close()
+// closeIfLate closes the connection if its oldest request has been pending for longer than the time limit. Pending
+// polls are exempt.
+func (c *connection) closeIfLate(now time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.pending) > 0 && c.pending[0].kind != PendingPolls && now-c.pending[0].dueAt > c.timeLimit && c.conn != nil {
+		c.conn.Close()
 	}
 }
 
-func (l *connection) close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.conn != nil {
-		l.conn.Close()
+// close closes the connection if it is open.
+func (c *connection) close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conn != nil {
+		c.conn.Close()
 	}
 }
 
+// readHead returns the head of a response without consuming it.
 func readHead(in *bufio.Reader) ([]byte, error) {
 	for from := 0; ; {
 		if _, err := in.Peek(from + 1); err != nil {
@@ -148,6 +152,7 @@
 	}
 }
 
+// readFull fills b.
 func readFull(in *bufio.Reader, b []byte) (n int, err error) {
 	for n < len(b) && err == nil {
 		var m int
@@ -157,7 +162,7 @@
 	return n, err
 }
 
-// request puts one into words.
+// appendRequest appends the text of a request to text. InitialPolls don't send the tag.
 func appendRequest(text []byte, k Kind, name, zone, tag string) []byte {
 	if k == Reports {
 		body := `{"node":{"id":` + strconv.Quote(name) + `}}`
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -16,20 +16,20 @@
 	"github.com/prometheus/procfs"
 )
 
-// Second is what became of the requests that should have gone out in one.
+// Second counts the requests that were due within one second of a run, and how they ended.
 type Second struct {
 	At          int     `json:"second"`
 	Step        string  `json:"step"`
 	Scheduled   int     `json:"asked"`
 	Answered    int     `json:"answered"`
-	Rejected    int     `json:"sent_away"` // told to come later
+	Rejected    int     `json:"sent_away"` // answered with 503
 	Failed      int     `json:"failed"`
-	P50         float64 `json:"p50_ms"` // of those answered
+	P50         float64 `json:"p50_ms"` // of the answered requests
 	P99         float64 `json:"p99_ms"`
 	Max         float64 `json:"max_ms"`
-	CPU         float64 `json:"director_cpu,omitempty"` // cores that the director used
+	CPU         float64 `json:"director_cpu,omitempty"` // cores used by the director
 	ResidentMiB float64 `json:"director_mib,omitempty"`
-	// Change is how long after they were ordered versions reached those that waited for them.
+	// Changes are the versions that reached pending polls; the delays count from each version's time.
 	Changes   int     `json:"told,omitempty"`
 	ChangeP50 float64 `json:"change_p50_ms,omitempty"`
 	ChangeP99 float64 `json:"change_p99_ms,omitempty"`
@@ -38,46 +38,48 @@
 	latencies, changeDelays *hdrhistogram.Histogram
 }
 
-// Runner is a run in hand.
+// Runner is the state of a run.
 type Runner struct {
 	script        *Script
 	start         time.Time
 	connections   []*connection
-	lastTag       atomic.Pointer[string] // of what was told last
+	lastTag       atomic.Pointer[string] // entity tag of the last tables received
 	polledProxies sync.Map               // proxies that have polled, for reports
-	continuous    atomic.Bool
-	lastRequest   atomic.Uint64
+	continuous    atomic.Bool            // each result is followed by the next request
+	lastRequest   atomic.Uint64          // number of the last request
 	inFlight      atomic.Int64
 
 	mu      sync.Mutex
 	seconds []*Second
 }
 
-// mostInHand bounds requests in hand: past it they count as failed at once, as a machine without sockets would make them.
+// maxInFlight limits the requests in flight. Further ones fail at once, as on a machine that has run out of sockets.
 const maxInFlight = 50000
 
-// Run plays a script and gives what became of each second.
-func Run(ctx context.Context, s *Script, tell func(Second)) ([]Second, error) {
+// Run runs a script and returns the results of each second. If onSecond isn't nil, it is called with each of them at
+// the end.
+func Run(ctx context.Context, s *Script, onSecond func(Second)) ([]Second, error) {
 	r := &Runner{script: s}
 	if err := r.fetchInitialTag(ctx); err != nil {
 		return nil, err
 	}
-	most := 0
+	maxConnections := 0
 	for _, st := range s.Steps {
-		most = max(most, st.Connections)
+		maxConnections = max(maxConnections, st.Connections)
 	}
-	for i := range most {
-		r.connections = append(r.connections, &connection{index: i, address: s.Director, timeLimit: s.TimeLimit, onResult: r.handleResult})
+	for i := range maxConnections {
+		r.connections = append(r.connections, &connection{index: i, address: s.Director, timeLimit: s.TimeLimit,
+			onResult: r.handleResult})
 	}
 	r.start = time.Now()
 	done, stop := context.WithCancel(ctx)
 	defer stop()
 	go r.closeLateConnections(done)
 	go r.measureDirector(done)
-	draw := rand.New(rand.NewPCG(1, 2))
-	at := time.Duration(0)
+	rng := rand.New(rand.NewPCG(1, 2))
+	start := time.Duration(0)
 	for _, st := range s.Steps {
-		end := at + st.Duration
+		end := start + st.Duration
 		switch {
 		case st.Flood > 0:
 			r.continuous.Store(true)
@@ -93,15 +95,15 @@
 			}
 			r.sleepUntil(ctx, end)
 			r.continuous.Store(false)
-			for _, l := range r.connections {
-				l.close()
+			for _, c := range r.connections {
+				c.close()
 			}
 		default:
 			for range st.Burst {
-				r.sendOne(st, at)
+				r.sendOne(st, start)
 			}
-			for due := at; st.Rate > 0; {
-				if due += time.Duration(draw.ExpFloat64() / st.Rate * float64(time.Second)); due >= end || ctx.Err() != nil {
+			for due := start; st.Rate > 0; {
+				if due += time.Duration(rng.ExpFloat64() / st.Rate * float64(time.Second)); due >= end || ctx.Err() != nil {
 					break
 				}
 				if ahead := due - time.Since(r.start); ahead > 0 {
@@ -111,24 +113,25 @@
 			}
 			r.sleepUntil(ctx, end)
 		}
-		at = end
+		start = end
 	}
-	for over := time.Now().Add(s.TimeLimit + time.Second); r.inFlight.Load() > 0 && time.Now().Before(over); {
+	for deadline := time.Now().Add(s.TimeLimit + time.Second); r.inFlight.Load() > 0 && time.Now().Before(deadline); {
 		time.Sleep(5 * time.Millisecond)
 	}
-	for _, l := range r.connections {
-		l.close()
+	for _, c := range r.connections {
+		c.close()
 	}
 	var out []Second
 	for n := range r.seconds {
 		out = append(out, r.summarize(n))
-		if tell != nil {
-			tell(out[n])
+		if onSecond != nil {
+			onSecond(out[n])
 		}
 	}
 	return out, ctx.Err()
 }
 
+// sleepUntil sleeps until a time after the start of the run, or until the context ends.
 func (r *Runner) sleepUntil(ctx context.Context, until time.Duration) {
 	if rest := until - time.Since(r.start); rest > 0 {
 		select {
@@ -138,7 +141,7 @@
 	}
 }
 
-// first takes the version that acknowledging polls say they hold.
+// fetchInitialTag gets the entity tag that the first acknowledging polls send.
 func (r *Runner) fetchInitialTag(ctx context.Context) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.script.Director+"/v1/tables", nil)
 	if err != nil {
@@ -152,11 +155,12 @@
 	io.Copy(io.Discard, res.Body)
 	tag := res.Header.Get("ETag")
 	if r.lastTag.Store(&tag); tag == "" {
-		return fmt.Errorf("%s: %s: no tables to hold", r.script.Director, res.Status)
+		return fmt.Errorf("%s: %s: the response to GET /v1/tables has no ETag", r.script.Director, res.Status)
 	}
 	return nil
 }
 
+// second returns the counts of the second that contains a time since the start, which belongs to a step of the script.
 func (r *Runner) second(at time.Duration, step string) *Second {
 	n := max(0, int(at.Seconds()))
 	r.mu.Lock()
@@ -168,63 +172,64 @@
 	return r.seconds[n]
 }
 
-// fire sends one request that is due, whatever became of those before.
+// sendOne sends one request that is due, without regard to the results of earlier ones.
 func (r *Runner) sendOne(st Step, due time.Duration) {
 	n := r.lastRequest.Add(1)
 	sec := r.second(due, st.Name)
 	r.mu.Lock()
 	sec.Scheduled++
 	r.mu.Unlock()
-	a := pendingRequest{due, st.Kind, sec, n % uint64(st.Proxies)}
+	request := pendingRequest{due, st.Kind, sec, n % uint64(st.Proxies)}
 	if r.inFlight.Add(1) > maxInFlight {
-		r.handleResult(nil, result{pendingRequest: a})
+		r.handleResult(nil, result{pendingRequest: request})
 		return
 	}
-	l := r.connections[n%uint64(st.Connections)]
-	text := r.buildRequest(st.Kind, a.proxy)
-	l.mu.Lock()
-	alone, busy := l.conn == nil || len(l.pending) > 8, st.OnePerConnection && (len(l.pending) > 0 || l.dialing)
-	l.dialing = l.conn == nil && !busy
-	l.mu.Unlock()
+	c := r.connections[n%uint64(st.Connections)]
+	text := r.buildRequest(st.Kind, request.proxy)
+	c.mu.Lock()
+	mayBlock, busy := c.conn == nil || len(c.pending) > 8, st.OnePerConnection && (len(c.pending) > 0 || c.dialing)
+	c.dialing = c.conn == nil && !busy
+	c.mu.Unlock()
 	if busy {
-		r.handleResult(nil, result{pendingRequest: a})
+		r.handleResult(nil, result{pendingRequest: request})
 		return
 	}
-	if alone { // it has to be opened, or what was sent on it may not be read yet, which must not hold up the others
-		go l.send(text, a)
+	if mayBlock { // opening the connection, or writing while the director does not read, must not delay other requests
+		go c.send(text, request)
 		return
 	}
-	l.send(text, a)
+	c.send(text, request)
 }
 
+// buildRequest returns the text of a request. A proxy that hasn't polled yet sends a poll instead of a report.
 func (r *Runner) buildRequest(k Kind, proxy uint64) []byte {
 	name := fmt.Sprintf(r.script.NameFormat, proxy)
 	if k == Reports {
 		if _, known := r.polledProxies.LoadOrStore(name, true); !known {
-			k = InitialPolls // it has to poll first; that is its request
+			k = InitialPolls // the director accepts reports only after a poll
 		}
 	}
 	return appendRequest(make([]byte, 0, 256), k, name, r.script.Zone, *r.lastTag.Load())
 }
 
-// pour sends so many requests of a flood at once.
-func (r *Runner) sendBatch(l *connection, st Step, n int) {
+// sendBatch sends n requests of a flood at once.
+func (r *Runner) sendBatch(c *connection, st Step, n int) {
 	due := time.Since(r.start)
 	sec := r.second(due, st.Name)
 	var text []byte
-	all := make([]pendingRequest, n)
-	for i := range all {
-		all[i] = pendingRequest{due, st.Kind, sec, r.lastRequest.Add(1) % uint64(st.Proxies)}
-		text = appendRequest(text, st.Kind, fmt.Sprintf(r.script.NameFormat, all[i].proxy), r.script.Zone, *r.lastTag.Load())
+	requests := make([]pendingRequest, n)
+	for i := range requests {
+		requests[i] = pendingRequest{due, st.Kind, sec, r.lastRequest.Add(1) % uint64(st.Proxies)}
+		text = appendRequest(text, st.Kind, fmt.Sprintf(r.script.NameFormat, requests[i].proxy), r.script.Zone, *r.lastTag.Load())
 	}
 	r.inFlight.Add(int64(n))
 	r.mu.Lock()
 	sec.Scheduled += n
 	r.mu.Unlock()
-	go l.send(text, all...)
+	go c.send(text, requests...)
 }
 
-// wait holds a poll for a proxy.
+// startPoll sends a pending poll of proxy i.
 func (r *Runner) startPoll(i int, st Step) {
 	due := time.Since(r.start)
 	sec := r.second(due, st.Name)
@@ -232,42 +237,44 @@
 	go r.connections[i].send(r.buildRequest(PendingPolls, uint64(i)), pendingRequest{due, PendingPolls, sec, uint64(i)})
 }
 
-// ended counts a request that is answered, or has failed; in a flood, or while polls wait, the next follows.
-func (r *Runner) handleResult(l *connection, f result) {
-	took := time.Since(r.start) - f.due
+// handleResult counts a request that was answered or has failed. During a flood, or with pending polls, it sends the
+// next one.
+func (r *Runner) handleResult(c *connection, res result) {
+	took := time.Since(r.start) - res.dueAt
 	r.inFlight.Add(-1)
-	if f.kind == PendingPolls {
-		r.handlePollResult(l, f)
+	if res.kind == PendingPolls {
+		r.handlePollResult(c, res)
 		return
 	}
-	if f.status == http.StatusNotFound && f.kind == Reports {
-		r.polledProxies.Delete(fmt.Sprintf(r.script.NameFormat, f.proxy)) // it has left meanwhile, and polls again first
+	if res.status == http.StatusNotFound && res.kind == Reports {
+		// The director has dropped the proxy, which has to poll again first.
+		r.polledProxies.Delete(fmt.Sprintf(r.script.NameFormat, res.proxy))
 	}
-	if f.etag != "" && (f.status == http.StatusOK || f.status == http.StatusIMUsed) {
-		r.lastTag.Store(&f.etag)
+	if res.etag != "" && (res.status == http.StatusOK || res.status == http.StatusIMUsed) {
+		r.lastTag.Store(&res.etag)
 	}
 	r.mu.Lock()
 	switch {
-	case f.status == http.StatusServiceUnavailable:
-		f.second.Rejected++
-	case f.status > 0 && f.status < 400 && took <= r.script.TimeLimit:
-		f.second.Answered++
-		f.second.latencies.RecordValue(max(1, took.Microseconds()))
+	case res.status == http.StatusServiceUnavailable:
+		res.second.Rejected++
+	case res.status > 0 && res.status < 400 && took <= r.script.TimeLimit:
+		res.second.Answered++
+		res.second.latencies.RecordValue(max(1, took.Microseconds()))
 	default:
-		f.second.Failed++
+		res.second.Failed++
 	}
 	r.mu.Unlock()
-	if r.continuous.Load() && l != nil && f.status > 0 {
-		l.mu.Lock()
-		empty := len(l.pending) == 0
-		l.mu.Unlock()
+	if r.continuous.Load() && c != nil && res.status > 0 {
+		c.mu.Lock()
+		empty := len(c.pending) == 0
+		c.mu.Unlock()
 		if st := r.currentStep(); empty && st != nil && st.Flood > 0 {
-			r.sendBatch(l, *st, st.Flood)
+			r.sendBatch(c, *st, st.Flood)
 		}
 	}
 }
 
-// at is the step in hand.
+// currentStep returns the step of the script that is being run, or nil after the end.
 func (r *Runner) currentStep() *Step {
 	now := time.Since(r.start)
 	for i := range r.script.Steps {
@@ -278,45 +285,47 @@
 	return nil
 }
 
-// told takes what a poll that waited was told, and holds the next one.
-func (r *Runner) handlePollResult(l *connection, f result) {
+// handlePollResult counts the result of a pending poll and sends the next one. After an error it waits for 500 to
+// 1500 ms first.
+func (r *Runner) handlePollResult(c *connection, res result) {
 	st := r.currentStep()
 	if st == nil || st.Kind != PendingPolls || !r.continuous.Load() {
 		return
 	}
-	i := l.index
+	i := c.index
 	sec := r.second(time.Since(r.start), st.Name)
-	if at := publishedAt(f.body); at > 0 && f.due > 0 && f.status == http.StatusIMUsed {
-		late := float64(time.Now().UnixMicro()) - at*1000
+	if published := publishedAt(res.body); published > 0 && res.dueAt > 0 && res.status == http.StatusIMUsed {
+		delayMicros := float64(time.Now().UnixMicro()) - published*1000
 		r.mu.Lock()
 		sec.Changes++
-		sec.changeDelays.RecordValue(max(1, int64(late)))
+		sec.changeDelays.RecordValue(max(1, int64(delayMicros)))
 		r.mu.Unlock()
 	}
 	r.mu.Lock()
 	switch {
-	case f.status == 0:
+	case res.status == 0:
 		sec.Failed++
-	case f.status == http.StatusServiceUnavailable:
+	case res.status == http.StatusServiceUnavailable:
 		sec.Rejected++
 	default:
 		sec.Answered++
 	}
 	sec.Scheduled++
 	r.mu.Unlock()
-	if f.etag != "" {
-		r.lastTag.Store(&f.etag)
+	if res.etag != "" {
+		r.lastTag.Store(&res.etag)
 	}
-	if f.status == 0 || f.status >= 400 {
+	if res.status == 0 || res.status >= 400 {
 		time.AfterFunc(time.Duration(500+rand.IntN(1000))*time.Millisecond, func() { r.startPoll(i, *st) })
 		return
 	}
 	name := fmt.Sprintf(r.script.NameFormat, i)
 	r.inFlight.Add(1)
-	l.send(appendRequest(make([]byte, 0, 256), PendingPolls, name, r.script.Zone, f.etag), pendingRequest{time.Since(r.start), PendingPolls, sec, uint64(i)})
+	c.send(appendRequest(make([]byte, 0, 256), PendingPolls, name, r.script.Zone, res.etag),
+		pendingRequest{time.Since(r.start), PendingPolls, sec, uint64(i)})
 }
 
-// ordered is when a version was, by a difference that leads to it: Unix milliseconds.
+// publishedAt returns the time of the version to which a delta leads, in Unix milliseconds, or 0 if the delta has none.
 func publishedAt(patch []byte) float64 {
 	mark := []byte(`"path":"/at","value":`)
 	i := bytes.Index(patch, mark)
@@ -332,7 +341,7 @@
 	return at
 }
 
-// late ends connections whose answers come too late.
+// closeLateConnections closes connections whose responses exceed the time limit.
 func (r *Runner) closeLateConnections(ctx context.Context) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
@@ -343,13 +352,13 @@
 		case <-tick.C:
 		}
 		now := time.Since(r.start)
-		for _, l := range r.connections {
-			l.closeIfLate(now)
+		for _, c := range r.connections {
+			c.closeIfLate(now)
 		}
 	}
 }
 
-// meter tells what the director costs.
+// measureDirector measures the CPU time and the memory of the director's process each second.
 func (r *Runner) measureDirector(ctx context.Context) {
 	if r.script.PID == 0 {
 		return
@@ -383,6 +392,7 @@
 	}
 }
 
+// summarize returns the counts of a second with its percentiles.
 func (r *Runner) summarize(n int) Second {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// A director that stalls for half a second: what should have been asked meanwhile is asked all the same, and its time counts
-// from then, so the stall shows. One that sends away, and one that fails, are counted as such.
+// A director stalls for half a second. The requests that are due meanwhile must be sent all the same, with latencies
+// that count from when they were due, so that the stall shows. Rejected requests must be counted as such.
 func TestAStallShows(t *testing.T) {
 	t.Parallel()
-	began := time.Now()
-	var gate atomic.Int64
+	start := time.Now()
+	var stalled atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("ETag", `"1.1.1"`)
-		since := time.Since(began)
+		since := time.Since(start)
 		switch {
 		case r.URL.Path == "/v1/tables":
-			began = time.Now()
+			start = time.Now()
 		case strings.HasSuffix(r.URL.Path, "/reports"):
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case since > 500*time.Millisecond && since < time.Second:
-			gate.Add(1)
+			stalled.Add(1)
 			time.Sleep(time.Second - since)
 		}
 	}))
@@ -54,14 +54,14 @@
 		t.Fatal(err, len(all))
 	}
 	p, r := all[0], all[1]
-	if p.Scheduled < 140 || p.Answered != p.Scheduled || p.P99 < 350 || p.P50 > 350 || gate.Load() < 60 {
-		t.Errorf("a stall of half a second: %+v, %d asked in it", p, gate.Load())
+	if p.Scheduled < 140 || p.Answered != p.Scheduled || p.P99 < 350 || p.P50 > 350 || stalled.Load() < 60 {
+		t.Errorf("stall of half a second: %+v, %d requests during it", p, stalled.Load())
 	}
 	if r.Scheduled < 80 || r.Rejected < 50 || r.Rejected+r.Answered != r.Scheduled {
-		t.Errorf("sent away: %+v", r)
+		t.Errorf("rejected reports: %+v", r)
 	}
 	var b bytes.Buffer
 	if err := Plot(&b, "a <stall>", all); err != nil || strings.Count(b.String(), "<polyline") != 6 || strings.Contains(b.String(), "<stall>") {
-		t.Error("the plot", err)
+		t.Error("unexpected plot", err)
 	}
 }
--- a/internal/load/script.go
+++ b/internal/load/script.go
@@ -1,7 +1,7 @@
-// Package load asks a director for more than it may be able to answer, by a script: arrivals come by themselves and wait for
-// no answer, and an answer's time counts from when its request should have gone out, so that a director that stalls is not
-// asked less and does not look better for it. Floods ask as fast as answers come, to find out how much that is; waits hold a poll
-// for each proxy and time how long a change takes to reach it.
+// Package load generates load for a director by a script, up to more than it can serve. Arrivals are independent of
+// the responses, and the latency of a request counts from when it was due: a director that stalls doesn't get fewer
+// requests and doesn't look better for it. Floods send as fast as responses come, to measure the capacity. Pending
+// polls keep a poll open for each proxy and measure how long a change takes to reach it.
 package load
 
 import (
@@ -12,40 +12,41 @@
 	"vetchwood/internal/settings"
 )
 
-// Kind of request.
+// Kind is a kind of request.
 type Kind string
 
+// The kinds of requests.
 const (
-	InitialPolls Kind = "new"     // polls of proxies that hold nothing
-	Polls        Kind = "polls"   // polls that acknowledge what was told last
-	Reports      Kind = "reports" // sums, of proxies that have polled
-	PendingPolls Kind = "waits"   // polls that wait for a change, one for each proxy at a time
+	InitialPolls Kind = "new"     // polls of proxies without tables
+	Polls        Kind = "polls"   // polls that acknowledge the last tables received
+	Reports      Kind = "reports" // load reports of proxies that have polled
+	PendingPolls Kind = "waits"   // polls that wait for a change, one per proxy at a time
 )
 
-// Step is a stretch of the script.
+// Step is a step of a script.
 type Step struct {
 	Name             string
 	Kind             Kind
-	Rate             float64 // requests a second
-	Burst            int     // requests at once, at the step's start
-	Flood            int     // requests in hand on each connection, without end
-	Proxies          int     // that the requests are of, in turn
+	Rate             float64 // requests per second
+	Burst            int     // requests sent at once at the start of the step
+	Flood            int     // requests in flight on each connection, renewed during the whole step
+	Proxies          int     // number of proxies, which the requests come from in turn
 	Connections      int
-	OnePerConnection bool // one request in hand on each connection, as a proxy has; what finds its connection busy has failed
+	OnePerConnection bool // one request in flight per connection; further ones fail
 	Duration         time.Duration
 }
 
-// Script is what is asked of whom.
+// Script holds the director to load and the steps of the load.
 type Script struct {
 	Director   string // host:port
-	NameFormat string // of proxies; %d is the number
+	NameFormat string // of proxies' names, with a %d for the number
 	Zone       string
-	TimeLimit  time.Duration
-	PID        int // of the director, to tell what it costs; 0: not told
+	TimeLimit  time.Duration // for a response
+	PID        int           // of the director, to measure its CPU time and memory; 0: not measured
 	Steps      []Step
 }
 
-// Read reads a script; all its faults are told at once.
+// Read reads a script from text or, if that is nil, from the file at path. The error lists all mistakes.
 func Read(path string, text []byte) (*Script, error) {
 	top, err := settings.Open(path, text)
 	if err != nil {
@@ -55,12 +56,12 @@
 	s := &Script{}
 	r := top.One("load", true)
 	if u, err := url.Parse(r.Text("director", settings.Needed)); err != nil || u.Scheme != "http" || u.Port() == "" {
-		r.Fail("director", "is no http URL with a port")
+		r.Fail("director", "must be an http URL with a port")
 	} else {
 		s.Director = u.Host
 	}
 	if s.NameFormat = r.Text("names", "relay-%d"); strings.Count(s.NameFormat, "%d") != 1 {
-		r.Fail("names", "%q does not have one %%d", s.NameFormat)
+		r.Fail("names", "%q must contain %%d exactly once", s.NameFormat)
 	}
 	s.Zone = r.Text("zone", "")
 	s.TimeLimit = r.Span("time_limit", 5*time.Second, time.Millisecond, time.Minute)
@@ -68,22 +69,23 @@
 	r.Done()
 	steps, names := top.Blocks("step", 1, 1, 1000)
 	for i, in := range steps {
-		st := Step{Name: names[i], Kind: Kind(in.Text("kind", settings.Needed, string(InitialPolls), string(Polls), string(Reports), string(PendingPolls))),
+		st := Step{Name: names[i], Kind: Kind(in.Text("kind", settings.Needed, string(InitialPolls), string(Polls), string(Reports),
+			string(PendingPolls))),
 			Rate: in.Number("rate", 0, 0, 1e6), Burst: in.Whole("storm", 0, 0, 1e6), Flood: in.Whole("flood", 0, 0, 1000),
 			Proxies: in.Whole("proxies", 100, 1, 1e6), Duration: in.Span("for", -1, time.Second, time.Hour)}
 		st.Connections = in.Whole("connections", min(st.Proxies, 4096), 1, 60000)
 		st.OnePerConnection = in.Truth("alone", false)
-		ways := 0
+		modes := 0
 		for _, set := range []bool{st.Rate > 0 || st.Burst > 0, st.Flood > 0, st.Kind == PendingPolls} {
 			if set {
-				ways++
+				modes++
 			}
 		}
 		switch {
-		case ways != 1:
-			in.Fail("", "a step needs a rate or a storm, or a flood, or kind = \"waits\", and no two of these")
+		case modes != 1:
+			in.Fail("", "a step needs exactly one of: rate or storm; flood; kind = \"waits\"")
 		case st.Kind == PendingPolls && st.Connections != st.Proxies:
-			st.Connections = st.Proxies // a poll that waits holds its connection
+			st.Connections = st.Proxies // a pending poll occupies its connection
 		}
 		in.Done()
 		s.Steps = append(s.Steps, st)
--- a/internal/standin/blocking.go
+++ b/internal/standin/blocking.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// blockingIndex is the state behind blocking queries as Consul documents them: an index that increases with each change.
+// blockingIndex is the state behind blocking queries as Consul documents them: an index that increases with each
+// change.
 type blockingIndex struct {
 	mu          sync.Mutex
 	index       uint64
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -30,8 +30,8 @@
 
 // NewClient returns a client of the proxy at url. The proxy's name and now are used for the records.
 func NewClient(proxy, url string, recorder *judge.Recorder, now func() float64) *Client {
-	return &Client{Proxy: proxy, URL: url, Recorder: recorder, Now: now, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
-		IdleConnTimeout: 15 * time.Second, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}}
+	return &Client{Proxy: proxy, URL: url, Recorder: recorder, Now: now, http: &http.Client{Transport: &http.Transport{
+		MaxIdleConnsPerHost: 64, IdleConnTimeout: 15 * time.Second, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}}
 }
 
 // Close closes the client's idle connections.
@@ -57,8 +57,8 @@
 	if err != nil {
 		return 0
 	}
-	for name, v := range map[string]string{HeaderCall: call.ID, HeaderProxy: c.Proxy, HeaderRoute: call.Route, HeaderSliceKey: call.SliceKey,
-		HeaderWorkMs: strconv.FormatFloat(call.WorkMs, 'f', 3, 64)} {
+	for name, v := range map[string]string{HeaderCall: call.ID, HeaderProxy: c.Proxy, HeaderRoute: call.Route,
+		HeaderSliceKey: call.SliceKey, HeaderWorkMs: strconv.FormatFloat(call.WorkMs, 'f', 3, 64)} {
 		req.Header.Set(name, v)
 	}
 	if call.SendIdempotencyKey {
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -168,8 +168,8 @@
 	call, proxy, route := r.Header.Get(HeaderCall), r.Header.Get(HeaderProxy), r.Header.Get(HeaderRoute)
 	ms, _ := strconv.ParseFloat(r.Header.Get(HeaderWorkMs), 64)
 	key := r.Header.Get(HeaderIdempotencyKey)
-	arrival := judge.Arrival{At: now, Host: h.Address, Proxy: proxy, Route: route, Call: call, WorkMs: ms, HostStartedAt: h.startedAt,
-		Cores: h.config.Cores}
+	arrival := judge.Arrival{At: now, Host: h.Address, Proxy: proxy, Route: route, Call: call, WorkMs: ms,
+		HostStartedAt: h.startedAt, Cores: h.config.Cores}
 	h.recentWork = append(h.recentWork, judge.Work{At: now, Ms: ms})
 	if judge.ColdOverload(&h.recentWork, now, h.startedAt, h.config.Cores, h.config.ColdCapacity, h.config.WarmAfter,
 		h.config.ColdOverloadLimit, h.config.ColdFailAfter) >= 1 {
@@ -209,8 +209,8 @@
 	h.respond(w, r.Context(), f)
 }
 
-// execute takes as long as the call's work does at the capacity that the host has at each moment. It returns false if the
-// client gives up first.
+// execute takes as long as the call's work does at the capacity that the host has at each moment. It returns false if
+// the client gives up first.
 func (h *Host) execute(ctx context.Context, ms float64) bool {
 	const maxStepMs = 20.0
 	for ms > 0 {
@@ -246,8 +246,10 @@
 	now := h.config.Now()
 	h.completed++
 	if span := now - h.loadReportAt; span >= loadReportIntervalMs {
-		busy, rate, queue := math.Min(1, h.coreMs/span/float64(h.config.Cores)), h.completed/span*1000, float64(max(0, h.queued-h.config.Cores))
-		h.loadReport, h.loadReportAt, h.coreMs, h.completed = logic.Load{Utilization: &busy, Throughput: &rate, Backlog: &queue}, now, 0, 0
+		busy, rate, queue := math.Min(1, h.coreMs/span/float64(h.config.Cores)), h.completed/span*1000,
+			float64(max(0, h.queued-h.config.Cores))
+		h.loadReport, h.loadReportAt, h.coreMs, h.completed = logic.Load{Utilization: &busy, Throughput: &rate,
+			Backlog: &queue}, now, 0, 0
 	}
 	load := h.loadReport
 	h.mu.Unlock()
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -20,8 +20,8 @@
 type KVStore struct {
 	// SessionTTLFactor times its TTL after the last renewal, a session expires; values under 1 count as 1.
 	SessionTTLFactor float64
-	// OnLockChange is called for each lock that is taken or released, with the session and its name as the holder. After
-	// a release the session is empty, and the holder is empty or, if the session ended, SessionEnded.
+	// OnLockChange is called for each lock that is taken or released, with the session and its name as the holder.
+	// After a release the session is empty, and the holder is empty or, if the session ended, SessionEnded.
 	OnLockChange func(key, session, holder string, lockIndex uint64, value func(key string) string)
 
 	blockingIndex
