--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -16,121 +16,124 @@
 	"github.com/prometheus/procfs"
 )
 
-// Second is what became of the requests that should have gone out in one.
+// Second counts the requests that were due within one second of a run, and how they ended.
 type Second struct {
-	At       int     `json:"second"`
-	Step     string  `json:"step"`
-	Asked    int     `json:"asked"`
-	Answered int     `json:"answered"`
-	Away     int     `json:"sent_away"` // told to come later
-	Failed   int     `json:"failed"`
-	P50      float64 `json:"p50_ms"` // of those answered
-	P99      float64 `json:"p99_ms"`
-	Max      float64 `json:"max_ms"`
-	CPU      float64 `json:"director_cpu,omitempty"` // cores that the director used
-	Resident float64 `json:"director_mib,omitempty"`
-	// Change is how long after they were ordered versions reached those that waited for them.
+	At          int     `json:"second"`
+	Step        string  `json:"step"`
+	Scheduled   int     `json:"asked"`
+	Answered    int     `json:"answered"`
+	Rejected    int     `json:"sent_away"` // answered with 503
+	Failed      int     `json:"failed"`
+	P50         float64 `json:"p50_ms"` // of the answered requests
+	P99         float64 `json:"p99_ms"`
+	Max         float64 `json:"max_ms"`
+	CPU         float64 `json:"director_cpu,omitempty"` // cores used by the director
+	ResidentMiB float64 `json:"director_mib,omitempty"`
+	// Changes are the versions that reached pending polls; the delays count from each version's time.
 	Changes   int     `json:"told,omitempty"`
-	Change50  float64 `json:"change_p50_ms,omitempty"`
-	Change99  float64 `json:"change_p99_ms,omitempty"`
+	ChangeP50 float64 `json:"change_p50_ms,omitempty"`
+	ChangeP99 float64 `json:"change_p99_ms,omitempty"`
 	ChangeMax float64 `json:"change_max_ms,omitempty"`
 
-	times, changes *hdrhistogram.Histogram
+	latencies, changeDelays *hdrhistogram.Histogram
 }
 
-// Runner is a run in hand.
+// Runner is the state of a run.
 type Runner struct {
-	script *Script
-	began  time.Time
-	lines  []*line
-	tag    atomic.Pointer[string] // of what was told last
-	known  sync.Map               // proxies that have polled, for reports
-	flood  atomic.Bool
-	serial atomic.Uint64
-	inHand atomic.Int64
+	script        *Script
+	start         time.Time
+	connections   []*connection
+	lastTag       atomic.Pointer[string] // entity tag of the last tables received
+	polledProxies sync.Map               // proxies that have polled, for reports
+	continuous    atomic.Bool            // each result is followed by the next request
+	lastRequest   atomic.Uint64          // number of the last request
+	inFlight      atomic.Int64
 
 	mu      sync.Mutex
 	seconds []*Second
 }
 
-// mostInHand bounds requests in hand: past it they count as failed at once, as a machine without sockets would make them.
-const mostInHand = 50000
+// maxInFlight limits the requests in flight. Further ones fail at once, as on a machine that has run out of sockets.
+const maxInFlight = 50000
 
-// Run plays a script and gives what became of each second.
-func Run(ctx context.Context, s *Script, tell func(Second)) ([]Second, error) {
+// Run runs a script and returns the results of each second. If onSecond isn't nil, it is called with each of them at
+// the end.
+func Run(ctx context.Context, s *Script, onSecond func(Second)) ([]Second, error) {
 	r := &Runner{script: s}
-	if err := r.first(ctx); err != nil {
+	if err := r.fetchInitialTag(ctx); err != nil {
 		return nil, err
 	}
-	most := 0
+	maxConnections := 0
 	for _, st := range s.Steps {
-		most = max(most, st.Connections)
+		maxConnections = max(maxConnections, st.Connections)
 	}
-	for i := range most {
-		r.lines = append(r.lines, &line{place: i, to: s.Director, limit: s.Limit, done: r.ended})
+	for i := range maxConnections {
+		r.connections = append(r.connections, &connection{index: i, address: s.Director, timeLimit: s.TimeLimit,
+			onResult: r.handleResult})
 	}
-	r.began = time.Now()
+	r.start = time.Now()
 	done, stop := context.WithCancel(ctx)
 	defer stop()
-	go r.late(done)
-	go r.meter(done)
-	draw := rand.New(rand.NewPCG(1, 2))
-	at := time.Duration(0)
+	go r.closeLateConnections(done)
+	go r.measureDirector(done)
+	rng := rand.New(rand.NewPCG(1, 2))
+	start := time.Duration(0)
 	for _, st := range s.Steps {
-		end := at + st.For
+		end := start + st.Duration
 		switch {
 		case st.Flood > 0:
-			r.flood.Store(true)
+			r.continuous.Store(true)
 			for i := range st.Connections {
-				r.pour(r.lines[i], st, st.Flood)
+				r.sendBatch(r.connections[i], st, st.Flood)
 			}
-			r.rest(ctx, end)
-			r.flood.Store(false)
-		case st.Kind == Waits:
-			r.flood.Store(true)
+			r.sleepUntil(ctx, end)
+			r.continuous.Store(false)
+		case st.Kind == PendingPolls:
+			r.continuous.Store(true)
 			for i := range st.Proxies {
-				r.wait(i, st)
+				r.startPoll(i, st)
 			}
-			r.rest(ctx, end)
-			r.flood.Store(false)
-			for _, l := range r.lines {
-				l.close()
+			r.sleepUntil(ctx, end)
+			r.continuous.Store(false)
+			for _, c := range r.connections {
+				c.close()
 			}
 		default:
-			for range st.Storm {
-				r.fire(st, at)
+			for range st.Burst {
+				r.sendOne(st, start)
 			}
-			for due := at; st.Rate > 0; {
-				if due += time.Duration(draw.ExpFloat64() / st.Rate * float64(time.Second)); due >= end || ctx.Err() != nil {
+			for due := start; st.Rate > 0; {
+				if due += time.Duration(rng.ExpFloat64() / st.Rate * float64(time.Second)); due >= end || ctx.Err() != nil {
 					break
 				}
-				if ahead := due - time.Since(r.began); ahead > 0 {
+				if ahead := due - time.Since(r.start); ahead > 0 {
 					time.Sleep(ahead)
 				}
-				r.fire(st, due)
+				r.sendOne(st, due)
 			}
-			r.rest(ctx, end)
+			r.sleepUntil(ctx, end)
 		}
-		at = end
+		start = end
 	}
-	for over := time.Now().Add(s.Limit + time.Second); r.inHand.Load() > 0 && time.Now().Before(over); {
+	for deadline := time.Now().Add(s.TimeLimit + time.Second); r.inFlight.Load() > 0 && time.Now().Before(deadline); {
 		time.Sleep(5 * time.Millisecond)
 	}
-	for _, l := range r.lines {
-		l.close()
+	for _, c := range r.connections {
+		c.close()
 	}
 	var out []Second
 	for n := range r.seconds {
-		out = append(out, r.finished(n))
-		if tell != nil {
-			tell(out[n])
+		out = append(out, r.summarize(n))
+		if onSecond != nil {
+			onSecond(out[n])
 		}
 	}
 	return out, ctx.Err()
 }
 
-func (r *Runner) rest(ctx context.Context, until time.Duration) {
-	if rest := until - time.Since(r.began); rest > 0 {
+// sleepUntil sleeps until a time after the start of the run, or until the context ends.
+func (r *Runner) sleepUntil(ctx context.Context, until time.Duration) {
+	if rest := until - time.Since(r.start); rest > 0 {
 		select {
 		case <-ctx.Done():
 		case <-time.After(rest):
@@ -138,8 +141,8 @@
 	}
 }
 
-// first takes the version that acknowledging polls say they hold.
-func (r *Runner) first(ctx context.Context) error {
+// fetchInitialTag gets the entity tag that the first acknowledging polls send.
+func (r *Runner) fetchInitialTag(ctx context.Context) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.script.Director+"/v1/tables", nil)
 	if err != nil {
 		return err
@@ -151,173 +154,179 @@
 	defer res.Body.Close()
 	io.Copy(io.Discard, res.Body)
 	tag := res.Header.Get("ETag")
-	if r.tag.Store(&tag); tag == "" {
-		return fmt.Errorf("%s: %s: no tables to hold", r.script.Director, res.Status)
+	if r.lastTag.Store(&tag); tag == "" {
+		return fmt.Errorf("%s: %s: the response to GET /v1/tables has no ETag", r.script.Director, res.Status)
 	}
 	return nil
 }
 
+// second returns the counts of the second that contains a time since the start, which belongs to a step of the script.
 func (r *Runner) second(at time.Duration, step string) *Second {
 	n := max(0, int(at.Seconds()))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for len(r.seconds) <= n {
-		r.seconds = append(r.seconds, &Second{At: len(r.seconds), Step: step, times: hdrhistogram.New(1, 120_000_000, 3),
-			changes: hdrhistogram.New(1, 120_000_000, 3)})
+		r.seconds = append(r.seconds, &Second{At: len(r.seconds), Step: step, latencies: hdrhistogram.New(1, 120_000_000, 3),
+			changeDelays: hdrhistogram.New(1, 120_000_000, 3)})
 	}
 	return r.seconds[n]
 }
 
-// fire sends one request that is due, whatever became of those before.
-func (r *Runner) fire(st Step, due time.Duration) {
-	n := r.serial.Add(1)
+// sendOne sends one request that is due, without regard to the results of earlier ones.
+func (r *Runner) sendOne(st Step, due time.Duration) {
+	n := r.lastRequest.Add(1)
 	sec := r.second(due, st.Name)
 	r.mu.Lock()
-	sec.Asked++
+	sec.Scheduled++
 	r.mu.Unlock()
-	a := asked{due, st.Kind, sec, n % uint64(st.Proxies)}
-	if r.inHand.Add(1) > mostInHand {
-		r.ended(nil, fate{asked: a})
+	request := pendingRequest{due, st.Kind, sec, n % uint64(st.Proxies)}
+	if r.inFlight.Add(1) > maxInFlight {
+		r.handleResult(nil, result{pendingRequest: request})
 		return
 	}
-	l := r.lines[n%uint64(st.Connections)]
-	text := r.word(st.Kind, a.proxy)
-	l.mu.Lock()
-	alone, busy := l.conn == nil || len(l.hand) > 8, st.Alone && (len(l.hand) > 0 || l.dialing)
-	l.dialing = l.conn == nil && !busy
-	l.mu.Unlock()
+	c := r.connections[n%uint64(st.Connections)]
+	text := r.buildRequest(st.Kind, request.proxy)
+	c.mu.Lock()
+	mayBlock, busy := c.conn == nil || len(c.pending) > 8, st.OnePerConnection && (len(c.pending) > 0 || c.dialing)
+	c.dialing = c.conn == nil && !busy
+	c.mu.Unlock()
 	if busy {
-		r.ended(nil, fate{asked: a})
+		r.handleResult(nil, result{pendingRequest: request})
 		return
 	}
-	if alone { // it has to be opened, or what was sent on it may not be read yet, which must not hold up the others
-		go l.send(text, a)
+	if mayBlock { // opening the connection, or writing while the director does not read, must not delay other requests
+		go c.send(text, request)
 		return
 	}
-	l.send(text, a)
+	c.send(text, request)
 }
 
-func (r *Runner) word(k Kind, proxy uint64) []byte {
-	name := fmt.Sprintf(r.script.Names, proxy)
+// buildRequest returns the text of a request. A proxy that hasn't polled yet sends a poll instead of a report.
+func (r *Runner) buildRequest(k Kind, proxy uint64) []byte {
+	name := fmt.Sprintf(r.script.NameFormat, proxy)
 	if k == Reports {
-		if _, known := r.known.LoadOrStore(name, true); !known {
-			k = New // it has to poll first; that is its request
+		if _, known := r.polledProxies.LoadOrStore(name, true); !known {
+			k = InitialPolls // the director accepts reports only after a poll
 		}
 	}
-	return request(make([]byte, 0, 256), k, name, r.script.Zone, *r.tag.Load())
+	return appendRequest(make([]byte, 0, 256), k, name, r.script.Zone, *r.lastTag.Load())
 }
 
-// pour sends so many requests of a flood at once.
-func (r *Runner) pour(l *line, st Step, n int) {
-	due := time.Since(r.began)
+// sendBatch sends n requests of a flood at once.
+func (r *Runner) sendBatch(c *connection, st Step, n int) {
+	due := time.Since(r.start)
 	sec := r.second(due, st.Name)
 	var text []byte
-	all := make([]asked, n)
-	for i := range all {
-		all[i] = asked{due, st.Kind, sec, r.serial.Add(1) % uint64(st.Proxies)}
-		text = request(text, st.Kind, fmt.Sprintf(r.script.Names, all[i].proxy), r.script.Zone, *r.tag.Load())
+	requests := make([]pendingRequest, n)
+	for i := range requests {
+		requests[i] = pendingRequest{due, st.Kind, sec, r.lastRequest.Add(1) % uint64(st.Proxies)}
+		text = appendRequest(text, st.Kind, fmt.Sprintf(r.script.NameFormat, requests[i].proxy), r.script.Zone, *r.lastTag.Load())
 	}
-	r.inHand.Add(int64(n))
+	r.inFlight.Add(int64(n))
 	r.mu.Lock()
-	sec.Asked += n
+	sec.Scheduled += n
 	r.mu.Unlock()
-	go l.send(text, all...)
+	go c.send(text, requests...)
 }
 
-// wait holds a poll for a proxy.
-func (r *Runner) wait(i int, st Step) {
-	due := time.Since(r.began)
+// startPoll sends a pending poll of proxy i.
+func (r *Runner) startPoll(i int, st Step) {
+	due := time.Since(r.start)
 	sec := r.second(due, st.Name)
-	r.inHand.Add(1)
-	go r.lines[i].send(r.word(Waits, uint64(i)), asked{due, Waits, sec, uint64(i)})
+	r.inFlight.Add(1)
+	go r.connections[i].send(r.buildRequest(PendingPolls, uint64(i)), pendingRequest{due, PendingPolls, sec, uint64(i)})
 }
 
-// ended counts a request that is answered, or has failed; in a flood, or while polls wait, the next follows.
-func (r *Runner) ended(l *line, f fate) {
-	took := time.Since(r.began) - f.due
-	r.inHand.Add(-1)
-	if f.kind == Waits {
-		r.told(l, f)
+// handleResult counts a request that was answered or has failed. During a flood, or with pending polls, it sends the
+// next one.
+func (r *Runner) handleResult(c *connection, res result) {
+	took := time.Since(r.start) - res.dueAt
+	r.inFlight.Add(-1)
+	if res.kind == PendingPolls {
+		r.handlePollResult(c, res)
 		return
 	}
-	if f.status == http.StatusNotFound && f.kind == Reports {
-		r.known.Delete(fmt.Sprintf(r.script.Names, f.proxy)) // it has left meanwhile, and polls again first
+	if res.status == http.StatusNotFound && res.kind == Reports {
+		// The director has dropped the proxy, which has to poll again first.
+		r.polledProxies.Delete(fmt.Sprintf(r.script.NameFormat, res.proxy))
 	}
-	if f.etag != "" && (f.status == http.StatusOK || f.status == http.StatusIMUsed) {
-		r.tag.Store(&f.etag)
+	if res.etag != "" && (res.status == http.StatusOK || res.status == http.StatusIMUsed) {
+		r.lastTag.Store(&res.etag)
 	}
 	r.mu.Lock()
 	switch {
-	case f.status == http.StatusServiceUnavailable:
-		f.sec.Away++
-	case f.status > 0 && f.status < 400 && took <= r.script.Limit:
-		f.sec.Answered++
-		f.sec.times.RecordValue(max(1, took.Microseconds()))
+	case res.status == http.StatusServiceUnavailable:
+		res.second.Rejected++
+	case res.status > 0 && res.status < 400 && took <= r.script.TimeLimit:
+		res.second.Answered++
+		res.second.latencies.RecordValue(max(1, took.Microseconds()))
 	default:
-		f.sec.Failed++
+		res.second.Failed++
 	}
 	r.mu.Unlock()
-	if r.flood.Load() && l != nil && f.status > 0 {
-		l.mu.Lock()
-		empty := len(l.hand) == 0
-		l.mu.Unlock()
-		if st := r.at(); empty && st != nil && st.Flood > 0 {
-			r.pour(l, *st, st.Flood)
+	if r.continuous.Load() && c != nil && res.status > 0 {
+		c.mu.Lock()
+		empty := len(c.pending) == 0
+		c.mu.Unlock()
+		if st := r.currentStep(); empty && st != nil && st.Flood > 0 {
+			r.sendBatch(c, *st, st.Flood)
 		}
 	}
 }
 
-// at is the step in hand.
-func (r *Runner) at() *Step {
-	now := time.Since(r.began)
+// currentStep returns the step of the script that is being run, or nil after the end.
+func (r *Runner) currentStep() *Step {
+	now := time.Since(r.start)
 	for i := range r.script.Steps {
-		if now -= r.script.Steps[i].For; now < 0 {
+		if now -= r.script.Steps[i].Duration; now < 0 {
 			return &r.script.Steps[i]
 		}
 	}
 	return nil
 }
 
-// told takes what a poll that waited was told, and holds the next one.
-func (r *Runner) told(l *line, f fate) {
-	st := r.at()
-	if st == nil || st.Kind != Waits || !r.flood.Load() {
+// handlePollResult counts the result of a pending poll and sends the next one. After an error it waits for 500 to
+// 1500 ms first.
+func (r *Runner) handlePollResult(c *connection, res result) {
+	st := r.currentStep()
+	if st == nil || st.Kind != PendingPolls || !r.continuous.Load() {
 		return
 	}
-	i := l.place
-	sec := r.second(time.Since(r.began), st.Name)
-	if at := ordered(f.body); at > 0 && f.due > 0 && f.status == http.StatusIMUsed {
-		late := float64(time.Now().UnixMicro()) - at*1000
+	i := c.index
+	sec := r.second(time.Since(r.start), st.Name)
+	if published := publishedAt(res.body); published > 0 && res.dueAt > 0 && res.status == http.StatusIMUsed {
+		delayMicros := float64(time.Now().UnixMicro()) - published*1000
 		r.mu.Lock()
 		sec.Changes++
-		sec.changes.RecordValue(max(1, int64(late)))
+		sec.changeDelays.RecordValue(max(1, int64(delayMicros)))
 		r.mu.Unlock()
 	}
 	r.mu.Lock()
 	switch {
-	case f.status == 0:
+	case res.status == 0:
 		sec.Failed++
-	case f.status == http.StatusServiceUnavailable:
-		sec.Away++
+	case res.status == http.StatusServiceUnavailable:
+		sec.Rejected++
 	default:
 		sec.Answered++
 	}
-	sec.Asked++
+	sec.Scheduled++
 	r.mu.Unlock()
-	if f.etag != "" {
-		r.tag.Store(&f.etag)
+	if res.etag != "" {
+		r.lastTag.Store(&res.etag)
 	}
-	if f.status == 0 || f.status >= 400 {
-		time.AfterFunc(time.Duration(500+rand.IntN(1000))*time.Millisecond, func() { r.wait(i, *st) })
+	if res.status == 0 || res.status >= 400 {
+		time.AfterFunc(time.Duration(500+rand.IntN(1000))*time.Millisecond, func() { r.startPoll(i, *st) })
 		return
 	}
-	name := fmt.Sprintf(r.script.Names, i)
-	r.inHand.Add(1)
-	l.send(request(make([]byte, 0, 256), Waits, name, r.script.Zone, f.etag), asked{time.Since(r.began), Waits, sec, uint64(i)})
+	name := fmt.Sprintf(r.script.NameFormat, i)
+	r.inFlight.Add(1)
+	c.send(appendRequest(make([]byte, 0, 256), PendingPolls, name, r.script.Zone, res.etag),
+		pendingRequest{time.Since(r.start), PendingPolls, sec, uint64(i)})
 }
 
-// ordered is when a version was, by a difference that leads to it: Unix milliseconds.
-func ordered(patch []byte) float64 {
+// publishedAt returns the time of the version to which a delta leads, in Unix milliseconds, or 0 if the delta has none.
+func publishedAt(patch []byte) float64 {
 	mark := []byte(`"path":"/at","value":`)
 	i := bytes.Index(patch, mark)
 	if i < 0 {
@@ -332,8 +341,8 @@
 	return at
 }
 
-// late ends connections whose answers come too late.
-func (r *Runner) late(ctx context.Context) {
+// closeLateConnections closes connections whose responses exceed the time limit.
+func (r *Runner) closeLateConnections(ctx context.Context) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -342,15 +351,15 @@
 			return
 		case <-tick.C:
 		}
-		now := time.Since(r.began)
-		for _, l := range r.lines {
-			l.late(now)
+		now := time.Since(r.start)
+		for _, c := range r.connections {
+			c.closeIfLate(now)
 		}
 	}
 }
 
-// meter tells what the director costs.
-func (r *Runner) meter(ctx context.Context) {
+// measureDirector measures the CPU time and the memory of the director's process each second.
+func (r *Runner) measureDirector(ctx context.Context) {
 	if r.script.PID == 0 {
 		return
 	}
@@ -377,20 +386,21 @@
 		now := time.Now()
 		sec := r.second(time.Duration(n)*time.Second, "")
 		r.mu.Lock()
-		sec.CPU, sec.Resident = (s.CPUTime()-last)/now.Sub(at).Seconds(), float64(s.ResidentMemory())/(1<<20)
+		sec.CPU, sec.ResidentMiB = (s.CPUTime()-last)/now.Sub(at).Seconds(), float64(s.ResidentMemory())/(1<<20)
 		r.mu.Unlock()
 		last, at = s.CPUTime(), now
 	}
 }
 
-func (r *Runner) finished(n int) Second {
+// summarize returns the counts of a second with its percentiles.
+func (r *Runner) summarize(n int) Second {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := *r.seconds[n]
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	out.P50, out.P99, out.Max = ms(out.times, 50), ms(out.times, 99), float64(out.times.Max())/1000
+	out.P50, out.P99, out.Max = ms(out.latencies, 50), ms(out.latencies, 99), float64(out.latencies.Max())/1000
 	if out.Changes > 0 {
-		out.Change50, out.Change99, out.ChangeMax = ms(out.changes, 50), ms(out.changes, 99), float64(out.changes.Max())/1000
+		out.ChangeP50, out.ChangeP99, out.ChangeMax = ms(out.changeDelays, 50), ms(out.changeDelays, 99), float64(out.changeDelays.Max())/1000
 	}
 	return out
 }
