--- a/cmd/vetchwood/commands.go
+++ b/cmd/vetchwood/commands.go
@@ -158,5 +158,5 @@
 }
 
 func (c *rehearseCmd) Run(ctx context.Context, out io.Writer, log *slog.Logger) error {
-	return rehearse.Play(ctx, rehearse.Request{Day: c.Name, JSON: c.JSON, Keep: c.Keep, Listen: c.API, Front: c.Front, Out: out, Log: log})
+	return rehearse.Play(ctx, rehearse.Request{Day: c.Name, JSON: c.JSON, KeepDir: c.Keep, Listen: c.API, Front: c.Front, Out: out, Log: log})
 }
--- a/internal/rehearse/directors.go
+++ b/internal/rehearse/directors.go
@@ -53,8 +53,8 @@
 		d.file, d.log = filepath.Join(s.dir, d.name+".hcl"), filepath.Join(s.dir, d.name+".log")
 	}
 	fill := map[string]string{"Store": filepath.Join(s.dir, "director.db"), "Roster": s.registry.URL(), "Name": d.name, "Custody": "", "MQTT": "",
-		"Listen": s.script.Listen, "Admin": s.script.Admin, "Proxies": strconv.Itoa(max(24, s.script.Fleet.Proxies+s.script.Fleet.Phantoms)),
-		"Lines": strconv.Itoa(8000 * max(1, (s.script.Fleet.Proxies+s.script.Fleet.Phantoms)/12))}
+		"Listen": s.script.Listen, "Admin": s.script.Admin, "Proxies": strconv.Itoa(max(24, s.script.Fleet.Proxies+s.script.Fleet.SimulatedProxies)),
+		"Lines": strconv.Itoa(8000 * max(1, (s.script.Fleet.Proxies+s.script.Fleet.SimulatedProxies)/12))}
 	if s.script.Fleet.Directors > 1 {
 		if d.door, err = s.registry.Open(d.name, uint64(i)); err != nil {
 			return err
@@ -67,7 +67,7 @@
 			return err
 		}
 		fill["Custody"] = fmt.Sprintf("custody {\n  prefix = %q\n  ttl    = %q\n  advertise = %q\n}\n", prefix, leaseOf, d.facts.URL())
-		if !s.script.Fleet.Learns {
+		if !s.script.Fleet.LearnFromPeers {
 			fill["Custody"] = strings.Replace(fill["Custody"], "ttl ", "learn  = false\n  ttl ", 1)
 		}
 	}
@@ -222,23 +222,23 @@
 
 // Handed is how slices got along after a director's trouble: for how long they had no holder by the store of leases, and
 // how long it took after that until every proxy held the new holder's word.
-type Handed struct {
-	Trouble  string    `json:"trouble"`
-	Director string    `json:"director"`
-	Slices   int       `json:"slices"` // that it held
-	Longest  float64   `json:"without_holder_ms"`
-	Each     []float64 `json:"-"`
-	Word     float64   `json:"until_told_ms"`
+type Handover struct {
+	Fault         string    `json:"trouble"`
+	Director      string    `json:"director"`
+	Slices        int       `json:"slices"` // that it held
+	LongestGapMs  float64   `json:"without_holder_ms"`
+	GapsMs        []float64 `json:"-"`
+	PropagationMs float64   `json:"until_told_ms"`
 
 	from, until float64
 }
 
 // upset plays a director's trouble.
-func (s *stage) upset(ctx context.Context, t Trouble, say func(string)) error {
+func (s *stage) upset(ctx context.Context, t Fault, say func(string)) error {
 	d := s.directors[t.Director-1]
 	from, held := s.now(), int(d.metric("vetchwood_slices_held"))
 	s.mu.Lock()
-	s.hands = append(s.hands, Handed{Trouble: t.Kind, Director: d.name, Slices: held, from: from})
+	s.hands = append(s.hands, Handover{Fault: t.Kind, Director: d.name, Slices: held, from: from})
 	mine := len(s.hands) - 1
 	s.mu.Unlock()
 	defer func() {
@@ -270,7 +270,7 @@
 		over = func() error { say(who + " is back"); d.door.Set(standin.DoorFaults{}); return nil }
 	case "lossy_director":
 		say(who + " loses requests and answers")
-		d.door.Set(standin.DoorFaults{Lose: t.Part, Slow: 30 * time.Millisecond})
+		d.door.Set(standin.DoorFaults{Lose: t.LossProbability, Slow: 30 * time.Millisecond})
 		over = func() error { d.door.Set(standin.DoorFaults{}); return nil }
 	case "cut_peer":
 		say("no other director hears from " + d.name + ", which hears from them")
@@ -278,15 +278,15 @@
 		over = func() error { d.facts.Set(standin.DoorFaults{}); return nil }
 	case "flap_leases":
 		say(who + " loses its session again and again")
-		for end := time.Now().Add(t.Last); time.Now().Before(end); {
+		for end := time.Now().Add(t.Duration); time.Now().Before(end); {
 			s.registry.Locks.End(prefix + " " + d.name)
 			if !s.sleep(ctx, 400*time.Millisecond) {
 				return nil
 			}
 		}
-		t.Last, over = 0, func() error { return nil }
+		t.Duration, over = 0, func() error { return nil }
 	}
-	on := s.sleep(ctx, t.Last)
+	on := s.sleep(ctx, t.Duration)
 	if on || t.Kind == "pause_director" {
 		return over()
 	}
@@ -294,26 +294,26 @@
 }
 
 // handed reads from the book how each director's trouble went.
-func (s *stage) handed() []Handed {
+func (s *stage) handed() []Handover {
 	if len(s.directors) < 2 {
 		return nil
 	}
 	for i := range s.hands {
 		h := &s.hands[i]
 		until := h.until + 5000 // what began at the trouble's end belongs to it
-		switch h.Trouble {
+		switch h.Fault {
 		case "stop_director", "flap_leases", "lossy_director", "cut_peer":
 			for _, g := range s.book.Gaps(h.from, h.until) {
-				h.Each = append(h.Each, g.Ms)
-				h.Longest = max(h.Longest, g.Ms)
+				h.GapsMs = append(h.GapsMs, g.Ms)
+				h.LongestGapMs = max(h.LongestGapMs, g.Ms)
 			}
 		default:
-			h.Each = s.book.Without(h.Director, h.from, until, h.Trouble != "cut_director")
-			for _, ms := range h.Each {
-				h.Longest = max(h.Longest, ms)
+			h.GapsMs = s.book.Without(h.Director, h.from, until, h.Fault != "cut_director")
+			for _, ms := range h.GapsMs {
+				h.LongestGapMs = max(h.LongestGapMs, ms)
 			}
 		}
-		h.Word = s.book.Words(h.from, h.until)
+		h.PropagationMs = s.book.Words(h.from, h.until)
 	}
 	return s.hands
 }
--- a/internal/rehearse/directors_test.go
+++ b/internal/rehearse/directors_test.go
@@ -18,12 +18,12 @@
 
 // several raises a fleet with so many directors and calls coming in, and returns once each director has its part.
 func several(t *testing.T, directors, hosts, proxies int, learns bool) *stage {
-	script, err := Find("short-day")
+	script, err := LoadScript("short-day")
 	if err != nil {
 		t.Fatal(err)
 	}
 	script.Fleet.Hosts, script.Fleet.Proxies, script.Fleet.ListDelay = hosts, proxies, 0
-	script.Fleet.Directors, script.Fleet.Learns, script.Troubles = directors, learns, nil
+	script.Fleet.Directors, script.Fleet.LearnFromPeers, script.Faults = directors, learns, nil
 	s, err := raise(t.Context(), script, t.TempDir(), self, slog.New(slog.DiscardHandler))
 	t.Cleanup(func() {
 		if s != nil {
@@ -86,19 +86,19 @@
 		{"cut_director", 3 * time.Second, lease + 500}} {
 		var each []float64
 		for round := range rounds("VETCHWOOD_ROUNDS", 1) {
-			if err := s.upset(t.Context(), Trouble{Kind: k.kind, Last: k.last, Director: round%3 + 1}, func(string) {}); err != nil {
+			if err := s.upset(t.Context(), Fault{Kind: k.kind, Duration: k.last, Director: round%3 + 1}, func(string) {}); err != nil {
 				t.Fatal(err)
 			}
 			s.shared(t)
 		}
 		for _, h := range s.handed() {
-			if h.Trouble == k.kind {
+			if h.Fault == k.kind {
 				if h.Slices == 0 {
 					t.Fatalf("%s: director %s had nothing", k.kind, h.Director)
 				}
-				each = append(each, h.Each...)
-				if h.Longest > k.most {
-					t.Errorf("%s: a slice was without a holder for %.0f ms, of %.0f", k.kind, h.Longest, k.most)
+				each = append(each, h.GapsMs...)
+				if h.LongestGapMs > k.most {
+					t.Errorf("%s: a slice was without a holder for %.0f ms, of %.0f", k.kind, h.LongestGapMs, k.most)
 				}
 			}
 		}
--- a/internal/rehearse/play.go
+++ b/internal/rehearse/play.go
@@ -22,23 +22,23 @@
 
 // Request is what to play and how to tell of it.
 type Request struct {
-	Day    string
-	JSON   bool
-	Keep   string // folder; empty: a temporary one, removed unless a rule broke
-	Listen string
-	Front  string // by which proxies follow, in place of the day's own
-	Out    io.Writer
-	Log    *slog.Logger
+	Day     string
+	JSON    bool
+	KeepDir string // folder; empty: a temporary one, removed unless a rule broke
+	Listen  string
+	Front   string // by which proxies follow, in place of the day's own
+	Out     io.Writer
+	Log     *slog.Logger
 	// Command starts a director with a file; by default this program's own `run`.
 	Command func(file string) *exec.Cmd
 }
 
 // ErrRule says that a rule was broken.
-var ErrRule = errors.New("a rule was broken")
+var ErrRuleBroken = errors.New("a rule was broken")
 
 // Play raises a day, plays it, and prints the verdict. Interrupted, it lowers all and returns the context's error.
 func Play(ctx context.Context, q Request) error {
-	script, err := Find(q.Day)
+	script, err := LoadScript(q.Day)
 	if err != nil {
 		return err
 	}
@@ -64,23 +64,23 @@
 		err = print(q.Out, q.Day, v, extra)
 	}
 	if err == nil && !v.Kept() {
-		err = ErrRule
+		err = ErrRuleBroken
 	}
 	return err
 }
 
 // extras are what the director itself counted, beside what was seen from outside.
 type extras struct {
-	MostWaiting  float64  `json:"director_most_lines_waiting"`
-	MostMessages float64  `json:"director_most_messages"`
-	Folder       string   `json:"folder,omitempty"`
-	Rollbacks    []Undone `json:"rollbacks,omitempty"`
-	Handed       []Handed `json:"handed,omitempty"`
-	Storms       []Storm  `json:"storms,omitempty"`
+	MaxQueuedLines float64          `json:"director_most_lines_waiting"`
+	MaxMessages    float64          `json:"director_most_messages"`
+	Folder         string           `json:"folder,omitempty"`
+	Rollbacks      []RollbackResult `json:"rollbacks,omitempty"`
+	Handovers      []Handover       `json:"handed,omitempty"`
+	Storms         []StormResult    `json:"storms,omitempty"`
 }
 
 func play(ctx context.Context, script *Script, q Request) (v judge.Verdict, extra extras, err error) {
-	dir := q.Keep
+	dir := q.KeepDir
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "vetchwood-rehearsal-"); err != nil {
 			return v, extra, err
@@ -125,9 +125,9 @@
 		s.busy.Add(1)
 		go s.call(day, i)
 	}
-	failed := make(chan error, len(script.Troubles))
+	failed := make(chan error, len(script.Faults))
 	var troubles sync.WaitGroup
-	for _, t := range script.Troubles {
+	for _, t := range script.Faults {
 		troubles.Add(1)
 		go func() {
 			defer troubles.Done()
@@ -150,10 +150,10 @@
 	default:
 	}
 	for _, d := range s.directors {
-		extra.MostWaiting, extra.MostMessages = max(extra.MostWaiting, d.most), max(extra.MostMessages, d.dense)
+		extra.MaxQueuedLines, extra.MaxMessages = max(extra.MaxQueuedLines, d.most), max(extra.MaxMessages, d.dense)
 	}
-	extra.Rollbacks, extra.Handed, extra.Storms = s.rollbacks, s.handed(), s.storms
-	if v = s.book.Judge(s.terms(from, until)); !v.Kept() || q.Keep != "" {
+	extra.Rollbacks, extra.Handovers, extra.Storms = s.rollbacks, s.handed(), s.storms
+	if v = s.book.Judge(s.terms(from, until)); !v.Kept() || q.KeepDir != "" {
 		extra.Folder = dir
 	}
 	return v, extra, nil
@@ -263,18 +263,18 @@
 	fmt.Fprintf(w, "calls\t%d\tanswered %d, throttled %d, dropped %d; %d tries\n", v.Calls, v.Answered, v.Throttled, v.Dropped, v.Tries)
 	fmt.Fprintf(w, "answers\t%.0f ms\tmedian; 99 in 100 within %.0f ms\n", v.MedianMs, v.P99Ms)
 	fmt.Fprintf(w, "versions seen\t%d\t%d deltas, %d whole documents; %d lists told\n", v.Steps, v.Deltas, v.Whole, v.Lists)
-	fmt.Fprintf(w, "lines waiting\t%.0f\tat most, by the director's own count; %.0f messages to one proxy\n", extra.MostWaiting, extra.MostMessages)
+	fmt.Fprintf(w, "lines waiting\t%.0f\tat most, by the director's own count; %.0f messages to one proxy\n", extra.MaxQueuedLines, extra.MaxMessages)
 	for _, u := range extra.Rollbacks {
 		fmt.Fprintf(w, "back to version %d\t%d ms\tuntil the last of %d proxies held it; %d polls at most, %d lines not honoured\n", u.To,
-			int(u.SlowestMs), u.Proxies, u.MostPolls, u.Mended)
+			int(u.SlowestMs), u.Proxies, u.MostPolls, u.LinesNotHonoured)
 	}
-	for _, h := range extra.Handed {
+	for _, h := range extra.Handovers {
 		fmt.Fprintf(w, "%s %s\t%d slices\twithout a holder for %.0f ms at most; every proxy had the next one's word within %.0f ms\n",
-			h.Trouble, h.Director, h.Slices, h.Longest, h.Word)
+			h.Fault, h.Director, h.Slices, h.LongestGapMs, h.PropagationMs)
 	}
 	for _, x := range extra.Storms {
-		fmt.Fprintf(w, "storm of %s\t%d asked\t%d answered, %d sent away, %d failed; 99 in 100 within %.0f ms in its worst second\n", x.Ask, x.Asked,
-			x.Answered, x.Away, x.Failed, x.SlowMs)
+		fmt.Fprintf(w, "storm of %s\t%d asked\t%d answered, %d sent away, %d failed; 99 in 100 within %.0f ms in its worst second\n", x.Kind, x.Asked,
+			x.Answered, x.Rejected, x.Failed, x.WorstP99Ms)
 	}
 	fmt.Fprintf(w, "hosts fallen\t%d\t\n", v.Falls)
 	if extra.Folder != "" {
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -74,7 +74,7 @@
 
 // small raises a fleet with no load of its own.
 func small(t *testing.T, hosts, proxies int) *stage {
-	script, err := Find("short-day")
+	script, err := LoadScript("short-day")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +187,7 @@
 // the director goes on where it was.
 func TestAFullDisk(t *testing.T) {
 	t.Parallel()
-	script, err := Find("short-day")
+	script, err := LoadScript("short-day")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,11 +268,11 @@
 			t.Errorf("%s: %v, wanted one that says %s", change, err, says)
 		}
 	}
-	if _, err := Find("no-such-day"); err == nil {
+	if _, err := LoadScript("no-such-day"); err == nil {
 		t.Error("no error")
 	}
 	for _, name := range []string{"bad-day", "demo", "short-day", "rollback"} {
-		if _, err := Find(name); err != nil {
+		if _, err := LoadScript(name); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/rehearse/script.go
+++ b/internal/rehearse/script.go
@@ -27,24 +27,24 @@
 	Fleet         Fleet
 	Load          Load
 	Routes        []RouteLoad
-	Troubles      []Trouble
+	Faults        []Fault
 }
 
 // Fleet is what is raised.
 type Fleet struct {
 	Hosts, Cores, Queue, PerCell, Proxies int
 	Directors                             int
-	Learns                                bool   // a director that starts asks the others
-	Phantoms                              int    // proxies that storms make up; they poll and carry nothing
+	LearnFromPeers                        bool   // a director that starts asks the others
+	SimulatedProxies                      int    // proxies that storms make up; they poll and carry nothing
 	Front                                 string // poll, mqtt or mixed: every other proxy
 	ListDelay                             time.Duration
 }
 
 // Load is what callers ask for.
 type Load struct {
-	From, Peak float64 // calls a second
-	Rise       time.Duration
-	Keys       int
+	InitialRate, PeakRate float64 // calls a second
+	RampDuration          time.Duration
+	Keys                  int
 }
 
 // RouteLoad is a route's part of it.
@@ -55,14 +55,14 @@
 }
 
 // Trouble is one, by its kind.
-type Trouble struct {
+type Fault struct {
 	Kind                  string
-	At, Last, Drain       time.Duration
+	At, Duration, Drain   time.Duration
 	Hosts, Proxies, Batch int
 	Director              int // which, from 1
-	Times                 float64
-	Part                  float64
-	Ask                   load.Kind // what a storm asks
+	SlowFactor            float64
+	LossProbability       float64
+	StormKind             load.Kind // what a storm asks
 	Rate                  float64   // requests a second
 	Burst                 int       // at once, as it begins
 }
@@ -94,7 +94,7 @@
 }
 
 // Find reads a day that comes with the program, or a file.
-func Find(name string) (*Script, error) {
+func LoadScript(name string) (*Script, error) {
 	text, err := days.ReadFile("days/" + name + ".hcl")
 	dir, file := "", name+".hcl"
 	if errors.Is(err, fs.ErrNotExist) {
@@ -133,12 +133,12 @@
 	f := r.One("fleet", true)
 	s.Fleet = Fleet{Hosts: f.Whole("hosts", 0, 1, 1000), Cores: f.Whole("cores", 4, 1, 64), Queue: f.Whole("queue", 16, 0, 10000),
 		PerCell: f.Whole("per_cell", 2, 1, 100), Proxies: f.Whole("proxies", 0, 1, 5000),
-		Directors: f.Whole("directors", 1, 1, 5), Learns: f.Truth("learn", true),
-		Phantoms: f.Whole("phantoms", 0, 0, 20000), Front: f.Text("front", "poll", "poll", "mqtt", "mixed"), ListDelay: f.Span("list_delay", 0, 0, time.Minute)}
+		Directors: f.Whole("directors", 1, 1, 5), LearnFromPeers: f.Truth("learn", true),
+		SimulatedProxies: f.Whole("phantoms", 0, 0, 20000), Front: f.Text("front", "poll", "poll", "mqtt", "mixed"), ListDelay: f.Span("list_delay", 0, 0, time.Minute)}
 	f.Done()
 	l := r.One("load", true)
-	s.Load = Load{From: l.Number("calls_per_second", 0, 0, 1e5), Peak: l.Number("peak", 0, 0, 1e5),
-		Rise: l.Span("rise_over", time.Second, time.Millisecond, time.Hour), Keys: l.Whole("keys", 1000, 1, 1e7)}
+	s.Load = Load{InitialRate: l.Number("calls_per_second", 0, 0, 1e5), PeakRate: l.Number("peak", 0, 0, 1e5),
+		RampDuration: l.Span("rise_over", time.Second, time.Millisecond, time.Hour), Keys: l.Whole("keys", 1000, 1, 1e7)}
 	l.Done()
 	share := 0.0
 	routes, names := r.Blocks("route", 1, 1, 63)
@@ -153,7 +153,7 @@
 	}
 	troubles, names := r.Repeated("trouble")
 	for i, in := range troubles {
-		t := Trouble{Kind: names[i], At: in.Span("at", -1, 0, 24*time.Hour)}
+		t := Fault{Kind: names[i], At: in.Span("at", -1, 0, 24*time.Hour)}
 		needs, known := kinds[t.Kind]
 		if !known {
 			in.Fail("", "no trouble is called %q", t.Kind)
@@ -173,26 +173,26 @@
 					in.Fail("", "takes a fleet with several directors")
 				}
 			case "last":
-				t.Last = in.Span("last", -1, time.Millisecond, time.Hour)
+				t.Duration = in.Span("last", -1, time.Millisecond, time.Hour)
 			case "drain":
 				t.Drain = in.Span("drain", -1, time.Millisecond, time.Hour)
 			case "times":
-				t.Times = in.Number("times", 2, 1, 100)
+				t.SlowFactor = in.Number("times", 2, 1, 100)
 			case "storm":
-				t.Ask = load.Kind(in.Text("ask", settings.Needed, string(load.New), string(load.Polls), string(load.Reports)))
+				t.StormKind = load.Kind(in.Text("ask", settings.Needed, string(load.New), string(load.Polls), string(load.Reports)))
 				t.Rate, t.Burst = in.Number("rate", math.NaN(), 1, 1e6), in.Whole("burst", 0, 0, 1e5)
-				if s.Fleet.Phantoms == 0 {
+				if s.Fleet.SimulatedProxies == 0 {
 					in.Fail("", "takes a fleet with phantoms")
 				}
 			case "part":
-				t.Part = in.Number("part", 0.2, 0, 1)
+				t.LossProbability = in.Number("part", 0.2, 0, 1)
 			}
 		}
 		if s.Length > 0 && t.At >= s.Length {
 			in.Fail("at", "%v is past the end of the day, %v", t.At, s.Length)
 		}
 		in.Done()
-		s.Troubles = append(s.Troubles, t)
+		s.Faults = append(s.Faults, t)
 	}
 	r.Done()
 	top.Done()
--- a/internal/rehearse/stage.go
+++ b/internal/rehearse/stage.go
@@ -51,9 +51,9 @@
 	random    *rand.Rand
 	routes    map[string]tables.Route
 	start     tables.Step // the version at the day's start
-	rollbacks []Undone
-	storms    []Storm
-	hands     []Handed
+	rollbacks []RollbackResult
+	storms    []StormResult
+	hands     []Handover
 }
 
 type member struct {
@@ -249,7 +249,7 @@
 	text := fmt.Sprintf("relay %q {\n  listen = \"127.0.0.1:0\"\n  zone = %q\n  directors = [\"%s\"]\n  follow = %q\n  front = %q\n  rate = %g\n  wait = \"5s\"\n"+
 		"  report_every = \"%dms\"\n  drain = \"0s\"\n}\n", name, zones[i%len(zones)], strings.Join(s.urls(mqtt), `", "`),
 		map[bool]string{true: "all", false: "one"}[len(s.directors) > 1], map[bool]string{true: "mqtt", false: "poll"}[mqtt],
-		s.script.Load.Peak/float64(s.script.Fleet.Proxies), int(s.running.Service.Config.ReportInterval))
+		s.script.Load.PeakRate/float64(s.script.Fleet.Proxies), int(s.running.Service.Config.ReportInterval))
 	for _, r := range s.script.Routes {
 		text += fmt.Sprintf("route %q {\n  prefix = %q\n  key = \"header:%s\"\n}\n", r.Name, "/"+r.Name, standin.HeaderSlice)
 	}
@@ -305,8 +305,8 @@
 	zipf := rand.NewZipf(draw, 1.1, 20, uint64(script.Load.Keys-1))
 	at := time.Now()
 	for serial := 0; ; serial++ {
-		part := math.Min(1, float64(time.Since(s.began))/float64(script.Load.Rise))
-		rate := (script.Load.From + (script.Load.Peak-script.Load.From)*part) / n
+		part := math.Min(1, float64(time.Since(s.began))/float64(script.Load.RampDuration))
+		rate := (script.Load.InitialRate + (script.Load.PeakRate-script.Load.InitialRate)*part) / n
 		at = at.Add(time.Duration(draw.ExpFloat64() / rate * float64(time.Second)))
 		select {
 		case <-ctx.Done():
@@ -378,7 +378,7 @@
 }
 
 // trouble plays one to its end.
-func (s *stage) trouble(ctx context.Context, t Trouble, say func(string)) error {
+func (s *stage) trouble(ctx context.Context, t Fault, say func(string)) error {
 	if !s.sleep(ctx, t.At-time.Since(s.began)) {
 		return nil
 	}
@@ -395,16 +395,16 @@
 			}
 		}
 		if t.Kind == "silent" { // the list takes long to notice a machine that says nothing
-			noticed := min(5*time.Second, t.Last/2)
+			noticed := min(5*time.Second, t.Duration/2)
 			if !s.sleep(ctx, noticed) {
 				return nil
 			}
 			for _, h := range hosts {
 				s.registry.State(h.id, logic.Gone)
 			}
-			t.Last -= noticed
+			t.Duration -= noticed
 		}
-		if !s.sleep(ctx, t.Last) {
+		if !s.sleep(ctx, t.Duration) {
 			return nil
 		}
 		for _, h := range hosts {
@@ -419,9 +419,9 @@
 		hosts := s.pick(t.Hosts)
 		say(t.Kind + ":" + ids(hosts))
 		for _, h := range hosts {
-			h.Set(standin.HostFaults{Hang: t.Kind == "hang", Slow: t.Times, LoseAnswer: t.Part})
+			h.Set(standin.HostFaults{Hang: t.Kind == "hang", Slow: t.SlowFactor, LoseAnswer: t.LossProbability})
 		}
-		s.sleep(ctx, t.Last)
+		s.sleep(ctx, t.Duration)
 		for _, h := range hosts {
 			h.Set(standin.HostFaults{})
 		}
@@ -471,25 +471,25 @@
 			}
 			return out
 		})
-		s.sleep(ctx, t.Last)
+		s.sleep(ctx, t.Duration)
 		s.registry.Wrong(nil)
 		say("the list is right again")
 		s.well(missing...)
 	case "list_empty":
 		say("the list is empty")
 		s.registry.Wrong(func([]*api.ServiceEntry) []*api.ServiceEntry { return nil })
-		s.sleep(ctx, t.Last)
+		s.sleep(ctx, t.Duration)
 		s.registry.Wrong(nil)
 	case "list_away":
 		say("the list is away")
 		s.registry.Away(true)
-		s.sleep(ctx, t.Last)
+		s.sleep(ctx, t.Duration)
 		s.registry.Away(false)
 	case "kill_director", "stop_director", "pause_director", "cut_director", "lossy_director", "flap_leases", "cut_peer":
 		return s.upset(ctx, t, say)
 	case "leases_away":
 		say("the store of leases is away")
-		s.leasesAway(ctx, t.Last)
+		s.leasesAway(ctx, t.Duration)
 		say("the store of leases is back")
 	case "restart_proxies":
 		say(fmt.Sprintf("%d proxies restart together", t.Proxies))
@@ -500,7 +500,7 @@
 			r.Kill(r.stop)
 			<-r.done
 		}
-		s.sleep(ctx, t.Last)
+		s.sleep(ctx, t.Duration)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, r := range some {
@@ -521,10 +521,10 @@
 		say(fmt.Sprintf("%d proxies lose their director", t.Proxies))
 		s.mu.Lock()
 		for i := range t.Proxies {
-			s.proxies[len(s.proxies)-1-i].DisconnectFor(t.Last)
+			s.proxies[len(s.proxies)-1-i].DisconnectFor(t.Duration)
 		}
 		s.mu.Unlock()
-		s.sleep(ctx, t.Last)
+		s.sleep(ctx, t.Duration)
 		say("the stale proxies come back")
 	}
 	return nil
--- a/internal/rehearse/undo.go
+++ b/internal/rehearse/undo.go
@@ -11,15 +11,15 @@
 )
 
 // Undone is how a rollback reached the proxies, as they saw it.
-type Undone struct {
-	To        tables.Step `json:"to"`
-	Version   tables.Step `json:"version"`
-	Tables    int         `json:"tables"`
-	Moved     float64     `json:"moved"`
-	Mended    int         `json:"lines_not_honoured"`
-	Proxies   int         `json:"proxies"`
-	MostPolls int         `json:"most_polls"` // answers that the slowest proxy took to hold it
-	SlowestMs float64     `json:"slowest_ms"`
+type RollbackResult struct {
+	To               tables.Step `json:"to"`
+	Version          tables.Step `json:"version"`
+	Tables           int         `json:"tables"`
+	MovedFraction    float64     `json:"moved"`
+	LinesNotHonoured int         `json:"lines_not_honoured"`
+	Proxies          int         `json:"proxies"`
+	MostPolls        int         `json:"most_polls"` // answers that the slowest proxy took to hold it
+	SlowestMs        float64     `json:"slowest_ms"`
 }
 
 func (s *stage) operators() operate.Client { return operate.Client{URL: "http://" + s.running.Admin} }
@@ -31,11 +31,11 @@
 	if err := s.operators().Post(ctx, "rollback", operate.Wish{To: s.start, Since: 1 << 60, Who: "rehearsal", Why: "the day's script", Force: true}, &o); err != nil {
 		return err
 	}
-	u := Undone{To: s.start, Version: o.Version, Tables: len(o.Tables), Moved: o.MovedFraction, Proxies: len(s.proxies)}
+	u := RollbackResult{To: s.start, Version: o.Version, Tables: len(o.Tables), MovedFraction: o.MovedFraction, Proxies: len(s.proxies)}
 	for _, t := range o.Tables {
-		u.Mended += len(t.Faults)
+		u.LinesNotHonoured += len(t.Faults)
 	}
-	say(fmt.Sprintf("an operator goes back to version %d: version %d, %d tables, %d lines not honoured", s.start, o.Version, u.Tables, u.Mended))
+	say(fmt.Sprintf("an operator goes back to version %d: version %d, %d tables, %d lines not honoured", s.start, o.Version, u.Tables, u.LinesNotHonoured))
 	for end := time.Now().Add(10 * time.Second); ; {
 		there := 0
 		for _, p := range s.proxies {
