--- a/internal/rehearse/directors.go
+++ b/internal/rehearse/directors.go
@@ -23,31 +23,32 @@
 	"vetchwood/internal/standin"
 )
 
-// director is one of those that a stage raises, as a process of its own.
+// director is a director of the environment, which runs as a separate process.
 type director struct {
 	name, file, log string
 	running         *settings.Running
-	door            *standin.Door // its way to the list and the leases, where there are several
-	facts           *standin.Door // the others' way to what it knows
+	registryLink    *standin.Door // its link to the registry and the lease store; nil if it is the only director
+	peerLink        *standin.Door // its peers' link to its state; nil if it is the only director
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	ended  chan struct{} // closed at the end of the process at hand
-	failed error         // and how it ended
-	most   float64       // watermark of its channel, over all its lives
-	dense  float64
+	mu             sync.Mutex
+	cmd            *exec.Cmd
+	exited         chan struct{} // closed when the current process exits
+	exitErr        error         // result of the exited process; valid once exited is closed
+	maxQueuedLines float64       // most lines ever queued in its channel, over all its processes
+	maxMessages    float64       // most messages to one proxy in a message window, over all its processes
 }
 
-var errEnded = errors.New("the director ended")
+var errDirectorExited = errors.New("the director exited")
 
-// leaseOf is a rehearsal's time to live: short, so that a day can hold many.
-const leaseOf = 2 * time.Second
+// leaseTTL is the time to live of leases in a rehearsal. It is short so that a day covers many expirations.
+const leaseTTL = 2 * time.Second
 
-// prefix of the keys that leases are held by.
-const prefix = "vetchwood"
+// leasePrefix is the prefix of the keys of leases in the lease store, and of the names of their sessions.
+const leasePrefix = "vetchwood"
 
-// prepare writes a director's settings.
-func (s *stage) prepare(i int) (err error) {
+// addDirector writes the settings file of director i and loads it. Several directors share the ownership of slices, and
+// each is then reached and reaches the registry through links that faults can cut.
+func (s *environment) addDirector(i int) (err error) {
 	d := &director{name: "d" + strconv.Itoa(i+1)}
 	if d.file, d.log = filepath.Join(s.dir, "director.hcl"), filepath.Join(s.dir, "director.log"); i > 0 {
 		d.file, d.log = filepath.Join(s.dir, d.name+".hcl"), filepath.Join(s.dir, d.name+".log")
@@ -56,17 +57,17 @@
 		"Listen": s.script.Listen, "Admin": s.script.Admin, "Proxies": strconv.Itoa(max(24, s.script.Fleet.Proxies+s.script.Fleet.SimulatedProxies)),
 		"Lines": strconv.Itoa(8000 * max(1, (s.script.Fleet.Proxies+s.script.Fleet.SimulatedProxies)/12))}
 	if s.script.Fleet.Directors > 1 {
-		if d.door, err = s.registry.Open(d.name, uint64(i)); err != nil {
+		if d.registryLink, err = s.registry.Open(d.name, uint64(i)); err != nil {
 			return err
 		}
-		fill["Store"], fill["Roster"] = filepath.Join(s.dir, d.name+".db"), d.door.URL()
+		fill["Store"], fill["Roster"] = filepath.Join(s.dir, d.name+".db"), d.registryLink.URL()
 		if fill["Listen"], err = freePort(); err != nil {
 			return err
 		}
-		if d.facts, err = standin.Before(d.name, uint64(i), fill["Listen"]); err != nil {
+		if d.peerLink, err = standin.Before(d.name, uint64(i), fill["Listen"]); err != nil {
 			return err
 		}
-		fill["Custody"] = fmt.Sprintf("custody {\n  prefix = %q\n  ttl    = %q\n  advertise = %q\n}\n", prefix, leaseOf, d.facts.URL())
+		fill["Custody"] = fmt.Sprintf("custody {\n  prefix = %q\n  ttl    = %q\n  advertise = %q\n}\n", leasePrefix, leaseTTL, d.peerLink.URL())
 		if !s.script.Fleet.LearnFromPeers {
 			fill["Custody"] = strings.Replace(fill["Custody"], "ttl ", "learn  = false\n  ttl ", 1)
 		}
@@ -103,25 +104,26 @@
 	return nil
 }
 
-// charges has the store of leases tell the book who holds what.
-func (s *stage) charges() {
-	s.registry.Locks.Changed = func(key, session, holder string, count uint64, value func(string) string) {
-		number, is := strings.CutPrefix(key, prefix+"/slices/")
+// recordOwnership records every change of the ownership of a slice as the lease store makes it. The fence of an owner
+// is the stored epoch plus the lock index of the key.
+func (s *environment) recordOwnership() {
+	s.registry.Locks.Changed = func(key, session, holder string, lockIndex uint64, value func(string) string) {
+		number, found := strings.CutPrefix(key, leasePrefix+"/slices/")
 		slice, err := strconv.Atoi(number)
-		if !is || err != nil {
+		if !found || err != nil {
 			return
 		}
 		director := ""
 		if session != "" {
-			director = strings.TrimPrefix(holder, prefix+" ")
+			director = strings.TrimPrefix(holder, leasePrefix+" ")
 		}
-		base, _ := strconv.ParseUint(value(prefix+"/epoch"), 10, 64)
-		s.book.Charged(judge.Charge{At: s.now(), Table: strconv.Itoa(slice), Director: director, Fence: base + count})
+		epoch, _ := strconv.ParseUint(value(leasePrefix+"/epoch"), 10, 64)
+		s.records.Charged(judge.Charge{At: s.now(), Table: strconv.Itoa(slice), Director: director, Fence: epoch + lockIndex})
 	}
 }
 
-// urls are where proxies find the directors, and named gives a director's name by one of them.
-func (s *stage) urls(mqtt bool) (out []string) {
+// directorURLs returns the URLs at which proxies follow the directors.
+func (s *environment) directorURLs(mqtt bool) (out []string) {
 	for _, d := range s.directors {
 		if mqtt {
 			out = append(out, "mqtt://"+d.running.MQTT.Listen)
@@ -132,7 +134,8 @@
 	return out
 }
 
-func (s *stage) named(url string) string {
+// directorName returns the name of the director with the given URL, or "" in an environment with a single director.
+func (s *environment) directorName(url string) string {
 	if len(s.directors) > 1 {
 		for _, d := range s.directors {
 			if url == "http://"+d.running.Listen || d.running.MQTT != nil && url == "mqtt://"+d.running.MQTT.Listen {
@@ -143,6 +146,7 @@
 	return ""
 }
 
+// start starts the director's process and appends its standard error to its log file.
 func (d *director) start(command func(string) *exec.Cmd) error {
 	log, err := os.OpenFile(d.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -158,46 +162,48 @@
 		return err
 	}
 	ended := make(chan struct{})
-	go func(c *exec.Cmd) { d.failed = c.Wait(); close(ended) }(d.cmd)
-	d.ended = ended
+	go func(c *exec.Cmd) { d.exitErr = c.Wait(); close(ended) }(d.cmd)
+	d.exited = ended
 	return nil
 }
 
-// stop ends it with a signal, after a last look at its figures.
+// stop signals the process and waits for its exit; after 15 s it is killed. The metrics are read before the signal,
+// except when one of several directors is killed.
 func (d *director) stop(sig os.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.cmd == nil {
 		return
 	}
-	if sig != syscall.SIGKILL || d.door == nil {
-		d.readFigures()
+	if sig != syscall.SIGKILL || d.registryLink == nil {
+		d.readMetrics()
 	}
 	d.cmd.Process.Signal(sig)
 	select {
-	case <-d.ended:
+	case <-d.exited:
 	case <-time.After(15 * time.Second):
 		d.cmd.Process.Kill()
-		<-d.ended
+		<-d.exited
 	}
 	d.cmd = nil
 }
 
-// pause stops it in its tracks, or lets it go on.
-func (d *director) pause(on bool) {
+// setPaused suspends the process (SIGSTOP) or resumes it (SIGCONT).
+func (d *director) setPaused(paused bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.cmd != nil {
-		d.cmd.Process.Signal(map[bool]os.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[on])
+		d.cmd.Process.Signal(map[bool]os.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[paused])
 	}
 }
 
-func (d *director) readFigures() {
-	d.most = math.Max(d.most, d.metric("vetchwood_channel_most_lines"))
-	d.dense = math.Max(d.dense, d.metric("vetchwood_messages_most"))
+// readMetrics updates the maxima from the director's metrics.
+func (d *director) readMetrics() {
+	d.maxQueuedLines = math.Max(d.maxQueuedLines, d.metric("vetchwood_channel_most_lines"))
+	d.maxMessages = math.Max(d.maxMessages, d.metric("vetchwood_messages_most"))
 }
 
-// metric is a figure of its own, 0 if it does not answer.
+// metric returns one of the director's metrics, or 0 if the director does not answer within 1 s.
 func (d *director) metric(name string) float64 {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	res, err := client.Get("http://" + d.running.Admin + "/metrics")
@@ -207,25 +213,25 @@
 	defer res.Body.Close()
 	var b bytes.Buffer
 	b.ReadFrom(res.Body)
-	return metric(b.Bytes(), name)
+	return parseMetric(b.Bytes(), name)
 }
 
-func (s *stage) startDirector() error       { return s.directors[0].start(s.command) }
-func (s *stage) stopDirector(sig os.Signal) { s.directors[0].stop(sig) }
-func (s *stage) logFile() string            { return filepath.Join(s.dir, "director.log") }
-func (s *stage) all(do func(*director) error) (err error) {
+func (s *environment) startDirector() error       { return s.directors[0].start(s.command) }
+func (s *environment) stopDirector(sig os.Signal) { s.directors[0].stop(sig) }
+func (s *environment) directorLog() string        { return filepath.Join(s.dir, "director.log") }
+func (s *environment) forEachDirector(f func(*director) error) (err error) {
 	for _, d := range s.directors {
-		err = errors.Join(err, do(d))
+		err = errors.Join(err, f(d))
 	}
 	return err
 }
 
-// Handed is how slices got along after a director's trouble: for how long they had no holder by the store of leases, and
-// how long it took after that until every proxy held the new holder's word.
+// Handover describes the handover of slices around a director's fault: for how long slices had no owner according to
+// the lease store, and how long it took from then until every proxy held the new owner's tables.
 type Handover struct {
 	Fault         string    `json:"trouble"`
 	Director      string    `json:"director"`
-	Slices        int       `json:"slices"` // that it held
+	Slices        int       `json:"slices"` // owned by the director when the fault began
 	LongestGapMs  float64   `json:"without_holder_ms"`
 	GapsMs        []float64 `json:"-"`
 	PropagationMs float64   `json:"until_told_ms"`
@@ -233,106 +239,108 @@
 	from, until float64
 }
 
-// upset plays a director's trouble.
-func (s *stage) upset(ctx context.Context, t Fault, say func(string)) error {
+// injectDirectorFault applies a fault of a director, ends it after its duration, and records the period for the report.
+func (s *environment) injectDirectorFault(ctx context.Context, t Fault, report func(string)) error {
 	d := s.directors[t.Director-1]
 	from, held := s.now(), int(d.metric("vetchwood_slices_held"))
 	s.mu.Lock()
-	s.hands = append(s.hands, Handover{Fault: t.Kind, Director: d.name, Slices: held, from: from})
-	mine := len(s.hands) - 1
+	s.handovers = append(s.handovers, Handover{Fault: t.Kind, Director: d.name, Slices: held, from: from})
+	index := len(s.handovers) - 1
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.hands[mine].until = s.now()
+		s.handovers[index].until = s.now()
 	}()
-	who := "the director"
+	name := "the director"
 	if len(s.directors) > 1 {
-		who = "director " + d.name
+		name = "director " + d.name
 	}
-	var over func() error
+	var end func() error
 	switch t.Kind {
 	case "kill_director":
-		say(who + " is killed")
+		report(name + " is killed")
 		d.stop(syscall.SIGKILL)
-		over = func() error { say(who + " starts over"); return d.start(s.command) }
+		end = func() error { report(name + " is started again"); return d.start(s.command) }
 	case "stop_director":
-		say(who + " is asked to stop")
+		report(name + " is sent SIGTERM")
 		d.stop(syscall.SIGTERM)
-		over = func() error { say(who + " starts over"); return d.start(s.command) }
+		end = func() error { report(name + " is started again"); return d.start(s.command) }
 	case "pause_director":
-		say(who + " is paused")
-		d.pause(true)
-		over = func() error { say(who + " goes on"); d.pause(false); return nil }
+		report(name + " is paused")
+		d.setPaused(true)
+		end = func() error { report(name + " is resumed"); d.setPaused(false); return nil }
 	case "cut_director":
-		say(who + " is cut off from the list and the leases")
-		d.door.Set(standin.DoorFaults{Cut: true})
-		over = func() error { say(who + " is back"); d.door.Set(standin.DoorFaults{}); return nil }
+		report(name + " is cut off from the host list and the lease store")
+		d.registryLink.Set(standin.DoorFaults{Cut: true})
+		end = func() error { report(name + " is reconnected"); d.registryLink.Set(standin.DoorFaults{}); return nil }
 	case "lossy_director":
-		say(who + " loses requests and answers")
-		d.door.Set(standin.DoorFaults{Lose: t.LossProbability, Slow: 30 * time.Millisecond})
-		over = func() error { d.door.Set(standin.DoorFaults{}); return nil }
+		report(name + " loses requests to the registry and answers from it")
+		d.registryLink.Set(standin.DoorFaults{Lose: t.LossProbability, Slow: 30 * time.Millisecond})
+		end = func() error { d.registryLink.Set(standin.DoorFaults{}); return nil }
 	case "cut_peer":
-		say("no other director hears from " + d.name + ", which hears from them")
-		d.facts.Set(standin.DoorFaults{Cut: true})
-		over = func() error { d.facts.Set(standin.DoorFaults{}); return nil }
+		report("the other directors cannot reach " + d.name + ", but it can reach them")
+		d.peerLink.Set(standin.DoorFaults{Cut: true})
+		end = func() error { d.peerLink.Set(standin.DoorFaults{}); return nil }
 	case "flap_leases":
-		say(who + " loses its session again and again")
-		for end := time.Now().Add(t.Duration); time.Now().Before(end); {
-			s.registry.Locks.End(prefix + " " + d.name)
+		report(name + " loses its session every 400 ms")
+		for deadline := time.Now().Add(t.Duration); time.Now().Before(deadline); {
+			s.registry.Locks.End(leasePrefix + " " + d.name)
 			if !s.sleep(ctx, 400*time.Millisecond) {
 				return nil
 			}
 		}
-		t.Duration, over = 0, func() error { return nil }
+		t.Duration, end = 0, func() error { return nil }
 	}
-	on := s.sleep(ctx, t.Duration)
-	if on || t.Kind == "pause_director" {
-		return over()
+	completed := s.sleep(ctx, t.Duration)
+	if completed || t.Kind == "pause_director" {
+		return end()
 	}
 	return nil
 }
 
-// handed reads from the book how each director's trouble went.
-func (s *stage) handed() []Handover {
+// measureHandovers computes from the records how the slices were handed over around each fault of a director. It
+// returns nil for a single director.
+func (s *environment) measureHandovers() []Handover {
 	if len(s.directors) < 2 {
 		return nil
 	}
-	for i := range s.hands {
-		h := &s.hands[i]
-		until := h.until + 5000 // what began at the trouble's end belongs to it
+	for i := range s.handovers {
+		h := &s.handovers[i]
+		until := h.until + 5000 // handovers within 5 s of the end of the fault are attributed to it
 		switch h.Fault {
 		case "stop_director", "flap_leases", "lossy_director", "cut_peer":
-			for _, g := range s.book.Gaps(h.from, h.until) {
+			for _, g := range s.records.Gaps(h.from, h.until) {
 				h.GapsMs = append(h.GapsMs, g.Ms)
 				h.LongestGapMs = max(h.LongestGapMs, g.Ms)
 			}
 		default:
-			h.GapsMs = s.book.Without(h.Director, h.from, until, h.Fault != "cut_director")
+			h.GapsMs = s.records.Without(h.Director, h.from, until, h.Fault != "cut_director")
 			for _, ms := range h.GapsMs {
 				h.LongestGapMs = max(h.LongestGapMs, ms)
 			}
 		}
-		h.PropagationMs = s.book.Words(h.from, h.until)
+		h.PropagationMs = s.records.Words(h.from, h.until)
 	}
-	return s.hands
+	return s.handovers
 }
 
-// leasesAway is a store that answers nobody. Who held a slice is in charge of it until the lease is over that was
-// renewed last; from then on nobody can know, until it is back.
-func (s *stage) leasesAway(ctx context.Context, long time.Duration) {
+// stopLeaseStore makes the lease store unavailable for a while. The owner of a slice stays in charge until its last
+// renewed lease expires; after that the owner is unknown until the store is back, so the records show none for that
+// time.
+func (s *environment) stopLeaseStore(ctx context.Context, duration time.Duration) {
 	s.registry.Locks.Away(true)
-	if !s.sleep(ctx, min(long, leaseOf)) {
+	if !s.sleep(ctx, min(duration, leaseTTL)) {
 		return
 	}
-	held := s.book.InCharge()
+	held := s.records.InCharge()
 	for _, c := range held {
-		s.book.Charged(judge.Charge{At: s.now(), Table: c.Table})
+		s.records.Charged(judge.Charge{At: s.now(), Table: c.Table})
 	}
-	s.sleep(ctx, long-leaseOf)
+	s.sleep(ctx, duration-leaseTTL)
 	s.registry.Locks.Away(false)
 	for _, c := range held {
 		c.At = s.now()
-		s.book.Charged(c)
+		s.records.Charged(c)
 	}
 }
--- a/internal/rehearse/directors_test.go
+++ b/internal/rehearse/directors_test.go
@@ -16,36 +16,36 @@
 	"vetchwood/logic"
 )
 
-// several raises a fleet with so many directors and calls coming in, and returns once each director has its part.
-func several(t *testing.T, directors, hosts, proxies int, learns bool) *stage {
+// startSharedFleet starts a fleet with several directors under load, and returns once each director owns slices.
+func startSharedFleet(t *testing.T, directors, hosts, proxies int, learn bool) *environment {
 	script, err := LoadScript("short-day")
 	if err != nil {
 		t.Fatal(err)
 	}
 	script.Fleet.Hosts, script.Fleet.Proxies, script.Fleet.ListDelay = hosts, proxies, 0
-	script.Fleet.Directors, script.Fleet.LearnFromPeers, script.Faults = directors, learns, nil
-	s, err := raise(t.Context(), script, t.TempDir(), self, slog.New(slog.DiscardHandler))
+	script.Fleet.Directors, script.Fleet.LearnFromPeers, script.Faults = directors, learn, nil
+	s, err := startEnvironment(t.Context(), script, t.TempDir(), directorCommand, slog.New(slog.DiscardHandler))
 	t.Cleanup(func() {
 		if s != nil {
-			s.lower()
+			s.stop()
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.began = time.Now()
+	s.dayStart = time.Now()
 	for i := range s.proxies {
-		s.busy.Add(1)
-		go s.call(t.Context(), i)
+		s.pending.Add(1)
+		go s.generateCalls(t.Context(), i)
 	}
-	s.shared(t)
+	s.awaitSharedSlices(t)
 	return s
 }
 
-// shared waits until every director has slices and all are held.
-func (s *stage) shared(t *testing.T) {
+// awaitSharedSlices waits until every director owns slices and every slice has an owner.
+func (s *environment) awaitSharedSlices(t *testing.T) {
 	t.Helper()
-	eventually(t, "every director has its part", func() bool {
+	eventually(t, "every director owns slices", func() bool {
 		held, all := 0.0, true
 		for _, d := range s.directors {
 			n := d.metric("vetchwood_slices_held")
@@ -55,29 +55,31 @@
 	})
 }
 
-func rounds(name string, otherwise int) int {
+// envInt returns the value of an environment variable, or fallback if it is not set to a whole number.
+func envInt(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
-func spread(all []float64) string {
+// summarize sorts the values and returns their median, 90th percentile and maximum as text.
+func summarize(all []float64) string {
 	if slices.Sort(all); len(all) == 0 {
 		return "none"
 	}
 	at := func(p float64) string {
 		return strconv.FormatFloat(all[min(len(all)-1, int(p*float64(len(all))))], 'f', 0, 64)
 	}
-	return at(0.5) + " in the middle, " + at(0.9) + " of nine in ten, " + at(1) + " at most, of " + strconv.Itoa(len(all))
+	return at(0.5) + " (median), " + at(0.9) + " (90th percentile), " + at(1) + " (maximum), of " + strconv.Itoa(len(all))
 }
 
-// A director's end and its troubles, one after the other, as many times over as VETCHWOOD_ROUNDS says: how long slices go
-// without a holder, and whether any proxy is ever without a line.
+// Guards against slices that stay without an owner, and proxies without lines, when a director stops, is killed, is
+// paused or is cut off. VETCHWOOD_ROUNDS sets how often each fault is repeated.
 func TestWithoutAHolder(t *testing.T) {
 	t.Parallel()
-	s := several(t, 3, 6, 4, true)
-	lease := float64(leaseOf.Milliseconds())
+	s := startSharedFleet(t, 3, 6, 4, true)
+	lease := float64(leaseTTL.Milliseconds())
 	for _, k := range []struct {
 		kind string
 		last time.Duration
@@ -85,53 +87,53 @@
 	}{{"stop_director", time.Millisecond, 0}, {"kill_director", 3 * time.Second, lease + 500}, {"pause_director", 3 * time.Second, lease + 500},
 		{"cut_director", 3 * time.Second, lease + 500}} {
 		var each []float64
-		for round := range rounds("VETCHWOOD_ROUNDS", 1) {
-			if err := s.upset(t.Context(), Fault{Kind: k.kind, Duration: k.last, Director: round%3 + 1}, func(string) {}); err != nil {
+		for round := range envInt("VETCHWOOD_ROUNDS", 1) {
+			if err := s.injectDirectorFault(t.Context(), Fault{Kind: k.kind, Duration: k.last, Director: round%3 + 1}, func(string) {}); err != nil {
 				t.Fatal(err)
 			}
-			s.shared(t)
+			s.awaitSharedSlices(t)
 		}
-		for _, h := range s.handed() {
+		for _, h := range s.measureHandovers() {
 			if h.Fault == k.kind {
 				if h.Slices == 0 {
-					t.Fatalf("%s: director %s had nothing", k.kind, h.Director)
+					t.Fatalf("%s: director %s owned no slices", k.kind, h.Director)
 				}
 				each = append(each, h.GapsMs...)
 				if h.LongestGapMs > k.most {
-					t.Errorf("%s: a slice was without a holder for %.0f ms, of %.0f", k.kind, h.LongestGapMs, k.most)
+					t.Errorf("%s: a slice had no owner for %.0f ms; the limit is %.0f ms", k.kind, h.LongestGapMs, k.most)
 				}
 			}
 		}
-		t.Logf("%s: slices without a holder for milliseconds: %s", k.kind, spread(each))
-		s.hands = nil
+		t.Logf("%s: slices without an owner, in ms: %s", k.kind, summarize(each))
+		s.handovers = nil
 	}
-	v := s.book.Judge(s.terms(0, s.now()))
+	v := s.records.Judge(s.judgeParams(0, s.now()))
 	for _, r := range v.Rules {
 		if !r.Kept {
 			t.Errorf("%+v", r)
 		}
 	}
 	if v.Backwards > 0 || v.Calls < 100 {
-		t.Errorf("%d words of deposed directors followed; %d calls", v.Backwards, v.Calls)
+		t.Errorf("proxies followed tables of former owners %d times; %d calls, want at least 100", v.Backwards, v.Calls)
 	}
 }
 
-// A director starts over while its way to the list is shut, and a host drains of which the others were told. The slices it
-// gets must stop sending there within the grace: it learns of the drain from them. VETCHWOOD_BASELINE plays the same with
-// learning off.
+// Guards against calls to a draining host through a director that restarted without access to the host list. The drain
+// is known only to its peer, from which the director must learn of it; the slices that it receives must stop sending to
+// the host within the grace period. VETCHWOOD_BASELINE runs the same without learning from peers.
 func TestADrainIsLearnt(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
 	var latest []float64
 	var after []int
 	var all sync.WaitGroup
-	n := rounds("VETCHWOOD_ROUNDS", 1)
-	four := make(chan struct{}, 3)
+	n := envInt("VETCHWOOD_ROUNDS", 1)
+	running := make(chan struct{}, 3)
 	for range n {
 		all.Go(func() {
-			four <- struct{}{}
-			defer func() { <-four }()
-			ms, sends := drainLearnt(t, os.Getenv("VETCHWOOD_BASELINE") == "")
+			running <- struct{}{}
+			defer func() { <-running }()
+			ms, sends := drainWithoutList(t, os.Getenv("VETCHWOOD_BASELINE") == "")
 			mu.Lock()
 			defer mu.Unlock()
 			latest, after = append(latest, ms), append(after, sends)
@@ -144,36 +146,37 @@
 			kept++
 		}
 	}
-	t.Logf("kept in %d of %d; latest send after the giving, ms: %s; sends past the grace: %v", kept, n, spread(latest), after)
+	t.Logf("grace period kept in %d of %d rounds; latest try after the handover, ms: %s; tries after the grace period: %v", kept, n, summarize(latest), after)
 	if os.Getenv("VETCHWOOD_BASELINE") == "" && kept < n {
-		t.Errorf("kept in %d of %d", kept, n)
+		t.Errorf("grace period kept in %d of %d rounds", kept, n)
 	}
 }
 
-// drainLearnt gives the latest send to the draining host after the slices were given, and how many came past the grace.
-func drainLearnt(t *testing.T, learns bool) (latest float64, past int) {
-	s := several(t, 2, 6, 4, learns)
+// drainWithoutList returns the latest try at the draining host after the handover of its slice, in ms, and the number
+// of tries after the grace period.
+func drainWithoutList(t *testing.T, learn bool) (latest float64, past int) {
+	s := startSharedFleet(t, 2, 6, 4, learn)
 	d, host := s.directors[1], s.hosts[2]
 	d.stop(syscall.SIGKILL)
-	eventually(t, "the other director has all", func() bool { return s.directors[0].metric("vetchwood_slices_held") == 64 })
-	d.door.Set(standin.DoorFaults{NoList: true})
+	eventually(t, "the other director owns all slices", func() bool { return s.directors[0].metric("vetchwood_slices_held") == 64 })
+	d.registryLink.Set(standin.DoorFaults{NoList: true})
 	if err := d.start(s.command); err != nil {
 		t.Error(err)
 		return math.Inf(1), 1
 	}
-	time.Sleep(leaseOf - 100*time.Millisecond) // just before it counts as steady
+	time.Sleep(leaseTTL - 100*time.Millisecond) // just before the director counts as steady
 	s.registry.State(host.id, logic.Draining)
-	eventually(t, "it has its part again", func() bool { return d.metric("vetchwood_slices_held") > 0 })
-	given := map[string]float64{}
-	for _, c := range s.book.InCharge() {
+	eventually(t, "the restarted director owns slices again", func() bool { return d.metric("vetchwood_slices_held") > 0 })
+	assigned := map[string]float64{}
+	for _, c := range s.records.InCharge() {
 		if c.Director == d.name {
-			given[c.Table] = c.At
+			assigned[c.Table] = c.At
 		}
 	}
 	grace := float64(s.running.Service.Config.DrainGrace)
 	time.Sleep(time.Duration(grace)*time.Millisecond + 4*time.Second)
-	for _, x := range s.book.Sends() {
-		if at, mine := given[x.Table]; mine && x.Host == host.Address && x.At > at {
+	for _, x := range s.records.Sends() {
+		if at, owned := assigned[x.Table]; owned && x.Host == host.Address && x.At > at {
 			latest = max(latest, x.At-at)
 			if x.At > at+grace {
 				past++
@@ -181,8 +184,8 @@
 		}
 	}
 	log, _ := os.ReadFile(d.log)
-	if learns && !strings.Contains(string(log), "host.learnt") {
-		t.Errorf("nothing was learnt; %d bytes of log", len(log))
+	if learn && !strings.Contains(string(log), "host.learnt") {
+		t.Errorf("no host.learnt event in %d bytes of log", len(log))
 	}
 	return latest, past
 }
--- a/internal/rehearse/play.go
+++ b/internal/rehearse/play.go
@@ -20,23 +20,24 @@
 	"vetchwood/internal/tables"
 )
 
-// Request is what to play and how to tell of it.
+// Request selects the day to play and how to report on it.
 type Request struct {
 	Day     string
 	JSON    bool
-	KeepDir string // folder; empty: a temporary one, removed unless a rule broke
+	KeepDir string // directory for settings, logs and stores; empty: a temporary one, removed if all rules were kept
 	Listen  string
-	Front   string // by which proxies follow, in place of the day's own
+	Front   string // how proxies follow directors (poll, mqtt or mixed); empty: as the script says
 	Out     io.Writer
 	Log     *slog.Logger
-	// Command starts a director with a file; by default this program's own `run`.
+	// Command returns the command that runs a director with a settings file; by default this program with `run`.
 	Command func(file string) *exec.Cmd
 }
 
-// ErrRule says that a rule was broken.
+// ErrRuleBroken reports that a rule was broken on the day that was played.
 var ErrRuleBroken = errors.New("a rule was broken")
 
-// Play raises a day, plays it, and prints the verdict. Interrupted, it lowers all and returns the context's error.
+// Play starts the environment of a day, plays the day, and prints the verdict. If the context ends first, Play stops
+// everything and returns the error of the context.
 func Play(ctx context.Context, q Request) error {
 	script, err := LoadScript(q.Day)
 	if err != nil {
@@ -48,7 +49,7 @@
 	if q.Front != "" {
 		script.Fleet.Front = q.Front
 	}
-	v, extra, err := play(ctx, script, q)
+	v, res, err := playScript(ctx, script, q)
 	if err != nil || script.Length == 0 {
 		return err
 	}
@@ -58,10 +59,10 @@
 		err = enc.Encode(struct {
 			Day string `json:"day"`
 			judge.Verdict
-			extras
-		}{q.Day, v, extra})
+			results
+		}{q.Day, v, res})
 	} else {
-		err = print(q.Out, q.Day, v, extra)
+		err = printReport(q.Out, q.Day, v, res)
 	}
 	if err == nil && !v.Kept() {
 		err = ErrRuleBroken
@@ -69,8 +70,9 @@
 	return err
 }
 
-// extras are what the director itself counted, beside what was seen from outside.
-type extras struct {
+// results are reported next to the verdict: maxima by the directors' own metrics, and the outcome of scripted
+// operations.
+type results struct {
 	MaxQueuedLines float64          `json:"director_most_lines_waiting"`
 	MaxMessages    float64          `json:"director_most_messages"`
 	Folder         string           `json:"folder,omitempty"`
@@ -79,11 +81,13 @@
 	Storms         []StormResult    `json:"storms,omitempty"`
 }
 
-func play(ctx context.Context, script *Script, q Request) (v judge.Verdict, extra extras, err error) {
+// playScript runs the day in a directory of its own and returns the verdict. The directory is kept if a rule was
+// broken, an error occurred or KeepDir is set.
+func playScript(ctx context.Context, script *Script, q Request) (v judge.Verdict, res results, err error) {
 	dir := q.KeepDir
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "vetchwood-rehearsal-"); err != nil {
-			return v, extra, err
+			return v, res, err
 		}
 		defer func() {
 			if err == nil && v.Kept() {
@@ -91,7 +95,7 @@
 			}
 		}()
 	} else if err = os.MkdirAll(dir, 0o700); err != nil {
-		return v, extra, err
+		return v, res, err
 	}
 	command := q.Command
 	if command == nil {
@@ -103,18 +107,18 @@
 			return exec.Command(self, "--log-format=json", "run", file)
 		}
 	}
-	// The stand-ins' own complaints are part of the play; those of the director are in its log.
-	s, err := raise(ctx, script, dir, command, slog.New(slog.DiscardHandler))
+	// Log lines of the proxies about injected faults are expected and dropped. Directors log to files of their own.
+	s, err := startEnvironment(ctx, script, dir, command, slog.New(slog.DiscardHandler))
 	if err != nil {
-		return v, extra, err
+		return v, res, err
 	}
-	show := progress(q, script, s)
+	reporter := newProgress(q, script, s)
 	if script.Length == 0 {
-		fmt.Fprintf(q.Out, "The director serves on http://%s; metrics on http://%s/metrics. Try:\n\n"+
-			"  curl -si http://%s/v1/proxies/relay-20/tables\n\nIt stays up until a signal.\n",
+		fmt.Fprintf(q.Out, "The director listens on http://%s, with metrics on http://%s/metrics. Try:\n\n"+
+			"  curl -si http://%s/v1/proxies/relay-20/tables\n\nIt runs until a signal.\n",
 			s.running.Listen, s.running.Admin, s.running.Listen)
 	}
-	s.began, s.start = time.Now(), s.version()
+	s.dayStart, s.startVersion = time.Now(), s.lowestVersion()
 	from := s.now()
 	day, end := ctx, context.CancelFunc(func() {})
 	if script.Length > 0 {
@@ -122,67 +126,69 @@
 	}
 	defer end()
 	for i := range s.proxies {
-		s.busy.Add(1)
-		go s.call(day, i)
+		s.pending.Add(1)
+		go s.generateCalls(day, i)
 	}
 	failed := make(chan error, len(script.Faults))
-	var troubles sync.WaitGroup
+	var faults sync.WaitGroup
 	for _, t := range script.Faults {
-		troubles.Add(1)
+		faults.Add(1)
 		go func() {
-			defer troubles.Done()
-			if err := s.trouble(day, t, show.happened); err != nil {
-				failed <- fmt.Errorf("trouble %s: %w", t.Kind, err)
+			defer faults.Done()
+			if err := s.injectFault(day, t, reporter.report); err != nil {
+				failed <- fmt.Errorf("fault %s: %w", t.Kind, err)
 			}
 		}()
 	}
-	show.run(day)
-	troubles.Wait()
+	reporter.run(day)
+	faults.Wait()
 	until := s.now()
-	s.settle()
-	s.lower()
+	s.awaitPendingCalls()
+	s.stop()
 	if ctx.Err() != nil {
-		return v, extra, ctx.Err()
+		return v, res, ctx.Err()
 	}
 	select {
 	case err = <-failed:
-		return v, extra, err
+		return v, res, err
 	default:
 	}
 	for _, d := range s.directors {
-		extra.MaxQueuedLines, extra.MaxMessages = max(extra.MaxQueuedLines, d.most), max(extra.MaxMessages, d.dense)
+		res.MaxQueuedLines, res.MaxMessages = max(res.MaxQueuedLines, d.maxQueuedLines), max(res.MaxMessages, d.maxMessages)
 	}
-	extra.Rollbacks, extra.Handovers, extra.Storms = s.rollbacks, s.handed(), s.storms
-	if v = s.book.Judge(s.terms(from, until)); !v.Kept() || q.KeepDir != "" {
-		extra.Folder = dir
+	res.Rollbacks, res.Handovers, res.Storms = s.rollbacks, s.measureHandovers(), s.storms
+	if v = s.records.Judge(s.judgeParams(from, until)); !v.Kept() || q.KeepDir != "" {
+		res.Folder = dir
 	}
-	return v, extra, nil
+	return v, res, nil
 }
 
-// version is the newest that every proxy holds.
-func (s *stage) version() tables.Step {
-	least := tables.Step(math.MaxUint64)
+// lowestVersion returns the newest version that every proxy has reached.
+func (s *environment) lowestVersion() tables.Step {
+	lowest := tables.Step(math.MaxUint64)
 	for _, p := range s.proxies {
-		least = min(least, p.Document().Step)
+		lowest = min(lowest, p.Document().Step)
 	}
-	return least
+	return lowest
 }
 
-// settle lets the calls in hand end.
-func (s *stage) settle() {
+// awaitPendingCalls waits for the calls in flight, for at most 5 s.
+func (s *environment) awaitPendingCalls() {
 	done := make(chan struct{})
-	go func() { s.busy.Wait(); close(done) }()
+	go func() { s.pending.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
 	}
 }
 
-func (s *stage) terms(from, until float64) judge.Terms {
+// judgeParams returns the parameters by which the period between two times is judged, taken from the directors'
+// settings.
+func (s *environment) judgeParams(from, until float64) judge.Terms {
 	f := s.running.Service.Config
 	t := judge.Terms{Routes: map[string]tables.Route{}, LateShare: map[string]float64{}, Slices: f.Slices,
-		Bare: float64(f.EmptyTableLimit), Grace: float64(f.DrainGrace), Warm: span(f.WarmAfter), ColdFrom: f.ColdCapacity,
-		Tip: f.ColdOverloadLimit, Fall: span(f.ColdFailAfter), Queue: f.QueueLimit, Head: f.MessageOverhead, Messages: f.MessageLimit,
+		Bare: float64(f.EmptyTableLimit), Grace: float64(f.DrainGrace), Warm: toDuration(f.WarmAfter), ColdFrom: f.ColdCapacity,
+		Tip: f.ColdOverloadLimit, Fall: toDuration(f.ColdFailAfter), Queue: f.QueueLimit, Head: f.MessageOverhead, Messages: f.MessageLimit,
 		MessageSpan: float64(f.MessageWindow), From: from, Until: until}
 	for i, r := range s.running.Service.Routes {
 		t.Routes[r.Name], t.LateShare[r.Name] = r.Route, f.Routes[i].LateShare
@@ -190,48 +196,50 @@
 	return t
 }
 
-// shown tells how the day goes.
-type shown struct {
-	out    io.Writer
-	live   bool
-	quiet  bool
-	mu     sync.Mutex
-	book   *judge.Book
-	began  time.Time
-	length time.Duration
+// progress reports the course of the day: a line for each event and, on a terminal, a status line twice per second.
+type progress struct {
+	out      io.Writer
+	terminal bool
+	quiet    bool
+	mu       sync.Mutex
+	book     *judge.Book
+	began    time.Time
+	length   time.Duration
 }
 
-func progress(q Request, script *Script, s *stage) *shown {
+func newProgress(q Request, script *Script, s *environment) *progress {
 	f, file := q.Out.(*os.File)
-	return &shown{out: q.Out, quiet: q.JSON, live: file && isatty.IsTerminal(f.Fd()), book: s.book, began: time.Now(),
+	return &progress{out: q.Out, quiet: q.JSON, terminal: file && isatty.IsTerminal(f.Fd()), book: s.records, began: time.Now(),
 		length: script.Length}
 }
 
-func (p *shown) happened(what string) {
+// report records an event of the day and prints it with the time since the start.
+func (p *progress) report(what string) {
 	p.book.Happened(judge.Note{Text: what})
 	if p.quiet {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.live {
+	if p.terminal {
 		fmt.Fprint(p.out, "\r\x1b[K")
 	}
 	fmt.Fprintf(p.out, "%6.1f s  %s\n", time.Since(p.began).Seconds(), what)
 }
 
-func (p *shown) run(ctx context.Context) {
+// run updates the status line until the context ends.
+func (p *progress) run(ctx context.Context) {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			if p.live && !p.quiet {
+			if p.terminal && !p.quiet {
 				fmt.Fprint(p.out, "\r\x1b[K")
 			}
 			return
 		case <-tick.C:
-			if !p.live || p.quiet || p.length == 0 {
+			if !p.terminal || p.quiet || p.length == 0 {
 				continue
 			}
 			calls, answered, throttled, step := p.book.Counts()
@@ -243,7 +251,8 @@
 	}
 }
 
-func print(out io.Writer, day string, v judge.Verdict, extra extras) error {
+// printReport prints the verdict and the results as text.
+func printReport(out io.Writer, day string, v judge.Verdict, res results) error {
 	fmt.Fprintf(out, "\n%s: %s (stand-ins on one machine)\n\n", day, map[bool]string{true: "all rules kept", false: "A RULE WAS BROKEN"}[v.Kept()])
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "rule\tkept\tworst\tlimit\tunit\twhere")
@@ -255,30 +264,30 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "service %.3f (importance answered within the SLO time over importance asked for), worst 10 s %.3f\n", v.Service, v.WorstTen)
+	fmt.Fprintf(out, "service %.3f (importance answered, with late answers counted in part, over importance requested), worst 10 s %.3f\n", v.Service, v.WorstTen)
 	w = tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for name, s := range v.ByRoute {
 		fmt.Fprintf(w, "  route %s\t%.3f\n", name, s)
 	}
 	fmt.Fprintf(w, "calls\t%d\tanswered %d, throttled %d, dropped %d; %d tries\n", v.Calls, v.Answered, v.Throttled, v.Dropped, v.Tries)
-	fmt.Fprintf(w, "answers\t%.0f ms\tmedian; 99 in 100 within %.0f ms\n", v.MedianMs, v.P99Ms)
-	fmt.Fprintf(w, "versions seen\t%d\t%d deltas, %d whole documents; %d lists told\n", v.Steps, v.Deltas, v.Whole, v.Lists)
-	fmt.Fprintf(w, "lines waiting\t%.0f\tat most, by the director's own count; %.0f messages to one proxy\n", extra.MaxQueuedLines, extra.MaxMessages)
-	for _, u := range extra.Rollbacks {
-		fmt.Fprintf(w, "back to version %d\t%d ms\tuntil the last of %d proxies held it; %d polls at most, %d lines not honoured\n", u.To,
+	fmt.Fprintf(w, "answers\t%.0f ms\tmedian; 99th percentile %.0f ms\n", v.MedianMs, v.P99Ms)
+	fmt.Fprintf(w, "versions seen\t%d\t%d deltas, %d whole documents; %d host lists delivered\n", v.Steps, v.Deltas, v.Whole, v.Lists)
+	fmt.Fprintf(w, "lines queued\t%.0f\tat most, by the directors' own metrics; at most %.0f messages to one proxy in a message window\n", res.MaxQueuedLines, res.MaxMessages)
+	for _, u := range res.Rollbacks {
+		fmt.Fprintf(w, "rollback to version %d\t%d ms\tuntil the last of %d proxies held it; %d polls at most, %d lines not honoured\n", u.To,
 			int(u.SlowestMs), u.Proxies, u.MostPolls, u.LinesNotHonoured)
 	}
-	for _, h := range extra.Handovers {
-		fmt.Fprintf(w, "%s %s\t%d slices\twithout a holder for %.0f ms at most; every proxy had the next one's word within %.0f ms\n",
+	for _, h := range res.Handovers {
+		fmt.Fprintf(w, "%s %s\t%d slices\twithout an owner for at most %.0f ms; every proxy held the new owner's tables within %.0f ms\n",
 			h.Fault, h.Director, h.Slices, h.LongestGapMs, h.PropagationMs)
 	}
-	for _, x := range extra.Storms {
-		fmt.Fprintf(w, "storm of %s\t%d asked\t%d answered, %d sent away, %d failed; 99 in 100 within %.0f ms in its worst second\n", x.Kind, x.Asked,
+	for _, x := range res.Storms {
+		fmt.Fprintf(w, "storm of %s\t%d requests\t%d answered, %d rejected, %d failed; 99th percentile %.0f ms in the worst second\n", x.Kind, x.Asked,
 			x.Answered, x.Rejected, x.Failed, x.WorstP99Ms)
 	}
-	fmt.Fprintf(w, "hosts fallen\t%d\t\n", v.Falls)
-	if extra.Folder != "" {
-		fmt.Fprintf(w, "kept in\t%s\t\n", extra.Folder)
+	fmt.Fprintf(w, "hosts failed under load\t%d\t\n", v.Falls)
+	if res.Folder != "" {
+		fmt.Fprintf(w, "files kept in\t%s\t\n", res.Folder)
 	}
 	return w.Flush()
 }
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -28,11 +28,12 @@
 	"vetchwood/logic"
 )
 
-// The test binary is the director too, so that one can be killed like any process.
+// TestMain runs the test binary as a director if VETCHWOOD_TEST_DIRECTOR names a settings file, so that tests can kill
+// directors as separate processes.
 func TestMain(m *testing.M) {
 	if file := os.Getenv("VETCHWOOD_TEST_DIRECTOR"); file != "" {
 		if n, err := strconv.ParseUint(os.Getenv("VETCHWOOD_TEST_DISK"), 10, 64); err == nil {
-			signal.Ignore(syscall.SIGXFSZ) // no file grows past this: as on a disk that is full
+			signal.Ignore(syscall.SIGXFSZ) // limits the size of files, to simulate a full disk
 			syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: n, Max: n})
 		}
 		s, err := settings.Load(file)
@@ -50,7 +51,8 @@
 	os.Exit(m.Run())
 }
 
-func self(file string) *exec.Cmd {
+// directorCommand returns the command that runs the test binary as a director.
+func directorCommand(file string) *exec.Cmd {
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "VETCHWOOD_TEST_DIRECTOR="+file)
 	return c
@@ -59,30 +61,30 @@
 func TestADayKeepsTheRules(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
-	err := Play(t.Context(), Request{Day: "short-day", JSON: true, Out: &out, Log: slog.New(slog.DiscardHandler), Command: self})
+	err := Play(t.Context(), Request{Day: "short-day", JSON: true, Out: &out, Log: slog.New(slog.DiscardHandler), Command: directorCommand})
 	var v judge.Verdict
-	if wrong := json.Unmarshal(out.Bytes(), &v); err != nil || wrong != nil {
-		t.Fatalf("%v, %v\n%s", err, wrong, out.Bytes())
+	if decodeErr := json.Unmarshal(out.Bytes(), &v); err != nil || decodeErr != nil {
+		t.Fatalf("%v, %v\n%s", err, decodeErr, out.Bytes())
 	}
 	if v.Calls < 500 || v.Steps < 5 || v.Deltas < 20 || v.Lists < 5 || len(v.Rules) != 6 {
-		t.Fatalf("the day has seen too little to be a witness\n%s", out.Bytes())
+		t.Fatalf("too few calls, versions, deltas or host lists for a meaningful verdict, or not 6 rules\n%s", out.Bytes())
 	}
 	if v.Service < 0.8 {
 		t.Errorf("service %.3f", v.Service)
 	}
 }
 
-// small raises a fleet with no load of its own.
-func small(t *testing.T, hosts, proxies int) *stage {
+// startFleet starts a fleet without load.
+func startFleet(t *testing.T, hosts, proxies int) *environment {
 	script, err := LoadScript("short-day")
 	if err != nil {
 		t.Fatal(err)
 	}
 	script.Fleet.Hosts, script.Fleet.Proxies, script.Fleet.ListDelay = hosts, proxies, 0
-	s, err := raise(t.Context(), script, t.TempDir(), self, slog.New(slog.DiscardHandler))
+	s, err := startEnvironment(t.Context(), script, t.TempDir(), directorCommand, slog.New(slog.DiscardHandler))
 	t.Cleanup(func() {
 		if s != nil {
-			s.lower()
+			s.stop()
 		}
 	})
 	if err != nil {
@@ -91,18 +93,20 @@
 	return s
 }
 
-func (s *stage) stored() tables.Step {
+// storedVersion returns the newest version that the director has stored, or 0 if it does not answer.
+func (s *environment) storedVersion() tables.Step {
 	res, err := http.Get("http://" + s.running.Admin + "/metrics")
 	if err != nil {
 		return 0
 	}
 	defer res.Body.Close()
 	text, _ := io.ReadAll(res.Body)
-	return tables.Step(metric(text, "vetchwood_version_stored"))
+	return tables.Step(parseMetric(text, "vetchwood_version_stored"))
 }
 
-func (s *stage) highest() (step tables.Step) {
-	s.book.Counts()
+// highestVersion returns the newest version that any proxy holds.
+func (s *environment) highestVersion() (step tables.Step) {
+	s.records.Counts()
 	for _, r := range s.proxies {
 		if d := r.Document(); d != nil {
 			step = max(step, d.Step)
@@ -111,65 +115,69 @@
 	return step
 }
 
+// eventually waits up to 15 s for a condition.
 func eventually(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(15 * time.Second); !is(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("not within 15 s: %s", what)
 		}
 	}
 }
 
-// Killed while versions are on their way, at ten different moments (or as many as VETCHWOOD_KILLS says, drawn): whatever
-// a proxy was told is stored, the start over goes on from there, and every proxy ends on what the director holds.
+// Guards against the loss of versions when the director is killed while publishing. The kills come at ten fixed delays,
+// or at as many random ones as VETCHWOOD_KILLS says. Every version that a proxy holds must be stored, the restart must
+// continue after it, and all proxies must end on the director's version.
 func TestKilledAtTenMoments(t *testing.T) {
 	t.Parallel()
-	s := small(t, 6, 3)
-	kills, drawn := 10, rand.New(rand.NewPCG(5, 6))
+	s := startFleet(t, 6, 3)
+	kills, random := 10, rand.New(rand.NewPCG(5, 6))
 	if n, err := strconv.Atoi(os.Getenv("VETCHWOOD_KILLS")); err == nil {
 		kills = n
 	}
 	for round := range kills {
-		// Each change of the list leads to versions; the kill comes at another point of their way.
+		// Each change of the host list leads to new versions; each kill interrupts their publication at another point.
 		h := s.hosts[round%6]
 		s.registry.State(h.id, logic.Draining)
-		moment := time.Duration(20+35*round) * time.Millisecond
+		delay := time.Duration(20+35*round) * time.Millisecond
 		if kills != 10 {
-			moment = time.Duration(drawn.Float64() * 400 * float64(time.Millisecond))
+			delay = time.Duration(random.Float64() * 400 * float64(time.Millisecond))
 		}
-		time.Sleep(moment)
-		s.killAndStartOver(t, func() { s.registry.State(h.id, logic.Up) })
+		time.Sleep(delay)
+		s.killAndRestart(t, func() { s.registry.State(h.id, logic.Up) })
 	}
-	v := s.book.Judge(s.terms(0, s.now()))
+	v := s.records.Judge(s.judgeParams(0, s.now()))
 	if v.Backwards > 0 {
-		t.Fatalf("%d times a proxy was sent backwards", v.Backwards)
+		t.Fatalf("proxies went back to older versions %d times", v.Backwards)
 	}
 	if v.Deltas < kills {
-		t.Fatalf("only %d differences: what was held was not known again", v.Deltas)
+		t.Fatalf("only %d deltas: the restarted director did not recognize the versions that proxies held", v.Deltas)
 	}
 }
 
-func (s *stage) killAndStartOver(t *testing.T, meanwhile func()) {
+// killAndRestart kills the director, calls meanwhile, starts the director again, and checks that it continues after the
+// newest version held by a proxy, that all proxies reach its version, and that its stored versions verify.
+func (s *environment) killAndRestart(t *testing.T, meanwhile func()) {
 	t.Helper()
 	s.stopDirector(syscall.SIGKILL)
-	told := s.highest()
+	held := s.highestVersion()
 	meanwhile()
 	if err := s.startDirector(); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the director serves again", func() bool {
-		res, err := http.Get("http://" + s.running.Admin + "/readyz") // its opening version is stored
+		res, err := http.Get("http://" + s.running.Admin + "/readyz") // ready once its first version is stored
 		if err != nil {
 			return false
 		}
 		res.Body.Close()
 		return res.StatusCode == http.StatusOK
 	})
-	if stored := s.stored(); stored <= told {
-		t.Fatalf("version %d was told, the start over has %d", told, stored)
+	if stored := s.storedVersion(); stored <= held {
+		t.Fatalf("proxies held version %d, but the restarted director is at %d", held, stored)
 	}
-	eventually(t, "all proxies are on one version", func() bool {
-		step := s.stored()
+	eventually(t, "all proxies hold the stored version", func() bool {
+		step := s.storedVersion()
 		for _, r := range s.proxies {
 			if r.Document().Step != step {
 				return false
@@ -178,13 +186,13 @@
 		return true
 	})
 	var v operate.Verified
-	if err := s.operators().Get(t.Context(), "verify", &v); err != nil || len(v.Wrong) > 0 {
+	if err := s.operatorClient().Get(t.Context(), "verify", &v); err != nil || len(v.Wrong) > 0 {
 		t.Fatalf("%v, %v", err, v.Wrong)
 	}
 }
 
-// The disk is full in mid-day: nothing is told that is not stored, proxies go on by what they hold, and with room again
-// the director goes on where it was.
+// Guards against the publication of versions that could not be stored because the disk is full. Proxies must keep their
+// tables, and the director must continue from the stored version once it has space again.
 func TestAFullDisk(t *testing.T) {
 	t.Parallel()
 	script, err := LoadScript("short-day")
@@ -192,23 +200,23 @@
 		t.Fatal(err)
 	}
 	script.Fleet.Hosts, script.Fleet.Proxies, script.Fleet.ListDelay = 6, 3, 0
-	narrow := func(file string) *exec.Cmd {
-		c := self(file)
+	limited := func(file string) *exec.Cmd {
+		c := directorCommand(file)
 		c.Env = append(c.Env, "VETCHWOOD_TEST_DISK=196608")
 		return c
 	}
-	s, err := raise(t.Context(), script, t.TempDir(), narrow, slog.New(slog.DiscardHandler))
+	s, err := startEnvironment(t.Context(), script, t.TempDir(), limited, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.lower()
+	defer s.stop()
 	failing := func() bool {
-		text, _ := os.ReadFile(s.logFile())
+		text, _ := os.ReadFile(s.directorLog())
 		return bytes.Contains(text, []byte("store.failed"))
 	}
 	for round := 0; !failing(); round++ {
 		if round > 200 {
-			t.Fatal("the disk never fills up")
+			t.Fatal("no store.failed event after 200 changes of hosts")
 		}
 		s.registry.State(s.hosts[round%6].id, []logic.HostState{logic.Draining, logic.Up}[round/6%2])
 		time.Sleep(60 * time.Millisecond)
@@ -217,35 +225,35 @@
 		s.registry.State(h.id, logic.Up)
 	}
 	time.Sleep(300 * time.Millisecond)
-	if told, stored := s.highest(), s.stored(); told > stored {
-		t.Fatalf("version %d is told, %d is stored", told, stored)
+	if held, stored := s.highestVersion(), s.storedVersion(); held > stored {
+		t.Fatalf("a proxy holds version %d, but only %d is stored", held, stored)
 	}
 	for _, p := range s.proxies {
-		if d := p.Document(); d == nil || !full(d) {
-			t.Fatal("a proxy has lost its tables")
+		if d := p.Document(); d == nil || !allTablesHaveLines(d) {
+			t.Fatal("a proxy lost its tables or their lines")
 		}
 	}
-	s.command = self
-	s.killAndStartOver(t, func() {})
+	s.command = directorCommand
+	s.killAndRestart(t, func() {})
 }
 
-// A stop by signal ends within a moment, and the next start finds all.
+// Guards against a slow or unlogged stop by SIGTERM (limit 3 s), and against the loss of state until the next start.
 func TestStoppedBySignal(t *testing.T) {
 	t.Parallel()
-	s := small(t, 4, 2)
-	began, held := time.Now(), s.highest()
+	s := startFleet(t, 4, 2)
+	began, held := time.Now(), s.highestVersion()
 	s.stopDirector(syscall.SIGTERM)
 	if took := time.Since(began); took > 3*time.Second {
-		t.Fatalf("it took %v to stop", took)
+		t.Fatalf("the stop took %v; the limit is 3 s", took)
 	}
-	text, err := os.ReadFile(s.logFile())
+	text, err := os.ReadFile(s.directorLog())
 	if err != nil || !strings.Contains(string(text), "director.stopped") {
-		t.Fatalf("%v: %s", err, text)
+		t.Fatalf("no director.stopped event (%v) in the log: %s", err, text)
 	}
 	if err := s.startDirector(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the director serves again", func() bool { return s.stored() > held })
+	eventually(t, "the director serves again", func() bool { return s.storedVersion() > held })
 }
 
 func TestScriptsThatAreWrong(t *testing.T) {
@@ -253,8 +261,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for change, says := range map[string]string{
-		`"die"|"laugh"`:                 `no trouble is called "laugh"`,
+	for change, message := range map[string]string{
+		`"die"|"laugh"`:                 `unknown kind of trouble "laugh"`,
 		`at    = "2s"|at = "20s"`:       "past the end of the day",
 		`share = 0.72|share = 0.5`:      "add up to 0.780",
 		`hosts = 1|hosts = 100`:         "100 is not between 1 and 8",
@@ -263,13 +271,13 @@
 		`batch = 1|part = 1`:            "knows no part",
 	} {
 		from, to, _ := strings.Cut(change, "|")
-		_, err := read("d.hcl", []byte(strings.Replace(string(text), from, to, 1)), "")
-		if err == nil || !strings.Contains(err.Error(), says) || !strings.HasPrefix(err.Error(), "d.hcl:") {
-			t.Errorf("%s: %v, wanted one that says %s", change, err, says)
+		_, err := parseScript("d.hcl", []byte(strings.Replace(string(text), from, to, 1)), "")
+		if err == nil || !strings.Contains(err.Error(), message) || !strings.HasPrefix(err.Error(), "d.hcl:") {
+			t.Errorf("%s: error %v, want one with %q", change, err, message)
 		}
 	}
 	if _, err := LoadScript("no-such-day"); err == nil {
-		t.Error("no error")
+		t.Error("no error for an unknown day")
 	}
 	for _, name := range []string{"bad-day", "demo", "short-day", "rollback"} {
 		if _, err := LoadScript(name); err != nil {
@@ -278,58 +286,58 @@
 	}
 }
 
-// An operator's way over the sockets: list, look at the difference, go back, see what is held, let go. What is not right
-// gets an answer that says so.
+// Exercises the operator API over sockets: list versions, show a difference, roll back, list pins, release a pin.
+// Invalid requests must be answered with an error that names the cause.
 func TestAnOperatorUndoesATable(t *testing.T) {
 	t.Parallel()
-	s := small(t, 6, 3)
-	ask, ctx := s.operators(), t.Context()
-	good := s.version()
+	s := startFleet(t, 6, 3)
+	client, ctx := s.operatorClient(), t.Context()
+	good := s.lowestVersion()
 	s.registry.State(s.hosts[0].id, logic.Draining)
 	s.registry.State(s.hosts[1].id, logic.Draining)
-	eventually(t, "tables change", func() bool { return s.version() > good })
+	eventually(t, "tables change", func() bool { return s.lowestVersion() > good })
 	time.Sleep(700 * time.Millisecond)
 	s.registry.State(s.hosts[0].id, logic.Up)
 	s.registry.State(s.hosts[1].id, logic.Up)
 	time.Sleep(300 * time.Millisecond)
 	var all []store.Version
-	if err := ask.Get(ctx, "versions?most=100", &all); err != nil || len(all) < 3 || all[0].Step <= good {
+	if err := client.Get(ctx, "versions?most=100", &all); err != nil || len(all) < 3 || all[0].Step <= good {
 		t.Fatalf("%v: %+v", err, all)
 	}
 	var d operate.Difference
-	if err := ask.Get(ctx, fmt.Sprintf("diff?from=%d&to=%d", good, all[0].Step), &d); err != nil || len(d.Lines)+len(d.Masked) == 0 {
+	if err := client.Get(ctx, fmt.Sprintf("diff?from=%d&to=%d", good, all[0].Step), &d); err != nil || len(d.Lines)+len(d.Masked) == 0 {
 		t.Fatalf("%v: %+v", err, d)
 	}
-	wish := operate.Wish{To: good, Since: all[0].Step + 1000, Who: "ann", Why: "wrong weights", Force: true}
+	rollback := operate.Wish{To: good, Since: all[0].Step + 1000, Who: "ann", Why: "wrong weights", Force: true}
 	var o control.OperationResult
-	if err := ask.Post(ctx, "rollback", wish, &o); err != nil || o.Version <= all[0].Step || len(o.Tables) != 64 {
+	if err := client.Post(ctx, "rollback", rollback, &o); err != nil || o.Version <= all[0].Step || len(o.Tables) != 64 {
 		t.Fatalf("%v: %+v", err, o)
 	}
-	eventually(t, "all proxies hold it", func() bool { return s.version() >= o.Version })
-	if err := ask.Get(ctx, fmt.Sprintf("diff?from=%d&to=%d", good, o.Version), &d); err != nil || len(d.Lines) > 0 {
-		for _, l := range d.Lines { // a cold host's lines are lighter, and that is told
+	eventually(t, "all proxies hold the version of the rollback", func() bool { return s.lowestVersion() >= o.Version })
+	if err := client.Get(ctx, fmt.Sprintf("diff?from=%d&to=%d", good, o.Version), &d); err != nil || len(d.Lines) > 0 {
+		for _, l := range d.Lines { // lines of a cold host may have lower weights; no line may appear or vanish
 			if l.To == 0 || l.From == 0 {
 				t.Fatalf("%v: %+v", err, d.Lines)
 			}
 		}
 	}
 	var pins, done control.OperationResult
-	if err := ask.Get(ctx, "pins", &pins); err != nil || len(pins.Tables) != 64 || pins.Tables[0].Who != "ann" {
+	if err := client.Get(ctx, "pins", &pins); err != nil || len(pins.Tables) != 64 || pins.Tables[0].Who != "ann" {
 		t.Fatalf("%v: %+v", err, pins)
 	}
-	if err := ask.Post(ctx, "release", operate.Wish{Who: "ann", Why: "mended", Tables: []logic.TableID{3}}, &done); err != nil || len(done.Tables) != 1 {
+	if err := client.Post(ctx, "release", operate.Wish{Who: "ann", Why: "mended", Tables: []logic.TableID{3}}, &done); err != nil || len(done.Tables) != 1 {
 		t.Fatalf("%v: %+v", err, done)
 	}
-	for path, says := range map[string]string{"versions/999999": "no such version", "versions/x": "no whole number", "diff?from=a&to=2": "from",
+	for path, message := range map[string]string{"versions/999999": "no such version", "versions/x": "no whole number", "diff?from=a&to=2": "from",
 		"versions?most=-1": "most"} {
-		if err := ask.Get(ctx, path, &all); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%s: %v", path, err)
+		if err := client.Get(ctx, path, &all); err == nil || !strings.Contains(err.Error(), message) {
+			t.Errorf("%s: error %v does not contain the expected text", path, err)
 		}
 	}
-	for says, w := range map[string]operate.Wish{"who and why": {To: good, Since: 1 << 60}, "an operator's": {To: good, Who: "bob", Why: "x", Since: 1},
+	for message, w := range map[string]operate.Wish{"who and why": {To: good, Since: 1 << 60}, "an operator's": {To: good, Who: "bob", Why: "x", Since: 1},
 		"no table 99": {To: good, Who: "bob", Why: "x", Tables: []logic.TableID{99}}, "no such version": {To: 999999, Who: "bob", Why: "x"}} {
-		if err := ask.Post(ctx, "rollback", w, &o); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%+v: %v, wanted %s", w, err, says)
+		if err := client.Post(ctx, "rollback", w, &o); err == nil || !strings.Contains(err.Error(), message) {
+			t.Errorf("%+v: error %v, want one with %q", w, err, message)
 		}
 	}
 }
--- a/internal/rehearse/script.go
+++ b/internal/rehearse/script.go
@@ -1,5 +1,5 @@
-// Package rehearse raises a director and stand-ins on this machine, plays a scripted day on real sockets, and
-// has the five rules judged from what was seen there.
+// Package rehearse starts directors, proxies and simulated hosts on the local machine, plays a scripted day of load and
+// faults over real sockets, and checks the five rules against the traffic recorded there.
 package rehearse
 
 import (
@@ -19,10 +19,10 @@
 //go:embed days
 var days embed.FS
 
-// Script is a day as it is written down.
+// Script is a parsed day: the environment to start, its load and its faults.
 type Script struct {
-	Length        time.Duration // 0: until a signal
-	Director      string        // text of the director's settings, a template
+	Length        time.Duration // 0: runs until a signal
+	Director      string        // template of the directors' settings file
 	Listen, Admin string
 	Fleet         Fleet
 	Load          Load
@@ -30,45 +30,46 @@
 	Faults        []Fault
 }
 
-// Fleet is what is raised.
+// Fleet describes the processes and stand-ins to start.
 type Fleet struct {
 	Hosts, Cores, Queue, PerCell, Proxies int
 	Directors                             int
-	LearnFromPeers                        bool   // a director that starts asks the others
-	SimulatedProxies                      int    // proxies that storms make up; they poll and carry nothing
-	Front                                 string // poll, mqtt or mixed: every other proxy
+	LearnFromPeers                        bool   // a starting director asks its peers for their state
+	SimulatedProxies                      int    // proxies simulated by storms; they poll but forward no calls
+	Front                                 string // poll, mqtt, or mixed, where every other proxy uses mqtt
 	ListDelay                             time.Duration
 }
 
-// Load is what callers ask for.
+// Load describes the calls that clients send to the proxies in total.
 type Load struct {
-	InitialRate, PeakRate float64 // calls a second
+	InitialRate, PeakRate float64 // calls per second
 	RampDuration          time.Duration
 	Keys                  int
 }
 
-// RouteLoad is a route's part of it.
+// RouteLoad is one route's share of the load.
 type RouteLoad struct {
 	Name  string
 	Share float64
 	Work  time.Duration
 }
 
-// Trouble is one, by its kind.
+// Fault is a scripted fault, operation or storm. Which of its fields apply depends on the kind; see faultParams.
 type Fault struct {
 	Kind                  string
 	At, Duration, Drain   time.Duration
 	Hosts, Proxies, Batch int
-	Director              int // which, from 1
+	Director              int // number of the director, from 1
 	SlowFactor            float64
 	LossProbability       float64
-	StormKind             load.Kind // what a storm asks
-	Rate                  float64   // requests a second
-	Burst                 int       // at once, as it begins
+	StormKind             load.Kind // kind of request in a storm
+	Rate                  float64   // requests per second
+	Burst                 int       // requests sent at once when the storm starts
 }
 
-// kinds of trouble and what each needs.
-var kinds = map[string][]string{
+// faultParams lists the kinds of faults and the parameters of each. "several" is no parameter: it requires a fleet of
+// several directors.
+var faultParams = map[string][]string{
 	"die":             {"hosts", "last"},
 	"silent":          {"hosts", "last"},
 	"hang":            {"hosts", "last"},
@@ -93,23 +94,25 @@
 	"release":         {},
 }
 
-// Find reads a day that comes with the program, or a file.
+// LoadScript parses the built-in day of that name or, if there is none, the script file at that path.
 func LoadScript(name string) (*Script, error) {
 	text, err := days.ReadFile("days/" + name + ".hcl")
 	dir, file := "", name+".hcl"
 	if errors.Is(err, fs.ErrNotExist) {
 		dir, file = filepath.Dir(name), name
 		if text, err = os.ReadFile(name); err != nil {
-			return nil, fmt.Errorf("no day %q comes with the program, and: %w", name, err)
+			return nil, fmt.Errorf("day %q is neither built in nor a readable file: %w", name, err)
 		}
 	}
 	if err != nil {
 		return nil, err
 	}
-	return read(file, text, dir)
+	return parseScript(file, text, dir)
 }
 
-func read(file string, text []byte, dir string) (*Script, error) {
+// parseScript parses a script. A settings file of the directors in dir, if dir is not empty, takes precedence over the
+// built-in one of the same name.
+func parseScript(file string, text []byte, dir string) (*Script, error) {
 	top, err := settings.Open(file, text)
 	if err != nil {
 		return nil, err
@@ -149,14 +152,14 @@
 		in.Done()
 	}
 	if share < 0.999 || share > 1.001 {
-		r.Fail("", "the shares of the routes add up to %.3f, not to 1", share)
+		r.Fail("", "the shares of the routes add up to %.3f instead of 1", share)
 	}
-	troubles, names := r.Repeated("trouble")
-	for i, in := range troubles {
+	faults, names := r.Repeated("trouble")
+	for i, in := range faults {
 		t := Fault{Kind: names[i], At: in.Span("at", -1, 0, 24*time.Hour)}
-		needs, known := kinds[t.Kind]
+		needs, known := faultParams[t.Kind]
 		if !known {
-			in.Fail("", "no trouble is called %q", t.Kind)
+			in.Fail("", "unknown kind of trouble %q", t.Kind)
 		}
 		for _, need := range needs {
 			switch need {
@@ -170,7 +173,7 @@
 				t.Director = in.Whole("director", 1, 1, s.Fleet.Directors)
 			case "several":
 				if s.Fleet.Directors < 2 {
-					in.Fail("", "takes a fleet with several directors")
+					in.Fail("", "needs a fleet with at least 2 directors")
 				}
 			case "last":
 				t.Duration = in.Span("last", -1, time.Millisecond, time.Hour)
@@ -182,14 +185,14 @@
 				t.StormKind = load.Kind(in.Text("ask", settings.Needed, string(load.New), string(load.Polls), string(load.Reports)))
 				t.Rate, t.Burst = in.Number("rate", math.NaN(), 1, 1e6), in.Whole("burst", 0, 0, 1e5)
 				if s.Fleet.SimulatedProxies == 0 {
-					in.Fail("", "takes a fleet with phantoms")
+					in.Fail("", "needs a fleet with phantoms")
 				}
 			case "part":
 				t.LossProbability = in.Number("part", 0.2, 0, 1)
 			}
 		}
 		if s.Length > 0 && t.At >= s.Length {
-			in.Fail("at", "%v is past the end of the day, %v", t.At, s.Length)
+			in.Fail("at", "%v is past the end of the day at %v", t.At, s.Length)
 		}
 		in.Done()
 		s.Faults = append(s.Faults, t)
--- a/internal/rehearse/storm.go
+++ b/internal/rehearse/storm.go
@@ -8,7 +8,7 @@
 	"vetchwood/internal/load"
 )
 
-// Storm is what became of one.
+// StormResult counts the requests of a storm.
 type StormResult struct {
 	Kind       load.Kind `json:"ask"`
 	Asked      int       `json:"asked"`
@@ -18,18 +18,18 @@
 	WorstP99Ms float64   `json:"worst_p99_ms"`
 }
 
-// storm asks the director for more than the fleet does, by proxies that it makes up.
-func (s *stage) storm(ctx context.Context, t Fault, say func(string)) error {
-	say(fmt.Sprintf("a storm of %s: %.0f a second, %d at once", t.StormKind, t.Rate, t.Burst))
-	ends := time.Now().Add(t.Duration)
+// runStorm sends requests from simulated proxies to the first director, on top of what the fleet sends.
+func (s *environment) runStorm(ctx context.Context, t Fault, report func(string)) error {
+	report(fmt.Sprintf("storm of %s starts: %.0f requests per second, %d at once at its start", t.StormKind, t.Rate, t.Burst))
+	end := time.Now().Add(t.Duration)
 	script := &load.Script{Director: s.running.Listen, Names: "relay-9%d", Zone: s.running.Service.Zones[0], Limit: 2 * time.Second}
 	st := load.Step{Name: string(t.StormKind), Kind: t.StormKind, Rate: t.Rate, Storm: t.Burst, Proxies: s.script.Fleet.SimulatedProxies,
 		Connections: min(1000, s.script.Fleet.SimulatedProxies)}
 	for {
-		st.For = max(time.Second, time.Until(ends))
+		st.For = max(time.Second, time.Until(end))
 		script.Steps = []load.Step{st}
 		all, err := load.Run(ctx, script, nil)
-		if err != nil && ctx.Err() == nil && time.Now().Before(ends) { // the director is down: the storm is there as it comes back
+		if err != nil && ctx.Err() == nil && time.Now().Before(end) { // the director is down; the storm goes on as soon as it is back
 			s.sleep(ctx, 50*time.Millisecond)
 			continue
 		}
@@ -44,7 +44,7 @@
 		s.mu.Lock()
 		s.storms = append(s.storms, sum)
 		s.mu.Unlock()
-		say(fmt.Sprintf("the storm is over: %d asked, %d answered, %d sent away, %d failed", sum.Asked, sum.Answered, sum.Rejected, sum.Failed))
+		report(fmt.Sprintf("the storm has ended: %d requests, %d answered, %d rejected, %d failed", sum.Asked, sum.Answered, sum.Rejected, sum.Failed))
 		return nil
 	}
 }
