--- a/internal/rehearse/play.go
+++ b/internal/rehearse/play.go
@@ -202,20 +202,20 @@
 	terminal bool
 	quiet    bool
 	mu       sync.Mutex
-	book     *judge.Book
-	began    time.Time
+	records  *judge.Book
+	started  time.Time
 	length   time.Duration
 }
 
 func newProgress(q Request, script *Script, s *environment) *progress {
 	f, file := q.Out.(*os.File)
-	return &progress{out: q.Out, quiet: q.JSON, terminal: file && isatty.IsTerminal(f.Fd()), book: s.records, began: time.Now(),
+	return &progress{out: q.Out, quiet: q.JSON, terminal: file && isatty.IsTerminal(f.Fd()), records: s.records, started: time.Now(),
 		length: script.Length}
 }
 
 // report records an event of the day and prints it with the time since the start.
 func (p *progress) report(what string) {
-	p.book.Happened(judge.Note{Text: what})
+	p.records.Happened(judge.Note{Text: what})
 	if p.quiet {
 		return
 	}
@@ -224,7 +224,7 @@
 	if p.terminal {
 		fmt.Fprint(p.out, "\r\x1b[K")
 	}
-	fmt.Fprintf(p.out, "%6.1f s  %s\n", time.Since(p.began).Seconds(), what)
+	fmt.Fprintf(p.out, "%6.1f s  %s\n", time.Since(p.started).Seconds(), what)
 }
 
 // run updates the status line until the context ends.
@@ -242,9 +242,9 @@
 			if !p.terminal || p.quiet || p.length == 0 {
 				continue
 			}
-			calls, answered, throttled, step := p.book.Counts()
+			calls, answered, throttled, step := p.records.Counts()
 			p.mu.Lock()
-			fmt.Fprintf(p.out, "\r\x1b[K%6.1f of %.0f s  calls %d  answered %.1f%%  throttled %d  version %d", time.Since(p.began).Seconds(),
+			fmt.Fprintf(p.out, "\r\x1b[K%6.1f of %.0f s  calls %d  answered %.1f%%  throttled %d  version %d", time.Since(p.started).Seconds(),
 				p.length.Seconds(), calls, 100*float64(answered)/float64(max(1, calls)), throttled, step)
 			p.mu.Unlock()
 		}
