--- a/cmd/vetchwood/commands.go
+++ b/cmd/vetchwood/commands.go
@@ -15,11 +15,11 @@
 
 	"vetchwood/internal/budget"
 	"vetchwood/internal/daemon"
-	"vetchwood/internal/judge"
+	"vetchwood/internal/discovery"
 	"vetchwood/internal/rehearse"
-	"vetchwood/internal/roster"
 	"vetchwood/internal/settings"
 	"vetchwood/internal/standin"
+	"vetchwood/internal/verdict"
 )
 
 // unixMs returns the current time in milliseconds since the Unix epoch.
@@ -110,7 +110,7 @@
 
 func (c *hostCmd) Run(ctx context.Context, log *slog.Logger) error {
 	h := standin.NewHost(standin.HostConfig{Cores: c.Cores, Queue: c.Queue, ColdCapacity: c.Cold, WarmAfter: c.Warm, ColdOverloadLimit: 3,
-		ColdFailAfter: 2 * time.Second, Dedup: standin.NewDeduplicator(c.Span), Recorder: &judge.Recorder{}, Now: unixMs}, "")
+		ColdFailAfter: 2 * time.Second, Dedup: standin.NewDeduplicator(c.Span), Recorder: &verdict.Recorder{}, Now: unixMs}, "")
 	if err := h.StartOn(c.Listen, false); err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 			return err
 		}
 		err = client.Agent().ServiceRegister(&api.AgentServiceRegistration{ID: c.ID, Name: "hosts", Address: ip, Port: port,
-			Meta: map[string]string{roster.MetaZone: c.Zone, roster.MetaCell: c.Cell, roster.MetaStarted: fmt.Sprintf("%.0f", h.StartedAt())}})
+			Meta: map[string]string{discovery.MetaZone: c.Zone, discovery.MetaCell: c.Cell, discovery.MetaStarted: fmt.Sprintf("%.0f", h.StartedAt())}})
 		if err != nil {
 			return err
 		}
--- a/cmd/vetchwood/tables.go
+++ b/cmd/vetchwood/tables.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"vetchwood/internal/control"
-	"vetchwood/internal/operate"
+	"vetchwood/internal/operator"
 	"vetchwood/internal/store"
 	"vetchwood/internal/tables"
 	"vetchwood/logic"
@@ -34,7 +34,9 @@
 	Verify   tablesVerify   `cmd:"" help:"Verify every record of the history."`
 }
 
-func (c *tablesCmd) client() operate.Client { return operate.Client{URL: strings.TrimRight(c.At, "/")} }
+func (c *tablesCmd) client() operator.Client {
+	return operator.Client{URL: strings.TrimRight(c.At, "/")}
+}
 
 // print writes v as JSON, or by the given function in columns that tabs separate.
 func (c *tablesCmd) print(out io.Writer, v any, table func(w io.Writer)) error {
@@ -83,7 +85,7 @@
 	}
 	return p.Tables.print(out, s, func(w io.Writer) {
 		fmt.Fprintln(w, "table\thost\tweight\t")
-		for _, l := range operate.Diff(control.SavedState{}, s).Lines {
+		for _, l := range operator.Diff(control.SavedState{}, s).Lines {
 			fmt.Fprintf(w, "%s\t%s\t%.4g\t%s\n", l.Table, l.Host, l.To, map[bool]string{true: "masked"}[s.Masked[l.Host]])
 		}
 	})
@@ -95,7 +97,7 @@
 }
 
 func (c *tablesDiff) Run(ctx context.Context, out io.Writer, p *program) error {
-	var d operate.Difference
+	var d operator.Difference
 	if err := p.Tables.client().Get(ctx, fmt.Sprintf("diff?from=%d&to=%d", c.From, c.To), &d); err != nil {
 		return err
 	}
@@ -144,7 +146,7 @@
 			c.Since = newest[0].Step
 		}
 	}
-	request := operate.Request{To: c.Version, Tables: c.Table, LastSeen: c.Since, Who: currentUser(), Why: c.Why, Force: c.Force, DryRun: true}
+	request := operator.Request{To: c.Version, Tables: c.Table, LastSeen: c.Since, Who: currentUser(), Why: c.Why, Force: c.Force, DryRun: true}
 	var preview, done control.OperationResult
 	if err := client.Post(ctx, "rollback", request, &preview); err != nil {
 		return err
@@ -229,7 +231,7 @@
 
 func (c *tablesRelease) Run(ctx context.Context, out io.Writer, p *program) error {
 	var o control.OperationResult
-	if err := p.Tables.client().Post(ctx, "release", operate.Request{Tables: c.Table, Who: currentUser(), Why: c.Why}, &o); err != nil {
+	if err := p.Tables.client().Post(ctx, "release", operator.Request{Tables: c.Table, Who: currentUser(), Why: c.Why}, &o); err != nil {
 		return err
 	}
 	return p.Tables.print(out, o, func(w io.Writer) { fmt.Fprintf(w, "version %d: %d tables released\n", o.Version, len(o.Tables)) })
@@ -239,7 +241,7 @@
 
 // Run verifies the history and fails if a record is wrong.
 func (c *tablesVerify) Run(ctx context.Context, out io.Writer, p *program) error {
-	var v operate.VerifyResult
+	var v operator.VerifyResult
 	if err := p.Tables.client().Get(ctx, "verify", &v); err != nil {
 		return err
 	}
--- a/internal/admit/admit_test.go
+++ b/internal/admission/admit_test.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import (
 	"math"
--- a/internal/sums/sums.go
+++ b/internal/aggregate/sums.go
@@ -2,7 +2,7 @@
 // is the sum for one key: a host and the zone of its callers, or a route and its slice or proxy. Lines are released at
 // a limited rate per second, oldest first; the others keep aggregating and follow later. The package does no I/O and
 // reads no clock.
-package sums
+package aggregate
 
 import "vetchwood/logic"
 
--- a/internal/sums/sums_test.go
+++ b/internal/aggregate/sums_test.go
@@ -1,4 +1,4 @@
-package sums
+package aggregate
 
 import (
 	"testing"
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -7,9 +7,9 @@
 	"slices"
 	"strconv"
 
+	"vetchwood/internal/aggregate"
 	"vetchwood/internal/channel"
-	"vetchwood/internal/park"
-	"vetchwood/internal/sums"
+	"vetchwood/internal/pollshard"
 	"vetchwood/internal/tables"
 	"vetchwood/internal/versions"
 	"vetchwood/logic"
@@ -26,7 +26,7 @@
 	firstStep        tables.Step    // the first step of this start
 	unsaved          []*pendingStep // ordered steps that are not yet durable, oldest first
 	channel          *channel.Channel
-	aggregator       *sums.Aggregator
+	aggregator       *aggregate.Aggregator
 	proxies          map[logic.ProxyID]*joinedProxy
 	joined           []logic.ProxyID                 // numbers of the joined proxies, ascending
 	heldSteps        versions.Index[logic.ProxyID]   // joined proxies by the version that they hold
@@ -80,7 +80,7 @@
 	f := svc.Config
 	c := &Core{svc: svc, module: logic.New(seed, f), ids: newIDRegistry(svc.Zones, f.Proxies, &saved), line: saved.Line,
 		channel:    channel.New(f.LinesPerSecond, f.MessageWindow),
-		aggregator: sums.New(f.Slices > 0, f.ReportInterval, f.ReportLinesPerSecond),
+		aggregator: aggregate.New(f.Slices > 0, f.ReportInterval, f.ReportLinesPerSecond),
 		proxies:    map[logic.ProxyID]*joinedProxy{}, catchingUp: map[logic.ProxyID]bool{},
 		view:  lotView{dirty: true, validUntil: logic.Millis(math.Inf(1))},
 		bases: map[tables.Tag]*tables.Document{}, routeIDs: map[string]logic.RouteID{},
@@ -192,13 +192,13 @@
 func (c *Core) Handle(now logic.Millis, in []any) []any {
 	for _, i := range in {
 		switch i := i.(type) {
-		case park.JoinRequest:
+		case pollshard.JoinRequest:
 			c.join(now, i)
-		case park.Acknowledgement:
+		case pollshard.Acknowledgement:
 			c.acknowledge(now, i)
-		case park.Left:
+		case pollshard.Left:
 			c.handleLeave(i)
-		case park.DocumentRequest:
+		case pollshard.DocumentRequest:
 			c.notifyStored(i)
 		case AnswersFlushed:
 			c.endBarrier(now)
@@ -371,14 +371,14 @@
 		c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Accepted})
 		return
 	}
-	var calls []sums.Demand
+	var calls []aggregate.Demand
 	for i, l := range r.Calls {
 		route, known := c.routeIDs[l.Route]
 		if !known {
 			c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: the settings define no route "+strconv.Quote(l.Route))
 			return
 		}
-		line := sums.Demand{Proxy: id, Route: route, Calls: l.Calls, Unanswered: l.Unanswered}
+		line := aggregate.Demand{Proxy: id, Route: route, Calls: l.Calls, Unanswered: l.Unanswered}
 		if n := c.svc.Config.Slices; n > 0 {
 			slice, err := strconv.Atoi(l.Table)
 			if err != nil || slice < 0 || slice >= n {
@@ -394,7 +394,7 @@
 	zone := c.ids.zone(p.zone)
 	for _, t := range r.Tries {
 		if k, known := c.ids.hosts[t.Address]; known && t.Ended > 0 {
-			tries := sums.Tries{Host: k.Number, Zone: zone, Ended: t.Ended, Unanswered: t.Unanswered, AnsweredMs: t.AnsweredMs, Load: t.Load}
+			tries := aggregate.Tries{Host: k.Number, Zone: zone, Ended: t.Ended, Unanswered: t.Unanswered, AnsweredMs: t.AnsweredMs, Load: t.Load}
 			c.aggregator.AddTries(now, tries)
 			c.observations.addTries(now, tries)
 		}
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -6,7 +6,7 @@
 	"regexp"
 	"testing"
 
-	"vetchwood/internal/park"
+	"vetchwood/internal/pollshard"
 	"vetchwood/internal/tables"
 	"vetchwood/logic"
 )
@@ -16,7 +16,7 @@
 type harness struct {
 	t             *testing.T
 	c             *Core
-	lot           *park.Shard
+	lot           *pollshard.Shard
 	now           logic.Millis
 	store         SavedState
 	holdWrites    bool
@@ -50,7 +50,7 @@
 // startCore starts a Core and its lot from the stored state.
 func (h *harness) startCore(svc Service) {
 	var out []any
-	h.lot = park.NewShard(0, 1, park.Config{MaxWait: svc.MaxWait, Lease: svc.Lease, Zones: svc.Zones}, h.now)
+	h.lot = pollshard.NewShard(0, 1, pollshard.Config{MaxWait: svc.MaxWait, Lease: svc.Lease, Zones: svc.Zones}, h.now)
 	h.c, out = New(5, h.now, svc, h.store)
 	h.execute(out)
 }
@@ -72,7 +72,7 @@
 }
 
 // handleLotOutput records the answers of the lot and passes its other output to the core.
-func (h *harness) handleLotOutput(said park.Output) {
+func (h *harness) handleLotOutput(said pollshard.Output) {
 	for _, a := range said.Answers {
 		h.recordAnswer(a)
 	}
@@ -103,7 +103,7 @@
 			if o.Barrier {
 				h.execute(h.c.Handle(h.now, []any{AnswersFlushed{}}))
 			}
-		case park.SetDocument, park.RejectJoin:
+		case pollshard.SetDocument, pollshard.RejectJoin:
 			h.handleLotOutput(h.lot.Apply(h.now, o))
 		case Persist:
 			h.pendingWrites = append(h.pendingWrites, o.Change)
--- a/internal/control/held.go
+++ b/internal/control/held.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strconv"
 
-	"vetchwood/internal/learn"
+	"vetchwood/internal/peerfacts"
 	"vetchwood/internal/tables"
 	"vetchwood/logic"
 )
@@ -38,7 +38,7 @@
 	At       float64                        `json:"at"` // Unix milliseconds, by the clock of the director that wrote it
 	Lines    map[tables.Address]float64     `json:"lines"`
 	Hosts    map[tables.Address]tables.Host `json:"hosts"`
-	Demand   []learn.Demand                 `json:"demand,omitempty"`
+	Demand   []peerfacts.Demand             `json:"demand,omitempty"`
 }
 
 // sliceOwnership is the set of slices that this director owns. It exists only at sites where slices are leased.
--- a/internal/control/held_test.go
+++ b/internal/control/held_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"vetchwood/internal/learn"
+	"vetchwood/internal/peerfacts"
 	"vetchwood/internal/tables"
 	"vetchwood/logic"
 )
@@ -99,15 +99,15 @@
 func TestPeerFactsAreApplied(t *testing.T) {
 	r := startLeased(t)
 	d := r.wantAnswer(r.poll("p1", 0), Full)
-	query := func() *learn.Facts {
+	query := func() *peerfacts.Facts {
 		r.ticket++
 		r.handle(FactsQuery{r.ticket})
-		return r.answers[r.ticket].Body.(*learn.Facts)
+		return r.answers[r.ticket].Body.(*peerfacts.Facts)
 	}
 	facts := *query()
 	facts.Director, facts.Uptime = "d2", 60000
-	facts.Hosts[1].State = learn.Draining
-	r.handle(PeerFacts{[]learn.PeerFacts{{Facts: facts, Age: 3}}})
+	facts.Hosts[1].State = peerfacts.Draining
+	r.handle(PeerFacts{[]peerfacts.PeerFacts{{Facts: facts, Age: 3}}})
 	r.advance(300)
 	d = r.wantAnswer(r.poll("p1", 0), Full)
 	if isOffered(d, "10.0.0.1:80") {
@@ -115,7 +115,7 @@
 	}
 	if own := query(); own.Levels[0].Age > 60000 {
 		t.Fatalf("level age is %v ms, though the director started less than a minute ago", own.Levels[0].Age)
-	} else if own.Hosts[1].State != learn.Up {
+	} else if own.Hosts[1].State != peerfacts.Up {
 		t.Fatal("a state learnt from a peer is passed on as the director's own")
 	}
 	r.handle(HostList{upHosts(3)}) // a list that does not have the drain yet
--- a/internal/control/known.go
+++ b/internal/control/known.go
@@ -6,9 +6,9 @@
 	"math"
 	"slices"
 
-	"vetchwood/internal/learn"
+	"vetchwood/internal/aggregate"
 	"vetchwood/internal/orca"
-	"vetchwood/internal/sums"
+	"vetchwood/internal/peerfacts"
 	"vetchwood/internal/tables"
 	"vetchwood/logic"
 )
@@ -84,7 +84,7 @@
 	k.states, k.listedAt = next, now
 }
 
-func (k *localFacts) addTries(now logic.Millis, t sums.Tries) {
+func (k *localFacts) addTries(now logic.Millis, t aggregate.Tries) {
 	h := k.tries[t.Host]
 	if h == nil {
 		h = &hostTries{}
@@ -98,7 +98,7 @@
 	}
 }
 
-func (k *localFacts) addDemand(now logic.Millis, c sums.Demand) {
+func (k *localFacts) addDemand(now logic.Millis, c aggregate.Demand) {
 	key := demandKey{c.Slice, c.Route}
 	x := k.demand[key]
 	if x == nil {
@@ -111,7 +111,7 @@
 }
 
 // demandRates returns the recent demand of a slice, one entry per route.
-func (c *Core) demandRates(now logic.Millis, slice logic.TableID) (out []learn.Demand) {
+func (c *Core) demandRates(now logic.Millis, slice logic.TableID) (out []peerfacts.Demand) {
 	for r, info := range c.svc.Routes {
 		x := c.observations.demand[demandKey{slice, logic.RouteID(r)}]
 		if x == nil || now-x.last > 10*factHalfLife {
@@ -119,14 +119,14 @@
 		}
 		// Shortly after the start the sums cover less than the full span.
 		span := decaySpanMs * (1 - math.Exp(-max(500, float64(now-c.observations.startedAt))/decaySpanMs))
-		out = append(out, learn.Demand{Slice: int(slice), Route: info.Name, Rate: 1000 * x.calls.read(now) / span,
+		out = append(out, peerfacts.Demand{Slice: int(slice), Route: info.Name, Rate: 1000 * x.calls.read(now) / span,
 			Unanswered: 1000 * x.unanswered.read(now) / span, Age: float64(now - x.last)})
 	}
 	return out
 }
 
-var stateNames = map[logic.HostState]learn.State{logic.Up: learn.Up, logic.Draining: learn.Draining, logic.Gone: learn.Gone}
-var statesByName = map[learn.State]logic.HostState{learn.Up: logic.Up, learn.Draining: logic.Draining, learn.Gone: logic.Gone}
+var stateNames = map[logic.HostState]peerfacts.State{logic.Up: peerfacts.Up, logic.Draining: peerfacts.Draining, logic.Gone: peerfacts.Gone}
+var statesByName = map[peerfacts.State]logic.HostState{peerfacts.Up: logic.Up, peerfacts.Draining: logic.Draining, peerfacts.Gone: logic.Gone}
 
 // hostListAge returns the milliseconds since the host list was last known to be current, or a negative number if there
 // has been none. Blocking queries report each change, so that the last list is current until they fail.
@@ -140,9 +140,9 @@
 	return 0
 }
 
-func (c *Core) listedHosts(now logic.Millis) (out []learn.Host) {
+func (c *Core) listedHosts(now logic.Millis) (out []peerfacts.Host) {
 	for _, l := range c.hostList {
-		h := learn.Host{Address: l.Address, ID: l.ID, Zone: l.Zone, Cell: l.Cell, State: stateNames[l.State], Weight: l.Weight,
+		h := peerfacts.Host{Address: l.Address, ID: l.ID, Zone: l.Zone, Cell: l.Cell, State: stateNames[l.State], Weight: l.Weight,
 			StartedAt: l.Born, Masked: c.current.masked[l.Address]}
 		if s, found := c.observations.states[l.Address]; found {
 			h.StateAge = float64(now - s.since)
@@ -157,7 +157,7 @@
 
 func (c *Core) answerFacts(now logic.Millis, q FactsQuery) {
 	k := c.observations
-	f := learn.Facts{Director: c.svc.Name, Line: c.line, Uptime: float64(now - k.startedAt), ProxyCount: len(c.joined), ListAge: c.hostListAge(now)}
+	f := peerfacts.Facts{Director: c.svc.Name, Line: c.line, Uptime: float64(now - k.startedAt), ProxyCount: len(c.joined), ListAge: c.hostListAge(now)}
 	if k.listedAt > 0 { // a list from the local store predates the start and is of no use to peers
 		f.Hosts = c.listedHosts(now)
 	}
@@ -167,7 +167,7 @@
 		if t == nil || now-t.last > 10*factHalfLife {
 			continue
 		}
-		x := &learn.Health{Period: min(decaySpanMs, float64(now-k.startedAt)), Age: float64(now - t.last), Finished: t.finished.read(now), Failed: t.failed.read(now)}
+		x := &peerfacts.Health{Period: min(decaySpanMs, float64(now-k.startedAt)), Age: float64(now - t.last), Finished: t.finished.read(now), Failed: t.failed.read(now)}
 		if good := x.Finished - x.Failed; good > 0.01 {
 			x.MeanLatency = t.answeredMs.read(now) / good
 		}
@@ -181,10 +181,10 @@
 	}
 	for _, t := range slices.Sorted(maps.Keys(c.current.tables)) {
 		f.Demand = append(f.Demand, c.demandRates(now, t)...)
-		f.Slices = append(f.Slices, learn.Slice{Slice: int(t), Fence: c.current.tables[t].Fence, Version: c.current.step})
+		f.Slices = append(f.Slices, peerfacts.Slice{Slice: int(t), Fence: c.current.tables[t].Fence, Version: c.current.step})
 	}
 	for r, l := range c.current.levels {
-		f.Levels = append(f.Levels, learn.Level{Route: c.svc.Routes[r].Name, Level: l.Level, Tries: l.RetryMode, Age: float64(now - k.levelsAt)})
+		f.Levels = append(f.Levels, peerfacts.Level{Route: c.svc.Routes[r].Name, Level: l.Level, Tries: l.RetryMode, Age: float64(now - k.levelsAt)})
 	}
 	c.out = append(c.out, Answer{Ticket: q.Ticket, Kind: FactsReply, Body: &f})
 }
@@ -193,12 +193,12 @@
 type DiscoveryLost struct{}
 
 // PeerFacts brings the facts that other directors reported, each with its age.
-type PeerFacts struct{ Peers []learn.PeerFacts }
+type PeerFacts struct{ Peers []peerfacts.PeerFacts }
 
 // peerHostState is a host's state as reported by a peer. It overrides the host list, which may lag behind, until it
 // expires.
 type peerHostState struct {
-	learn.Host
+	peerfacts.Host
 	expiresAt logic.Millis
 }
 
@@ -208,11 +208,11 @@
 
 // applyPeerFacts reconciles the facts of peers with the local ones and passes the conclusions to the decision module.
 func (c *Core) applyPeerFacts(now logic.Millis, in PeerFacts) {
-	local := learn.Local{ListAge: c.hostListAge(now), Hosts: c.listedHosts(now), HasReports: len(c.observations.tries) > 0 && now-c.observations.startedAt > 2*factHalfLife}
+	local := peerfacts.Local{ListAge: c.hostListAge(now), Hosts: c.listedHosts(now), HasReports: len(c.observations.tries) > 0 && now-c.observations.startedAt > 2*factHalfLife}
 	if local.ListAge > float64(peerStateTTL) {
 		local.ListAge = -1
 	}
-	result := learn.Reconcile(local, in.Peers)
+	result := peerfacts.Reconcile(local, in.Peers)
 	for _, d := range result.WeightReductions {
 		c.log(LogEvent{Name: "peer.doubted", Detail: d.Director + ": " + d.Reason})
 	}
@@ -252,7 +252,7 @@
 
 // expectedDemand is the demand for a slice as its last owner or a peer observed it.
 type expectedDemand struct {
-	learn.Demand
+	peerfacts.Demand
 	receivedAt logic.Millis
 }
 
@@ -281,7 +281,7 @@
 	}
 	hosts = slices.Clone(hosts)
 	for i, l := range hosts {
-		if p, found := c.peerStates[l.Address]; found && now < p.expiresAt && p.StartedAt == l.Born && l.State == logic.Up && p.State != learn.Up {
+		if p, found := c.peerStates[l.Address]; found && now < p.expiresAt && p.StartedAt == l.Born && l.State == logic.Up && p.State != peerfacts.Up {
 			hosts[i].State = statesByName[p.State]
 		}
 	}
@@ -310,7 +310,7 @@
 		}
 		return float64(now - at)
 	}
-	if c.svc.QueriesPeers && learn.QueryDue(float64(now-c.observations.startedAt), since(c.listLostAt), since(c.slicesAssignedAt), since(c.peersQueriedAt)) {
+	if c.svc.QueriesPeers && peerfacts.QueryDue(float64(now-c.observations.startedAt), since(c.listLostAt), since(c.slicesAssignedAt), since(c.peersQueriedAt)) {
 		c.peersQueriedAt = now
 		c.out = append(c.out, AskPeers{})
 	}
--- a/internal/control/proxies.go
+++ b/internal/control/proxies.go
@@ -6,7 +6,7 @@
 	"strconv"
 
 	"vetchwood/internal/channel"
-	"vetchwood/internal/park"
+	"vetchwood/internal/pollshard"
 	"vetchwood/internal/tables"
 	"vetchwood/internal/versions"
 	"vetchwood/logic"
@@ -18,7 +18,7 @@
 type joinedProxy struct {
 	name           string
 	zone           string
-	visit          park.SessionID
+	visit          pollshard.SessionID
 	doc            *tables.Document               // newest document passed to the lot; nil: none yet
 	acknowledged   tables.Step                    // version that the proxy holds by its latest poll; 0: none that is known
 	unacknowledged []*documentUpdate              // updates that have left the channel and are not yet acknowledged
@@ -36,11 +36,11 @@
 }
 
 // join adds a proxy and passes the stored document to its lot.
-func (c *Core) join(now logic.Millis, j park.JoinRequest) {
+func (c *Core) join(now logic.Millis, j pollshard.JoinRequest) {
 	id, ok := c.proxyID(j.Proxy)
 	if !ok {
 		c.stats.Refused++
-		c.out = append(c.out, park.RejectJoin{Proxy: j.Proxy, Session: j.Session, Kind: Unknown,
+		c.out = append(c.out, pollshard.RejectJoin{Proxy: j.Proxy, Session: j.Session, Kind: Unknown,
 			Reason: "proxy " + strconv.Quote(j.Proxy) + " does not match the settings, or the maximum number has joined"})
 		return
 	}
@@ -70,11 +70,11 @@
 	}
 	c.keepBase(d)
 	p.doc = d
-	c.out = append(c.out, park.SetDocument{Proxy: p.name, Session: p.visit, Doc: d})
+	c.out = append(c.out, pollshard.SetDocument{Proxy: p.name, Session: p.visit, Doc: d})
 }
 
 // proxyInVisit returns the proxy with a name if it is joined and in the given visit, and nil otherwise.
-func (c *Core) proxyInVisit(proxy string, visit park.SessionID) (logic.ProxyID, *joinedProxy) {
+func (c *Core) proxyInVisit(proxy string, visit pollshard.SessionID) (logic.ProxyID, *joinedProxy) {
 	id, known := c.ids.proxies[proxy]
 	if p := c.proxies[id]; known && p != nil && p.visit == visit {
 		return id, p
@@ -83,7 +83,7 @@
 }
 
 // acknowledge records the version that a proxy holds by its poll, and confirms the updates up to that version.
-func (c *Core) acknowledge(now logic.Millis, h park.Acknowledgement) {
+func (c *Core) acknowledge(now logic.Millis, h pollshard.Acknowledgement) {
 	id, p := c.proxyInVisit(h.Proxy, h.Session)
 	if p == nil {
 		return
@@ -107,7 +107,7 @@
 }
 
 // handleLeave removes a proxy that its lot reports as gone.
-func (c *Core) handleLeave(l park.Left) {
+func (c *Core) handleLeave(l pollshard.Left) {
 	if id, p := c.proxyInVisit(l.Proxy, l.Session); p != nil {
 		c.removeProxy(id, l.Reason)
 	}
@@ -128,7 +128,7 @@
 }
 
 // notifyStored passes the stored document to the lot of a proxy whose previous document is older than a removal.
-func (c *Core) notifyStored(w park.DocumentRequest) {
+func (c *Core) notifyStored(w pollshard.DocumentRequest) {
 	if id, p := c.proxyInVisit(w.Proxy, w.Session); p != nil {
 		c.notify(p, c.document(c.stored, id)) // without effect if that document is already on its way to the lot
 	}
@@ -228,7 +228,7 @@
 
 // publishView returns the current view for the lots and marks it as published.
 func (c *Core) publishView() Publish {
-	p := Publish{View: &park.View{Bases: maps.Clone(c.bases), MinStep: c.view.floor, Shared: c.view.doc, Closed: c.view.closed,
+	p := Publish{View: &pollshard.View{Bases: maps.Clone(c.bases), MinStep: c.view.floor, Shared: c.view.doc, Closed: c.view.closed,
 		LeaseEnd: c.view.validUntil}, Barrier: c.view.barrierDue}
 	c.view.dirty, c.view.barrierDue = false, false
 	return p
--- a/internal/control/types.go
+++ b/internal/control/types.go
@@ -8,7 +8,7 @@
 	"maps"
 	"regexp"
 
-	"vetchwood/internal/park"
+	"vetchwood/internal/pollshard"
 	"vetchwood/internal/tables"
 	"vetchwood/logic"
 )
@@ -36,27 +36,27 @@
 
 // Polls and answers are defined by package park, which keeps the pending polls.
 type (
-	Ticket       = park.Ticket
-	Poll         = park.Poll
-	Disconnected = park.Disconnected
-	Answer       = park.Answer
-	AnswerKind   = park.Kind
+	Ticket       = pollshard.Ticket
+	Poll         = pollshard.Poll
+	Disconnected = pollshard.Disconnected
+	Answer       = pollshard.Answer
+	AnswerKind   = pollshard.Kind
 )
 
 // Kinds of answers; see package park.
 const (
-	Unchanged  = park.Unchanged
-	Full       = park.Full
-	Delta      = park.Delta
-	Accepted   = park.Accepted
-	Unknown    = park.Unknown
-	Invalid    = park.Invalid
-	Busy       = park.Busy
-	Done       = park.Done
-	Conflict   = park.Conflict
-	FactsReply = park.PeerFacts
-	Replaced   = park.Replaced
-	Refused    = park.Refused
+	Unchanged  = pollshard.Unchanged
+	Full       = pollshard.Full
+	Delta      = pollshard.Delta
+	Accepted   = pollshard.Accepted
+	Unknown    = pollshard.Unknown
+	Invalid    = pollshard.Invalid
+	Busy       = pollshard.Busy
+	Done       = pollshard.Done
+	Conflict   = pollshard.Conflict
+	FactsReply = pollshard.PeerFacts
+	Replaced   = pollshard.Replaced
+	Refused    = pollshard.Refused
 )
 
 // Inputs of Core.Handle, in addition to those that come from lots (package park).
@@ -113,7 +113,7 @@
 	// Publish passes a view to all lots, before any other output of the same call is carried out. With Barrier, the
 	// caller sends AnswersFlushed once all answers that the lots had given by then are written.
 	Publish struct {
-		View    *park.View
+		View    *pollshard.View
 		Barrier bool
 	}
 	// Persist passes a change to the store. Stored is sent only after the change is durable.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -17,11 +17,11 @@
 	"vetchwood/internal/budget"
 	"vetchwood/internal/control"
 	"vetchwood/internal/director"
+	"vetchwood/internal/discovery"
 	"vetchwood/internal/lease"
 	"vetchwood/internal/longpoll"
 	"vetchwood/internal/mqtt"
 	"vetchwood/internal/orca"
-	"vetchwood/internal/roster"
 	"vetchwood/internal/settings"
 	"vetchwood/internal/store"
 	"vetchwood/internal/tables"
@@ -87,7 +87,7 @@
 	}
 	go func() { failed <- front.Serve() }()
 	go func() {
-		err := roster.Follow(ctx, s.Discovery.Consul, s.Discovery.Service, s.Discovery.QueryWait,
+		err := discovery.Follow(ctx, s.Discovery.Consul, s.Discovery.Service, s.Discovery.QueryWait,
 			func(hosts []control.HostEntry) { d.Post(control.HostList{Hosts: hosts}) }, func() { d.Post(control.DiscoveryLost{}) }, log)
 		if ctx.Err() == nil {
 			failed <- err
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -7,7 +7,7 @@
 	"syscall"
 
 	"vetchwood/internal/budget"
-	"vetchwood/internal/live"
+	"vetchwood/internal/heapwatch"
 	"vetchwood/internal/settings"
 )
 
@@ -25,7 +25,7 @@
 	if s.MQTT != nil {
 		s.MQTT.Limits.Budget = ledger
 	}
-	go live.Watch(ctx, ledger)
+	go heapwatch.Watch(ctx, ledger)
 	return ledger, nil
 }
 
--- a/internal/daemon/meters.go
+++ b/internal/daemon/meters.go
@@ -17,7 +17,7 @@
 	"vetchwood/internal/lease"
 	"vetchwood/internal/longpoll"
 	"vetchwood/internal/mqtt"
-	"vetchwood/internal/operate"
+	"vetchwood/internal/operator"
 	"vetchwood/internal/store"
 )
 
@@ -115,7 +115,7 @@
 	counter("clients_cut", "Connections closed because the client held the most memory.", func(control.Stats) uint64 { return ledger.Stats().Evictions })
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
-	mux.Handle(operate.Path, operate.Handler(d, st))
+	mux.Handle(operator.Path, operator.Handler(d, st))
 	for name, profile := range map[string]http.HandlerFunc{"": pprof.Index, "profile": pprof.Profile, "symbol": pprof.Symbol, "trace": pprof.Trace} {
 		mux.HandleFunc("GET /debug/pprof/"+name, profile)
 	}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -14,8 +14,8 @@
 
 	"vetchwood/internal/control"
 	"vetchwood/internal/director"
-	"vetchwood/internal/learn"
 	"vetchwood/internal/lease"
+	"vetchwood/internal/peerfacts"
 )
 
 // maxFactsBytes is the maximum length of another director's facts. Longer ones are cut off and fail to decode.
@@ -31,7 +31,7 @@
 		DialContext: (&net.Dialer{Timeout: peerTimeout / 2}).DialContext}}
 	return func(ctx context.Context) {
 		var mu sync.Mutex
-		var heard []learn.PeerFacts
+		var heard []peerfacts.PeerFacts
 		var requests sync.WaitGroup
 		for _, p := range holder.Peers() {
 			requests.Go(func() {
@@ -43,7 +43,7 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				heard = append(heard, learn.PeerFacts{Facts: f, Age: float64(time.Since(began).Microseconds()) / 1000})
+				heard = append(heard, peerfacts.PeerFacts{Facts: f, Age: float64(time.Since(began).Microseconds()) / 1000})
 			})
 		}
 		requests.Wait()
@@ -54,7 +54,7 @@
 }
 
 // fetchFacts requests a peer's facts and checks that they are that peer's.
-func fetchFacts(ctx context.Context, client *http.Client, p lease.Peer) (f learn.Facts, err error) {
+func fetchFacts(ctx context.Context, client *http.Client, p lease.Peer) (f peerfacts.Facts, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, strings.TrimRight(p.URL, "/")+"/v1/peers/facts", nil)
 	if err != nil {
 		return f, err
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"vetchwood/internal/control"
-	"vetchwood/internal/inflow"
-	"vetchwood/internal/park"
+	"vetchwood/internal/eventloop"
+	"vetchwood/internal/loadshed"
+	"vetchwood/internal/pollshard"
 	"vetchwood/internal/tables"
-	"vetchwood/internal/turns"
 	"vetchwood/logic"
 )
 
@@ -35,8 +35,8 @@
 
 // Director runs one core with its store, prober, fronts and shards of pending polls.
 type Director struct {
-	turns.Clock
-	*turns.Inbox
+	eventloop.Clock
+	*eventloop.Inbox
 	core           *control.Core
 	store          Store
 	probe          Prober
@@ -44,13 +44,13 @@
 	fronts         []Front
 	started        chan struct{} // closed once fronts is set
 	shards         []*lockedShard
-	view           atomic.Pointer[park.View] // the view that shards adopt
-	maxBarrierUs   atomic.Int64              // longest wait of a removal, in microseconds
-	overdueAnswers atomic.Uint64             // answers still unwritten when a barrier timed out
+	view           atomic.Pointer[pollshard.View] // the view that shards adopt
+	maxBarrierUs   atomic.Int64                   // longest wait of a removal, in microseconds
+	overdueAnswers atomic.Uint64                  // answers still unwritten when a barrier timed out
 	lastTicket     atomic.Uint64
 	waiters        sync.Map // control.Ticket -> chan control.Answer
 
-	admission       *inflow.Shedder
+	admission       *loadshed.Shedder
 	admissionMu     sync.Mutex
 	initialStep     tables.Step // the version that this process started with
 	stats           atomic.Pointer[control.Stats]
@@ -76,8 +76,8 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Director{store: store, probe: probe, log: log, Clock: turns.NewClock(), Inbox: turns.NewInbox(),
-		line: saved.Line, admission: inflow.NewShedder(rand.Float64), writes: make(chan control.Change, 4096), started: make(chan struct{})}
+	d := &Director{store: store, probe: probe, log: log, Clock: eventloop.NewClock(), Inbox: eventloop.NewInbox(),
+		line: saved.Line, admission: loadshed.NewShedder(rand.Float64), writes: make(chan control.Change, 4096), started: make(chan struct{})}
 	d.shards = newShards(svc, d.Now())
 	d.core, d.initialOutput = control.New(rand.Uint64(), d.Now(), svc, saved)
 	f := d.core.Stats()
@@ -132,7 +132,7 @@
 			d.postToCore(in)
 			return
 		}
-		d.update(d.shardOf(in.Proxy), 0, func(s *park.Shard) park.Output { return s.Disconnect(d.Now(), in) })
+		d.update(d.shardOf(in.Proxy), 0, func(s *pollshard.Shard) pollshard.Output { return s.Disconnect(d.Now(), in) })
 	default:
 		d.postToCore(in)
 	}
@@ -153,7 +153,7 @@
 
 // Admit returns 0 if a request that is not a poll is admitted. Otherwise the client exceeds its rate or the director is
 // overloaded, and Admit returns the delay after which the client may retry.
-func (d *Director) Admit(k inflow.Kind, client string) time.Duration {
+func (d *Director) Admit(k loadshed.Kind, client string) time.Duration {
 	if client != "" {
 		sh := d.shardOf(client)
 		sh.mu.Lock()
@@ -167,12 +167,12 @@
 }
 
 // shed returns 0 if a request of this kind is admitted under the present load, or else the delay before a retry.
-func (d *Director) shed(k inflow.Kind) time.Duration {
-	if k >= inflow.Polls || admissionDisabled {
+func (d *Director) shed(k loadshed.Kind) time.Duration {
+	if k >= loadshed.Polls || admissionDisabled {
 		return 0
 	}
 	length, since := d.Queue()
-	q := inflow.Queue{Length: length}
+	q := loadshed.Queue{Length: length}
 	if length > 0 {
 		q.OldestWait = time.Since(since) - batchDelay
 	}
@@ -185,7 +185,7 @@
 }
 
 // AdmissionStats returns the counters of the admission control.
-func (d *Director) AdmissionStats() inflow.Stats {
+func (d *Director) AdmissionStats() loadshed.Stats {
 	d.admissionMu.Lock()
 	defer d.admissionMu.Unlock()
 	return d.admission.Stats()
@@ -286,7 +286,7 @@
 			d.deliver(o)
 		case control.Publish:
 			d.publishView(o)
-		case park.SetDocument, park.RejectJoin:
+		case pollshard.SetDocument, pollshard.RejectJoin:
 			commands = append(commands, o)
 		case control.Persist:
 			d.writes <- o.Change
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"vetchwood/internal/control"
-	"vetchwood/internal/inflow"
+	"vetchwood/internal/loadshed"
 	"vetchwood/internal/tables"
 	"vetchwood/logic"
 )
@@ -181,7 +181,7 @@
 	var admitted, rejected, acks, admittedAcks int
 	for end, i := time.Now().Add(2*time.Second), 0; time.Now().Before(end); i++ {
 		name := "p" + strconv.Itoa(i%20000)
-		if retryAfter := d.Admit(inflow.NewPolls, name); retryAfter > 0 {
+		if retryAfter := d.Admit(loadshed.NewPolls, name); retryAfter > 0 {
 			if rejected++; retryAfter < 400*time.Millisecond {
 				t.Fatalf("rejected with a retry delay of %v, want at least 400ms", retryAfter)
 			}
@@ -190,7 +190,7 @@
 			handle.Post(control.Poll{Ticket: handle.Ticket(), Proxy: name, Zone: "a", Wait: 20000})
 		}
 		if i%50 == 0 {
-			if acks++; d.Admit(inflow.Polls, "") == 0 {
+			if acks++; d.Admit(loadshed.Polls, "") == 0 {
 				admittedAcks++
 			}
 		}
--- a/internal/director/shards.go
+++ b/internal/director/shards.go
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"vetchwood/internal/control"
-	"vetchwood/internal/inflow"
-	"vetchwood/internal/nets"
-	"vetchwood/internal/park"
+	"vetchwood/internal/loadshed"
+	"vetchwood/internal/netutil"
+	"vetchwood/internal/pollshard"
 	"vetchwood/logic"
 )
 
@@ -20,11 +20,11 @@
 // be answered at once.
 type lockedShard struct {
 	mu         sync.Mutex
-	shard      *park.Shard
-	allowances *inflow.ClientLimiter
+	shard      *pollshard.Shard
+	allowances *loadshed.ClientLimiter
 	unwritten  [2]answerCounter // answers not written yet, by the epoch in which they were given
 	epoch      int              // 0 or 1; toggled by each barrier
-	lastView   *park.View       // the view that the shard has adopted
+	lastView   *pollshard.View  // the view that the shard has adopted
 }
 
 // answerCounter counts answers that are not written yet.
@@ -46,9 +46,9 @@
 		n *= 2
 	}
 	out := make([]*lockedShard, n)
-	config := park.Config{MaxWait: svc.MaxWait, Lease: svc.Lease, Zones: svc.Zones}
+	config := pollshard.Config{MaxWait: svc.MaxWait, Lease: svc.Lease, Zones: svc.Zones}
 	for i := range out {
-		out[i] = &lockedShard{shard: park.NewShard(i, n, config, now), allowances: inflow.NewClientLimiter(rand.Float64, maxClients/n)}
+		out[i] = &lockedShard{shard: pollshard.NewShard(i, n, config, now), allowances: loadshed.NewClientLimiter(rand.Float64, maxClients/n)}
 	}
 	return out
 }
@@ -61,9 +61,9 @@
 
 // update calls do with the shard's lock held, after the shard has adopted the newest view, and executes the output. The
 // answer to the ticket own, if any, is returned instead of delivered.
-func (d *Director) update(sh *lockedShard, own control.Ticket, do func(*park.Shard) park.Output) (a control.Answer, answered bool) {
+func (d *Director) update(sh *lockedShard, own control.Ticket, do func(*pollshard.Shard) pollshard.Output) (a control.Answer, answered bool) {
 	var others []control.Answer
-	collect := func(out park.Output) {
+	collect := func(out pollshard.Output) {
 		for i := range out.Answers {
 			unwritten := &sh.unwritten[sh.epoch]
 			unwritten.n.Add(1)
@@ -107,7 +107,7 @@
 		return a, false, retryAfter
 	}
 	if !joined {
-		if retryAfter = d.shed(inflow.NewPolls); retryAfter > 0 {
+		if retryAfter = d.shed(loadshed.NewPolls); retryAfter > 0 {
 			return a, false, retryAfter
 		}
 	}
@@ -117,7 +117,7 @@
 
 // poll passes a poll to its shard without admission control.
 func (d *Director) poll(p control.Poll) (control.Answer, bool) {
-	return d.update(d.shardOf(p.Proxy), p.Ticket, func(s *park.Shard) park.Output { return s.Poll(d.Now(), p) })
+	return d.update(d.shardOf(p.Proxy), p.Ticket, func(s *pollshard.Shard) pollshard.Output { return s.Poll(d.Now(), p) })
 }
 
 // dispatch passes the core's commands for single proxies to their shards, in parallel if there are many. Versions of a
@@ -130,21 +130,21 @@
 	for _, o := range commands {
 		sh := (*lockedShard)(nil)
 		switch o := o.(type) {
-		case park.SetDocument:
+		case pollshard.SetDocument:
 			sh = d.shardOf(o.Proxy)
-		case park.RejectJoin:
+		case pollshard.RejectJoin:
 			sh = d.shardOf(o.Proxy)
 		}
 		byShard[sh] = append(byShard[sh], o)
 	}
 	for sh, own := range byShard {
 		apply := func() {
-			d.update(sh, 0, func(s *park.Shard) park.Output { return s.Apply(d.Now(), own...) })
+			d.update(sh, 0, func(s *pollshard.Shard) pollshard.Output { return s.Apply(d.Now(), own...) })
 		}
 		if len(commands) < 256 {
 			apply()
 		} else {
-			nets.Go(apply)
+			netutil.Go(apply)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 		return
 	}
 	for _, sh := range d.shards {
-		d.update(sh, 0, func(*park.Shard) (none park.Output) {
+		d.update(sh, 0, func(*pollshard.Shard) (none pollshard.Output) {
 			if p.Barrier {
 				sh.epoch ^= 1
 			}
@@ -217,7 +217,7 @@
 		case <-tick.C:
 		}
 		for _, sh := range d.shards {
-			d.update(sh, 0, func(s *park.Shard) park.Output { return s.Advance(d.Now()) })
+			d.update(sh, 0, func(s *pollshard.Shard) pollshard.Output { return s.Advance(d.Now()) })
 		}
 	}
 }
@@ -226,7 +226,7 @@
 // rate. MaxBarrier is the longest wait of a removal, and Overdue the number of answers that were unwritten when a
 // barrier timed out.
 type ShardStats struct {
-	park.Stats
+	pollshard.Stats
 	Shards     int
 	Limited    uint64
 	MaxBarrier time.Duration
--- a/internal/director/shards_test.go
+++ b/internal/director/shards_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"vetchwood/internal/control"
-	"vetchwood/internal/inflow"
+	"vetchwood/internal/loadshed"
 	"vetchwood/internal/tables"
 	"vetchwood/logic"
 )
@@ -137,7 +137,7 @@
 		if _, _, retryAfter := d.Poll(control.Poll{Ticket: handle.Ticket(), Proxy: "p1", Zone: "a"}); retryAfter > 0 {
 			rejected++
 		}
-		if retryAfter := d.Admit(inflow.Reports, "p1"); retryAfter == 0 {
+		if retryAfter := d.Admit(loadshed.Reports, "p1"); retryAfter == 0 {
 			rejected--
 		}
 	}
--- a/internal/roster/follow.go
+++ b/internal/discovery/follow.go
@@ -1,6 +1,6 @@
 // Package roster follows the list of hosts in Consul, by blocking queries to the health endpoint of its HTTP API. It
 // does not check whether a list is current or correct.
-package roster
+package discovery
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"github.com/hashicorp/consul/api"
 
 	"vetchwood/internal/control"
+	"vetchwood/internal/eventloop"
 	"vetchwood/internal/tables"
-	"vetchwood/internal/turns"
 	"vetchwood/logic"
 )
 
@@ -55,7 +55,7 @@
 			}
 			log.Warn("roster.failed", "error", err, "failures", failures)
 			index = 0
-			turns.Pause(ctx, turns.Backoff(failures, 100*time.Millisecond, rand.Float64()))
+			eventloop.Pause(ctx, eventloop.Backoff(failures, 100*time.Millisecond, rand.Float64()))
 			continue
 		}
 		wasLost := failures >= 2
@@ -72,7 +72,7 @@
 			notified, first = hosts, false
 		}
 		if spent := time.Since(began); index == 0 && spent < 100*time.Millisecond {
-			turns.Pause(ctx, 100*time.Millisecond-spent) // limits the query rate to a server that never blocks
+			eventloop.Pause(ctx, 100*time.Millisecond-spent) // limits the query rate to a server that never blocks
 		}
 	}
 	return ctx.Err()
--- a/internal/roster/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -1,4 +1,4 @@
-package roster_test
+package discovery_test
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/consul/api"
 
 	"vetchwood/internal/control"
-	"vetchwood/internal/roster"
+	"vetchwood/internal/discovery"
 	"vetchwood/internal/standin"
 	"vetchwood/logic"
 )
@@ -63,7 +63,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	rec, ended := &recorder{}, make(chan error, 1)
 	go func() {
-		ended <- roster.Follow(ctx, r.URL(), "hosts", 2*time.Second, rec.update, func() {}, slog.New(slog.DiscardHandler))
+		ended <- discovery.Follow(ctx, r.URL(), "hosts", 2*time.Second, rec.update, func() {}, slog.New(slog.DiscardHandler))
 	}()
 	rec.await(t, "both hosts", func(l []control.HostEntry) bool {
 		return len(l) == 2 && l[0] == control.HostEntry{ID: "h1", Address: "127.0.0.1:7001", Zone: "a", Cell: "a-0", Weight: 1} &&
@@ -124,12 +124,12 @@
 	}
 	for i := range 2 {
 		if err := client.Agent().ServiceRegister(&api.AgentServiceRegistration{ID: fmt.Sprint("h", i), Name: "hosts", Address: "127.0.0.1",
-			Port: 7001 + i, Meta: map[string]string{roster.MetaZone: "a"}}); err != nil {
+			Port: 7001 + i, Meta: map[string]string{discovery.MetaZone: "a"}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	rec := &recorder{}
-	go roster.Follow(t.Context(), r.URL(), "hosts", time.Second, rec.update, func() {}, slog.New(slog.DiscardHandler))
+	go discovery.Follow(t.Context(), r.URL(), "hosts", time.Second, rec.update, func() {}, slog.New(slog.DiscardHandler))
 	rec.await(t, "both hosts", func(l []control.HostEntry) bool { return len(l) == 2 })
 	if err := client.Agent().EnableServiceMaintenance("h0", "upgrade"); err != nil {
 		t.Fatal(err)
--- a/internal/carry/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,7 +1,7 @@
 // Package carry makes a proxy's decisions about the calls it forwards: which table applies, whether a call is admitted,
 // which line it goes to, whether it is retried, and what is reported to directors. It follows the tables and overrides
 // none of them. It does no I/O and reads no clock; the caller passes the time and a source of random numbers.
-package carry
+package dispatch
 
 import (
 	"cmp"
@@ -9,12 +9,12 @@
 	"math"
 	"slices"
 
-	"vetchwood/internal/admit"
-	"vetchwood/internal/again"
-	"vetchwood/internal/avoid"
+	"vetchwood/internal/admission"
+	"vetchwood/internal/loadreport"
+	"vetchwood/internal/outlier"
 	"vetchwood/internal/pick"
+	"vetchwood/internal/retry"
 	"vetchwood/internal/tables"
-	"vetchwood/internal/tally"
 	"vetchwood/logic"
 
 	"github.com/cespare/xxhash/v2"
@@ -39,12 +39,12 @@
 	tables      map[string]*table
 	routes      map[string]*route
 	hosts       map[tables.Address]*host
-	detector    *avoid.Detector[tables.Address]
-	limiter     *admit.Limiter
-	budget      *again.Budget
-	tallies     []*tally.Tally // by index of the director in the proxy's list
+	detector    *outlier.Detector[tables.Address]
+	limiter     *admission.Limiter
+	budget      *retry.Budget
+	tallies     []*loadreport.Tally // by index of the director in the proxy's list
 	incarnation string
-	routeLevels map[levelKey]*admit.Level
+	routeLevels map[levelKey]*admission.Level
 	counters    Counters
 }
 
@@ -62,7 +62,7 @@
 // table is a table of the document, prepared for picking.
 type table struct {
 	name       string
-	levels     map[string]*admit.Level
+	levels     map[string]*admission.Level
 	retryModes map[string]int
 	lineSets   map[string]*lineSet // by required zone; "" is any zone
 	content    *tables.Table
@@ -90,7 +90,7 @@
 
 // host is the state of a host as seen by this proxy.
 type host struct {
-	location again.Location
+	location retry.Location
 	inFlight int
 }
 
@@ -101,18 +101,18 @@
 // of earlier runs.
 func New(limits Limits, incarnation string, random pick.RandFunc) *Dispatcher {
 	d := &Dispatcher{limits: limits, random: random, tables: map[string]*table{}, routes: map[string]*route{},
-		hosts: map[tables.Address]*host{}, detector: avoid.New[tables.Address](0),
-		limiter: admit.NewLimiter(limits.MaxInFlight, limits.MaxQueued),
-		budget:  again.NewBudget(), incarnation: incarnation, routeLevels: map[levelKey]*admit.Level{}}
+		hosts: map[tables.Address]*host{}, detector: outlier.New[tables.Address](0),
+		limiter: admission.NewLimiter(limits.MaxInFlight, limits.MaxQueued),
+		budget:  retry.NewBudget(), incarnation: incarnation, routeLevels: map[levelKey]*admission.Level{}}
 	if limits.UnlimitedRetries {
-		d.budget = again.NewUnlimitedBudget()
+		d.budget = retry.NewUnlimitedBudget()
 	}
 	return d
 }
 
 // updateLevel sets the value of an existing level, or returns a new one if there is none or its unit changed. The unit
 // is the levels_by of the document: "share", "rate" or "none".
-func updateLevel(level *admit.Level, unit string, value float64) *admit.Level {
+func updateLevel(level *admission.Level, unit string, value float64) *admission.Level {
 	if unit == "none" {
 		value = 1
 	}
@@ -120,9 +120,9 @@
 		level.Set(value)
 		return level
 	}
-	l := admit.NewShareLevel(value)
+	l := admission.NewShareLevel(value)
 	if unit == "rate" {
-		l = admit.NewRateLevel(value)
+		l = admission.NewRateLevel(value)
 	}
 	return &l
 }
@@ -152,10 +152,10 @@
 	old := d.tables
 	d.tables = make(map[string]*table, len(doc.Tables))
 	for name, t := range doc.Tables {
-		updated := &table{name: name, content: t, lineSets: map[string]*lineSet{}, levels: map[string]*admit.Level{},
+		updated := &table{name: name, content: t, lineSets: map[string]*lineSet{}, levels: map[string]*admission.Level{},
 			retryModes: map[string]int{}}
 		for r, l := range t.Levels {
-			var level *admit.Level
+			var level *admission.Level
 			if o := old[name]; o != nil {
 				level = o.levels[r]
 			}
@@ -181,7 +181,7 @@
 		}
 	}
 	for a, h := range doc.Hosts {
-		d.host(a).location = again.Location{Zone: h.Zone, Cell: h.Cell}
+		d.host(a).location = retry.Location{Zone: h.Zone, Cell: h.Cell}
 	}
 }
 
@@ -195,7 +195,7 @@
 
 // routeLevel returns the level of the call's route as set by the director that published the call's table, and the
 // entry of that director's document, which also holds the retry mode.
-func (d *Dispatcher) routeLevel(c *Call, r *route) (*admit.Level, tables.Level) {
+func (d *Dispatcher) routeLevel(c *Call, r *route) (*admission.Level, tables.Level) {
 	if c.table != nil {
 		if own, found := c.table.doc.Routes[c.Route]; found {
 			return d.routeLevels[levelKey{c.table.director, c.Route}], own.Level
@@ -228,12 +228,12 @@
 type Call struct {
 	Route, Key        string
 	HasIdempotencyKey bool // without an idempotency key, hosts can't recognize a repeat of the call
-	Ticket            admit.Ticket
+	Ticket            admission.Ticket
 	Deadline          float64 // 0: Admit sets it by the time limit of the route
 	Importance        float64
 	route             *route
 	table             *table
-	retry             again.State
+	retry             retry.State
 	level             tables.Level
 	triedHosts        []tables.Address
 	host              tables.Address
@@ -259,7 +259,7 @@
 
 // Admit decides whether a call that just arrived may proceed. If the call displaced a less important one from the
 // queue, evicted is the ticket of that one, otherwise 0.
-func (d *Dispatcher) Admit(c *Call, now float64) (o Outcome, evicted admit.Ticket) {
+func (d *Dispatcher) Admit(c *Call, now float64) (o Outcome, evicted admission.Ticket) {
 	d.counters.Calls++
 	c.arrivedAt = now
 	if d.doc == nil {
@@ -278,7 +278,7 @@
 		d.Tally(c.director()).AddCall(c.Route, c.tableName())
 		c.counted = true
 	}
-	var level *admit.Level
+	var level *admission.Level
 	level, c.level = d.routeLevel(c, r)
 	if c.table != nil {
 		// The lower of the two levels applies, and the table's own retry mode.
@@ -293,9 +293,9 @@
 		return Throttled, 0
 	}
 	switch v, evicted := d.limiter.Acquire(c.Ticket, c.Importance, now, c.Deadline); v {
-	case admit.Queued:
+	case admission.Queued:
 		return Queued, evicted
-	case admit.Rejected:
+	case admission.Rejected:
 		d.counters.Rejected++
 		return AtCapacity, 0
 	}
@@ -396,10 +396,10 @@
 	}
 	d.findTable(c, r) // the tables may have changed since the call arrived
 	idempotency := r.Idempotency
-	if idempotency == again.IdempotentByKey && !c.HasIdempotencyKey {
-		idempotency = again.NonIdempotent
+	if idempotency == retry.IdempotentByKey && !c.HasIdempotencyKey {
+		idempotency = retry.NonIdempotent
 	}
-	c.retry = again.NewState(again.Route{Idempotency: idempotency, DedupScope: r.DedupScope, DedupWindow: r.DedupWindowMs, SLO: r.SLOMs,
+	c.retry = retry.NewState(retry.Route{Idempotency: idempotency, DedupScope: r.DedupScope, DedupWindow: r.DedupWindowMs, SLO: r.SLOMs,
 		TryTimeoutShare: d.doc.TryTimeoutShare}, c.level.RetryMode, c.Deadline)
 	return d.pickHost(c, now)
 }
@@ -471,44 +471,44 @@
 }
 
 // TryFailed records that the current try failed, and returns the next one if the verdict is again.Retry.
-func (d *Dispatcher) TryFailed(c *Call, f Failure, now float64, load logic.Load) (Try, again.Verdict) {
+func (d *Dispatcher) TryFailed(c *Call, f Failure, now float64, load logic.Load) (Try, retry.Verdict) {
 	h := d.host(c.host)
 	h.inFlight--
 	if f == Canceled {
 		d.detector.TryCanceled(c.host)
 		d.Tally(c.director()).AddTry(c.Route, c.host, false, 0, load)
-		return Try{}, again.NotAllowed
+		return Try{}, retry.NotAllowed
 	}
 	if d.detector.TryEnded(c.host, false, now, d.random()) {
 		d.counters.Ejections++
 	}
 	d.Tally(c.director()).AddTry(c.Route, c.host, false, 0, load)
-	execution := again.MayHaveRun
+	execution := retry.MayHaveRun
 	if f == NotSent || f == Rejected && d.doc.RejectedDidNotRun {
-		execution = again.NeverRan
+		execution = retry.NeverRan
 	}
 	c.retry.RecordFailure(execution, h.location, c.sentAt)
 	c.triedHosts = append(c.triedHosts, c.host)
 	r := d.routes[c.Route]
 	if r == nil {
-		return Try{}, again.NotAllowed
+		return Try{}, retry.NotAllowed
 	}
-	if v := c.retry.Decide(now, r.meanLatency, d.budget); v != again.Retry {
+	if v := c.retry.Decide(now, r.meanLatency, d.budget); v != retry.Retry {
 		return Try{}, v
 	}
 	d.findTable(c, r)
 	t, o := d.pickHost(c, now)
 	if o != Proceed {
-		return Try{}, again.NoLine
+		return Try{}, retry.NoLine
 	}
 	t.Deadline = min(t.Deadline, c.Deadline)
 	d.counters.Retries++
-	return t, again.Retry
+	return t, retry.Retry
 }
 
 // EndCall records the end of a call. Next is the queued call that takes its place, 0 if there is none, and expired are
 // queued calls whose deadlines have passed.
-func (d *Dispatcher) EndCall(c *Call, answered bool, now float64) (next admit.Ticket, expired []admit.Ticket) {
+func (d *Dispatcher) EndCall(c *Call, answered bool, now float64) (next admission.Ticket, expired []admission.Ticket) {
 	if !answered && c.counted && c.admitted {
 		d.Tally(c.director()).AddUnanswered(c.Route, c.tableName())
 	}
@@ -523,9 +523,9 @@
 func (d *Dispatcher) CountNoLine() { d.counters.NoLine++ }
 
 // Tally returns the unreported figures for a director, given by its index in the proxy's list.
-func (d *Dispatcher) Tally(director int) *tally.Tally {
+func (d *Dispatcher) Tally(director int) *loadreport.Tally {
 	for len(d.tallies) <= director {
-		d.tallies = append(d.tallies, tally.New(d.incarnation))
+		d.tallies = append(d.tallies, loadreport.New(d.incarnation))
 	}
 	return d.tallies[director]
 }
--- a/internal/carry/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -1,4 +1,4 @@
-package carry
+package dispatch
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"vetchwood/internal/admit"
-	"vetchwood/internal/again"
+	"vetchwood/internal/admission"
+	"vetchwood/internal/retry"
 	"vetchwood/internal/tables"
 	"vetchwood/logic"
 )
@@ -136,10 +136,10 @@
 		first := c.host
 		next, verdict := d.TryFailed(c, NoAnswer, 100, logic.Load{})
 		switch {
-		case !c.HasIdempotencyKey && verdict != again.Unsafe:
+		case !c.HasIdempotencyKey && verdict != retry.Unsafe:
 			t.Errorf("without an idempotency key: verdict %q, want Unsafe", verdict)
-		case c.HasIdempotencyKey && first == "c:1" && verdict != again.NoLine,
-			c.HasIdempotencyKey && first != "c:1" && (verdict != again.Retry || next.Host == "c:1" || next.Host == first):
+		case c.HasIdempotencyKey && first == "c:1" && verdict != retry.NoLine,
+			c.HasIdempotencyKey && first != "c:1" && (verdict != retry.Retry || next.Host == "c:1" || next.Host == first):
 			t.Errorf("first try at %s, next at %s: verdict %q", first, next.Host, verdict)
 		}
 	}
@@ -271,7 +271,7 @@
 				end(c, true)
 			case event == 4 && firstRunning() != nil:
 				c := firstRunning()
-				if _, verdict := d.TryFailed(c, Failure(rapid.IntRange(0, 4).Draw(t, "failure")), now, logic.Load{}); verdict != again.Retry {
+				if _, verdict := d.TryFailed(c, Failure(rapid.IntRange(0, 4).Draw(t, "failure")), now, logic.Load{}); verdict != retry.Retry {
 					end(c, false)
 				}
 			case event == 5:
@@ -300,4 +300,4 @@
 }
 
 // uint64Ticket returns the n-th ticket.
-func uint64Ticket(n int) admit.Ticket { return admit.Ticket(n) }
+func uint64Ticket(n int) admission.Ticket { return admission.Ticket(n) }
--- a/internal/turns/turns.go
+++ b/internal/eventloop/turns.go
@@ -1,6 +1,6 @@
 // Package turns provides what the event loop that owns a decision module needs: a clock, an inbox, and pauses with
 // backoff between attempts.
-package turns
+package eventloop
 
 import (
 	"context"
--- a/internal/turns/turns_test.go
+++ b/internal/eventloop/turns_test.go
@@ -1,4 +1,4 @@
-package turns
+package eventloop
 
 import (
 	"sync"
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -25,7 +25,7 @@
 
 	"github.com/eclipse/paho.golang/paho"
 
-	"vetchwood/internal/following"
+	"vetchwood/internal/followpolicy"
 	"vetchwood/internal/tables"
 )
 
@@ -62,7 +62,7 @@
 	pollClient      *http.Client
 	reportClient    *http.Client
 	epoch           time.Time
-	chooser         *following.Chooser
+	chooser         *followpolicy.Chooser
 	document        atomic.Pointer[tables.Document]
 	currentDirector atomic.Int32 // index of the director polled last
 	joined          bool
@@ -89,7 +89,7 @@
 	if config.Log == nil {
 		config.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Follower{config: config, epoch: time.Now(), chooser: following.NewChooser(len(config.Directors)),
+	return &Follower{config: config, epoch: time.Now(), chooser: followpolicy.NewChooser(len(config.Directors)),
 		pollClient: newClient(), reportClient: newClient()}
 }
 
@@ -199,7 +199,7 @@
 		return err
 	}
 	if lease, err := strconv.Atoi(res.Header.Get(leaseHeader)); err == nil && res.StatusCode != http.StatusNotModified &&
-		!following.WithinLease(float64(lease), float64(time.Since(sent).Microseconds())/1000) {
+		!followpolicy.WithinLease(float64(lease), float64(time.Since(sent).Microseconds())/1000) {
 		// The response may have been written long ago by a director that owns no slice any more; a new poll shows the
 		// current state.
 		f.staleResponses.Add(1)
@@ -306,8 +306,8 @@
 	return fmt.Errorf(format, args...)
 }
 
-func versionOf(d *tables.Document) following.Version {
-	return following.Version{Line: d.History, Step: d.Step, At: d.At}
+func versionOf(d *tables.Document) followpolicy.Version {
+	return followpolicy.Version{Line: d.History, Step: d.Step, At: d.At}
 }
 
 // applyDocument puts a document into force if its content has the expected entity tag and it is newer than the document
@@ -316,15 +316,15 @@
 	if tag := d.Tag().ETag(); tag != expectedTag {
 		return f.rejectf("entity tag mismatch: director sent %.80s, content has %s", expectedTag, tag)
 	}
-	var current *following.Version
+	var current *followpolicy.Version
 	if doc := f.document.Load(); doc != nil {
 		v := versionOf(doc)
 		current = &v
 	}
-	switch following.Evaluate(current, versionOf(d)) {
-	case following.Older:
+	switch followpolicy.Evaluate(current, versionOf(d)) {
+	case followpolicy.Older:
 		return fmt.Errorf("offered version %s is older than version %s in force", d.Version, f.document.Load().Version)
-	case following.Duplicate:
+	case followpolicy.Duplicate:
 		f.setJoined(true)
 		return nil
 	}
--- a/internal/follow/group.go
+++ b/internal/follow/group.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"vetchwood/internal/following"
+	"vetchwood/internal/followpolicy"
 	"vetchwood/internal/tables"
 )
 
@@ -19,7 +19,7 @@
 	document  atomic.Pointer[tables.Document]
 
 	mu     sync.Mutex
-	merger *following.Merger // nil: one director is followed at a time
+	merger *followpolicy.Merger // nil: one director is followed at a time
 }
 
 // NewGroup returns a group that follows all directors of the configuration at once and merges their documents if all is
@@ -32,7 +32,7 @@
 		g.followers = []*Follower{New(single)}
 		return g
 	}
-	g.merger = following.NewMerger()
+	g.merger = followpolicy.NewMerger()
 	for i, d := range config.Directors {
 		single := config
 		if single.Directors = []string{d}; config.CacheFile != "" {
--- a/internal/follow/subscriber.go
+++ b/internal/follow/subscriber.go
@@ -11,8 +11,8 @@
 
 	"github.com/eclipse/paho.golang/paho"
 
-	"vetchwood/internal/following"
-	"vetchwood/internal/subscribe"
+	"vetchwood/internal/followpolicy"
+	"vetchwood/internal/mqttsession"
 	"vetchwood/internal/tables"
 )
 
@@ -78,8 +78,8 @@
 			return errConnectionClosed
 		case p := <-published:
 			props := p.Properties
-			if lease, err := strconv.Atoi(props.User.Get(subscribe.PropertyLease)); err == nil &&
-				!following.WithinLease(float64(lease), float64(time.Since(leaseStart).Microseconds())/1000) {
+			if lease, err := strconv.Atoi(props.User.Get(mqttsession.PropertyLease)); err == nil &&
+				!followpolicy.WithinLease(float64(lease), float64(time.Since(leaseStart).Microseconds())/1000) {
 				// The director's lease may have expired since it wrote the document. Once this delivery is acknowledged,
 				// the director sends the document again with the time that its lease has left then.
 				f.staleResponses.Add(1)
@@ -108,11 +108,11 @@
 func (f *Follower) connect(ctx context.Context, client *paho.Client) error {
 	expiry := uint32(sessionExpirySeconds)
 	props := &paho.ConnectProperties{SessionExpiryInterval: &expiry}
-	props.User.Add(subscribe.PropertyZone, f.config.Zone).
-		Add(subscribe.PropertyRate, strconv.FormatFloat(f.config.Rate, 'g', 4, 64))
+	props.User.Add(mqttsession.PropertyZone, f.config.Zone).
+		Add(mqttsession.PropertyRate, strconv.FormatFloat(f.config.Rate, 'g', 4, 64))
 	current := f.document.Load()
 	if current != nil && !f.needsFull {
-		props.User.Add(subscribe.PropertyHeld, current.Tag().ETag())
+		props.User.Add(mqttsession.PropertyHeld, current.Tag().ETag())
 	}
 	ack, err := client.Connect(ctx, &paho.Connect{ClientID: f.config.Proxy, KeepAlive: keepAliveSeconds,
 		CleanStart: current == nil || f.needsFull, Properties: props})
@@ -126,11 +126,11 @@
 func (f *Follower) sendSubscribe(ctx context.Context, client *paho.Client, resend bool) error {
 	props := &paho.SubscribeProperties{}
 	if resend {
-		props.User.Add(subscribe.PropertyResend, "lease")
+		props.User.Add(mqttsession.PropertyResend, "lease")
 	}
-	topic := subscribe.TablesTopic(f.config.Proxy)
+	topic := mqttsession.TablesTopic(f.config.Proxy)
 	if f.config.Watch {
-		topic = subscribe.AllTablesTopic
+		topic = mqttsession.AllTablesTopic
 	}
 	ack, err := client.Subscribe(ctx, &paho.Subscribe{Properties: props,
 		Subscriptions: []paho.SubscribeOptions{{Topic: topic, QoS: 1}}})
@@ -150,7 +150,7 @@
 
 // handlePublish applies a published document or delta.
 func (f *Follower) handlePublish(p *paho.Publish) error {
-	tag, base := p.Properties.User.Get(subscribe.PropertyTag), p.Properties.User.Get(subscribe.PropertyBase)
+	tag, base := p.Properties.User.Get(mqttsession.PropertyTag), p.Properties.User.Get(mqttsession.PropertyBase)
 	if p.Properties.ContentType == tables.PatchMediaType {
 		return f.applyDelta(p.Payload, tag, base)
 	}
@@ -165,14 +165,14 @@
 		return 0, "", errConnectionClosed
 	}
 	props := &paho.PublishProperties{ContentType: "application/json"}
-	props.User.Add(subscribe.PropertyKey, key)
-	res, err := client.Publish(ctx, &paho.Publish{Topic: subscribe.ReportsTopic(f.config.Proxy), QoS: 1, Payload: body,
+	props.User.Add(mqttsession.PropertyKey, key)
+	res, err := client.Publish(ctx, &paho.Publish{Topic: mqttsession.ReportsTopic(f.config.Proxy), QoS: 1, Payload: body,
 		Properties: props})
 	if res == nil {
 		return 0, "", err
 	}
-	status, known := map[subscribe.ReasonCode]int{subscribe.Success: 204, subscribe.NoMatchingSubscribers: 204,
-		subscribe.NotAuthorized: 404, subscribe.QuotaExceeded: 503}[subscribe.ReasonCode(res.ReasonCode)]
+	status, known := map[mqttsession.ReasonCode]int{mqttsession.Success: 204, mqttsession.NoMatchingSubscribers: 204,
+		mqttsession.NotAuthorized: 404, mqttsession.QuotaExceeded: 503}[mqttsession.ReasonCode(res.ReasonCode)]
 	if !known {
 		status = 400
 	}
--- a/internal/following/following.go
+++ b/internal/followpolicy/following.go
@@ -1,6 +1,6 @@
 // Package following decides which director a proxy polls and when, and which of the offered versions take effect. It
 // does no I/O and reads no clock: times are parameters in milliseconds, random numbers are parameters in [0,1).
-package following
+package followpolicy
 
 import "vetchwood/internal/tables"
 
--- a/internal/following/merge.go
+++ b/internal/followpolicy/merge.go
@@ -1,9 +1,9 @@
-package following
+package followpolicy
 
 import (
 	"maps"
 
-	"vetchwood/internal/custody"
+	"vetchwood/internal/ownership"
 	"vetchwood/internal/tables"
 )
 
@@ -11,18 +11,18 @@
 // with it, the masks and levels of that owner's document. A slice that its last owner no longer publishes keeps its
 // table until the next owner publishes one.
 type Merger struct {
-	fences   custody.HighestFences // the highest fence of each slice
+	fences   ownership.HighestFences // the highest fence of each slice
 	tables   map[string]*tables.Table
 	sources  map[string]tables.Source
-	sliceIDs map[string]custody.Slice
+	sliceIDs map[string]ownership.Slice
 	step     tables.Step
 	rejected int
 }
 
 // NewMerger returns a merger without documents.
 func NewMerger() *Merger {
-	return &Merger{fences: custody.HighestFences{}, tables: map[string]*tables.Table{}, sources: map[string]tables.Source{},
-		sliceIDs: map[string]custody.Slice{}}
+	return &Merger{fences: ownership.HighestFences{}, tables: map[string]*tables.Table{}, sources: map[string]tables.Source{},
+		sliceIDs: map[string]ownership.Slice{}}
 }
 
 // Rejected returns the number of tables that were rejected because their director no longer owned the slice.
@@ -33,10 +33,10 @@
 	for name, t := range d.Tables {
 		slice, known := m.sliceIDs[name]
 		if !known {
-			slice = custody.Slice(len(m.sliceIDs))
+			slice = ownership.Slice(len(m.sliceIDs))
 			m.sliceIDs[name] = slice
 		}
-		if !m.fences.Accept(slice, custody.Fence(t.Fence)) {
+		if !m.fences.Accept(slice, ownership.Fence(t.Fence)) {
 			m.rejected++
 			continue
 		}
--- a/internal/following/merge_test.go
+++ b/internal/followpolicy/merge_test.go
@@ -1,4 +1,4 @@
-package following
+package followpolicy
 
 import (
 	"fmt"
--- a/internal/live/live.go
+++ b/internal/heapwatch/live.go
@@ -1,5 +1,5 @@
 // Package live reports the size of the live heap to the memory budget.
-package live
+package heapwatch
 
 import (
 	"context"
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -20,7 +20,7 @@
 	"github.com/hashicorp/consul/api"
 
 	"vetchwood/internal/control"
-	"vetchwood/internal/custody"
+	"vetchwood/internal/ownership"
 	"vetchwood/internal/tables"
 	"vetchwood/logic"
 )
@@ -54,7 +54,7 @@
 	config      Config
 	self        Peer
 	client      *api.Client
-	coordinator *custody.Coordinator
+	coordinator *ownership.Coordinator
 	now         func() logic.Millis
 	notify      func(any)
 	log         *slog.Logger
@@ -89,7 +89,7 @@
 	}
 	ttl := float64(config.TTL.Microseconds()) / 1000
 	m := &Manager{config: config, self: Peer{Name: name, URL: config.AdvertiseURL, Line: line}, client: client, now: now, notify: notify, log: log,
-		coordinator: custody.NewCoordinator(custody.DirectorName(name), config.SliceCount, ttl, ttl*clockDriftFraction), inbox: make(chan any, 1024),
+		coordinator: ownership.NewCoordinator(ownership.DirectorName(name), config.SliceCount, ttl, ttl*clockDriftFraction), inbox: make(chan any, 1024),
 		leaving: make(chan struct{}), released: make(chan struct{}), pendingRecords: map[logic.TableID]control.SliceRecord{},
 		recordsPending: make(chan struct{}, 1)}
 	m.peers.Store(&[]Peer{})
@@ -148,7 +148,7 @@
 		case <-timer.C:
 		case <-leaving:
 			leaving = nil
-			in = append(in, custody.LeaveRequested{})
+			in = append(in, ownership.LeaveRequested{})
 			m.announceLeaving(ctx)
 		case i := <-m.inbox:
 			in = append(in, i)
@@ -182,27 +182,27 @@
 
 func (m *Manager) execute(ctx context.Context, o any, granted map[logic.TableID]uint64) {
 	switch o := o.(type) {
-	case custody.OpenSession:
+	case ownership.OpenSession:
 		go m.openSession(ctx, o.FenceFloor)
-	case custody.RenewSession:
+	case ownership.RenewSession:
 		go m.renewSession(ctx, o.ID)
-	case custody.AcquireSlices:
-		go m.changeLeases(ctx, custody.RequestAcquire, m.lockOps(o.Session, o.Slices))
-	case custody.TransferSlices:
+	case ownership.AcquireSlices:
+		go m.changeLeases(ctx, ownership.RequestAcquire, m.lockOps(o.Session, o.Slices))
+	case ownership.TransferSlices:
 		go func() { // pending records are written before the next owner reads them
 			m.flushRecords(ctx)
-			m.changeLeases(ctx, custody.RequestTransfer, m.transferOps(o))
+			m.changeLeases(ctx, ownership.RequestTransfer, m.transferOps(o))
 		}()
-	case custody.SliceGranted:
+	case ownership.SliceGranted:
 		m.changeCount.Add(1)
 		granted[logic.TableID(o.Slice)] = uint64(o.Fence)
-	case custody.SliceRevoked:
+	case ownership.SliceRevoked:
 		m.changeCount.Add(1)
 		delete(granted, logic.TableID(o.Slice))
 		m.notify(control.SliceRevoked{Slice: logic.TableID(o.Slice)})
-	case custody.LeaseDeadline:
+	case ownership.LeaseDeadline:
 		m.notify(control.LeaseDeadline{Until: logic.Millis(o.Until)})
-	case custody.AllReleased:
+	case ownership.AllReleased:
 		m.releasedOnce.Do(func() {
 			go func() {
 				m.destroySession(ctx)
@@ -228,7 +228,7 @@
 	return m.config.KeyPrefix + "/" + strings.Join(parts, "/")
 }
 
-func (m *Manager) sliceKey(s custody.Slice) string { return m.key("slices", fmt.Sprintf("%05d", s)) }
+func (m *Manager) sliceKey(s ownership.Slice) string { return m.key("slices", fmt.Sprintf("%05d", s)) }
 
 func (m *Manager) recordKey(t logic.TableID) string {
 	return m.config.KeyPrefix + ".tables/" + fmt.Sprintf("%05d", t)
@@ -237,27 +237,27 @@
 var errNameInUse = errors.New("another live director has the same name")
 
 // openSession opens a session and reports the result to the coordinator.
-func (m *Manager) openSession(ctx context.Context, fenceFloor custody.Fence) {
+func (m *Manager) openSession(ctx context.Context, fenceFloor ownership.Fence) {
 	sent := m.nowMs()
 	id, base, err := m.establishSession(ctx, fenceFloor)
 	if err != nil {
 		if ctx.Err() == nil {
 			m.log.Warn("lease.not_opened", "error", err)
 		}
-		m.enqueue(ctx, custody.RequestFailed{Request: custody.RequestOpen})
+		m.enqueue(ctx, ownership.RequestFailed{Request: ownership.RequestOpen})
 		return
 	}
 	m.mu.Lock()
 	m.sessionID = id
 	m.mu.Unlock()
 	m.log.Info("lease.opened", "session", id, "base", uint64(base))
-	m.enqueue(ctx, custody.SessionOpened{ID: id, SentAt: sent, FenceBase: base})
+	m.enqueue(ctx, ownership.SessionOpened{ID: id, SentAt: sent, FenceBase: base})
 }
 
 // establishSession creates a session or continues the one of an earlier run of this director, and locks the director's
 // member entry with it. An entry with the same store history is of an earlier run that has ended, because only one
 // process can have the local store open.
-func (m *Manager) establishSession(ctx context.Context, fenceFloor custody.Fence) (id string, base custody.Fence, err error) {
+func (m *Manager) establishSession(ctx context.Context, fenceFloor ownership.Fence) (id string, base ownership.Fence, err error) {
 	ctx, cancel := m.requestContext(ctx)
 	defer cancel()
 	q, w := (&api.QueryOptions{}).WithContext(ctx), (&api.WriteOptions{}).WithContext(ctx)
@@ -298,7 +298,7 @@
 
 // fenceBase returns the number that the store's fences count from, and creates it if there is none. After the store
 // lost its data, the new base is above fenceFloor, the highest fence seen before.
-func (m *Manager) fenceBase(q *api.QueryOptions, fenceFloor custody.Fence) (custody.Fence, error) {
+func (m *Manager) fenceBase(q *api.QueryOptions, fenceFloor ownership.Fence) (ownership.Fence, error) {
 	for range 3 {
 		pair, _, err := m.client.KV().Get(m.key("epoch"), q)
 		if err != nil {
@@ -306,9 +306,9 @@
 		}
 		if pair != nil {
 			n, err := strconv.ParseUint(string(pair.Value), 10, 64)
-			return custody.Fence(n), err
+			return ownership.Fence(n), err
 		}
-		n := max(custody.Fence(m.config.UnixMillis()), fenceFloor+1)
+		n := max(ownership.Fence(m.config.UnixMillis()), fenceFloor+1)
 		if _, _, _, err := m.client.Txn().Txn(api.TxnOps{{KV: &api.KVTxnOp{Verb: api.KVCAS, Key: m.key("epoch"),
 			Value: []byte(strconv.FormatUint(uint64(n), 10))}}}, q); err != nil {
 			return 0, err
@@ -366,17 +366,17 @@
 		if ctx.Err() == nil {
 			m.log.Warn("lease.not_renewed", "error", err)
 		}
-		m.enqueue(ctx, custody.RequestFailed{Request: custody.RequestRenew})
+		m.enqueue(ctx, ownership.RequestFailed{Request: ownership.RequestRenew})
 	case e == nil:
 		m.log.Warn("lease.lost", "session", id)
-		m.enqueue(ctx, custody.SessionUnknown{ID: id})
+		m.enqueue(ctx, ownership.SessionUnknown{ID: id})
 	default:
-		m.enqueue(ctx, custody.SessionRenewed{ID: id, SentAt: sent})
+		m.enqueue(ctx, ownership.SessionRenewed{ID: id, SentAt: sent})
 	}
 }
 
 // lockOps returns, for each slice, the operation that locks it for the session.
-func (m *Manager) lockOps(id string, wanted []custody.Slice) (ops [][]*api.KVTxnOp) {
+func (m *Manager) lockOps(id string, wanted []ownership.Slice) (ops [][]*api.KVTxnOp) {
 	for _, s := range wanted {
 		ops = append(ops, []*api.KVTxnOp{{Verb: api.KVLock, Key: m.sliceKey(s), Value: []byte(m.self.Name), Session: id}})
 	}
@@ -385,7 +385,7 @@
 
 // transferOps returns, for each slice, the operations that unlock it and lock it for the next owner. Both are in one
 // transaction, so that the slice is never without an owner.
-func (m *Manager) transferOps(o custody.TransferSlices) (ops [][]*api.KVTxnOp) {
+func (m *Manager) transferOps(o ownership.TransferSlices) (ops [][]*api.KVTxnOp) {
 	toName := ""
 	for _, p := range m.Peers() {
 		if p.Session == o.To {
@@ -426,13 +426,13 @@
 			break
 		}
 		if ok {
-			last := map[string]custody.Lease{}
+			last := map[string]ownership.Lease{}
 			for _, r := range res.Results {
 				if l, is := m.parseLease(r.KV); is {
 					last[r.KV.Key] = l
 				}
 			}
-			changed := custody.LeasesChanged{Request: request}
+			changed := ownership.LeasesChanged{Request: request}
 			for _, l := range last {
 				changed.Leases = append(changed.Leases, l)
 			}
@@ -456,15 +456,15 @@
 			break
 		}
 	}
-	m.enqueue(ctx, custody.RequestFailed{Request: request})
+	m.enqueue(ctx, ownership.RequestFailed{Request: request})
 }
 
 // parseLease returns the lease that a key-value pair holds, or false if its key is not that of a slice.
-func (m *Manager) parseLease(p *api.KVPair) (custody.Lease, bool) {
+func (m *Manager) parseLease(p *api.KVPair) (ownership.Lease, bool) {
 	number, is := strings.CutPrefix(p.Key, m.key("slices")+"/")
 	n, err := strconv.Atoi(number)
 	if !is || err != nil {
-		return custody.Lease{}, false
+		return ownership.Lease{}, false
 	}
-	return custody.Lease{Slice: custody.Slice(n), Session: p.Session, LockIndex: p.LockIndex, ModifyIndex: p.ModifyIndex}, true
+	return ownership.Lease{Slice: ownership.Slice(n), Session: p.Session, LockIndex: p.LockIndex, ModifyIndex: p.ModifyIndex}, true
 }
--- a/internal/lease/watch.go
+++ b/internal/lease/watch.go
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/consul/api"
 
 	"vetchwood/internal/control"
-	"vetchwood/internal/custody"
+	"vetchwood/internal/ownership"
 	"vetchwood/logic"
 )
 
@@ -43,8 +43,8 @@
 }
 
 // parseSnapshot returns the members and leases among the pairs, and updates the list of peers.
-func (m *Manager) parseSnapshot(index uint64, pairs api.KVPairs) custody.Snapshot {
-	snapshot := custody.Snapshot{Index: index}
+func (m *Manager) parseSnapshot(index uint64, pairs api.KVPairs) ownership.Snapshot {
+	snapshot := ownership.Snapshot{Index: index}
 	peers := []Peer{}
 	for _, p := range pairs {
 		if l, is := m.parseLease(p); is {
@@ -60,7 +60,7 @@
 			m.log.Warn("lease.member_unreadable", "name", name, "error", err)
 		}
 		peer.Name, peer.Session = name, p.Session
-		snapshot.Members = append(snapshot.Members, custody.Member{Name: custody.DirectorName(name), Session: p.Session, Leaving: peer.Leaving})
+		snapshot.Members = append(snapshot.Members, ownership.Member{Name: ownership.DirectorName(name), Session: p.Session, Leaving: peer.Leaving})
 		if name != m.self.Name {
 			peers = append(peers, peer)
 		}
@@ -116,7 +116,7 @@
 	held := m.coordinator.Held()
 	var batch control.SliceGrants
 	for t, fence := range r.fences {
-		if held[custody.Slice(t)] == custody.Fence(fence) {
+		if held[ownership.Slice(t)] == ownership.Fence(fence) {
 			batch.Grants = append(batch.Grants, control.SliceGrant{Slice: t, Fence: fence, Record: r.records[t]})
 		}
 	}
@@ -182,7 +182,7 @@
 				m.log.Error("lease.record_unwritable", "slice", int(t), "error", err)
 				continue
 			}
-			ops = append(ops, &api.TxnOp{KV: &api.KVTxnOp{Verb: api.KVCheckSession, Key: m.sliceKey(custody.Slice(t)), Session: id}},
+			ops = append(ops, &api.TxnOp{KV: &api.KVTxnOp{Verb: api.KVCheckSession, Key: m.sliceKey(ownership.Slice(t)), Session: id}},
 				&api.TxnOp{KV: &api.KVTxnOp{Verb: api.KVSet, Key: m.recordKey(t), Value: text}})
 			sliceOf = append(sliceOf, t, t)
 		}
--- a/internal/tally/tally_test.go
+++ b/internal/loadreport/tally_test.go
@@ -1,4 +1,4 @@
-package tally
+package loadreport
 
 import (
 	"testing"
--- a/internal/inflow/inflow.go
+++ b/internal/loadshed/inflow.go
@@ -2,7 +2,7 @@
 // clients may retry. Like CoDel, it is controlled by the queueing delay of the director's event loop, not by a number
 // of requests that would have to be configured for each machine. It does no I/O and reads no clock; random numbers are
 // in [0,1).
-package inflow
+package loadshed
 
 import (
 	"math"
--- a/internal/inflow/limiter.go
+++ b/internal/loadshed/limiter.go
@@ -1,4 +1,4 @@
-package inflow
+package loadshed
 
 import "time"
 
--- a/internal/longpoll/ask.go
+++ b/internal/longpoll/ask.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"vetchwood/internal/control"
-	"vetchwood/internal/inflow"
+	"vetchwood/internal/loadshed"
 	"vetchwood/internal/lrs"
-	"vetchwood/internal/nets"
+	"vetchwood/internal/netutil"
 	"vetchwood/internal/tables"
 )
 
@@ -38,7 +38,7 @@
 		return s.requireMethod(r, http.MethodGet, func() *problem { return s.handleWatch(cc, r) })
 	case "/v1/peers/facts":
 		return s.requireMethod(r, http.MethodGet, func() *problem {
-			if wait := s.core.Admit(inflow.PeerQueries, ""); wait > 0 {
+			if wait := s.core.Admit(loadshed.PeerQueries, ""); wait > 0 {
 				return overloaded(wait)
 			}
 			s.postQuery(cc, s.core.Ticket(), func(t control.Ticket) any { return control.FactsQuery{Ticket: t} })
@@ -138,7 +138,7 @@
 	if !s.budget.HasHeapRoom() {
 		return overloaded(5 * time.Second)
 	}
-	if wait := s.core.Admit(inflow.Reports, proxy); wait > 0 {
+	if wait := s.core.Admit(loadshed.Reports, proxy); wait > 0 {
 		return overloaded(wait)
 	}
 	q.Proxy, q.Key = proxy, string(r.Get("idempotency-key"))
@@ -151,7 +151,7 @@
 	if !s.budget.HasHeapRoom() {
 		return overloaded(5 * time.Second)
 	}
-	if wait := s.core.Admit(inflow.Watches, ""); wait > 0 {
+	if wait := s.core.Admit(loadshed.Watches, ""); wait > 0 {
 		return overloaded(wait)
 	}
 	q := control.Watch{Ticket: s.core.Ticket(), WantsDelta: acceptsJSONPatch(r.fieldValue("a-im"))}
@@ -178,7 +178,7 @@
 		}
 		cc = v.(*clientConn)
 	}
-	nets.Go(func() {
+	netutil.Go(func() {
 		cc.mu.Lock()
 		defer cc.mu.Unlock()
 		if cc.ticket != a.Ticket {
--- a/internal/longpoll/bench_test.go
+++ b/internal/longpoll/bench_test.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"vetchwood/internal/control"
-	"vetchwood/internal/inflow"
+	"vetchwood/internal/loadshed"
 	"vetchwood/internal/tables"
 )
 
@@ -92,8 +92,8 @@
 	return a, answered, 0
 }
 
-func (s *minimalCore) Admit(inflow.Kind, string) time.Duration { return 0 }
-func (s *minimalCore) Post(any)                                {}
+func (s *minimalCore) Admit(loadshed.Kind, string) time.Duration { return 0 }
+func (s *minimalCore) Post(any)                                  {}
 
 func (s *minimalCore) answer(p control.Poll) (control.Answer, bool) {
 	a := control.Answer{Ticket: p.Ticket, Origin: p.Origin, Kind: control.Unchanged, Doc: s.doc}
--- a/internal/longpoll/longpoll_test.go
+++ b/internal/longpoll/longpoll_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"vetchwood/internal/control"
-	"vetchwood/internal/inflow"
+	"vetchwood/internal/loadshed"
 	"vetchwood/internal/tables"
 )
 
@@ -35,7 +35,7 @@
 	d.Post(p)
 	return control.Answer{}, false, 0
 }
-func (d *fakeCore) Admit(inflow.Kind, string) time.Duration { return 0 }
+func (d *fakeCore) Admit(loadshed.Kind, string) time.Duration { return 0 }
 
 func (d *fakeCore) Post(in any) {
 	d.mu.Lock()
--- a/internal/longpoll/server.go
+++ b/internal/longpoll/server.go
@@ -15,9 +15,9 @@
 
 	"vetchwood/internal/budget"
 	"vetchwood/internal/control"
-	"vetchwood/internal/inflow"
-	"vetchwood/internal/nets"
-	"vetchwood/internal/park"
+	"vetchwood/internal/loadshed"
+	"vetchwood/internal/netutil"
+	"vetchwood/internal/pollshard"
 	"vetchwood/logic"
 )
 
@@ -27,7 +27,7 @@
 	Ticket() control.Ticket
 	// Admit decides whether a request other than a poll is admitted. It returns 0 if so, or else the time after which
 	// the client may retry.
-	Admit(k inflow.Kind, client string) time.Duration
+	Admit(k loadshed.Kind, client string) time.Duration
 	// Poll passes on a poll. If it can be answered immediately, the answer is returned; otherwise it is sent to Answer
 	// later. A later above 0 means that the poll was not admitted, and is the time after which the client may retry.
 	Poll(control.Poll) (a control.Answer, answered bool, later time.Duration)
@@ -50,7 +50,7 @@
 
 // Server serves polls and load reports on one listening socket.
 type Server struct {
-	*nets.Socket
+	*netutil.Socket
 	core           Core
 	budget         *budget.Budget
 	limits         atomic.Pointer[Limits]
@@ -79,8 +79,8 @@
 	closeAfter        bool      // the connection is closed after the response
 	activeAt          time.Time // time of the first byte of an incomplete request, or of the last request or response
 	closed            bool
-	hasUnflushed      bool                // responses are written to the connection's buffer but not flushed
-	completions       []park.WriteTracker // of the answers in that buffer, to be notified after the flush
+	hasUnflushed      bool                     // responses are written to the connection's buffer but not flushed
+	completions       []pollshard.WriteTracker // of the answers in that buffer, to be notified after the flush
 }
 
 // Listen opens the socket of a server. Serve accepts connections on it.
@@ -91,7 +91,7 @@
 	s := &Server{core: core, budget: limits.Budget, log: log, done: make(chan struct{})}
 	s.limits.Store(&limits)
 	var err error
-	s.Socket, err = nets.Listen(address, s.read, s.accept, limits.WriteTimeout, limits.Budget, log)
+	s.Socket, err = netutil.Listen(address, s.read, s.accept, limits.WriteTimeout, limits.Budget, log)
 	return s, err
 }
 
--- a/internal/mqtt/bench_test.go
+++ b/internal/mqtt/bench_test.go
@@ -21,7 +21,7 @@
 
 	"vetchwood/internal/control"
 	"vetchwood/internal/longpoll"
-	"vetchwood/internal/subscribe"
+	"vetchwood/internal/mqttsession"
 )
 
 // countingConn is a connection that counts the bytes received.
@@ -120,7 +120,7 @@
 	r := &benchRig{}
 	log := slog.New(slog.DiscardHandler)
 	d := newDirector(b, proxies, 30000)
-	s, err := Listen("127.0.0.1:0", d.ForFront(1), Limits{Limits: subscribe.Limits{MaxSessions: proxies, MaxExpiry: 60000, AckTimeout: 30000, ConnectsPerSecond: 1e6, MaxWatchers: 5},
+	s, err := Listen("127.0.0.1:0", d.ForFront(1), Limits{Limits: mqttsession.Limits{MaxSessions: proxies, MaxExpiry: 60000, AckTimeout: 30000, ConnectsPerSecond: 1e6, MaxWatchers: 5},
 		MaxPacketBytes: 1 << 20, ConnectTimeout: time.Minute, MaxKeepAlive: time.Hour, WriteTimeout: time.Second, MaxWait: 30000}, log)
 	if err != nil {
 		b.Fatal(err)
@@ -157,7 +157,7 @@
 	if c.mqtt {
 		c.conn.Write(encodeAs(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: c.name, CleanStart: true, Properties: &packets.Properties{}}))
 		c.conn.Write(encodeAs(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
-			Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesTopic(c.name), QoS: 1}}}))
+			Subscriptions: []packets.SubOptions{{Topic: mqttsession.TablesTopic(c.name), QoS: 1}}}))
 		return
 	}
 	fmt.Fprintf(c.conn, "GET /v1/proxies/%s/tables HTTP/1.1\r\nHost: d\r\n\r\n", c.name)
--- a/internal/mqtt/mqtt_test.go
+++ b/internal/mqtt/mqtt_test.go
@@ -24,7 +24,7 @@
 	"vetchwood/internal/control"
 	"vetchwood/internal/director"
 	"vetchwood/internal/follow"
-	"vetchwood/internal/subscribe"
+	"vetchwood/internal/mqttsession"
 	"vetchwood/internal/tables"
 	"vetchwood/logic"
 )
@@ -77,7 +77,7 @@
 func start(t *testing.T, change func(*Limits)) *rig {
 	log := slog.New(slog.DiscardHandler)
 	d := newDirector(t, 64, 1000)
-	limits := Limits{Limits: subscribe.Limits{MaxSessions: 100, MaxExpiry: 60000, AckTimeout: 30000, ConnectsPerSecond: 1000, MaxWatchers: 5}, MaxPacketBytes: 1 << 20,
+	limits := Limits{Limits: mqttsession.Limits{MaxSessions: 100, MaxExpiry: 60000, AckTimeout: 30000, ConnectsPerSecond: 1000, MaxWatchers: 5}, MaxPacketBytes: 1 << 20,
 		ConnectTimeout: time.Second, MaxKeepAlive: time.Minute, WriteTimeout: time.Second, MaxWait: 1000}
 	if change != nil {
 		change(&limits)
@@ -150,13 +150,13 @@
 			}
 			mu.Unlock()
 			if first {
-				go m.Subscribe(context.Background(), &paho.Subscribe{Subscriptions: []paho.SubscribeOptions{{Topic: subscribe.TablesTopic("p1"), QoS: 1}}})
+				go m.Subscribe(context.Background(), &paho.Subscribe{Subscriptions: []paho.SubscribeOptions{{Topic: mqttsession.TablesTopic("p1"), QoS: 1}}})
 			}
 		},
 		ClientConfig: paho.ClientConfig{ClientID: "p1", OnPublishReceived: []func(paho.PublishReceived) (bool, error){func(p paho.PublishReceived) (bool, error) {
 			mu.Lock()
 			defer mu.Unlock()
-			tag, base := p.Packet.Properties.User.Get(subscribe.PropertyTag), p.Packet.Properties.User.Get(subscribe.PropertyBase)
+			tag, base := p.Packet.Properties.User.Get(mqttsession.PropertyTag), p.Packet.Properties.User.Get(mqttsession.PropertyBase)
 			if held != nil && p.Packet.Duplicate() && tag == held.Tag().ETag() {
 				redelivered++ // the acknowledgement was lost with the connection
 				return true, nil
@@ -260,7 +260,7 @@
 	}
 	hello := connect(nil)
 	pub := func(change func(*packets.Publish)) []byte {
-		p := &packets.Publish{Topic: subscribe.ReportsTopic("p1"), QoS: 1, PacketID: 7, Payload: []byte("{}"), Properties: &packets.Properties{}}
+		p := &packets.Publish{Topic: mqttsession.ReportsTopic("p1"), QoS: 1, PacketID: 7, Payload: []byte("{}"), Properties: &packets.Properties{}}
 		change(p)
 		return encode(p)
 	}
@@ -303,19 +303,19 @@
 		{"3.8.3-1 shared subscriptions are not available", join(hello, sub("$share/g/vetchwood/tables", 1)), packets.SUBACK, 0x9E},
 		{"3.9.3 wildcards are not available", join(hello, sub("vetchwood/proxies/+/tables", 1)), packets.SUBACK, 0xA2},
 		{"3.9.3 an unknown topic filter", join(hello, sub("else/where", 1)), packets.SUBACK, 0x8F},
-		{"3.9.3 QoS 0 for a proxy's tables", join(hello, sub(subscribe.TablesTopic("p1"), 0)), packets.SUBACK, 0x83},
-		{"3.9.3 QoS 1 is granted where 2 is asked for", join(hello, sub(subscribe.TablesTopic("p1"), 2)), packets.SUBACK, 0x01},
+		{"3.9.3 QoS 0 for a proxy's tables", join(hello, sub(mqttsession.TablesTopic("p1"), 0)), packets.SUBACK, 0x83},
+		{"3.9.3 QoS 1 is granted where 2 is asked for", join(hello, sub(mqttsession.TablesTopic("p1"), 2)), packets.SUBACK, 0x01},
 		{"3.11.3 an UNSUBSCRIBE without a subscription", join(hello, encodeAs(packets.UNSUBSCRIBE, &packets.Unsubscribe{PacketID: 3, Topics: []string{"x"}, Properties: &packets.Properties{}})), packets.UNSUBACK, 0x11},
 		{"3.15 an AUTH", join(hello, []byte{0xf0, 0x00}), packets.DISCONNECT, 0x8C},
 		{"3.5 a PUBREC, for a message of QoS 2 that was never sent", join(hello, encodeAs(packets.PUBREC, &packets.Pubrec{PacketID: 3, Properties: &packets.Properties{}})), packets.DISCONNECT, 0x82},
-		{"4.9 a proxy name that the settings do not allow", join(hello, sub(subscribe.TablesTopic("other"), 1)), packets.DISCONNECT, 0x87},
+		{"4.9 a proxy name that the settings do not allow", join(hello, sub(mqttsession.TablesTopic("other"), 1)), packets.DISCONNECT, 0x87},
 	} {
 		if kind, code := r.exchange(t, c.send, c.kind); kind != c.kind || code != c.code {
 			t.Errorf("%s: got packet type %d code 0x%02x, want %d 0x%02x", c.clause, kind, code, c.kind, c.code)
 		}
 	}
 	// 4.13: a valid exchange that is cut off at any byte leaves no connection or proxy behind.
-	whole := join(hello, sub(subscribe.TablesTopic("p1"), 1), pub(func(*packets.Publish) {}))
+	whole := join(hello, sub(mqttsession.TablesTopic("p1"), 1), pub(func(*packets.Publish) {}))
 	for cut := range len(whole) {
 		c, err := net.Dial("tcp", r.s.Addr().String())
 		if err != nil {
@@ -392,7 +392,7 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	d := newDirector(t, n+1, 5000)
-	s, err := Listen("127.0.0.1:0", d.ForFront(1), Limits{Limits: subscribe.Limits{MaxSessions: n + 1, MaxExpiry: 60000, AckTimeout: 60000, ConnectsPerSecond: float64(n) / 3, MaxWatchers: 5},
+	s, err := Listen("127.0.0.1:0", d.ForFront(1), Limits{Limits: mqttsession.Limits{MaxSessions: n + 1, MaxExpiry: 60000, AckTimeout: 60000, ConnectsPerSecond: float64(n) / 3, MaxWatchers: 5},
 		MaxPacketBytes: 1 << 20, ConnectTimeout: time.Minute, MaxKeepAlive: time.Hour, WriteTimeout: time.Second, MaxWait: 5000}, log)
 	if err != nil {
 		t.Fatal(err)
@@ -410,7 +410,7 @@
 	defer silent.Close()
 	silent.Write(encodeAs(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "mute", CleanStart: true, Properties: &packets.Properties{}}))
 	silent.Write(encodeAs(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
-		Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesTopic(fmt.Sprint("p", n)), QoS: 1}}}))
+		Subscriptions: []packets.SubOptions{{Topic: mqttsession.TablesTopic(fmt.Sprint("p", n)), QoS: 1}}}))
 	waitFor(t, "the subscriber that reads nothing to join", func() bool { return d.Stats().Joined == 1 })
 	began := time.Now()
 	var all sync.WaitGroup
@@ -455,7 +455,7 @@
 				return false
 			}
 			c.Write(encodeAs(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
-				Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesTopic(name), QoS: 1}}}))
+				Subscriptions: []packets.SubOptions{{Topic: mqttsession.TablesTopic(name), QoS: 1}}}))
 		case *packets.Publish:
 			return true
 		}
@@ -475,7 +475,7 @@
 	c.SetDeadline(time.Now().Add(8 * time.Second))
 	c.Write(encodeAs(packets.CONNECT, &packets.Connect{ProtocolName: "MQTT", ProtocolVersion: 5, ClientID: "p9", CleanStart: true, Properties: &packets.Properties{}}))
 	c.Write(encodeAs(packets.SUBSCRIBE, &packets.Subscribe{PacketID: 1, Properties: &packets.Properties{},
-		Subscriptions: []packets.SubOptions{{Topic: subscribe.TablesTopic("p9"), QoS: 1}}}))
+		Subscriptions: []packets.SubOptions{{Topic: mqttsession.TablesTopic("p9"), QoS: 1}}}))
 	other, hasPolled := r.d.ForFront(0), false
 	for {
 		p, err := packets.ReadPacket(c)
@@ -492,7 +492,7 @@
 				})
 			}
 		case *packets.Disconnect:
-			if x.ReasonCode != byte(subscribe.SessionTakenOver) {
+			if x.ReasonCode != byte(mqttsession.SessionTakenOver) {
 				t.Fatalf("code 0x%02x", x.ReasonCode)
 			}
 			if f := r.d.Stats(); f.Joined != 1 {
--- a/internal/mqtt/packet.go
+++ b/internal/mqtt/packet.go
@@ -8,31 +8,31 @@
 
 	"github.com/eclipse/paho.golang/packets"
 
-	"vetchwood/internal/subscribe"
+	"vetchwood/internal/mqttsession"
 )
 
 // protocolError is a violation of the MQTT specification by a client. Its connection is closed with the reason code.
 type protocolError struct {
-	code   subscribe.ReasonCode
+	code   mqttsession.ReasonCode
 	reason string
 }
 
 func (f *protocolError) Error() string { return f.reason }
 
-func protocolErrorf(code subscribe.ReasonCode, format string, args ...any) *protocolError {
+func protocolErrorf(code mqttsession.ReasonCode, format string, args ...any) *protocolError {
 	return &protocolError{code, fmt.Sprintf(format, args...)}
 }
 
 // The reason codes that only this package uses, by their names in the specification.
 const (
-	malformed          subscribe.ReasonCode = 0x81
-	unsupportedVersion subscribe.ReasonCode = 0x84
-	badAuthMethod      subscribe.ReasonCode = 0x8C
-	topicAliasInvalid  subscribe.ReasonCode = 0x94
-	packetTooLarge     subscribe.ReasonCode = 0x95
-	retainNotSupported subscribe.ReasonCode = 0x9A
-	qosNotSupported    subscribe.ReasonCode = 0x9B
-	serverShuttingDown subscribe.ReasonCode = 0x8B
+	malformed          mqttsession.ReasonCode = 0x81
+	unsupportedVersion mqttsession.ReasonCode = 0x84
+	badAuthMethod      mqttsession.ReasonCode = 0x8C
+	topicAliasInvalid  mqttsession.ReasonCode = 0x94
+	packetTooLarge     mqttsession.ReasonCode = 0x95
+	retainNotSupported mqttsession.ReasonCode = 0x9A
+	qosNotSupported    mqttsession.ReasonCode = 0x9B
+	serverShuttingDown mqttsession.ReasonCode = 0x8B
 )
 
 // maxQueuedPackets is the number of packets that may be queued for one client. A client that reads too slowly to stay
@@ -99,7 +99,7 @@
 		return p, checkPublish(c)
 	case *packets.Subscribe:
 		if c.PacketID == 0 || len(c.Subscriptions) == 0 {
-			return nil, protocolErrorf(subscribe.ProtocolError, "SUBSCRIBE without a packet identifier or a topic filter")
+			return nil, protocolErrorf(mqttsession.ProtocolError, "SUBSCRIBE without a packet identifier or a topic filter")
 		}
 		for _, s := range c.Subscriptions {
 			if s.QoS > 2 || s.RetainHandling > 2 || !isValidText(s.Topic) {
@@ -108,15 +108,15 @@
 		}
 	case *packets.Unsubscribe:
 		if c.PacketID == 0 || len(c.Topics) == 0 {
-			return nil, protocolErrorf(subscribe.ProtocolError, "UNSUBSCRIBE without a packet identifier or a topic filter")
+			return nil, protocolErrorf(mqttsession.ProtocolError, "UNSUBSCRIBE without a packet identifier or a topic filter")
 		}
 	case *packets.Puback:
 		if c.PacketID == 0 {
-			return nil, protocolErrorf(subscribe.ProtocolError, "PUBACK without a packet identifier")
+			return nil, protocolErrorf(mqttsession.ProtocolError, "PUBACK without a packet identifier")
 		}
 	case *packets.Pingreq, *packets.Disconnect:
 	default:
-		return nil, protocolErrorf(subscribe.ProtocolError,
+		return nil, protocolErrorf(mqttsession.ProtocolError,
 			"packet type %d is not valid for a server with a maximum QoS of 1", kind)
 	}
 	return p, nil
@@ -133,9 +133,9 @@
 	case c.WillFlag && (c.WillQOS > 2 || !isValidText(c.WillTopic)):
 		return protocolErrorf(malformed, "malformed will")
 	case c.Properties != nil && c.Properties.ReceiveMaximum != nil && *c.Properties.ReceiveMaximum == 0:
-		return protocolErrorf(subscribe.ProtocolError, "receive maximum of 0")
+		return protocolErrorf(mqttsession.ProtocolError, "receive maximum of 0")
 	case c.Properties != nil && c.Properties.MaximumPacketSize != nil && *c.Properties.MaximumPacketSize == 0:
-		return protocolErrorf(subscribe.ProtocolError, "maximum packet size of 0")
+		return protocolErrorf(mqttsession.ProtocolError, "maximum packet size of 0")
 	case c.Properties != nil && c.Properties.AuthMethod != "":
 		return protocolErrorf(badAuthMethod, "authentication methods are not supported")
 	}
@@ -147,13 +147,13 @@
 	case c.Properties != nil && c.Properties.TopicAlias != nil:
 		return protocolErrorf(topicAliasInvalid, "topic aliases are not supported: the topic alias maximum is 0")
 	case !isValidText(c.Topic) || strings.ContainsAny(c.Topic, "+#"):
-		return protocolErrorf(subscribe.TopicNameInvalid, "invalid topic name %.60q", c.Topic)
+		return protocolErrorf(mqttsession.TopicNameInvalid, "invalid topic name %.60q", c.Topic)
 	case c.QoS > 1:
 		return protocolErrorf(qosNotSupported, "QoS 2 is not supported: the maximum is 1")
 	case c.Retain:
 		return protocolErrorf(retainNotSupported, "retained messages from clients are not supported")
 	case c.QoS > 0 && c.PacketID == 0:
-		return protocolErrorf(subscribe.ProtocolError, "PUBLISH with QoS 1 without a packet identifier")
+		return protocolErrorf(mqttsession.ProtocolError, "PUBLISH with QoS 1 without a packet identifier")
 	}
 	return nil
 }
--- a/internal/mqtt/server.go
+++ b/internal/mqtt/server.go
@@ -18,10 +18,10 @@
 
 	"vetchwood/internal/budget"
 	"vetchwood/internal/control"
-	"vetchwood/internal/inflow"
+	"vetchwood/internal/loadshed"
 	"vetchwood/internal/lrs"
-	"vetchwood/internal/nets"
-	"vetchwood/internal/subscribe"
+	"vetchwood/internal/mqttsession"
+	"vetchwood/internal/netutil"
 	"vetchwood/internal/tables"
 	"vetchwood/logic"
 )
@@ -33,12 +33,12 @@
 	Now() logic.Millis
 	// Admit decides whether a request is admitted. It returns 0 if so, or else the time after which the client may
 	// retry.
-	Admit(k inflow.Kind, client string) time.Duration
+	Admit(k loadshed.Kind, client string) time.Duration
 }
 
 // Limits protect the server from its clients.
 type Limits struct {
-	subscribe.Limits
+	mqttsession.Limits
 	MaxPacketBytes int
 	ConnectTimeout time.Duration // from the accepted connection to the complete CONNECT
 	MaxKeepAlive   time.Duration // a client that requests a longer interval or none gets this one
@@ -50,7 +50,7 @@
 
 // Server serves MQTT clients on one listening socket.
 type Server struct {
-	*nets.Socket
+	*netutil.Socket
 	core      Core
 	limits    Limits
 	log       *slog.Logger
@@ -64,13 +64,13 @@
 	mu      sync.Mutex
 	inbox   []any
 	wake    chan struct{}
-	figures atomic.Pointer[subscribe.Stats]
+	figures atomic.Pointer[mqttsession.Stats]
 }
 
 // clientConn is one connection.
 type clientConn struct {
 	conn netpoll.Connection
-	id   subscribe.Conn
+	id   mqttsession.Conn
 
 	mu           sync.Mutex
 	buf          []byte
@@ -96,9 +96,9 @@
 		limits.Budget = budget.New(budget.Unlimited)
 	}
 	s := &Server{core: core, limits: limits, log: log, done: make(chan struct{}), wake: make(chan struct{}, 1)}
-	s.figures.Store(&subscribe.Stats{})
+	s.figures.Store(&mqttsession.Stats{})
 	var err error
-	s.Socket, err = nets.Listen(address, s.read, s.accept, limits.WriteTimeout, limits.Budget, log)
+	s.Socket, err = netutil.Listen(address, s.read, s.accept, limits.WriteTimeout, limits.Budget, log)
 	return s, err
 }
 
@@ -109,7 +109,7 @@
 func (s *Server) Refusals() uint64 { return s.refusals.Load() }
 
 // Figures returns the counters of the sessions.
-func (s *Server) Figures() subscribe.Stats { return *s.figures.Load() }
+func (s *Server) Figures() mqttsession.Stats { return *s.figures.Load() }
 
 // Serve accepts and serves connections until Close.
 func (s *Server) Serve() error {
@@ -133,7 +133,7 @@
 type connKey struct{}
 
 func (s *Server) accept(c netpoll.Connection) context.Context {
-	cc := &clientConn{conn: c, id: subscribe.Conn(s.lastID.Add(1)), lastPacketAt: time.Now(),
+	cc := &clientConn{conn: c, id: mqttsession.Conn(s.lastID.Add(1)), lastPacketAt: time.Now(),
 		keepAlive: s.limits.ConnectTimeout}
 	s.openCount.Add(1)
 	s.limits.Budget.ConnectionOpened()
@@ -150,7 +150,7 @@
 		cc.disconnected = true
 		cc.mu.Unlock()
 		if !wasDisconnected {
-			s.post(subscribe.ConnectionClosed{Conn: cc.id})
+			s.post(mqttsession.ConnectionClosed{Conn: cc.id})
 		}
 		return nil
 	})
@@ -202,7 +202,7 @@
 
 // CloseClient closes the connection of a client, if it belongs to this server, to free the memory that it holds.
 func (s *Server) CloseClient(c budget.ClientID) {
-	if v, open := s.conns.Load(subscribe.Conn(c >> 1)); open && c&1 == 1 {
+	if v, open := s.conns.Load(mqttsession.Conn(c >> 1)); open && c&1 == 1 {
 		s.log.Warn("client.cut", "why", "memory budget exhausted: this client holds more than the others")
 		go v.(*clientConn).conn.Close()
 	}
@@ -214,12 +214,12 @@
 	s.log.Debug("mqtt.refused", "code", int(perr.code), "why", perr.reason)
 	s.disconnect(cc, cc.connected, perr.code, perr.reason)
 	cc.disconnected, cc.buf = true, nil
-	s.post(subscribe.ConnectionClosed{Conn: cc.id})
+	s.post(mqttsession.ConnectionClosed{Conn: cc.id})
 }
 
 // disconnect sends a client the reason, in a CONNACK if it is not connected yet and in a DISCONNECT otherwise, and
 // closes the connection.
-func (s *Server) disconnect(cc *clientConn, connected bool, code subscribe.ReasonCode, reason string) {
+func (s *Server) disconnect(cc *clientConn, connected bool, code mqttsession.ReasonCode, reason string) {
 	if !connected {
 		cc.enqueue(s, encodeAs(packets.CONNACK,
 			&packets.Connack{ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: reason}}), true)
@@ -233,35 +233,35 @@
 func (s *Server) handlePacket(cc *clientConn, packet *packets.ControlPacket) *protocolError {
 	if c, ok := packet.Content.(*packets.Connect); ok {
 		if cc.connected {
-			return protocolErrorf(subscribe.ProtocolError, "second CONNECT on a connection")
+			return protocolErrorf(mqttsession.ProtocolError, "second CONNECT on a connection")
 		}
 		return s.handleConnect(cc, c)
 	}
 	if !cc.connected {
-		return protocolErrorf(subscribe.ProtocolError, "the first packet is not a CONNECT")
+		return protocolErrorf(mqttsession.ProtocolError, "the first packet is not a CONNECT")
 	}
 	switch c := packet.Content.(type) {
 	case *packets.Subscribe:
-		in := subscribe.Subscribe{Conn: cc.id, ID: c.PacketID}
+		in := mqttsession.Subscribe{Conn: cc.id, ID: c.PacketID}
 		if c.Properties != nil {
 			for _, u := range c.Properties.User {
-				in.Resend = in.Resend || u.Key == subscribe.PropertyResend
+				in.Resend = in.Resend || u.Key == mqttsession.PropertyResend
 			}
 		}
 		for _, o := range c.Subscriptions {
-			in.Filters = append(in.Filters, subscribe.Filter{Topic: o.Topic, QoS: o.QoS})
+			in.Filters = append(in.Filters, mqttsession.Filter{Topic: o.Topic, QoS: o.QoS})
 		}
 		s.post(in)
 	case *packets.Unsubscribe:
-		s.post(subscribe.Unsubscribe{Conn: cc.id, ID: c.PacketID, Topics: c.Topics})
+		s.post(mqttsession.Unsubscribe{Conn: cc.id, ID: c.PacketID, Topics: c.Topics})
 	case *packets.Puback:
-		s.post(subscribe.Ack{Conn: cc.id, ID: c.PacketID, Code: subscribe.ReasonCode(c.ReasonCode)})
+		s.post(mqttsession.Ack{Conn: cc.id, ID: c.PacketID, Code: mqttsession.ReasonCode(c.ReasonCode)})
 	case *packets.Publish:
 		s.handleReport(cc, c)
 	case *packets.Pingreq:
 		cc.enqueue(s, encodeAs(packets.PINGRESP, &packets.Pingresp{}), false)
 	case *packets.Disconnect:
-		g := subscribe.ConnectionClosed{Conn: cc.id}
+		g := mqttsession.ConnectionClosed{Conn: cc.id}
 		if c.Properties != nil && c.Properties.SessionExpiryInterval != nil {
 			expiry := logic.Millis(*c.Properties.SessionExpiryInterval) * 1000
 			g.Expiry = &expiry
@@ -275,9 +275,9 @@
 
 // handleConnect admits a client and passes its CONNECT to the sessions.
 func (s *Server) handleConnect(cc *clientConn, c *packets.Connect) *protocolError {
-	in := subscribe.Connect{Conn: cc.id, ClientID: c.ClientID, CleanStart: c.CleanStart}
+	in := mqttsession.Connect{Conn: cc.id, ClientID: c.ClientID, CleanStart: c.CleanStart}
 	if in.ClientID == "" || len(in.ClientID) > 128 || !isValidText(in.ClientID) {
-		return protocolErrorf(subscribe.ClientIDNotValid, "the client identifier must have 1 to 128 bytes")
+		return protocolErrorf(mqttsession.ClientIDNotValid, "the client identifier must have 1 to 128 bytes")
 	}
 	props := c.Properties
 	if props == nil {
@@ -291,31 +291,31 @@
 	}
 	for _, u := range props.User {
 		switch u.Key {
-		case subscribe.PropertyZone:
+		case mqttsession.PropertyZone:
 			in.Zone = u.Value
-		case subscribe.PropertyRate:
+		case mqttsession.PropertyRate:
 			rate, err := strconv.ParseFloat(u.Value, 64)
 			if err != nil || !(rate >= 0 && rate <= 1e9) {
-				return protocolErrorf(subscribe.UnspecifiedError,
+				return protocolErrorf(mqttsession.UnspecifiedError,
 					"user property rate: %.40q is not a number of calls per second", u.Value)
 			}
 			in.Rate = rate
-		case subscribe.PropertyHeld:
+		case mqttsession.PropertyHeld:
 			tag, err := tables.ParseETag(u.Value)
 			if err != nil {
-				return protocolErrorf(subscribe.UnspecifiedError, "user property held: %v", err)
+				return protocolErrorf(mqttsession.UnspecifiedError, "user property held: %v", err)
 			}
 			if len(in.Held) < 16 {
 				in.Held = append(in.Held, tag)
 			}
 		}
 	}
-	kind := inflow.Polls
+	kind := loadshed.Polls
 	if len(in.Held) == 0 {
-		kind = inflow.NewPolls
+		kind = loadshed.NewPolls
 	}
 	if s.core.Admit(kind, in.ClientID) > 0 {
-		return protocolErrorf(subscribe.ServerBusy, "the director is overloaded: retry in some seconds")
+		return protocolErrorf(mqttsession.ServerBusy, "the director is overloaded: retry in some seconds")
 	}
 	cc.connected = true
 	if cc.keepAlive = time.Duration(c.KeepAlive) * time.Second; cc.keepAlive == 0 || cc.keepAlive > s.limits.MaxKeepAlive {
@@ -328,19 +328,19 @@
 // handleReport handles a proxy's load report. A report that is not valid or not admitted is refused with a reason code,
 // and the connection stays open.
 func (s *Server) handleReport(cc *clientConn, c *packets.Publish) {
-	refuse := func(code subscribe.ReasonCode, reason string) {
+	refuse := func(code mqttsession.ReasonCode, reason string) {
 		s.refusals.Add(1)
 		if c.QoS > 0 {
 			cc.enqueue(s, encodePuback(c.PacketID, code, reason), false)
 		}
 	}
-	proxy, ok := subscribe.ParseReportsTopic(c.Topic)
+	proxy, ok := mqttsession.ParseReportsTopic(c.Topic)
 	if !ok {
-		refuse(subscribe.TopicNameInvalid, "unknown topic: reports are published to "+subscribe.ReportsTopic("{proxy}"))
+		refuse(mqttsession.TopicNameInvalid, "unknown topic: reports are published to "+mqttsession.ReportsTopic("{proxy}"))
 		return
 	}
-	if s.core.Admit(inflow.Reports, proxy) > 0 {
-		refuse(subscribe.QuotaExceeded, "the director is overloaded")
+	if s.core.Admit(loadshed.Reports, proxy) > 0 {
+		refuse(mqttsession.QuotaExceeded, "the director is overloaded")
 		return
 	}
 	r, err := lrs.Decode(c.Payload)
@@ -348,12 +348,12 @@
 		err = errors.New("load stats: node.id is not the proxy of the topic")
 	}
 	if err != nil {
-		refuse(subscribe.PayloadFormatInvalid, err.Error())
+		refuse(mqttsession.PayloadFormatInvalid, err.Error())
 		return
 	}
 	if r.Proxy = proxy; c.Properties != nil {
 		for _, u := range c.Properties.User {
-			if u.Key == subscribe.PropertyKey {
+			if u.Key == mqttsession.PropertyKey {
 				r.Key = u.Value
 			}
 		}
@@ -362,10 +362,10 @@
 	if c.QoS == 0 {
 		id = 0
 	}
-	s.post(subscribe.Report{Conn: cc.id, ID: id, Report: r})
+	s.post(mqttsession.Report{Conn: cc.id, ID: id, Report: r})
 }
 
-func encodePuback(id uint16, code subscribe.ReasonCode, reason string) []byte {
+func encodePuback(id uint16, code mqttsession.ReasonCode, reason string) []byte {
 	return encodeAs(packets.PUBACK,
 		&packets.Puback{PacketID: id, ReasonCode: byte(code), Properties: &packets.Properties{ReasonString: reason}})
 }
@@ -387,12 +387,12 @@
 	if a.Doc != nil {
 		a.Doc.Tag()
 	}
-	s.post(subscribe.CoreAnswer{Answer: a})
+	s.post(mqttsession.CoreAnswer{Answer: a})
 }
 
 // run is the session loop: it handles the inbox in batches and executes the outputs, until the server is closed.
 func (s *Server) run() {
-	desk := subscribe.NewBroker(s.limits.Limits, s.limits.MaxWait, s.core.Ticket)
+	desk := mqttsession.NewBroker(s.limits.Limits, s.limits.MaxWait, s.core.Ticket)
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -411,7 +411,7 @@
 			s.execute(o)
 		}
 		for _, i := range in {
-			if answered, ok := i.(subscribe.CoreAnswer); ok {
+			if answered, ok := i.(mqttsession.CoreAnswer); ok {
 				answered.Answer.WriteFinished() // its packets are in the queue of the connection, in order
 			}
 		}
@@ -429,7 +429,7 @@
 		}
 		defer cc.mu.Unlock()
 		if limit := cc.keepAlive * 3 / 2; !cc.disconnected && now.Sub(cc.lastPacketAt) > limit {
-			s.abort(cc, protocolErrorf(subscribe.KeepAliveTimeout, "no packet received for %v", limit))
+			s.abort(cc, protocolErrorf(mqttsession.KeepAliveTimeout, "no packet received for %v", limit))
 		}
 		return true
 	})
@@ -437,15 +437,15 @@
 
 // execute carries out one output of the sessions.
 func (s *Server) execute(o any) {
-	sendTo := func(c subscribe.Conn, b []byte) {
+	sendTo := func(c mqttsession.Conn, b []byte) {
 		if v, open := s.conns.Load(c); open {
 			v.(*clientConn).enqueue(s, b, false)
 		}
 	}
 	switch o := o.(type) {
-	case subscribe.Post:
+	case mqttsession.Post:
 		s.core.Post(o.Input)
-	case subscribe.Accept:
+	case mqttsession.Accept:
 		no, maxQoS, maxPacket, keepAlive := byte(0), byte(1), uint32(s.limits.MaxPacketBytes),
 			uint16(s.limits.MaxKeepAlive/time.Second)
 		expiry, receiveMax := uint32(o.Expiry/1000), uint16(64)
@@ -453,28 +453,28 @@
 			MaximumQOS: &maxQoS, RetainAvailable: &no, MaximumPacketSize: &maxPacket, WildcardSubAvailable: &no,
 			SubIDAvailable: &no, SharedSubAvailable: &no, SessionExpiryInterval: &expiry, ReceiveMaximum: &receiveMax,
 			ServerKeepAlive: &keepAlive}}))
-	case subscribe.Refuse:
+	case mqttsession.Refuse:
 		if v, open := s.conns.Load(o.Conn); open {
 			v.(*clientConn).enqueue(s, encodeAs(packets.CONNACK,
 				&packets.Connack{ReasonCode: byte(o.Code), Properties: &packets.Properties{ReasonString: o.Reason}}), true)
 		}
-	case subscribe.SubAck:
+	case mqttsession.SubAck:
 		a := &packets.Suback{PacketID: o.ID, Properties: &packets.Properties{ReasonString: o.Reason}}
 		for _, c := range o.Codes {
 			a.Reasons = append(a.Reasons, byte(c))
 		}
 		sendTo(o.Conn, encodeAs(packets.SUBACK, a))
-	case subscribe.UnsubAck:
+	case mqttsession.UnsubAck:
 		a := &packets.Unsuback{PacketID: o.ID, Properties: &packets.Properties{}}
 		for _, c := range o.Codes {
 			a.Reasons = append(a.Reasons, byte(c))
 		}
 		sendTo(o.Conn, encodeAs(packets.UNSUBACK, a))
-	case subscribe.Deliver:
+	case mqttsession.Deliver:
 		sendTo(o.Conn, encodeDelivery(o))
-	case subscribe.PubAck:
+	case mqttsession.PubAck:
 		sendTo(o.Conn, encodePuback(o.ID, o.Code, o.Reason))
-	case subscribe.Close:
+	case mqttsession.Close:
 		if v, open := s.conns.Load(o.Conn); open {
 			s.disconnect(v.(*clientConn), true, o.Code, o.Reason)
 		}
@@ -482,14 +482,14 @@
 }
 
 // encodeDelivery encodes the PUBLISH that delivers a document or a delta.
-func encodeDelivery(o subscribe.Deliver) []byte {
+func encodeDelivery(o mqttsession.Deliver) []byte {
 	props := &packets.Properties{ContentType: o.Doc.ContentType,
-		User: []packets.User{{Key: subscribe.PropertyTag, Value: o.Doc.Tag}}}
+		User: []packets.User{{Key: mqttsession.PropertyTag, Value: o.Doc.Tag}}}
 	if o.Doc.Base != "" {
-		props.User = append(props.User, packets.User{Key: subscribe.PropertyBase, Value: o.Doc.Base})
+		props.User = append(props.User, packets.User{Key: mqttsession.PropertyBase, Value: o.Doc.Base})
 	}
 	if o.Doc.Lease > 0 {
-		props.User = append(props.User, packets.User{Key: subscribe.PropertyLease, Value: strconv.Itoa(int(o.Doc.Lease))})
+		props.User = append(props.User, packets.User{Key: mqttsession.PropertyLease, Value: strconv.Itoa(int(o.Doc.Lease))})
 	}
 	return encode(&packets.Publish{Topic: o.Topic, QoS: 1, PacketID: o.ID, Duplicate: o.Duplicate, Retain: o.Retain,
 		Payload: o.Doc.Body, Properties: props})
@@ -522,7 +522,7 @@
 	}
 	if !cc.writing {
 		cc.writing = true
-		nets.Go(func() { cc.writeQueue(s) })
+		netutil.Go(func() { cc.writeQueue(s) })
 	}
 }
 
--- a/internal/subscribe/broker.go
+++ b/internal/mqttsession/broker.go
@@ -2,7 +2,7 @@
 // connections, has at most one unacknowledged document in flight to each subscriber, and decides which clients are
 // refused. A subscription is a poll that renews itself, so the core (package control) still decides which document is
 // published to which proxy and when. The package does no I/O and reads no clock.
-package subscribe
+package mqttsession
 
 import (
 	"maps"
--- a/internal/subscribe/types.go
+++ b/internal/mqttsession/types.go
@@ -1,4 +1,4 @@
-package subscribe
+package mqttsession
 
 import (
 	"strings"
--- a/internal/nets/lines_test.go
+++ b/internal/netutil/lines_test.go
@@ -1,4 +1,4 @@
-package nets
+package netutil
 
 import (
 	"errors"
--- a/internal/nets/nets.go
+++ b/internal/netutil/nets.go
@@ -1,6 +1,6 @@
 // Package nets provides client connections, listening sockets and line reading on netpoll. It also configures netpoll
 // for the whole process, in an init function because netpoll accepts these settings only before main.
-package nets
+package netutil
 
 import (
 	"io"
--- a/internal/avoid/avoid_test.go
+++ b/internal/outlier/avoid_test.go
@@ -1,4 +1,4 @@
-package avoid
+package outlier
 
 import "testing"
 
--- a/internal/custody/coordinator.go
+++ b/internal/ownership/coordinator.go
@@ -1,4 +1,4 @@
-package custody
+package ownership
 
 import (
 	"cmp"
--- a/internal/learn/learn.go
+++ b/internal/peerfacts/learn.go
@@ -2,7 +2,7 @@
 // recovers from a network partition. Facts carry ages rather than times, so that no two clocks are compared. A peer
 // reports only what it observed itself and does not pass on what others reported. The conclusions reach the decision
 // module as ordinary events. The package does no I/O and reads no clock.
-package learn
+package peerfacts
 
 import (
 	"cmp"
--- a/internal/learn/learn_test.go
+++ b/internal/peerfacts/learn_test.go
@@ -1,4 +1,4 @@
-package learn
+package peerfacts
 
 import (
 	"fmt"
--- a/internal/platform/watch/watch.go
+++ b/internal/platform/hostwatch/watch.go
@@ -1,6 +1,6 @@
 // Package watch follows the host list of the discovery service by long polling. It polls again at once after each
 // response, so that no change is missed.
-package watch
+package hostwatch
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"strconv"
 	"time"
 
-	"vetchwood/internal/nets"
+	"vetchwood/internal/eventloop"
+	"vetchwood/internal/netutil"
 	"vetchwood/internal/platform/codec"
-	"vetchwood/internal/turns"
 )
 
 const (
@@ -40,7 +40,7 @@
 // NewClient returns an HTTP client that dials with package nets. It keeps at most the given number of idle
 // connections, for up to 5 s each.
 func NewClient(idle int) *http.Client {
-	return &http.Client{Transport: &http.Transport{DialContext: nets.DialContext, MaxIdleConns: idle, MaxIdleConnsPerHost: 1,
+	return &http.Client{Transport: &http.Transport{DialContext: netutil.DialContext, MaxIdleConns: idle, MaxIdleConnsPerHost: 1,
 		DisableKeepAlives: idle == 0, IdleConnTimeout: 5 * time.Second, DisableCompression: true, MaxResponseHeaderBytes: 8 << 10,
 		WriteBufferSize: 1 << 10, ReadBufferSize: 4 << 10},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
@@ -91,7 +91,7 @@
 			log.Warn("discovery.failed", "address", address, "error", err, "failures", failures)
 			client.CloseIdleConnections()
 			index = -1
-			turns.Pause(ctx, turns.Backoff(min(failures, 8), backoffUnit, rand.Float64()))
+			eventloop.Pause(ctx, eventloop.Backoff(min(failures, 8), backoffUnit, rand.Float64()))
 			failures++
 			continue
 		}
@@ -99,7 +99,7 @@
 		if l.Snapshot || len(l.Endpoints) > 0 {
 			post(Update{source, l})
 		} else if spent := time.Since(began); spent < minPollInterval {
-			turns.Pause(ctx, minPollInterval-spent) // avoid a busy loop if the agent does not hold polls
+			eventloop.Pause(ctx, minPollInterval-spent) // avoid a busy loop if the agent does not hold polls
 		}
 	}
 }
--- a/internal/platform/watch/watch_test.go
+++ b/internal/platform/hostwatch/watch_test.go
@@ -1,4 +1,4 @@
-package watch
+package hostwatch
 
 import (
 	"context"
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"vetchwood/internal/platform/codec"
+	"vetchwood/internal/platform/hostwatch"
 	"vetchwood/internal/platform/outbox"
 	"vetchwood/internal/platform/uplink"
-	"vetchwood/internal/platform/watch"
 	"vetchwood/logic"
 )
 
@@ -53,12 +53,12 @@
 	ended := 0
 	d.watches = map[int]watchHandle{4: {"x", func() { ended++ }}, 7: {"y", func() { t.Error("the new watch was stopped") }}}
 	d.newestWatch = 7
-	d.handleEvent(1, watch.Update{Source: 4, List: hostList("h1", "h2")})
+	d.handleEvent(1, hostwatch.Update{Source: 4, List: hostList("h1", "h2")})
 	if d.hosts.ListedCount() != 2 || ended != 0 {
 		t.Fatalf("%d hosts listed, %d watches stopped; wanted 2 and 0 until the new watch answers", d.hosts.ListedCount(), ended)
 	}
-	d.handleEvent(2, watch.Update{Source: 7, List: hostList("h1")})
-	d.handleEvent(3, watch.Update{Source: 4, List: hostList("h1", "h2", "h3")})
+	d.handleEvent(2, hostwatch.Update{Source: 7, List: hostList("h1")})
+	d.handleEvent(3, hostwatch.Update{Source: 4, List: hostList("h1", "h2", "h3")})
 	if d.hosts.ListedCount() != 1 || ended != 1 {
 		t.Errorf("%d hosts listed, %d watches stopped; wanted 1 and 1", d.hosts.ListedCount(), ended)
 	}
@@ -149,7 +149,7 @@
 	d := newOfflineDirector(t)
 	d.prober = &prober{inFlight: map[logic.HostID]bool{}}
 	d.newestWatch, d.watches = 1, map[int]watchHandle{1: {}}
-	d.handleEvent(1, watch.Update{Source: 1, List: hostList("h1")})
+	d.handleEvent(1, hostwatch.Update{Source: 1, List: hostList("h1")})
 	d.events = nil
 	id := codec.IDOf("h1")
 	d.prober.inFlight[id] = true
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -11,14 +11,14 @@
 	"time"
 
 	"vetchwood/internal/budget"
-	"vetchwood/internal/live"
+	"vetchwood/internal/eventloop"
+	"vetchwood/internal/heapwatch"
 	"vetchwood/internal/platform/codec"
-	"vetchwood/internal/platform/collect"
-	"vetchwood/internal/platform/news"
+	"vetchwood/internal/platform/hostwatch"
 	"vetchwood/internal/platform/outbox"
+	"vetchwood/internal/platform/relaystate"
+	"vetchwood/internal/platform/reports"
 	"vetchwood/internal/platform/uplink"
-	"vetchwood/internal/platform/watch"
-	"vetchwood/internal/turns"
 	"vetchwood/logic"
 )
 
@@ -34,17 +34,17 @@
 // director is a running director. All fields except inbox and lastID, which are safe for concurrent use, are owned by
 // the goroutine that executes run.
 type director struct {
-	turns.Clock
-	inbox      *turns.Inbox
+	eventloop.Clock
+	inbox      *eventloop.Inbox
 	log        *slog.Logger
 	config     *Config
 	module     *logic.Director
 	hosts      *codec.Hosts
 	outbox     *outbox.Queue
-	relayState *news.Tracker
+	relayState *relaystate.Tracker
 	calls      *uplink.Caller // to the relay
 	prober     *prober
-	server     *collect.Server
+	server     *reports.Server
 	budget     *budget.Budget
 	timers     timers
 
@@ -103,7 +103,7 @@
 	defer d.server.Close()
 	failed := make(chan error, 1)
 	go func() { failed <- d.server.Serve() }()
-	go live.Watch(ctx, d.budget)
+	go heapwatch.Watch(ctx, d.budget)
 	d.calls = uplink.NewCaller(config.Names, d.inbox.Post, log)
 	go d.calls.Run(ctx)
 	d.prober = newProber(ctx, config.Names, d.inbox.Post)
@@ -116,9 +116,9 @@
 
 // newDirector creates a director whose first event is the host list of the configuration.
 func newDirector(config *Config, log *slog.Logger) *director {
-	d := &director{Clock: turns.NewClock(), inbox: turns.NewInbox(), log: log, config: config, hosts: codec.NewHosts(),
+	d := &director{Clock: eventloop.NewClock(), inbox: eventloop.NewInbox(), log: log, config: config, hosts: codec.NewHosts(),
 		watches: map[int]watchHandle{}, outbox: outbox.New(outbox.Limits{MaxCallBytes: maxCallBytes, MaxQueued: maxWaitingOrders}),
-		relayState: news.New(), module: logic.New(config.Seed, config.Facts)}
+		relayState: relaystate.New(), module: logic.New(config.Seed, config.Facts)}
 	d.relayState.DiscardOrders = d.outbox.DiscardTable
 	hostList, invalid := d.hosts.Apply(config.Known, logic.HostListFromDisk, config.Names)
 	d.logInvalidHosts("known", invalid)
@@ -142,7 +142,7 @@
 		watchCtx, stop := context.WithCancel(ctx)
 		d.newestWatch = int(d.lastID.Add(1))
 		d.watches[d.newestWatch] = watchHandle{config.Discovery, stop}
-		go watch.Follow(watchCtx, config.Discovery, d.newestWatch, d.inbox.Post, d.log)
+		go hostwatch.Follow(watchCtx, config.Discovery, d.newestWatch, d.inbox.Post, d.log)
 	}
 	d.config = config
 }
@@ -264,7 +264,7 @@
 		}
 		d.reports.add(x.Event)
 		d.events = append(d.events, x.Event)
-	case watch.Update:
+	case hostwatch.Update:
 		if !d.acceptList(x.Source) {
 			d.log.Info("list.late", "source", x.Source, "index", x.List.Index)
 			return
--- a/internal/platform/probe.go
+++ b/internal/platform/probe.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"time"
 
-	"vetchwood/internal/nets"
+	"vetchwood/internal/eventloop"
+	"vetchwood/internal/netutil"
 	"vetchwood/internal/platform/codec"
-	"vetchwood/internal/platform/watch"
-	"vetchwood/internal/turns"
+	"vetchwood/internal/platform/hostwatch"
 	"vetchwood/logic"
 )
 
@@ -45,7 +45,7 @@
 }
 
 func newProber(ctx context.Context, names *codec.Schema, post func(...any)) *prober {
-	p := &prober{names: names, client: watch.NewClient(0), inFlight: map[logic.HostID]bool{},
+	p := &prober{names: names, client: hostwatch.NewClient(0), inFlight: map[logic.HostID]bool{},
 		queue: make(chan probe, maxQueuedProbes), post: post}
 	for range maxConcurrentProbes {
 		go func() {
@@ -81,10 +81,10 @@
 		path = "/status/load"
 	}
 	result := logic.ProbeResult{Host: t.host}
-	status, body, err := watch.Get(ctx, p.client, "http://"+t.address+path, probeTimeout, maxReportBytes)
-	for err != nil && nets.IsLocalShortage(err) && time.Since(began) < probeTimeout && ctx.Err() == nil {
-		turns.Pause(ctx, shortageRetryInterval) // the host was not reached, so this says nothing about it
-		status, body, err = watch.Get(ctx, p.client, "http://"+t.address+path, probeTimeout, maxReportBytes)
+	status, body, err := hostwatch.Get(ctx, p.client, "http://"+t.address+path, probeTimeout, maxReportBytes)
+	for err != nil && netutil.IsLocalShortage(err) && time.Since(began) < probeTimeout && ctx.Err() == nil {
+		eventloop.Pause(ctx, shortageRetryInterval) // the host was not reached, so this says nothing about it
+		status, body, err = hostwatch.Get(ctx, p.client, "http://"+t.address+path, probeTimeout, maxReportBytes)
 	}
 	result.Healthy = err == nil && status == http.StatusOK
 	if result.Healthy && p.names.HasLoadReports() {
--- a/internal/platform/news/news.go
+++ b/internal/platform/relaystate/news.go
@@ -2,7 +2,7 @@
 // relay, and turns changes into events for the decision module. Each subscription begins with a snapshot of the
 // present state; whatever was known and is not in the snapshot is gone. The package does no I/O and reads no clock:
 // callers pass the time in.
-package news
+package relaystate
 
 import (
 	"maps"
--- a/internal/platform/news/news_test.go
+++ b/internal/platform/relaystate/news_test.go
@@ -1,4 +1,4 @@
-package news
+package relaystate
 
 import (
 	"fmt"
--- a/internal/platform/collect/collect.go
+++ b/internal/platform/reports/collect.go
@@ -1,7 +1,7 @@
 // Package collect serves the director's own address. Collectors forward load reports there, and any client may ask for
 // a pong. A connection that has not joined as a collector is limited in the length of its lines, in the number of
 // pings that are answered and in its lifetime.
-package collect
+package reports
 
 import (
 	"bytes"
@@ -18,7 +18,7 @@
 	"github.com/cloudwego/netpoll"
 
 	"vetchwood/internal/budget"
-	"vetchwood/internal/nets"
+	"vetchwood/internal/netutil"
 	"vetchwood/internal/platform/codec"
 	"vetchwood/logic"
 )
@@ -42,7 +42,7 @@
 
 // Server accepts connections and decodes the messages that arrive on them.
 type Server struct {
-	*nets.Socket
+	*netutil.Socket
 	schema         *codec.Schema
 	post           func(...any)
 	ledger         *budget.Budget
@@ -89,7 +89,7 @@
 	s.maxUnjoined = max(8, ledger.Stats().MaxConnections-maxConnsPerZone*len(schema.Zones)-reservedConns)
 	ledger.OnEvict(s.evict)
 	var err error
-	s.Socket, err = nets.Listen(address, s.read, s.accept, writeTimeout, ledger, log)
+	s.Socket, err = netutil.Listen(address, s.read, s.accept, writeTimeout, ledger, log)
 	return s, err
 }
 
@@ -198,7 +198,7 @@
 	s.log.Debug("stranger.refused", "from", c.conn.RemoteAddr().String(), "why", why)
 	// Send retries while another goroutine writes an answer on the connection: a request after that answer would otherwise
 	// get neither an answer nor a refusal.
-	if _, err := nets.Send(c.conn, refusedLine); err != nil {
+	if _, err := netutil.Send(c.conn, refusedLine); err != nil {
 		s.log.Debug("stranger.untold", "from", c.conn.RemoteAddr().String(), "error", err)
 	}
 	c.conn.Close()
@@ -237,7 +237,7 @@
 	if c.closed.Load() {
 		return r.Release()
 	}
-	c.lastReadAt.Store(int64(nets.Monotonic()))
+	c.lastReadAt.Store(int64(netutil.Monotonic()))
 	rest := data
 	if len(c.partial) > 0 {
 		c.partial = append(c.partial, data...)
@@ -290,7 +290,7 @@
 		c.hasPinged.Store(true)
 		if c.pings++; !c.joined && c.pings > maxUnjoinedPings {
 			s.refuse(c, "too many pings before joining")
-		} else if _, err := nets.Send(c.conn, pongLine); err != nil {
+		} else if _, err := netutil.Send(c.conn, pongLine); err != nil {
 			s.refuse(c, "cannot send pong: "+err.Error())
 		}
 	case err == nil && m.Kind == "collector":
--- a/internal/platform/collect/collect_test.go
+++ b/internal/platform/reports/collect_test.go
@@ -1,4 +1,4 @@
-package collect
+package reports
 
 import (
 	"bufio"
--- a/internal/platform/rollout_test.go
+++ b/internal/platform/rollout_test.go
@@ -20,10 +20,10 @@
 	"testing"
 	"time"
 
-	"vetchwood/internal/judge"
 	"vetchwood/internal/orca"
 	"vetchwood/internal/pick"
 	"vetchwood/internal/standin"
+	"vetchwood/internal/verdict"
 )
 
 // directorProcessVariable is the environment variable that makes the test binary run a director instead of the tests.
@@ -133,7 +133,7 @@
 // addHost starts a host and lists it at discovery.
 func (f *fleet) addHost(name string, cell int, warm bool) {
 	shape := standin.HostConfig{Cores: 1, Queue: 60, ColdCapacity: 0.35, WarmAfter: warmUpTime, ColdOverloadLimit: 1e6, ColdFailAfter: time.Hour,
-		Recorder: &judge.Recorder{},
+		Recorder: &verdict.Recorder{},
 		Now:      func() float64 { return float64(time.Now().UnixMilli()) }}
 	h := standin.NewHost(shape, "")
 	if err := h.Start(warm); err != nil {
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -7,9 +7,9 @@
 	"syscall"
 	"time"
 
-	"vetchwood/internal/nets"
-	"vetchwood/internal/platform/collect"
-	"vetchwood/internal/turns"
+	"vetchwood/internal/eventloop"
+	"vetchwood/internal/netutil"
+	"vetchwood/internal/platform/reports"
 )
 
 // Timeouts and retry intervals for the start and for reloads. Transient failures of the system are retried.
@@ -34,9 +34,9 @@
 // listenWithRetry opens the director's listening address. It retries while the system is short of a resource or a
 // former process still holds the address.
 func listenWithRetry(ctx context.Context, config *Config, d *director,
-	log *slog.Logger) (server *collect.Server, err error) {
+	log *slog.Logger) (server *reports.Server, err error) {
 	err = retryTransient(ctx, log.With("what", config.Listen), syscall.EADDRINUSE, func() error {
-		server, err = collect.Listen(config.Listen, config.Names, d.budget, d.inbox.Post, log)
+		server, err = reports.Listen(config.Listen, config.Names, d.budget, d.inbox.Post, log)
 		return err
 	})
 	return server, err
@@ -45,9 +45,9 @@
 // retryTransient repeats try for up to startTimeout while it fails with the given transient error or for lack of local
 // resources.
 func retryTransient(ctx context.Context, log *slog.Logger, transient error, try func() error) error {
-	for began := time.Now(); ; turns.Pause(ctx, startRetryInterval) {
+	for began := time.Now(); ; eventloop.Pause(ctx, startRetryInterval) {
 		err := try()
-		isTransient := nets.IsLocalShortage(err) || errors.Is(err, transient)
+		isTransient := netutil.IsLocalShortage(err) || errors.Is(err, transient)
 		if err == nil || !isTransient || ctx.Err() != nil || time.Since(began) > startTimeout {
 			return err
 		}
--- a/internal/platform/start_test.go
+++ b/internal/platform/start_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"vetchwood/internal/nets"
+	"vetchwood/internal/netutil"
 )
 
 // A configuration that is unreadable at the time of the signal must be read again, since no second signal follows.
@@ -58,11 +58,11 @@
 	for err, isLocal := range map[error]bool{syscall.EADDRNOTAVAIL: true, syscall.ENFILE: true, syscall.ENOBUFS: true, syscall.ENETUNREACH: true,
 		syscall.ECONNREFUSED: false, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false, syscall.ECONNRESET: false} {
 		wrapped := fmt.Errorf("get: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)})
-		if nets.IsLocalShortage(wrapped) != isLocal {
+		if netutil.IsLocalShortage(wrapped) != isLocal {
 			t.Errorf("%v: reported as a local shortage: %v", err, !isLocal)
 		}
 	}
-	if nets.IsLocalShortage(nil) || nets.IsLocalShortage(errors.New("other")) {
+	if netutil.IsLocalShortage(nil) || netutil.IsLocalShortage(errors.New("other")) {
 		t.Error("an unrelated error was taken for a local shortage")
 	}
 }
--- a/internal/platform/uplink/uplink.go
+++ b/internal/platform/uplink/uplink.go
@@ -11,10 +11,10 @@
 	"syscall"
 	"time"
 
-	"vetchwood/internal/nets"
+	"vetchwood/internal/eventloop"
+	"vetchwood/internal/netutil"
 	"vetchwood/internal/platform/codec"
 	"vetchwood/internal/platform/outbox"
-	"vetchwood/internal/turns"
 )
 
 // Timeouts and limits of the protocol, with a margin for a machine whose core is shared.
@@ -43,8 +43,8 @@
 	names    *codec.Schema
 	post     func(...any)
 	requests chan request
-	conn     nets.Conn
-	lines    *nets.LineReader
+	conn     netutil.Conn
+	lines    *netutil.LineReader
 	address  string // address that conn is connected to
 	lastUsed time.Time
 	failures int
@@ -75,7 +75,7 @@
 			return
 		case r := <-c.requests:
 			if c.failures > 1 { // the first retry is immediate
-				turns.Pause(ctx, turns.Backoff(min(c.failures-1, 8), backoffUnit, rand.Float64()))
+				eventloop.Pause(ctx, eventloop.Backoff(min(c.failures-1, 8), backoffUnit, rand.Float64()))
 			}
 			began := time.Now()
 			e := c.send(r)
@@ -104,15 +104,15 @@
 		c.closeConn()
 	}
 	if c.conn == nil {
-		conn, err := nets.Dial(r.address, dialTimeout)
+		conn, err := netutil.Dial(r.address, dialTimeout)
 		if err != nil {
 			return CallEnded{Result: outbox.NotSent, Reason: err.Error()}
 		}
-		c.conn, c.lines, c.address = conn, nets.NewLineReader(conn, maxLineBytes), r.address
+		c.conn, c.lines, c.address = conn, netutil.NewLineReader(conn, maxLineBytes), r.address
 	}
 	c.lastUsed = time.Now()
 	c.conn.SetWriteTimeout(writeTimeout)
-	if accepted, err := nets.Send(c.conn, r.call.Text); err != nil {
+	if accepted, err := netutil.Send(c.conn, r.call.Text); err != nil {
 		c.closeConn()
 		if accepted == 0 || errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) {
 			return CallEnded{Result: outbox.NotSent, Reason: err.Error()} // no byte was sent
@@ -183,24 +183,24 @@
 		if time.Since(began) > time.Second {
 			failures = 0 // the subscription worked; the next attempt is immediate
 		}
-		turns.Pause(ctx, turns.Backoff(min(failures, 8), backoffUnit, rand.Float64()))
+		eventloop.Pause(ctx, eventloop.Backoff(min(failures, 8), backoffUnit, rand.Float64()))
 		failures++
 	}
 }
 
 // subscribe opens one subscription and posts its notifications until it fails.
 func subscribe(ctx context.Context, address string, names *codec.Schema, start Subscribed, post func(...any), log *slog.Logger) error {
-	conn, err := nets.Dial(address, dialTimeout)
+	conn, err := netutil.Dial(address, dialTimeout)
 	if err != nil {
 		return err
 	}
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	defer conn.Close()
 	conn.SetWriteTimeout(writeTimeout)
-	if _, err := nets.Send(conn, fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,"method":"subscribe"}`+"\n", subscribeID)); err != nil {
+	if _, err := netutil.Send(conn, fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,"method":"subscribe"}`+"\n", subscribeID)); err != nil {
 		return err
 	}
-	lines, accepted, timeout := nets.NewLineReader(conn, maxLineBytes), false, answerTimeout
+	lines, accepted, timeout := netutil.NewLineReader(conn, maxLineBytes), false, answerTimeout
 	for {
 		line, err := lines.Next(time.Now().Add(timeout))
 		if err != nil {
--- a/internal/park/model_test.go
+++ b/internal/pollshard/model_test.go
@@ -1,4 +1,4 @@
-package park
+package pollshard
 
 import "testing"
 
--- a/internal/park/shard.go
+++ b/internal/pollshard/shard.go
@@ -1,4 +1,4 @@
-package park
+package pollshard
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"strconv"
 
 	"vetchwood/internal/tables"
-	"vetchwood/internal/wheel"
+	"vetchwood/internal/timerwheel"
 	"vetchwood/logic"
 )
 
@@ -31,7 +31,7 @@
 	wantsDelta bool
 	deferred   bool // its answer is due but may not be given yet
 	requested  bool // a newer document has been requested from the core
-	timer      wheel.Timer[*session]
+	timer      timerwheel.Timer[*session]
 }
 
 // Stats are counters of a shard for its operator.
@@ -46,7 +46,7 @@
 	config   Config
 	view     *View
 	sessions map[string]*session
-	timers   *wheel.Wheel[*session]
+	timers   *timerwheel.Wheel[*session]
 	lastID   SessionID
 	stride   SessionID
 	deferred []*session // sessions whose answers are due but may not be given yet
@@ -68,7 +68,7 @@
 // NewShard returns the i-th of n shards. Its view is closed until the core publishes the first one.
 func NewShard(i, n int, config Config, now logic.Millis) *Shard {
 	return &Shard{config: config, view: &View{Closed: true, LeaseEnd: logic.Millis(math.Inf(1))}, sessions: map[string]*session{},
-		timers: wheel.New[*session](timerTick, now), lastID: SessionID(i), stride: SessionID(n)}
+		timers: timerwheel.New[*session](timerTick, now), lastID: SessionID(i), stride: SessionID(n)}
 }
 
 // takeOutput returns the collected output. Its memory is reused for the next output if it is small.
@@ -182,7 +182,7 @@
 
 // Advance answers polls whose deadline has passed and ends the sessions of proxies that have stopped polling.
 func (sh *Shard) Advance(now logic.Millis) Output {
-	sh.timers.Advance(now, func(t *wheel.Timer[*session]) {
+	sh.timers.Advance(now, func(t *timerwheel.Timer[*session]) {
 		switch s := t.Value; {
 		case s.ticket != 0 && now >= s.deadline+sh.config.Lease && (s.deferred || s.doc == nil):
 			sh.answer(s, Answer{Kind: Busy, Reason: "the director cannot answer yet, or its leases have ended"})
--- a/internal/park/types.go
+++ b/internal/pollshard/types.go
@@ -6,7 +6,7 @@
 // A removal (a host that is no longer in any table) is a barrier. The core publishes a closed view to all shards, in
 // which they answer nothing; it waits until all earlier answers are written; then it publishes an open view. From then
 // on no shard answers with a document older than the removal, even if the core had set one for a single proxy.
-package park
+package pollshard
 
 import (
 	"vetchwood/internal/tables"
--- a/internal/rehearse/directors.go
+++ b/internal/rehearse/directors.go
@@ -18,9 +18,9 @@
 	"text/template"
 	"time"
 
-	"vetchwood/internal/judge"
 	"vetchwood/internal/settings"
 	"vetchwood/internal/standin"
+	"vetchwood/internal/verdict"
 )
 
 // director is a director of the environment, which runs as a separate process.
@@ -118,7 +118,7 @@
 			director = strings.TrimPrefix(holder, leasePrefix+" ")
 		}
 		epoch, _ := strconv.ParseUint(value(leasePrefix+"/epoch"), 10, 64)
-		s.records.AddOwnership(judge.Ownership{At: s.now(), Table: strconv.Itoa(slice), Director: director, Fence: epoch + lockIndex})
+		s.records.AddOwnership(verdict.Ownership{At: s.now(), Table: strconv.Itoa(slice), Director: director, Fence: epoch + lockIndex})
 	}
 }
 
@@ -339,7 +339,7 @@
 	}
 	held := s.records.Owners()
 	for _, c := range held {
-		s.records.AddOwnership(judge.Ownership{At: s.now(), Table: c.Table})
+		s.records.AddOwnership(verdict.Ownership{At: s.now(), Table: c.Table})
 	}
 	s.sleep(ctx, duration-leaseTTL)
 	s.registry.KV.SetUnavailable(false)
--- a/internal/rehearse/environment.go
+++ b/internal/rehearse/environment.go
@@ -20,12 +20,12 @@
 
 	"vetchwood/internal/control"
 	"vetchwood/internal/follow"
-	"vetchwood/internal/judge"
-	"vetchwood/internal/operate"
+	"vetchwood/internal/operator"
 	"vetchwood/internal/relay"
 	"vetchwood/internal/settings"
 	"vetchwood/internal/standin"
 	"vetchwood/internal/tables"
+	"vetchwood/internal/verdict"
 	"vetchwood/logic"
 )
 
@@ -33,7 +33,7 @@
 type environment struct {
 	script   *Script
 	running  *settings.Director
-	records  *judge.Recorder
+	records  *verdict.Recorder
 	log      *slog.Logger
 	dir      string
 	command  func(file string) *exec.Cmd
@@ -102,7 +102,7 @@
 
 // tryStartEnvironment makes one attempt to start the environment, and stops what it has started if the attempt fails.
 func tryStartEnvironment(ctx context.Context, script *Script, dir string, command func(string) *exec.Cmd, log *slog.Logger) (s *environment, err error) {
-	s = &environment{script: script, records: &judge.Recorder{}, log: log, dir: dir, command: command, epoch: time.Now(),
+	s = &environment{script: script, records: &verdict.Recorder{}, log: log, dir: dir, command: command, epoch: time.Now(),
 		dedupMemories: map[string]*standin.Deduplicator{}, random: rand.New(rand.NewPCG(1, 2))}
 	defer func() {
 		if err != nil {
@@ -277,17 +277,17 @@
 	for tries := 0; ; tries++ {
 		p.Relay, err = relay.New(p.config, relay.Hooks{
 			OnTry: func(_, mark, table string, host tables.Address) {
-				s.records.AddTry(judge.Try{At: s.now(), Proxy: name, Call: mark, Table: table, Host: host})
+				s.records.AddTry(verdict.Try{At: s.now(), Proxy: name, Call: mark, Table: table, Host: host})
 			},
 			OnUpdate: func(u follow.Update) {
-				h := judge.ProxyUpdate{At: s.now(), Proxy: name, Doc: u.Doc, Lines: u.Lines, Full: u.Full}
+				h := verdict.ProxyUpdate{At: s.now(), Proxy: name, Doc: u.Doc, Lines: u.Lines, Full: u.Full}
 				if len(s.directors) > 1 {
 					h.DirectorDoc, h.Director = u.Raw, s.directors[u.DirectorIndex].name
 				}
 				s.records.AddProxyUpdate(h)
 			},
 			OnJoinChange: func(director string, on bool) {
-				s.records.AddProxyUpdate(judge.ProxyUpdate{At: s.now(), Proxy: name, Joined: on, Director: s.directorName(director)})
+				s.records.AddProxyUpdate(verdict.ProxyUpdate{At: s.now(), Proxy: name, Joined: on, Director: s.directorName(director)})
 			},
 		}, s.log)
 		if err == nil {
@@ -525,7 +525,7 @@
 		return s.rollback(ctx, report)
 	case "release":
 		var o control.OperationResult
-		err := s.operatorClient().Post(ctx, "release", operate.Request{Who: "rehearsal", Why: "the day's script"}, &o)
+		err := s.operatorClient().Post(ctx, "release", operator.Request{Who: "rehearsal", Why: "the day's script"}, &o)
 		report(fmt.Sprintf("an operator releases the pins of %d tables", len(o.Tables)))
 		return err
 	case "stale_proxies":
--- a/internal/rehearse/play.go
+++ b/internal/rehearse/play.go
@@ -16,8 +16,8 @@
 
 	"github.com/mattn/go-isatty"
 
-	"vetchwood/internal/judge"
 	"vetchwood/internal/tables"
+	"vetchwood/internal/verdict"
 )
 
 // Request selects the day to play and how to report on it.
@@ -58,7 +58,7 @@
 		enc.SetIndent("", "  ")
 		err = enc.Encode(struct {
 			Day string `json:"day"`
-			judge.Verdict
+			verdict.Verdict
 			results
 		}{q.Day, v, res})
 	} else {
@@ -83,7 +83,7 @@
 
 // playScript runs the day in a directory of its own and returns the verdict. The directory is kept if a rule was
 // broken, an error occurred or KeepDir is set.
-func playScript(ctx context.Context, script *Script, q Request) (v judge.Verdict, res results, err error) {
+func playScript(ctx context.Context, script *Script, q Request) (v verdict.Verdict, res results, err error) {
 	dir := q.KeepDir
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "vetchwood-rehearsal-"); err != nil {
@@ -184,9 +184,9 @@
 
 // judgeParams returns the parameters by which the period between two times is judged, taken from the directors'
 // settings.
-func (s *environment) judgeParams(from, until float64) judge.Criteria {
+func (s *environment) judgeParams(from, until float64) verdict.Criteria {
 	f := s.running.Service.Config
-	t := judge.Criteria{Routes: map[string]tables.Route{}, LateShare: map[string]float64{}, Slices: f.Slices,
+	t := verdict.Criteria{Routes: map[string]tables.Route{}, LateShare: map[string]float64{}, Slices: f.Slices,
 		EmptyTableLimit: float64(f.EmptyTableLimit), DrainGrace: float64(f.DrainGrace), WarmAfter: toDuration(f.WarmAfter), ColdCapacity: f.ColdCapacity,
 		ColdOverloadLimit: f.ColdOverloadLimit, ColdFailAfter: toDuration(f.ColdFailAfter), QueueLimit: f.QueueLimit, MessageOverhead: f.MessageOverhead, MessageLimit: f.MessageLimit,
 		MessageWindow: float64(f.MessageWindow), From: from, Until: until}
@@ -202,7 +202,7 @@
 	terminal bool
 	quiet    bool
 	mu       sync.Mutex
-	records  *judge.Recorder
+	records  *verdict.Recorder
 	started  time.Time
 	length   time.Duration
 }
@@ -215,7 +215,7 @@
 
 // report records an event of the day and prints it with the time since the start.
 func (p *progress) report(what string) {
-	p.records.AddAction(judge.Action{Text: what})
+	p.records.AddAction(verdict.Action{Text: what})
 	if p.quiet {
 		return
 	}
@@ -252,7 +252,7 @@
 }
 
 // printReport prints the verdict and the results as text.
-func printReport(out io.Writer, day string, v judge.Verdict, res results) error {
+func printReport(out io.Writer, day string, v verdict.Verdict, res results) error {
 	fmt.Fprintf(out, "\n%s: %s (stand-ins on one machine)\n\n", day, map[bool]string{true: "all rules kept", false: "A RULE WAS BROKEN"}[v.Kept()])
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "rule\tkept\tworst\tlimit\tunit\twhere")
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -20,11 +20,11 @@
 
 	"vetchwood/internal/control"
 	"vetchwood/internal/daemon"
-	"vetchwood/internal/judge"
-	"vetchwood/internal/operate"
+	"vetchwood/internal/operator"
 	"vetchwood/internal/settings"
 	"vetchwood/internal/store"
 	"vetchwood/internal/tables"
+	"vetchwood/internal/verdict"
 	"vetchwood/logic"
 )
 
@@ -62,7 +62,7 @@
 	t.Parallel()
 	var out bytes.Buffer
 	err := Play(t.Context(), Request{Day: "short-day", JSON: true, Out: &out, Log: slog.New(slog.DiscardHandler), Command: directorCommand})
-	var v judge.Verdict
+	var v verdict.Verdict
 	if decodeErr := json.Unmarshal(out.Bytes(), &v); err != nil || decodeErr != nil {
 		t.Fatalf("%v, %v\n%s", err, decodeErr, out.Bytes())
 	}
@@ -185,7 +185,7 @@
 		}
 		return true
 	})
-	var v operate.VerifyResult
+	var v operator.VerifyResult
 	if err := s.operatorClient().Get(t.Context(), "verify", &v); err != nil || len(v.Wrong) > 0 {
 		t.Fatalf("%v, %v", err, v.Wrong)
 	}
@@ -304,11 +304,11 @@
 	if err := client.Get(ctx, "versions?most=100", &all); err != nil || len(all) < 3 || all[0].Step <= good {
 		t.Fatalf("%v: %+v", err, all)
 	}
-	var d operate.Difference
+	var d operator.Difference
 	if err := client.Get(ctx, fmt.Sprintf("diff?from=%d&to=%d", good, all[0].Step), &d); err != nil || len(d.Lines)+len(d.Masked) == 0 {
 		t.Fatalf("%v: %+v", err, d)
 	}
-	rollback := operate.Request{To: good, LastSeen: all[0].Step + 1000, Who: "ann", Why: "wrong weights", Force: true}
+	rollback := operator.Request{To: good, LastSeen: all[0].Step + 1000, Who: "ann", Why: "wrong weights", Force: true}
 	var o control.OperationResult
 	if err := client.Post(ctx, "rollback", rollback, &o); err != nil || o.Version <= all[0].Step || len(o.Tables) != 64 {
 		t.Fatalf("%v: %+v", err, o)
@@ -325,7 +325,7 @@
 	if err := client.Get(ctx, "pins", &pins); err != nil || len(pins.Tables) != 64 || pins.Tables[0].Who != "ann" {
 		t.Fatalf("%v: %+v", err, pins)
 	}
-	if err := client.Post(ctx, "release", operate.Request{Who: "ann", Why: "mended", Tables: []logic.TableID{3}}, &done); err != nil || len(done.Tables) != 1 {
+	if err := client.Post(ctx, "release", operator.Request{Who: "ann", Why: "mended", Tables: []logic.TableID{3}}, &done); err != nil || len(done.Tables) != 1 {
 		t.Fatalf("%v: %+v", err, done)
 	}
 	for path, message := range map[string]string{"versions/999999": "no such version", "versions/x": "no whole number", "diff?from=a&to=2": "from",
@@ -334,7 +334,7 @@
 			t.Errorf("%s: error %v does not contain the expected text", path, err)
 		}
 	}
-	for message, w := range map[string]operate.Request{"who and why": {To: good, LastSeen: 1 << 60}, "an operator's": {To: good, Who: "bob", Why: "x", LastSeen: 1},
+	for message, w := range map[string]operator.Request{"who and why": {To: good, LastSeen: 1 << 60}, "an operator's": {To: good, Who: "bob", Why: "x", LastSeen: 1},
 		"no table 99": {To: good, Who: "bob", Why: "x", Tables: []logic.TableID{99}}, "no such version": {To: 999999, Who: "bob", Why: "x"}} {
 		if err := client.Post(ctx, "rollback", w, &o); err == nil || !strings.Contains(err.Error(), message) {
 			t.Errorf("%+v: error %v, want one with %q", w, err, message)
--- a/internal/rehearse/rollback.go
+++ b/internal/rehearse/rollback.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"vetchwood/internal/control"
-	"vetchwood/internal/operate"
+	"vetchwood/internal/operator"
 	"vetchwood/internal/tables"
 )
 
@@ -22,8 +22,8 @@
 	SlowestMs        float64     `json:"slowest_ms"`
 }
 
-func (s *environment) operatorClient() operate.Client {
-	return operate.Client{URL: "http://" + s.running.Admin}
+func (s *environment) operatorClient() operator.Client {
+	return operator.Client{URL: "http://" + s.running.Admin}
 }
 
 // rollback returns to the tables of the day's start, as an operator does, and waits at most 10 s until every proxy
@@ -31,7 +31,7 @@
 func (s *environment) rollback(ctx context.Context, report func(string)) error {
 	var o control.OperationResult
 	began := s.now()
-	if err := s.operatorClient().Post(ctx, "rollback", operate.Request{To: s.startVersion, LastSeen: 1 << 60, Who: "rehearsal", Why: "the day's script", Force: true}, &o); err != nil {
+	if err := s.operatorClient().Post(ctx, "rollback", operator.Request{To: s.startVersion, LastSeen: 1 << 60, Who: "rehearsal", Why: "the day's script", Force: true}, &o); err != nil {
 		return err
 	}
 	u := RollbackResult{To: s.startVersion, Version: o.Version, Tables: len(o.Tables), MovedFraction: o.MovedFraction, Proxies: len(s.proxies)}
--- a/internal/rehearse/scripted_director_test.go
+++ b/internal/rehearse/scripted_director_test.go
@@ -10,15 +10,15 @@
 	"time"
 
 	"vetchwood/internal/control"
+	"vetchwood/internal/discovery"
 	"vetchwood/internal/follow"
-	"vetchwood/internal/inflow"
-	"vetchwood/internal/judge"
+	"vetchwood/internal/loadshed"
 	"vetchwood/internal/longpoll"
 	"vetchwood/internal/relay"
-	"vetchwood/internal/roster"
 	"vetchwood/internal/settings"
 	"vetchwood/internal/standin"
 	"vetchwood/internal/tables"
+	"vetchwood/internal/verdict"
 	"vetchwood/logic"
 )
 
@@ -26,13 +26,13 @@
 // break the rules on purpose and to check that the judge of rehearsals detects each violation.
 type scriptedDirector struct {
 	t        *testing.T
-	records  *judge.Recorder
+	records  *verdict.Recorder
 	epoch    time.Time
 	registry *standin.Registry
 	hosts    []*standin.Host
 	relay    *relay.Relay
 	client   *standin.Client
-	params   judge.Criteria
+	params   verdict.Criteria
 
 	mu        sync.Mutex
 	tickets   atomic.Uint64
@@ -51,7 +51,7 @@
 	r.Post(p)
 	return control.Answer{}, false, 0
 }
-func (r *scriptedDirector) Admit(inflow.Kind, string) time.Duration { return 0 }
+func (r *scriptedDirector) Admit(loadshed.Kind, string) time.Duration { return 0 }
 
 func (r *scriptedDirector) Post(in any) {
 	r.mu.Lock()
@@ -133,8 +133,8 @@
 
 func newScriptedDirector(t *testing.T) *scriptedDirector {
 	t.Parallel()
-	r := &scriptedDirector{t: t, records: &judge.Recorder{}, epoch: time.Now(), pending: map[control.Ticket]control.Poll{}, published: map[tables.Tag]*tables.Document{},
-		params: judge.Criteria{Slices: 1, EmptyTableLimit: 500, DrainGrace: 500, WarmAfter: 10 * time.Second, ColdCapacity: 0.2, ColdOverloadLimit: 3, ColdFailAfter: time.Second, QueueLimit: 60,
+	r := &scriptedDirector{t: t, records: &verdict.Recorder{}, epoch: time.Now(), pending: map[control.Ticket]control.Poll{}, published: map[tables.Tag]*tables.Document{},
+		params: verdict.Criteria{Slices: 1, EmptyTableLimit: 500, DrainGrace: 500, WarmAfter: 10 * time.Second, ColdCapacity: 0.2, ColdOverloadLimit: 3, ColdFailAfter: time.Second, QueueLimit: 60,
 			MessageOverhead: 16, MessageLimit: 8, MessageWindow: 10000, Routes: map[string]tables.Route{"read": {Idempotency: "repeatable"}, "note": {Idempotency: "keyed"}}}}
 	var err error
 	if r.registry, err = standin.NewRegistry("127.0.0.1:0", r.records, r.now, 0); err != nil {
@@ -151,7 +151,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	log := slog.New(slog.DiscardHandler)
-	go roster.Follow(ctx, r.registry.URL(), "hosts", 5*time.Second, func([]control.HostEntry) {}, func() {}, log)
+	go discovery.Follow(ctx, r.registry.URL(), "hosts", 5*time.Second, func([]control.HostEntry) {}, func() {}, log)
 	if r.front, err = longpoll.Listen("127.0.0.1:0", r, longpoll.Limits{MaxHeadBytes: 1 << 14, MaxBodyBytes: 1 << 20, RequestTimeout: time.Second,
 		IdleTimeout: time.Minute, WriteTimeout: time.Second, MaxWait: 10000}, log); err != nil {
 		t.Fatal(err)
@@ -173,13 +173,13 @@
 	}
 	if r.relay, err = relay.New(set, relay.Hooks{
 		OnTry: func(_, mark, _ string, host tables.Address) {
-			r.records.AddTry(judge.Try{At: r.now(), Proxy: "p", Call: mark, Host: host})
+			r.records.AddTry(verdict.Try{At: r.now(), Proxy: "p", Call: mark, Host: host})
 		},
 		OnUpdate: func(u follow.Update) {
-			r.records.AddProxyUpdate(judge.ProxyUpdate{At: r.now(), Proxy: "p", Doc: u.Doc, Lines: u.Lines, Full: u.Full})
+			r.records.AddProxyUpdate(verdict.ProxyUpdate{At: r.now(), Proxy: "p", Doc: u.Doc, Lines: u.Lines, Full: u.Full})
 		},
 		OnJoinChange: func(_ string, on bool) {
-			r.records.AddProxyUpdate(judge.ProxyUpdate{At: r.now(), Proxy: "p", Joined: on})
+			r.records.AddProxyUpdate(verdict.ProxyUpdate{At: r.now(), Proxy: "p", Joined: on})
 		},
 	}, log); err != nil {
 		t.Fatal(err)
@@ -202,7 +202,7 @@
 }
 
 // lastHostList returns the host list that the registry delivered last.
-func (r *scriptedDirector) lastHostList() []judge.ListedHost {
+func (r *scriptedDirector) lastHostList() []verdict.ListedHost {
 	last, ok := r.records.LastHostList()
 	if !ok {
 		return nil
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -7,7 +7,7 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"vetchwood/internal/carry"
+	"vetchwood/internal/dispatch"
 	"vetchwood/internal/h1"
 	"vetchwood/internal/orca"
 	"vetchwood/internal/tables"
@@ -88,17 +88,17 @@
 
 // exchange sends a request to a host and reads its response, until the deadline of the try passes or the client
 // disconnects. The response is nil unless its head and the buffered part of its body were received.
-func (s *Relay) exchange(cl *client, try carry.Try, method, head, body []byte) (*response, carry.Failure) {
+func (s *Relay) exchange(cl *client, try dispatch.Try, method, head, body []byte) (*response, dispatch.Failure) {
 	deadline := s.timeAt(try.Deadline)
 	conn, err := s.hostPool.get(try.Host, s.timeAt(min(try.Deadline, try.ArriveBy)))
 	if err != nil {
-		return nil, carry.NotSent
+		return nil, dispatch.NotSent
 	}
 	if !cl.setHostConn(conn) || s.now() >= try.ArriveBy {
 		// Nothing is sent: the client has disconnected, or the host may no longer recognize an earlier try of the call.
 		cl.setHostConn(nil)
 		s.hostPool.put(try.Host, conn)
-		return nil, carry.NotSent
+		return nil, dispatch.NotSent
 	}
 	res, failure := s.roundTrip(conn, deadline, method, head, body)
 	if res != nil {
@@ -108,7 +108,7 @@
 	switch {
 	case res == nil && disconnected:
 		conn.Close()
-		return nil, carry.Canceled
+		return nil, dispatch.Canceled
 	case res == nil:
 		conn.Close()
 	case !res.hasMore:
@@ -122,7 +122,7 @@
 }
 
 // roundTrip writes a request to conn and reads the response, and classifies the outcome by the response's status.
-func (s *Relay) roundTrip(conn netpoll.Connection, deadline time.Time, method, head, body []byte) (*response, carry.Failure) {
+func (s *Relay) roundTrip(conn netpoll.Connection, deadline time.Time, method, head, body []byte) (*response, dispatch.Failure) {
 	w := conn.Writer()
 	conn.SetWriteTimeout(max(time.Until(deadline), time.Millisecond))
 	w.WriteBinary(head)
@@ -130,22 +130,22 @@
 		w.WriteBinary(body)
 	}
 	if w.Flush() != nil {
-		return nil, carry.NoAnswer // part of the request may have been written
+		return nil, dispatch.NoAnswer // part of the request may have been written
 	}
 	res := &response{conn: conn}
 	r := conn.Reader()
 	for {
 		size, err := awaitHead(conn, deadline, s.settings().Clients.MaxHead)
 		if err != nil {
-			return nil, carry.NoAnswer
+			return nil, dispatch.NoAnswer
 		}
 		raw, err := r.Next(size)
 		if err != nil {
-			return nil, carry.NoAnswer
+			return nil, dispatch.NoAnswer
 		}
 		res.raw = append(res.raw[:0], raw...)
 		if n, w := res.head.ParseResponse(res.raw, len(res.raw)+1, method); w != nil || n != size || res.head.Status == 101 {
-			return nil, carry.NoAnswer
+			return nil, dispatch.NoAnswer
 		}
 		if res.head.Status >= 200 {
 			break
@@ -155,19 +155,19 @@
 		res.load, _ = orca.Parse(string(v))
 	}
 	if err := s.bufferBody(res, deadline); err != nil {
-		return nil, carry.NoAnswer
+		return nil, dispatch.NoAnswer
 	}
 	switch res.head.Status {
 	case 503, 429:
-		return res, carry.Rejected
+		return res, dispatch.Rejected
 	case 500, 502, 504:
-		return res, carry.ServerError
+		return res, dispatch.ServerError
 	}
 	return res, noFailure
 }
 
 // noFailure is the outcome of a try that succeeded.
-const noFailure carry.Failure = -1
+const noFailure dispatch.Failure = -1
 
 // awaitHead waits for a complete message head and returns its size in bytes without consuming it.
 func awaitHead(conn netpoll.Connection, deadline time.Time, maxSize int) (int, error) {
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -6,7 +6,7 @@
 
 	"github.com/cloudwego/netpoll"
 
-	_ "vetchwood/internal/nets"
+	_ "vetchwood/internal/netutil"
 	"vetchwood/internal/settings"
 	"vetchwood/internal/tables"
 )
--- a/internal/relay/meters.go
+++ b/internal/relay/meters.go
@@ -17,8 +17,8 @@
 	sdk "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 
-	"vetchwood/internal/again"
-	"vetchwood/internal/carry"
+	"vetchwood/internal/dispatch"
+	"vetchwood/internal/retry"
 )
 
 // metrics counts and times calls, and traces one call in traceOneIn with the routing decisions made for it.
@@ -42,7 +42,7 @@
 	gauge := func(name, help string, value func() float64) {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_relay_" + name, Help: help}, value))
 	}
-	counter := func(value func(carry.Counters) uint64) func() float64 {
+	counter := func(value func(dispatch.Counters) uint64) func() float64 {
 		return func() float64 {
 			relay.mu.Lock()
 			defer relay.mu.Unlock()
@@ -51,15 +51,15 @@
 	}
 	for name, metric := range map[string]struct {
 		help  string
-		value func(carry.Counters) uint64
+		value func(dispatch.Counters) uint64
 	}{
-		"calls_total":         {"Calls received.", func(c carry.Counters) uint64 { return c.Calls }},
-		"throttled_total":     {"Calls rejected by an admission level.", func(c carry.Counters) uint64 { return c.Throttled }},
-		"refused_total":       {"Calls rejected because too many calls were in flight.", func(c carry.Counters) uint64 { return c.Rejected }},
-		"bare_total":          {"Calls for which the tables listed no host in time.", func(c carry.Counters) uint64 { return c.NoLine }},
-		"tries_total":         {"Tries, including retries.", func(c carry.Counters) uint64 { return c.Tries }},
-		"further_total":       {"Retries.", func(c carry.Counters) uint64 { return c.Retries }},
-		"hosts_avoided_total": {"Times that a host was ejected after consecutive failures.", func(c carry.Counters) uint64 { return c.Ejections }},
+		"calls_total":         {"Calls received.", func(c dispatch.Counters) uint64 { return c.Calls }},
+		"throttled_total":     {"Calls rejected by an admission level.", func(c dispatch.Counters) uint64 { return c.Throttled }},
+		"refused_total":       {"Calls rejected because too many calls were in flight.", func(c dispatch.Counters) uint64 { return c.Rejected }},
+		"bare_total":          {"Calls for which the tables listed no host in time.", func(c dispatch.Counters) uint64 { return c.NoLine }},
+		"tries_total":         {"Tries, including retries.", func(c dispatch.Counters) uint64 { return c.Tries }},
+		"further_total":       {"Retries.", func(c dispatch.Counters) uint64 { return c.Retries }},
+		"hosts_avoided_total": {"Times that a host was ejected after consecutive failures.", func(c dispatch.Counters) uint64 { return c.Ejections }},
 	} {
 		m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_relay_" + name, Help: metric.help}, counter(metric.value)))
 	}
@@ -121,7 +121,7 @@
 }
 
 // tryFailed records a failed try and the decision on a retry in the trace.
-func (sp *callSpan) tryFailed(host string, failure carry.Failure, verdict again.Verdict) {
+func (sp *callSpan) tryFailed(host string, failure dispatch.Failure, verdict retry.Verdict) {
 	if sp.trace != nil {
 		sp.trace.AddEvent("try failed", trace.WithAttributes(attribute.String("host", host), attribute.String("failure", failure.String()),
 			attribute.String("another", string(verdict))))
--- a/internal/relay/pass.go
+++ b/internal/relay/pass.go
@@ -4,13 +4,13 @@
 	"strconv"
 	"time"
 
-	"vetchwood/internal/admit"
+	"vetchwood/internal/admission"
 	"vetchwood/internal/h1"
 	"vetchwood/logic"
 )
 
 // ticket identifies a queued call.
-type ticket = admit.Ticket
+type ticket = admission.Ticket
 
 // noLoad is the load of a host whose response reports none.
 var noLoad logic.Load
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -19,13 +19,13 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"vetchwood/internal/admit"
-	"vetchwood/internal/carry"
+	"vetchwood/internal/admission"
+	"vetchwood/internal/dispatch"
 	"vetchwood/internal/follow"
-	"vetchwood/internal/nets"
+	"vetchwood/internal/loadreport"
+	"vetchwood/internal/netutil"
 	"vetchwood/internal/settings"
 	"vetchwood/internal/tables"
-	"vetchwood/internal/tally"
 )
 
 // Hooks are callbacks for tests and rehearsals. Any of them may be nil.
@@ -46,9 +46,9 @@
 	metrics        *metrics
 
 	mu            sync.Mutex
-	core          *carry.Dispatcher
-	waiting       map[admit.Ticket]*waiter // queued calls
-	lastTicket    admit.Ticket
+	core          *dispatch.Dispatcher
+	waiting       map[admission.Ticket]*waiter // queued calls
+	lastTicket    admission.Ticket
 	tablesChanged chan struct{} // closed and replaced when the tables change
 
 	ln       netpoll.Listener
@@ -62,17 +62,17 @@
 
 // waiter is a call that is queued until the number of calls in flight permits it.
 type waiter struct {
-	call     *carry.Call
+	call     *dispatch.Call
 	admitted chan bool // receives true when the call is admitted, false when it is dropped from the queue
 }
 
 // New returns a proxy that already listens, so that Addr is valid. Run must be called to serve calls.
 func New(set *settings.Relay, hooks Hooks, log *slog.Logger) (*Relay, error) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	s := &Relay{log: log, hooks: hooks, epoch: time.Now(), waiting: map[admit.Ticket]*waiter{}, tablesChanged: make(chan struct{}),
+	s := &Relay{log: log, hooks: hooks, epoch: time.Now(), waiting: map[admission.Ticket]*waiter{}, tablesChanged: make(chan struct{}),
 		done: make(chan struct{})}
 	s.activeSettings.Store(set)
-	s.core = carry.New(set.Limits, strconv.FormatInt(s.epoch.UnixNano(), 36), random.Float64)
+	s.core = dispatch.New(set.Limits, strconv.FormatInt(s.epoch.UnixNano(), 36), random.Float64)
 	s.hostPool = newConnPool(set.HostConns, set.Limits.MaxPerHost)
 	s.metrics = newMetrics(s)
 	s.follower = follow.NewGroup(follow.Config{Directors: set.Directors, Proxy: set.Name, Zone: set.Zone, Rate: set.ExpectedRate, MaxWait: set.PollWait,
@@ -217,7 +217,7 @@
 			return
 		case now := <-tick.C:
 			s.hostPool.closeIdle(now)
-			idleBefore := int64(nets.Monotonic() - s.settings().Clients.IdleTimeout)
+			idleBefore := int64(netutil.Monotonic() - s.settings().Clients.IdleTimeout)
 			s.clients.Range(func(c, v any) bool {
 				cl := v.(*client)
 				if last := cl.idleSince.Load(); last > 0 && last < idleBefore {
@@ -241,16 +241,16 @@
 // sendReport posts the sums that the director has not yet acknowledged. The parameter index is the director's place in
 // the list of directors, url its address.
 func (s *Relay) sendReport(ctx context.Context, index int, url string) {
-	var b *tally.Batch
+	var b *loadreport.Batch
 	s.withCore(func(float64) { b = s.core.Tally(index).PendingBatch(url) })
 	if b == nil {
 		return
 	}
-	outcome := tally.Unknown
+	outcome := loadreport.Unknown
 	defer func() { s.withCore(func(float64) { s.core.Tally(index).Resolve(b.Key, outcome) }) }()
 	body, err := json.Marshal(b.Request(s.settings().Name, s.settings().Zone))
 	if err != nil {
-		outcome = tally.Rejected
+		outcome = loadreport.Rejected
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -261,11 +261,11 @@
 	}
 	switch {
 	case status < 300:
-		outcome = tally.Accepted
+		outcome = loadreport.Accepted
 	case status == http.StatusNotFound:
 		// The director does not know this proxy yet, or no longer: the batch is sent again later.
 	case status < 500:
-		outcome = tally.Rejected
+		outcome = loadreport.Rejected
 		s.log.Warn("report.refused", "status", status, "body", text)
 	}
 }
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -14,11 +14,11 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"vetchwood/internal/again"
-	"vetchwood/internal/carry"
-	"vetchwood/internal/choose"
+	"vetchwood/internal/dispatch"
 	"vetchwood/internal/h1"
-	"vetchwood/internal/nets"
+	"vetchwood/internal/netutil"
+	"vetchwood/internal/retry"
+	"vetchwood/internal/routing"
 )
 
 // client is a connection from a client.
@@ -35,7 +35,7 @@
 
 func (s *Relay) onConnect(c netpoll.Connection) context.Context {
 	cl := &client{conn: c, closed: make(chan struct{})}
-	cl.idleSince.Store(int64(nets.Monotonic()))
+	cl.idleSince.Store(int64(netutil.Monotonic()))
 	s.clients.Store(c, cl)
 	c.AddCloseCallback(func(netpoll.Connection) error { cl.abandon(); s.clients.Delete(c); return nil })
 	return context.WithValue(context.Background(), clientContextKey{}, cl)
@@ -77,7 +77,7 @@
 		keepOpen := s.serveRequest(cl)
 		s.inFlight.Add(-1)
 		conn.Reader().Release()
-		if cl.idleSince.Store(int64(nets.Monotonic())); !keepOpen || s.draining.Load() {
+		if cl.idleSince.Store(int64(netutil.Monotonic())); !keepOpen || s.draining.Load() {
 			return conn.Close()
 		}
 	}
@@ -124,7 +124,7 @@
 		s.writeProblem(cl, status, detail, 0, true)
 		return false
 	}
-	match := choose.Find(s.settings().Routes, &h)
+	match := routing.Find(s.settings().Routes, &h)
 	if match == nil {
 		return s.writeProblem(cl, http.StatusNotFound, "no configured route matches the request", 0, h.Close)
 	}
@@ -181,20 +181,20 @@
 
 // serveCall admits a call, tries it at hosts until a try succeeds or no further one is permitted, and answers the
 // client. It reports whether the client's connection can be used for another request.
-func (s *Relay) serveCall(cl *client, h *h1.Head, match *choose.Match, body []byte) bool {
-	c := &carry.Call{Route: match.Route, Key: match.Key(h), HasIdempotencyKey: match.HasIdempotencyKey(h)}
+func (s *Relay) serveCall(cl *client, h *h1.Head, match *routing.Match, body []byte) bool {
+	c := &dispatch.Call{Route: match.Route, Key: match.Key(h), HasIdempotencyKey: match.HasIdempotencyKey(h)}
 	span := s.metrics.startSpan(match.Route)
-	if outcome := s.admit(cl, c); outcome != carry.Proceed {
+	if outcome := s.admit(cl, c); outcome != dispatch.Proceed {
 		s.finishCall(c, false)
 		span.finish(c.Table(), outcome.String(), 0, 0)
 		return s.rejectCall(cl, c, outcome, h.Close)
 	}
 	head := appendRequestHead(make([]byte, 0, 512+h.Size), h, len(body))
 	mark := string(h.Get(match.IdempotencyHeader))
-	var try carry.Try
-	var outcome carry.Outcome
+	var try dispatch.Try
+	var outcome dispatch.Outcome
 	s.withCore(func(now float64) { try, outcome = s.core.FirstTry(c, now) })
-	if outcome != carry.Proceed {
+	if outcome != dispatch.Proceed {
 		s.finishCall(c, false)
 		span.finish(c.Table(), outcome.String(), 0, 0)
 		return s.rejectCall(cl, c, outcome, h.Close)
@@ -214,14 +214,14 @@
 			span.finish(c.Table(), string(try.Host), res.head.Status, try.Number)
 			return s.forwardResponse(cl, res, h)
 		}
-		var next carry.Try
-		var verdict again.Verdict
+		var next dispatch.Try
+		var verdict retry.Verdict
 		s.withCore(func(now float64) {
 			next, verdict = s.core.TryFailed(c, failure, now, load)
 			failedAt = now
 		})
 		span.tryFailed(string(try.Host), failure, verdict)
-		if verdict == again.Retry {
+		if verdict == retry.Retry {
 			if res != nil && res.hasMore {
 				res.conn.Close()
 			}
@@ -235,7 +235,7 @@
 		}
 		span.finish(c.Table(), string(try.Host), status, try.Number)
 		switch {
-		case failure == carry.Canceled:
+		case failure == dispatch.Canceled:
 			return false
 		case res != nil: // The host's own error response says why the call failed.
 			return s.forwardResponse(cl, res, h)
@@ -248,10 +248,10 @@
 
 // admit asks for admission of a call. It waits for tables that name a host for the call, and in the queue while too many
 // calls are in flight.
-func (s *Relay) admit(cl *client, c *carry.Call) carry.Outcome {
+func (s *Relay) admit(cl *client, c *dispatch.Call) dispatch.Outcome {
 	var giveUp <-chan time.Time
 	for {
-		var outcome carry.Outcome
+		var outcome dispatch.Outcome
 		var tablesChanged chan struct{}
 		var w *waiter
 		s.withCore(func(now float64) {
@@ -259,16 +259,16 @@
 			c.Ticket = s.lastTicket
 			var dropped ticket
 			outcome, dropped = s.core.Admit(c, now)
-			if tablesChanged = s.tablesChanged; outcome == carry.Queued {
+			if tablesChanged = s.tablesChanged; outcome == dispatch.Queued {
 				w = &waiter{c, make(chan bool, 1)}
 				s.waiting[c.Ticket] = w
 			}
 			s.rejectWaiting(dropped)
 		})
 		switch outcome {
-		case carry.Queued:
+		case dispatch.Queued:
 			return s.awaitAdmission(cl, c, w)
-		case carry.NoLine:
+		case dispatch.NoLine:
 			if giveUp == nil {
 				giveUp = time.After(time.Duration(s.core.TableWaitMs() * float64(time.Millisecond)))
 			}
@@ -295,15 +295,15 @@
 }
 
 // awaitAdmission waits until a queued call is admitted or dropped, its time limit passes or its client disconnects.
-func (s *Relay) awaitAdmission(cl *client, c *carry.Call, w *waiter) carry.Outcome {
+func (s *Relay) awaitAdmission(cl *client, c *dispatch.Call, w *waiter) dispatch.Outcome {
 	timer := time.NewTimer(time.Until(s.timeAt(c.Deadline)))
 	defer timer.Stop()
 	select {
 	case admitted := <-w.admitted:
 		if admitted {
-			return carry.Proceed
+			return dispatch.Proceed
 		}
-		return carry.AtCapacity
+		return dispatch.AtCapacity
 	case <-timer.C:
 	case <-cl.closed:
 	}
@@ -314,15 +314,15 @@
 	})
 	if !wasQueued { // The call was admitted or dropped at the same moment.
 		if <-w.admitted {
-			return carry.Proceed
+			return dispatch.Proceed
 		}
-		return carry.AtCapacity
+		return dispatch.AtCapacity
 	}
-	return carry.DeadlineExceeded
+	return dispatch.DeadlineExceeded
 }
 
 // finishCall ends a call and admits a queued call in its place, if there is one.
-func (s *Relay) finishCall(c *carry.Call, answered bool) {
+func (s *Relay) finishCall(c *dispatch.Call, answered bool) {
 	s.withCore(func(now float64) {
 		next, dropped := s.core.EndCall(c, answered, now)
 		s.rejectWaiting(dropped...)
@@ -335,17 +335,17 @@
 }
 
 // rejectCall answers a call that is not sent to any host.
-func (s *Relay) rejectCall(cl *client, c *carry.Call, outcome carry.Outcome, closes bool) bool {
+func (s *Relay) rejectCall(cl *client, c *dispatch.Call, outcome dispatch.Outcome, closes bool) bool {
 	switch outcome {
-	case carry.Throttled:
+	case dispatch.Throttled:
 		wait := 0.0
 		s.withCore(func(float64) { wait = s.core.RetryAfter(c) })
 		return s.writeProblem(cl, http.StatusTooManyRequests, "the route is throttled", wait, closes)
-	case carry.AtCapacity:
+	case dispatch.AtCapacity:
 		return s.writeProblem(cl, http.StatusServiceUnavailable, "the limit of calls in flight is reached", 1000, closes)
-	case carry.NoLine:
+	case dispatch.NoLine:
 		return s.writeProblem(cl, http.StatusServiceUnavailable, "the tables list no host for this call", 1000, closes)
-	case carry.DeadlineExceeded:
+	case dispatch.DeadlineExceeded:
 		return s.writeProblem(cl, http.StatusGatewayTimeout, "the time limit passed while the call was queued", 0, closes)
 	}
 	return s.writeProblem(cl, http.StatusServiceUnavailable, "the tables have no such route", 1000, closes)
--- a/internal/again/again.go
+++ b/internal/retry/again.go
@@ -1,7 +1,7 @@
 // Package again decides whether a proxy retries a call at another host after a try failed. A retry must be allowed by
 // the tables, must not be able to take effect twice, must fit into the retry budget and must be able to end before the
 // deadline. The package does no I/O and reads no clock.
-package again
+package retry
 
 import "math"
 
--- a/internal/again/again_test.go
+++ b/internal/retry/again_test.go
@@ -1,4 +1,4 @@
-package again
+package retry
 
 import (
 	"testing"
--- a/internal/choose/choose.go
+++ b/internal/routing/choose.go
@@ -1,5 +1,5 @@
 // Package choose matches a request to its route and extracts the key that places it in a slice. It does no I/O.
-package choose
+package routing
 
 import (
 	"bytes"
--- a/internal/settings/relay.go
+++ b/internal/settings/relay.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"vetchwood/internal/carry"
-	"vetchwood/internal/choose"
+	"vetchwood/internal/dispatch"
+	"vetchwood/internal/routing"
 )
 
 // Relay holds the settings of a proxy.
@@ -21,8 +21,8 @@
 	ExpectedRate   float64  // approximate number of calls per second in ordinary operation
 	PollWait       time.Duration
 	ReportInterval time.Duration
-	Routes         []choose.Match
-	Limits         carry.Limits
+	Routes         []routing.Match
+	Limits         dispatch.Limits
 	Clients        ClientLimits
 	HostConns      HostConns
 	TraceOneIn     int // one call in this many is traced; 0: none
@@ -85,7 +85,7 @@
 	}
 	routes, names := top.Blocks("route", 1, 1, 1000)
 	for i, r := range routes {
-		m := choose.Match{Route: names[i], Prefix: r.String("prefix", Required), Methods: r.Strings("methods", false)}
+		m := routing.Match{Route: names[i], Prefix: r.String("prefix", Required), Methods: r.Strings("methods", false)}
 		if !strings.HasPrefix(m.Prefix, "/") {
 			r.Fail("prefix", "%q does not begin with /", m.Prefix)
 		}
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -8,14 +8,14 @@
 	"strconv"
 	"time"
 
-	"vetchwood/internal/judge"
+	"vetchwood/internal/verdict"
 )
 
 // Client makes calls at a proxy and records their outcomes. It never retries by itself.
 type Client struct {
 	Proxy    string // name, for the records
 	URL      string // of the proxy
-	Recorder *judge.Recorder
+	Recorder *verdict.Recorder
 	Now      func() float64 // Unix milliseconds
 	http     *http.Client
 }
@@ -29,7 +29,7 @@
 }
 
 // NewClient returns a client of the proxy at url. The proxy's name and now are used for the records.
-func NewClient(proxy, url string, recorder *judge.Recorder, now func() float64) *Client {
+func NewClient(proxy, url string, recorder *verdict.Recorder, now func() float64) *Client {
 	return &Client{Proxy: proxy, URL: url, Recorder: recorder, Now: now, http: &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 64, IdleConnTimeout: 15 * time.Second, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}}
 }
@@ -38,8 +38,8 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Do makes a call and records its outcome.
-func (c *Client) Do(ctx context.Context, call Call) judge.Outcome {
-	outcome := judge.Outcome{Proxy: c.Proxy, Route: call.Route}
+func (c *Client) Do(ctx context.Context, call Call) verdict.Outcome {
+	outcome := verdict.Outcome{Proxy: c.Proxy, Route: call.Route}
 	start := c.Now()
 	status := c.send(ctx, call)
 	outcome.Answered, outcome.Throttled = status >= 200 && status < 300, status == http.StatusTooManyRequests
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"vetchwood/internal/judge"
 	"vetchwood/internal/orca"
 	"vetchwood/internal/tables"
+	"vetchwood/internal/verdict"
 	"vetchwood/logic"
 )
 
@@ -36,7 +36,7 @@
 	ColdOverloadLimit float64       // multiple of its capacity that a cold host bears over ColdFailAfter
 	ColdFailAfter     time.Duration
 	Dedup             *Deduplicator // of calls with idempotency keys, shared within a cell
-	Recorder          *judge.Recorder
+	Recorder          *verdict.Recorder
 	Now               func() float64 // Unix milliseconds
 }
 
@@ -86,8 +86,8 @@
 	completed    float64 // calls since the last load report
 	loadReport   logic.Load
 	loadReportAt float64
-	recentWork   []judge.Work // within ColdFailAfter
-	collapsed    bool         // answers nothing until its next start
+	recentWork   []verdict.Work // within ColdFailAfter
+	collapsed    bool           // answers nothing until its next start
 }
 
 // HostFaults are the faults of a host. They stay in force until the next SetFaults or Start.
@@ -148,7 +148,7 @@
 
 // capacity is the fraction of the full capacity that the host has now, by its warm-up.
 func (h *Host) capacity(now float64) float64 {
-	return judge.ColdStartCapacity(now-h.startedAt, h.config.ColdCapacity, h.config.WarmAfter)
+	return verdict.ColdStartCapacity(now-h.startedAt, h.config.ColdCapacity, h.config.WarmAfter)
 }
 
 func (h *Host) serve(w http.ResponseWriter, r *http.Request) {
@@ -168,10 +168,10 @@
 	call, proxy, route := r.Header.Get(HeaderCall), r.Header.Get(HeaderProxy), r.Header.Get(HeaderRoute)
 	ms, _ := strconv.ParseFloat(r.Header.Get(HeaderWorkMs), 64)
 	key := r.Header.Get(HeaderIdempotencyKey)
-	arrival := judge.Arrival{At: now, Host: h.Address, Proxy: proxy, Route: route, Call: call, WorkMs: ms,
+	arrival := verdict.Arrival{At: now, Host: h.Address, Proxy: proxy, Route: route, Call: call, WorkMs: ms,
 		HostStartedAt: h.startedAt, Cores: h.config.Cores}
-	h.recentWork = append(h.recentWork, judge.Work{At: now, Ms: ms})
-	if judge.ColdOverload(&h.recentWork, now, h.startedAt, h.config.Cores, h.config.ColdCapacity, h.config.WarmAfter,
+	h.recentWork = append(h.recentWork, verdict.Work{At: now, Ms: ms})
+	if verdict.ColdOverload(&h.recentWork, now, h.startedAt, h.config.Cores, h.config.ColdCapacity, h.config.WarmAfter,
 		h.config.ColdOverloadLimit, h.config.ColdFailAfter) >= 1 {
 		h.collapsed = true
 		h.config.Recorder.AddCollapse(h.Address, now)
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -13,16 +13,16 @@
 
 	"github.com/hashicorp/consul/api"
 
-	"vetchwood/internal/judge"
-	"vetchwood/internal/roster"
+	"vetchwood/internal/discovery"
 	"vetchwood/internal/tables"
+	"vetchwood/internal/verdict"
 	"vetchwood/logic"
 )
 
 // Registry is a stand-in for service discovery by Consul: the part of its documented HTTP interface that its official
 // client uses here. Its host list can be late, wrong or empty, it can be unavailable, and its index can go backwards.
 type Registry struct {
-	Recorder *judge.Recorder
+	Recorder *verdict.Recorder
 	Now      func() float64
 	Delay    time.Duration // until a change is visible
 
@@ -37,7 +37,7 @@
 }
 
 // NewRegistry starts a registry at address. A nil recorder records nothing.
-func NewRegistry(address string, recorder *judge.Recorder, now func() float64, delay time.Duration) (*Registry, error) {
+func NewRegistry(address string, recorder *verdict.Recorder, now func() float64, delay time.Duration) (*Registry, error) {
 	r := &Registry{Recorder: recorder, Now: now, Delay: delay, blockingIndex: blockingIndex{index: 100, changed: make(chan struct{})},
 		entries: map[string]*api.ServiceEntry{}, mux: http.NewServeMux(), KV: NewKVStore()}
 	ln, err := net.Listen("tcp", address)
@@ -74,9 +74,9 @@
 	host, port, _ := net.SplitHostPort(string(address))
 	n, _ := strconv.Atoi(port)
 	r.update(func() {
-		meta := map[string]string{roster.MetaZone: zone, roster.MetaCell: cell}
+		meta := map[string]string{discovery.MetaZone: zone, discovery.MetaCell: cell}
 		if startedAt > 0 {
-			meta[roster.MetaStarted] = strconv.FormatFloat(startedAt, 'f', 3, 64)
+			meta[discovery.MetaStarted] = strconv.FormatFloat(startedAt, 'f', 3, 64)
 		}
 		r.entries[id] = newEntry(&api.AgentService{ID: id, Service: "hosts", Address: host, Port: n, Meta: meta,
 			Weights: api.AgentWeights{Passing: 1, Warning: 1}}, logic.Up)
@@ -89,7 +89,7 @@
 	e := &api.ServiceEntry{Node: &api.Node{Node: "node", Address: "127.0.0.1"}, Service: s, Checks: api.HealthChecks{check}}
 	switch state {
 	case logic.Draining:
-		e.Checks = append(e.Checks, &api.HealthCheck{Node: "node", CheckID: roster.MaintenanceCheckPrefix + s.ID, ServiceID: s.ID,
+		e.Checks = append(e.Checks, &api.HealthCheck{Node: "node", CheckID: discovery.MaintenanceCheckPrefix + s.ID, ServiceID: s.ID,
 			Status: api.HealthCritical})
 	case logic.Gone:
 		check.Status = api.HealthCritical
@@ -157,13 +157,13 @@
 		return
 	}
 	body, err := json.Marshal(append([]*api.ServiceEntry{}, r.visible...))
-	list := judge.HostList{At: r.Now()}
+	list := verdict.HostList{At: r.Now()}
 	list.Director, _ = q.Context().Value(linkNameKey{}).(string)
 	for _, e := range r.visible {
-		h := judge.ListedHost{Address: tables.Address(net.JoinHostPort(e.Service.Address, strconv.Itoa(e.Service.Port)))}
-		h.StartedAt, _ = strconv.ParseFloat(e.Service.Meta[roster.MetaStarted], 64)
+		h := verdict.ListedHost{Address: tables.Address(net.JoinHostPort(e.Service.Address, strconv.Itoa(e.Service.Port)))}
+		h.StartedAt, _ = strconv.ParseFloat(e.Service.Meta[discovery.MetaStarted], 64)
 		for _, c := range e.Checks {
-			if strings.HasPrefix(c.CheckID, roster.MaintenanceCheckPrefix) {
+			if strings.HasPrefix(c.CheckID, discovery.MaintenanceCheckPrefix) {
 				h.State = logic.Draining
 			} else if c.Status == api.HealthCritical && h.State == logic.Up {
 				h.State = logic.Gone
@@ -190,7 +190,7 @@
 		http.Error(w, "invalid registration", http.StatusBadRequest)
 		return
 	}
-	startedAt, _ := strconv.ParseFloat(in.Meta[roster.MetaStarted], 64)
-	r.Put(in.ID, tables.Address(net.JoinHostPort(in.Address, strconv.Itoa(in.Port))), in.Meta[roster.MetaZone],
-		in.Meta[roster.MetaCell], startedAt)
+	startedAt, _ := strconv.ParseFloat(in.Meta[discovery.MetaStarted], 64)
+	r.Put(in.ID, tables.Address(net.JoinHostPort(in.Address, strconv.Itoa(in.Port))), in.Meta[discovery.MetaZone],
+		in.Meta[discovery.MetaCell], startedAt)
 }
--- a/internal/wheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"container/heap"
--- a/internal/judge/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,4 +1,4 @@
-package judge
+package verdict
 
 import (
 	"fmt"
