--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -7,9 +7,9 @@
 	"slices"
 	"strconv"
 
+	"vetchwood/internal/aggregate"
 	"vetchwood/internal/channel"
-	"vetchwood/internal/park"
-	"vetchwood/internal/sums"
+	"vetchwood/internal/pollshard"
 	"vetchwood/internal/tables"
 	"vetchwood/internal/versions"
 	"vetchwood/logic"
@@ -26,14 +26,14 @@
 	firstStep        tables.Step    // the first step of this start
 	unsaved          []*pendingStep // ordered steps that are not yet durable, oldest first
 	channel          *channel.Channel
-	aggregator       *sums.Aggregator
+	aggregator       *aggregate.Aggregator
 	proxies          map[logic.ProxyID]*joinedProxy
 	joined           []logic.ProxyID                 // numbers of the joined proxies, ascending
 	heldSteps        versions.Index[logic.ProxyID]   // joined proxies by the version that they hold
 	catchingUp       map[logic.ProxyID]bool          // proxies that have not received joinedProxy.catchUpTo yet
 	bases            map[tables.Tag]*tables.Document // documents that deltas may start from
 	baseTags         []tables.Tag                    // tags of bases, oldest first
-	view             lotView
+	view             shardView
 	heldBack         []*pendingStep // durable steps whose messages are held back until the barrier of a removal ends
 	timers           []timer
 	routeIDs         map[string]logic.RouteID
@@ -80,9 +80,9 @@
 	f := svc.Config
 	c := &Core{svc: svc, module: logic.New(seed, f), ids: newIDRegistry(svc.Zones, f.Proxies, &saved), line: saved.Line,
 		channel:    channel.New(f.LinesPerSecond, f.MessageWindow),
-		aggregator: sums.New(f.Slices > 0, f.ReportInterval, f.ReportLinesPerSecond),
+		aggregator: aggregate.New(f.Slices > 0, f.ReportInterval, f.ReportLinesPerSecond),
 		proxies:    map[logic.ProxyID]*joinedProxy{}, catchingUp: map[logic.ProxyID]bool{},
-		view:  lotView{dirty: true, validUntil: logic.Millis(math.Inf(1))},
+		view:  shardView{dirty: true, validUntil: logic.Millis(math.Inf(1))},
 		bases: map[tables.Tag]*tables.Document{}, routeIDs: map[string]logic.RouteID{},
 		listed: map[tables.Address]bool{}, observations: newLocalFacts(now), watchers: map[Ticket]watcher{},
 		peerStates: map[tables.Address]peerHostState{}, expectedDemand: map[logic.TableID][]expectedDemand{},
@@ -178,7 +178,7 @@
 // log emits an entry for the log.
 func (c *Core) log(e LogEvent) { c.out = append(c.out, e) }
 
-// takeOutputs returns and clears the collected outputs. If the view of the lots has changed, it comes first.
+// takeOutputs returns and clears the collected outputs. If the view of the shards has changed, it comes first.
 func (c *Core) takeOutputs() []any {
 	out := c.out
 	c.out = nil
@@ -192,13 +192,13 @@
 func (c *Core) Handle(now logic.Millis, in []any) []any {
 	for _, i := range in {
 		switch i := i.(type) {
-		case park.JoinRequest:
+		case pollshard.JoinRequest:
 			c.join(now, i)
-		case park.Acknowledgement:
+		case pollshard.Acknowledgement:
 			c.acknowledge(now, i)
-		case park.Left:
+		case pollshard.Left:
 			c.handleLeave(i)
-		case park.DocumentRequest:
+		case pollshard.DocumentRequest:
 			c.notifyStored(i)
 		case AnswersFlushed:
 			c.endBarrier(now)
@@ -371,14 +371,14 @@
 		c.out = append(c.out, Answer{Ticket: r.Ticket, Kind: Accepted})
 		return
 	}
-	var calls []sums.Demand
+	var calls []aggregate.Demand
 	for i, l := range r.Calls {
 		route, known := c.routeIDs[l.Route]
 		if !known {
 			c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: the settings define no route "+strconv.Quote(l.Route))
 			return
 		}
-		line := sums.Demand{Proxy: id, Route: route, Calls: l.Calls, Unanswered: l.Unanswered}
+		line := aggregate.Demand{Proxy: id, Route: route, Calls: l.Calls, Unanswered: l.Unanswered}
 		if n := c.svc.Config.Slices; n > 0 {
 			slice, err := strconv.Atoi(l.Table)
 			if err != nil || slice < 0 || slice >= n {
@@ -394,7 +394,7 @@
 	zone := c.ids.zone(p.zone)
 	for _, t := range r.Tries {
 		if k, known := c.ids.hosts[t.Address]; known && t.Ended > 0 {
-			tries := sums.Tries{Host: k.Number, Zone: zone, Ended: t.Ended, Unanswered: t.Unanswered, AnsweredMs: t.AnsweredMs, Load: t.Load}
+			tries := aggregate.Tries{Host: k.Number, Zone: zone, Ended: t.Ended, Unanswered: t.Unanswered, AnsweredMs: t.AnsweredMs, Load: t.Load}
 			c.aggregator.AddTries(now, tries)
 			c.observations.addTries(now, tries)
 		}
--- a/internal/control/types.go
+++ b/internal/control/types.go
@@ -8,7 +8,7 @@
 	"maps"
 	"regexp"
 
-	"vetchwood/internal/park"
+	"vetchwood/internal/pollshard"
 	"vetchwood/internal/tables"
 	"vetchwood/logic"
 )
@@ -34,34 +34,34 @@
 	SlicesLeased bool           // each slice is held under a lease by one of several directors
 }
 
-// Polls and answers are defined by package park, which keeps the pending polls.
+// Polls and answers are defined by package pollshard, which keeps the pending polls.
 type (
-	Ticket       = park.Ticket
-	Poll         = park.Poll
-	Disconnected = park.Disconnected
-	Answer       = park.Answer
-	AnswerKind   = park.Kind
+	Ticket       = pollshard.Ticket
+	Poll         = pollshard.Poll
+	Disconnected = pollshard.Disconnected
+	Answer       = pollshard.Answer
+	AnswerKind   = pollshard.Kind
 )
 
-// Kinds of answers; see package park.
+// Kinds of answers; see package pollshard.
 const (
-	Unchanged  = park.Unchanged
-	Full       = park.Full
-	Delta      = park.Delta
-	Accepted   = park.Accepted
-	Unknown    = park.Unknown
-	Invalid    = park.Invalid
-	Busy       = park.Busy
-	Done       = park.Done
-	Conflict   = park.Conflict
-	FactsReply = park.PeerFacts
-	Replaced   = park.Replaced
-	Refused    = park.Refused
+	Unchanged  = pollshard.Unchanged
+	Full       = pollshard.Full
+	Delta      = pollshard.Delta
+	Accepted   = pollshard.Accepted
+	Unknown    = pollshard.Unknown
+	Invalid    = pollshard.Invalid
+	Busy       = pollshard.Busy
+	Done       = pollshard.Done
+	Conflict   = pollshard.Conflict
+	FactsReply = pollshard.PeerFacts
+	Replaced   = pollshard.Replaced
+	Refused    = pollshard.Refused
 )
 
-// Inputs of Core.Handle, in addition to those that come from lots (package park).
+// Inputs of Core.Handle, in addition to those that come from shards (package pollshard).
 type (
-	// AnswersFlushed reports that all answers that lots had given before they were closed are written.
+	// AnswersFlushed reports that all answers that shards had given before they were closed are written.
 	AnswersFlushed struct{}
 	// Report is a load report of a proxy: sums since its previous report. A report with the Key of the previous one is a
 	// repetition and is not counted again.
@@ -110,17 +110,17 @@
 
 // Outputs of New and Core.Handle.
 type (
-	// Publish passes a view to all lots, before any other output of the same call is carried out. With Barrier, the
-	// caller sends AnswersFlushed once all answers that the lots had given by then are written.
+	// Publish passes a view to all shards, before any other output of the same call is carried out. With Barrier, the
+	// caller sends AnswersFlushed once all answers that the shards had given by then are written.
 	Publish struct {
-		View    *park.View
+		View    *pollshard.View
 		Barrier bool
 	}
 	// Persist passes a change to the store. Stored is sent only after the change is durable.
 	Persist struct{ Change Change }
 	// Probe requests a health check of a host.
 	Probe struct{ Address tables.Address }
-	// AskPeers requests the state that other directors know, which comes as Learnt.
+	// AskPeers requests the state that other directors know, which arrives as PeerFacts.
 	AskPeers struct{}
 	// LogEvent is an entry for the log.
 	LogEvent struct {
