--- a/cmd/vetchwood/tables.go
+++ b/cmd/vetchwood/tables.go
@@ -194,7 +194,7 @@
 // printFaults lists the pinned lines that are not honoured.
 func printFaults(w io.Writer, o control.OperationResult) {
 	for _, t := range o.Tables {
-		for _, f := range t.Faults {
+		for _, f := range t.Deviations {
 			fmt.Fprintf(w, "not honoured: table %d, host %s: %s\n", t.Table, f.Host, f.Reason)
 		}
 	}
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -20,7 +20,7 @@
 	svc              Service
 	module           *logic.Director
 	ids              *idRegistry
-	line             tables.HistoryID
+	history          tables.HistoryID
 	current          *snapshot      // state as of the newest ordered step
 	stored           *snapshot      // state as of the newest durable step
 	firstStep        tables.Step    // the first step of this start
@@ -45,8 +45,8 @@
 	lastOperatorStep tables.Step // the newest version that an operator ordered
 	changeCause      pinCause
 	watchers         map[Ticket]watcher
-	ownership        *sliceOwnership // nil: this director owns all slices
-	observations     *localFacts
+	ownership        *sliceOwnership                    // nil: this director owns all slices
+	observations     *localFacts                        // what this director observed itself
 	listLostAt       logic.Millis                       // time at which discovery stopped answering; 0: it answers
 	slicesAssignedAt logic.Millis                       // time of the last assignment of slices to this director
 	peersQueriedAt   logic.Millis                       // time of the last query to other directors
@@ -77,12 +77,12 @@
 // New starts a director from its saved state. The caller carries out the returned outputs before the first call of
 // Handle.
 func New(seed uint64, now logic.Millis, svc Service, saved SavedState) (*Core, []any) {
-	f := svc.Config
-	c := &Core{svc: svc, module: logic.New(seed, f), ids: newIDRegistry(svc.Zones, f.Proxies, &saved), line: saved.Line,
-		channel:    channel.New(f.LinesPerSecond, f.MessageWindow),
-		aggregator: aggregate.New(f.Slices > 0, f.ReportInterval, f.ReportLinesPerSecond),
+	cfg := svc.Config
+	c := &Core{svc: svc, module: logic.New(seed, cfg), ids: newIDRegistry(svc.Zones, cfg.Proxies, &saved), history: saved.History,
+		channel:    channel.New(cfg.LinesPerSecond, cfg.MessageWindow),
+		aggregator: aggregate.New(cfg.Slices > 0, cfg.ReportInterval, cfg.ReportLinesPerSecond),
 		proxies:    map[logic.ProxyID]*joinedProxy{}, catchingUp: map[logic.ProxyID]bool{},
-		view:  shardView{dirty: true, validUntil: logic.Millis(math.Inf(1))},
+		view:  shardView{dirty: true, leaseEnd: logic.Millis(math.Inf(1))},
 		bases: map[tables.Tag]*tables.Document{}, routeIDs: map[string]logic.RouteID{},
 		listed: map[tables.Address]bool{}, observations: newLocalFacts(now), watchers: map[Ticket]watcher{},
 		peerStates: map[tables.Address]peerHostState{}, expectedDemand: map[logic.TableID][]expectedDemand{},
@@ -105,14 +105,14 @@
 	d.change.Levels = d.next.levels
 	if svc.SlicesLeased {
 		d.dropAllSlices()
-	} else if f.Slices > 0 {
-		for t := range logic.TableID(f.Slices) {
+	} else if cfg.Slices > 0 {
+		for t := range logic.TableID(cfg.Slices) {
 			if d.next.tables[t] == nil {
 				d.writableTable(t)
 			}
 		}
 		for t := range d.next.tables {
-			if int(t) >= f.Slices {
+			if int(t) >= cfg.Slices {
 				if d.change.Tables == nil {
 					d.change.Tables = map[logic.TableID]*tables.Table{}
 				}
@@ -126,7 +126,7 @@
 	c.events = append(c.events, logic.HostList{Kind: logic.HostListFromDisk, Entries: c.hostEntries(saved.List, now)})
 	c.hostList, c.pinned = saved.List, map[logic.TableID]Pin{}
 	maps.Copy(c.pinned, saved.Pinned)
-	for t := range logic.TableID(f.Slices) {
+	for t := range logic.TableID(cfg.Slices) {
 		if _, held := c.pinned[t]; !held && !svc.SlicesLeased {
 			c.assignToModule(t, d.next)
 		}
@@ -138,7 +138,7 @@
 	}
 	c.out = nil
 	d.change.Known = c.ids.hosts
-	if f.Slices > 0 && saved.Step > 0 && !svc.SlicesLeased {
+	if cfg.Slices > 0 && saved.Step > 0 && !svc.SlicesLeased {
 		c.keepBase(c.document(w, 0)) // most proxies hold this document, so a delta is enough for them
 	}
 	c.current, c.firstStep = d.next, d.next.step
@@ -154,8 +154,8 @@
 	for id, old := range saved.Carried {
 		d.next.carried[id] = maps.Clone(old)
 	}
-	for id, by := range saved.Bound {
-		for r, t := range by {
+	for id, byRoute := range saved.Bound {
+		for r, t := range byRoute {
 			if table := saved.Tables[t]; table != nil && r < len(d.c.svc.Routes) {
 				if d.next.carried[id] == nil {
 					d.next.carried[id] = map[string]*tables.Table{}
@@ -175,7 +175,7 @@
 	d.next.tables = map[logic.TableID]*tables.Table{}
 }
 
-// log emits an entry for the log.
+// log outputs an entry for the log.
 func (c *Core) log(e LogEvent) { c.out = append(c.out, e) }
 
 // takeOutputs returns and clears the collected outputs. If the view of the shards has changed, it comes first.
@@ -199,7 +199,7 @@
 		case pollshard.Left:
 			c.handleLeave(i)
 		case pollshard.DocumentRequest:
-			c.notifyStored(i)
+			c.sendStoredDocument(i)
 		case AnswersFlushed:
 			c.endBarrier(now)
 		case Disconnected:
@@ -240,7 +240,7 @@
 	}
 	if named := c.ids.unstored; len(named) > 0 { // one write per call, as a whole fleet may join in one
 		c.ids.unstored = map[logic.ProxyID]string{}
-		c.out = append(c.out, Persist{Change{Line: c.line, Named: named}})
+		c.out = append(c.out, Persist{Change{History: c.history, Named: named}})
 	}
 	for _, m := range c.channel.PopDue(now) {
 		c.deliver(now, m)
@@ -262,8 +262,8 @@
 	return c.takeOutputs()
 }
 
-// NextWake returns the latest time of the next call of Handle.
-func (c *Core) NextWake() logic.Millis {
+// NextWakeup returns the time by which Handle must be called again.
+func (c *Core) NextWakeup() logic.Millis {
 	at := c.aggregator.Next()
 	for _, t := range c.timers {
 		at = min(at, t.at)
@@ -355,10 +355,10 @@
 	}
 	c.lastRefresh = now
 	c.expirePeerStates(now)
-	c.askPeers(now)
+	c.queryPeers(now)
 }
 
-// report counts a load report and passes it to the aggregator.
+// report handles a load report: it adds the sums to the aggregator and to the local facts.
 func (c *Core) report(now logic.Millis, r Report) {
 	id, ok := c.proxyID(r.Proxy)
 	p := c.proxies[id]
@@ -413,7 +413,7 @@
 	c.hostList, c.listLostAt = slices.Clone(hosts), 0
 	c.observations.setHosts(now, hosts)
 	c.events = append(c.events, logic.HostList{Kind: logic.HostListFull, Entries: c.hostEntries(c.overlayPeerStates(now, hosts), now)})
-	c.out = append(c.out, Persist{Change{Line: c.line, List: slices.Clone(hosts), Known: maps.Clone(c.ids.hosts)}})
+	c.out = append(c.out, Persist{Change{History: c.history, List: slices.Clone(hosts), Known: maps.Clone(c.ids.hosts)}})
 	c.log(LogEvent{Name: "list.told", Detail: strconv.Itoa(len(hosts)) + " hosts"})
 }
 
@@ -434,7 +434,7 @@
 func (c *Core) hostEntry(l HostEntry, now logic.Millis) logic.HostEntry {
 	id, _ := c.ids.host(l)
 	return logic.HostEntry{Host: id, State: l.State, Cell: c.ids.cell(l.Cell), Zone: c.ids.zone(l.Zone), Weight: l.Weight,
-		StartedAt: min(logic.Millis(l.Born), now)}
+		StartedAt: min(logic.Millis(l.StartedAt), now)}
 }
 
 // Stats returns the current statistics.
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -40,8 +40,8 @@
 // newHarness starts a Core from a saved state, which may be empty.
 func newHarness(t *testing.T, svc Service, saved SavedState) *harness {
 	h := &harness{t: t, now: 1e12, store: saved, answers: map[Ticket]Answer{}}
-	if saved.Line == 0 {
-		h.store = SavedState{Line: 42, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}
+	if saved.History == 0 {
+		h.store = SavedState{History: 42, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}
 	}
 	h.startCore(svc)
 	return h
@@ -72,12 +72,12 @@
 }
 
 // handleShardOutput records the answers of the shard and passes its other output to the core.
-func (h *harness) handleShardOutput(said pollshard.Output) {
-	for _, a := range said.Answers {
+func (h *harness) handleShardOutput(out pollshard.Output) {
+	for _, a := range out.Answers {
 		h.recordAnswer(a)
 	}
-	if len(said.Events) > 0 {
-		h.execute(h.c.Handle(h.now, said.Events))
+	if len(out.Events) > 0 {
+		h.execute(h.c.Handle(h.now, out.Events))
 	}
 }
 
@@ -141,7 +141,7 @@
 // advance lets time pass, with a call of the core at least every 10 ms.
 func (h *harness) advance(d logic.Millis) {
 	for end := h.now + d; h.now < end; {
-		h.now = min(end, max(h.now+1, h.c.NextWake()), h.now+10)
+		h.now = min(end, max(h.now+1, h.c.NextWakeup()), h.now+10)
 		h.handle()
 	}
 }
@@ -255,7 +255,7 @@
 }
 
 func TestNothingIsPublishedBeforeTheFirstStepIsStored(t *testing.T) {
-	h := &harness{t: t, now: 1e12, holdWrites: true, answers: map[Ticket]Answer{}, store: SavedState{Line: 42,
+	h := &harness{t: t, now: 1e12, holdWrites: true, answers: map[Ticket]Answer{}, store: SavedState{History: 42,
 		Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}}
 	h.startCore(testService(8))
 	early := h.poll("p1", 0)
--- a/internal/control/ids.go
+++ b/internal/control/ids.go
@@ -25,10 +25,10 @@
 
 // newIDRegistry returns a registry with the numbers of the saved state. Zones are numbered by their order in the
 // settings.
-func newIDRegistry(zones []string, most int, saved *SavedState) *idRegistry {
+func newIDRegistry(zones []string, maxProxies int, saved *SavedState) *idRegistry {
 	n := &idRegistry{hosts: maps.Clone(saved.Known), addresses: map[logic.HostID]tables.Address{},
 		proxies: maps.Clone(saved.Proxies), proxyNames: map[logic.ProxyID]string{}, zones: map[string]logic.ZoneID{},
-		cells: map[string]logic.CellID{}, maxProxies: most, unstored: map[logic.ProxyID]string{}}
+		cells: map[string]logic.CellID{}, maxProxies: maxProxies, unstored: map[logic.ProxyID]string{}}
 	if n.hosts == nil {
 		n.hosts = map[tables.Address]KnownHost{}
 	}
@@ -50,17 +50,17 @@
 // host returns the number of a host, and whether its entry has changed. The number is a hash of the address, so that
 // directors agree on most numbers without shared state. If the hash is 0 or taken, the next free number is used.
 func (n *idRegistry) host(l HostEntry) (id logic.HostID, changed bool) {
-	is := KnownHost{Host: tables.Host{ID: l.ID, Zone: l.Zone, Cell: l.Cell}}
+	entry := KnownHost{Host: tables.Host{ID: l.ID, Zone: l.Zone, Cell: l.Cell}}
 	if k, known := n.hosts[l.Address]; known {
-		is.Number = k.Number
-		n.hosts[l.Address] = is
-		return is.Number, is != k
+		entry.Number = k.Number
+		n.hosts[l.Address] = entry
+		return entry.Number, entry != k
 	}
-	is.Number = logic.HostID(xxhash.Sum64String(string(l.Address)))
-	for ; is.Number == 0 || n.addresses[is.Number] != ""; is.Number++ {
+	entry.Number = logic.HostID(xxhash.Sum64String(string(l.Address)))
+	for ; entry.Number == 0 || n.addresses[entry.Number] != ""; entry.Number++ {
 	}
-	n.hosts[l.Address], n.addresses[is.Number] = is, l.Address
-	return is.Number, true
+	n.hosts[l.Address], n.addresses[entry.Number] = entry, l.Address
+	return entry.Number, true
 }
 
 // zone returns the number of a zone, and assigns one if it is new.
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -24,7 +24,7 @@
 	}
 	// SliceGrants is a batch of grants. They form a single version, so that each proxy is notified once.
 	SliceGrants struct{ Grants []SliceGrant }
-	// SliceRevoked tells that this director no longer owns a slice.
+	// SliceRevoked reports that this director no longer owns a slice.
 	SliceRevoked struct{ Slice logic.TableID }
 	// LeaseDeadline is the time until which this director may act for its slices. The next one replaces it.
 	LeaseDeadline struct{ Until logic.Millis }
@@ -44,13 +44,13 @@
 // sliceOwnership is the set of slices that this director owns. It exists only at sites where slices are leased.
 type sliceOwnership struct {
 	fences   map[logic.TableID]uint64
-	previous map[logic.TableID]*tables.Table // of the local store or of revoked slices, used where the lease store has no record
+	previous map[logic.TableID]*tables.Table // from the local store or of revoked slices; used where the lease store has no record
 }
 
 // dropAllSlices removes all slices from the opening snapshot, because none is owned yet.
 func (d *draft) dropAllSlices() {
 	d.c.ownership = &sliceOwnership{fences: map[logic.TableID]uint64{}, previous: d.next.tables}
-	d.c.view.validUntil = logic.Millis(math.Inf(-1))
+	d.c.view.leaseEnd = logic.Millis(math.Inf(-1))
 	d.change.Tables = map[logic.TableID]*tables.Table{}
 	for t := range d.next.tables {
 		d.change.Tables[t] = nil
@@ -65,12 +65,12 @@
 
 func (c *Core) setLeaseDeadline(now logic.Millis, g LeaseDeadline) {
 	if c.ownership != nil {
-		c.view.validUntil, c.view.dirty = g.Until, true
+		c.view.leaseEnd, c.view.dirty = g.Until, true
 	}
 }
 
 // acquireSlices takes slices over in a version of its own. Proxies get them with the stored document, as when they
-// join, so that the change takes no room in the channel.
+// join, so the change uses no capacity of the channel.
 func (c *Core) acquireSlices(now logic.Millis, grants []SliceGrant) {
 	if c.ownership == nil {
 		return
@@ -112,7 +112,7 @@
 					c.expectedDemand[g.Slice] = append(c.expectedDemand[g.Slice], expectedDemand{x, now})
 				}
 			}
-			c.noteExpectedDemand(now, g.Slice)
+			c.reportExpectedDemand(now, g.Slice)
 			c.slicesAssignedAt = now
 		}
 		c.log(LogEvent{Name: "slice.given", Version: strconv.Itoa(int(d.next.step)), Detail: strconv.Itoa(int(g.Slice)) + " fence " +
--- a/internal/control/leases_test.go
+++ b/internal/control/leases_test.go
@@ -8,7 +8,7 @@
 	"vetchwood/logic"
 )
 
-// startLeased returns a rig that owns slices 0 to 3 under a lease and has received a host list.
+// startLeased returns a harness that owns slices 0 to 3 under a lease and has received a host list.
 func startLeased(t *testing.T) *harness {
 	svc := testService(8)
 	svc.SlicesLeased, svc.QueriesPeers, svc.Name = true, true, "d1"
--- a/internal/control/operate.go
+++ b/internal/control/operate.go
@@ -37,10 +37,10 @@
 
 // PinnedTable describes a pinned table.
 type PinnedTable struct {
-	Table  logic.TableID    `json:"table"`
-	Step   tables.Step      `json:"version"`
-	Who    string           `json:"who"`
-	Faults []pins.Deviation `json:"not_honoured,omitempty"`
+	Table      logic.TableID    `json:"table"`
+	Step       tables.Step      `json:"version"`
+	Who        string           `json:"who"`
+	Deviations []pins.Deviation `json:"not_honoured,omitempty"`
 }
 
 // OperationResult is the result of an operator request.
@@ -48,11 +48,11 @@
 	Version       tables.Step   `json:"version"`        // newest version ordered; a rollback may take several
 	MovedFraction float64       `json:"moved"`          // fraction of the slices that move to other hosts
 	Tables        []PinnedTable `json:"tables"`         // pinned or released
-	Deferred      int           `json:"rest,omitempty"` // number of tables still waiting for room in the channel
+	Deferred      int           `json:"rest,omitempty"` // number of tables deferred until the channel has room
 }
 
 // maxMovedFraction is the fraction of the slices that an operator's change may move unless it is forced. A rolling
-// release of the hosts moves as many at once, and the hosts can bear the cold keys that follow.
+// release of the hosts moves as many at once, and the hosts can sustain the cache misses that follow.
 const maxMovedFraction = 0.3
 
 // operatorQueueFraction is the fraction of the channel's queue that operators' changes may fill. The rest is kept for
@@ -63,12 +63,12 @@
 	c.out = append(c.out, Answer{Ticket: t, Kind: kind, Reason: why, Body: o})
 }
 
-// hostConditions returns what the rules for pinned tables need to know of each listed host.
+// hostConditions returns the state of each listed host, as the rules for pinned tables and the checks require it.
 func (c *Core) hostConditions(now logic.Millis) map[tables.Address]pins.Host {
 	out := map[tables.Address]pins.Host{}
 	for _, l := range c.hostList {
-		born := min(logic.Millis(l.Born), now)
-		out[l.Address] = pins.Host{Up: l.State == logic.Up, WarmingUp: born > 0 && now < born+c.svc.Config.WarmAfter,
+		startedAt := min(logic.Millis(l.StartedAt), now)
+		out[l.Address] = pins.Host{Up: l.State == logic.Up, WarmingUp: startedAt > 0 && now < startedAt+c.svc.Config.WarmAfter,
 			Masked: c.current.masked[l.Address]}
 	}
 	return out
@@ -226,8 +226,8 @@
 			room -= m.Lines
 		}
 	}
-	// A removal of a draining host must not wait for room: tables with such hosts come first and are written even when
-	// the channel has none.
+	// The removal of a draining host must not be delayed: tables with such hosts come first and are written even if the
+	// channel has no room.
 	urgent := func(id logic.TableID) bool {
 		for a := range c.current.tables[id].Lines {
 			if h, known := hosts[a]; known && !h.Up {
@@ -268,7 +268,7 @@
 		d.countLines(lines, allProxies)
 	}
 	if d.change.Who, d.change.Why, d.change.From = c.changeCause.who, c.changeCause.why, c.changeCause.from; d.change.Who == "" {
-		d.change.Who, d.change.Why = "vetchwood", "a pinned table is mended: the rules stand above it"
+		d.change.Who, d.change.Why = "vetchwood", "pinned table adjusted: the rules for hosts take precedence over the pin"
 	}
 	if c.changeCause.pinsChanged {
 		d.change.Pinned, d.changed = c.pinned, true
--- a/internal/control/peerfacts.go
+++ b/internal/control/peerfacts.go
@@ -75,8 +75,8 @@
 func (k *localFacts) setHosts(now logic.Millis, hosts []HostEntry) {
 	next := make(map[tables.Address]hostState, len(hosts))
 	for _, l := range hosts {
-		current := hostState{l.State, l.Born, now}
-		if previous, found := k.states[l.Address]; found && previous.state == l.State && previous.startedAt == l.Born {
+		current := hostState{l.State, l.StartedAt, now}
+		if previous, found := k.states[l.Address]; found && previous.state == l.State && previous.startedAt == l.StartedAt {
 			current.since = previous.since
 		}
 		next[l.Address] = current
@@ -143,7 +143,7 @@
 func (c *Core) listedHosts(now logic.Millis) (out []peerfacts.Host) {
 	for _, l := range c.hostList {
 		h := peerfacts.Host{Address: l.Address, ID: l.ID, Zone: l.Zone, Cell: l.Cell, State: stateNames[l.State], Weight: l.Weight,
-			StartedAt: l.Born, Masked: c.current.masked[l.Address]}
+			StartedAt: l.StartedAt, Masked: c.current.masked[l.Address]}
 		if s, found := c.observations.states[l.Address]; found {
 			h.StateAge = float64(now - s.since)
 		}
@@ -157,7 +157,7 @@
 
 func (c *Core) answerFacts(now logic.Millis, q FactsQuery) {
 	k := c.observations
-	f := peerfacts.Facts{Director: c.svc.Name, Line: c.line, Uptime: float64(now - k.startedAt), ProxyCount: len(c.joined), ListAge: c.hostListAge(now)}
+	f := peerfacts.Facts{Director: c.svc.Name, History: c.history, Uptime: float64(now - k.startedAt), ProxyCount: len(c.joined), ListAge: c.hostListAge(now)}
 	if k.listedAt > 0 { // a list from the local store predates the start and is of no use to peers
 		f.Hosts = c.listedHosts(now)
 	}
@@ -189,10 +189,10 @@
 	c.out = append(c.out, Answer{Ticket: q.Ticket, Kind: FactsReply, Body: &f})
 }
 
-// DiscoveryLost tells that host discovery no longer answers. The next List ends that state.
+// DiscoveryLost reports that host discovery no longer answers. The next HostList ends that state.
 type DiscoveryLost struct{}
 
-// PeerFacts brings the facts that other directors reported, each with its age.
+// PeerFacts holds the facts that other directors reported, each with its age.
 type PeerFacts struct{ Peers []peerfacts.Report }
 
 // peerHostState is a host's state as reported by a peer. It overrides the host list, which may lag behind, until it
@@ -223,7 +223,7 @@
 		if repeated && previous.State == h.State && previous.StartedAt == h.StartedAt {
 			continue
 		}
-		l := HostEntry{ID: h.ID, Address: h.Address, Zone: h.Zone, Cell: h.Cell, State: statesByName[h.State], Weight: cmp.Or(h.Weight, 1), Born: h.StartedAt}
+		l := HostEntry{ID: h.ID, Address: h.Address, Zone: h.Zone, Cell: h.Cell, State: statesByName[h.State], Weight: cmp.Or(h.Weight, 1), StartedAt: h.StartedAt}
 		entries = append(entries, c.hostEntry(l, now))
 		c.log(LogEvent{Name: "host.learnt", Host: string(h.Address), Detail: string(h.State)})
 	}
@@ -256,9 +256,9 @@
 	receivedAt logic.Millis
 }
 
-// noteExpectedDemand reports the expected demand for a newly granted slice to the decision module, as far as it is
+// reportExpectedDemand reports the expected demand for a newly granted slice to the decision module, as far as it is
 // known and not older than peerStateTTL.
-func (c *Core) noteExpectedDemand(now logic.Millis, slice logic.TableID) {
+func (c *Core) reportExpectedDemand(now logic.Millis, slice logic.TableID) {
 	for _, e := range c.expectedDemand[slice] {
 		route, known := c.routeIDs[e.Route]
 		age := float64(now-e.receivedAt) + e.Age
@@ -281,7 +281,7 @@
 	}
 	hosts = slices.Clone(hosts)
 	for i, l := range hosts {
-		if p, found := c.peerStates[l.Address]; found && now < p.expiresAt && p.StartedAt == l.Born && l.State == logic.Up && p.State != peerfacts.Up {
+		if p, found := c.peerStates[l.Address]; found && now < p.expiresAt && p.StartedAt == l.StartedAt && l.State == logic.Up && p.State != peerfacts.Up {
 			hosts[i].State = statesByName[p.State]
 		}
 	}
@@ -302,8 +302,8 @@
 	}
 }
 
-// askPeers queries the other directors when peerfacts.QueryDue reports so.
-func (c *Core) askPeers(now logic.Millis) {
+// queryPeers queries the other directors when peerfacts.QueryDue reports so.
+func (c *Core) queryPeers(now logic.Millis) {
 	since := func(at logic.Millis) float64 {
 		if at == 0 {
 			return -1
@@ -312,6 +312,6 @@
 	}
 	if c.svc.QueriesPeers && peerfacts.QueryDue(float64(now-c.observations.startedAt), since(c.listLostAt), since(c.slicesAssignedAt), since(c.peersQueriedAt)) {
 		c.peersQueriedAt = now
-		c.out = append(c.out, AskPeers{})
+		c.out = append(c.out, QueryPeers{})
 	}
 }
--- a/internal/control/proxies.go
+++ b/internal/control/proxies.go
@@ -56,15 +56,15 @@
 	c.events = append(c.events, logic.ProxyJoined{Proxy: id, Fresh: len(j.Held) == 0, Rate: j.Rate, Zone: c.ids.zone(j.Zone)})
 	c.log(LogEvent{Name: "proxy.joined", Proxy: j.Proxy})
 	if c.stored.step >= c.firstStep {
-		c.notify(p, c.document(c.stored, id))
+		c.sendDocument(p, c.document(c.stored, id))
 	}
 	if p.doc == nil || p.doc.Step < p.catchUpTo {
 		c.catchingUp[id] = true
 	}
 }
 
-// notify passes a document to the shard of a proxy if it is newer than the previous one.
-func (c *Core) notify(p *joinedProxy, d *tables.Document) {
+// sendDocument passes a document to the shard of a proxy if it is newer than the previous one.
+func (c *Core) sendDocument(p *joinedProxy, d *tables.Document) {
 	if p.doc != nil && d.Step <= p.doc.Step {
 		return
 	}
@@ -73,10 +73,10 @@
 	c.out = append(c.out, pollshard.SetDocument{Proxy: p.name, Session: p.session, Doc: d})
 }
 
-// proxyInVisit returns the proxy with a name if it is joined and in the given visit, and nil otherwise.
-func (c *Core) proxyInVisit(proxy string, visit pollshard.SessionID) (logic.ProxyID, *joinedProxy) {
+// proxyInSession returns the proxy with a name if it is joined with the given session, and nil otherwise.
+func (c *Core) proxyInSession(proxy string, session pollshard.SessionID) (logic.ProxyID, *joinedProxy) {
 	id, known := c.ids.proxies[proxy]
-	if p := c.proxies[id]; known && p != nil && p.session == visit {
+	if p := c.proxies[id]; known && p != nil && p.session == session {
 		return id, p
 	}
 	return 0, nil
@@ -84,7 +84,7 @@
 
 // acknowledge records the version that a proxy holds by its poll, and confirms the updates up to that version.
 func (c *Core) acknowledge(now logic.Millis, h pollshard.Acknowledgement) {
-	id, p := c.proxyInVisit(h.Proxy, h.Session)
+	id, p := c.proxyInSession(h.Proxy, h.Session)
 	if p == nil {
 		return
 	}
@@ -108,7 +108,7 @@
 
 // handleLeave removes a proxy that its shard reports as gone.
 func (c *Core) handleLeave(l pollshard.Left) {
-	if id, p := c.proxyInVisit(l.Proxy, l.Session); p != nil {
+	if id, p := c.proxyInSession(l.Proxy, l.Session); p != nil {
 		c.removeProxy(id, l.Reason)
 	}
 }
@@ -127,10 +127,11 @@
 	c.log(LogEvent{Name: "proxy.left", Proxy: p.name, Detail: why})
 }
 
-// notifyStored passes the stored document to the shard of a proxy whose previous document is older than a removal.
-func (c *Core) notifyStored(w pollshard.DocumentRequest) {
-	if id, p := c.proxyInVisit(w.Proxy, w.Session); p != nil {
-		c.notify(p, c.document(c.stored, id)) // without effect if that document is already on its way to the shard
+// sendStoredDocument passes the stored document to the shard of a proxy whose previous document is older than a
+// removal.
+func (c *Core) sendStoredDocument(w pollshard.DocumentRequest) {
+	if id, p := c.proxyInSession(w.Proxy, w.Session); p != nil {
+		c.sendDocument(p, c.document(c.stored, id)) // without effect if that document is already on its way to the shard
 	}
 }
 
@@ -145,11 +146,11 @@
 		p.unacknowledged = append(p.unacknowledged, u)
 	}
 	if p.doc != nil {
-		c.notify(p, u.doc)
+		c.sendDocument(p, u.doc)
 	}
 }
 
-// advanceStored publishes the steps up to upTo, which are durable now. A step that removes a host raises a barrier: its
+// advanceStored publishes the steps up to upTo, which are durable now. A step that removes a host starts a barrier: its
 // messages and those of later steps are held back until all shards have seen the removal.
 func (c *Core) advanceStored(now logic.Millis, upTo tables.Step) {
 	var newlyStored []*snapshot
@@ -172,11 +173,11 @@
 		// Steps that were ordered before the proxy joined send it no message; it gets their documents once stored.
 		switch at := min(p.catchUpTo, c.stored.step); {
 		case p.doc == nil && c.stored.step >= c.firstStep:
-			c.notify(p, c.document(c.stored, id))
+			c.sendDocument(p, c.document(c.stored, id))
 		case p.doc != nil && p.doc.Step < at:
 			for _, w := range newlyStored {
 				if w.step == at {
-					c.notify(p, c.document(w, id))
+					c.sendDocument(p, c.document(w, id))
 				}
 			}
 		}
@@ -196,21 +197,21 @@
 
 // shardView is what shards see of the core, in addition to the bases of deltas.
 type shardView struct {
-	floor      tables.Step      // version of the newest removal; shards answer with nothing older
-	doc        *tables.Document // document of that removal; nil without slices
+	minStep    tables.Step      // version of the newest removal; shards send no older document
+	shared     *tables.Document // document of that removal; nil without slices
 	closed     bool             // a removal is pending: shards answer no polls
 	barrierDue bool             // the next view starts a barrier
-	validUntil logic.Millis     // end of the leases of this director
+	leaseEnd   logic.Millis     // end of the leases of this director
 	dirty      bool             // the view has changed since it was published
 }
 
 // startBarrier closes the shards until all answers that they gave before are written.
 func (c *Core) startBarrier(w *snapshot) {
 	c.stats.Removals++
-	c.view.floor, c.view.dirty = w.step, true
+	c.view.minStep, c.view.dirty = w.step, true
 	if c.svc.Config.Slices > 0 {
-		c.view.doc = c.document(w, 0)
-		c.keepBase(c.view.doc)
+		c.view.shared = c.document(w, 0)
+		c.keepBase(c.view.shared)
 	}
 	if !c.view.closed {
 		c.view.closed, c.view.barrierDue = true, true
@@ -228,8 +229,8 @@
 
 // publishView returns the current view for the shards and marks it as published.
 func (c *Core) publishView() Publish {
-	p := Publish{View: &pollshard.View{Bases: maps.Clone(c.bases), MinStep: c.view.floor, Shared: c.view.doc, Closed: c.view.closed,
-		LeaseEnd: c.view.validUntil}, Barrier: c.view.barrierDue}
+	p := Publish{View: &pollshard.View{Bases: maps.Clone(c.bases), MinStep: c.view.minStep, Shared: c.view.shared, Closed: c.view.closed,
+		LeaseEnd: c.view.leaseEnd}, Barrier: c.view.barrierDue}
 	c.view.dirty, c.view.barrierDue = false, false
 	return p
 }
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -44,7 +44,7 @@
 	w := *c.current
 	w.step, w.at, w.docs = c.current.step+1, at, map[string]*tables.Document{}
 	return &draft{c: c, previous: c.current, next: &w, copied: map[logic.TableID]bool{}, linesOf: map[logic.ProxyID]float64{},
-		change: Change{Line: c.line, Step: w.step, At: at}}
+		change: Change{History: c.history, Step: w.step, At: at}}
 }
 
 // writableTable returns a copy of a table that belongs to this step. A missing table is created.
@@ -123,11 +123,11 @@
 
 // apply carries out an order of the decision module.
 func (d *draft) apply(o logic.Order) {
-	f := d.c.svc.Config
+	cfg := d.c.svc.Config
 	switch o := o.(type) {
 	case logic.SetLine:
-		if f.Slices > 0 && !d.c.ownsSlice(o.Table) {
-			return // revoked before the decision module learnt of it
+		if cfg.Slices > 0 && !d.c.ownsSlice(o.Table) {
+			return // revoked before the decision module was notified
 		}
 		a := d.c.ids.addresses[o.Host]
 		if a == "" || math.IsNaN(o.Weight) || o.Weight > 1e9 {
@@ -141,7 +141,7 @@
 		if o.Weight <= 0 {
 			delete(t.Lines, a)
 		} else {
-			if f.SingleOwner {
+			if cfg.SingleOwner {
 				clear(t.Lines)
 			}
 			t.Lines[a] = o.Weight
@@ -149,7 +149,7 @@
 		d.setFence(o.Table, t)
 		d.countLines(1, d.proxiesUsing(o.Table))
 	case logic.DropLines:
-		if f.Slices > 0 && !d.c.ownsSlice(o.Table) {
+		if cfg.Slices > 0 && !d.c.ownsSlice(o.Table) {
 			return
 		}
 		t := d.writableTable(o.Table)
@@ -182,7 +182,7 @@
 				}
 			}
 		} else {
-			if f.Slices > 0 && !d.c.ownsSlice(o.Table) {
+			if cfg.Slices > 0 && !d.c.ownsSlice(o.Table) {
 				return
 			}
 			t := d.writableTable(o.Table)
@@ -245,9 +245,9 @@
 	if d := w.docs[key]; d != nil {
 		return d
 	}
-	f := c.svc.Config
-	d := &tables.Document{PickPolicy: c.svc.Pick, EjectAfterFailures: f.EjectAfterFailures, TryTimeoutShare: f.TryTimeout, RejectedDidNotRun: !f.RejectedMayHaveRun,
-		LevelUnit: map[logic.LevelUnit]string{logic.LevelShare: "share", logic.LevelRate: "rate", logic.NoLevels: "none"}[f.Levels],
+	cfg := c.svc.Config
+	d := &tables.Document{PickPolicy: c.svc.Pick, EjectAfterFailures: cfg.EjectAfterFailures, TryTimeoutShare: cfg.TryTimeout, RejectedDidNotRun: !cfg.RejectedMayHaveRun,
+		LevelUnit: map[logic.LevelUnit]string{logic.LevelShare: "share", logic.LevelRate: "rate", logic.NoLevels: "none"}[cfg.Levels],
 		Routes:    map[string]tables.Route{}, Hosts: map[tables.Address]tables.Host{},
 		Masked: map[tables.Address]bool{}, Tables: map[string]*tables.Table{}}
 	addTable := func(name string, t *tables.Table) {
@@ -259,7 +259,7 @@
 			}
 		}
 	}
-	if f.Slices > 0 {
+	if cfg.Slices > 0 {
 		d.KeyHash = tables.KeyHash
 		for t, table := range c.publishedTables(w) {
 			addTable(strconv.Itoa(int(t)), table)
@@ -268,7 +268,7 @@
 	for r, info := range c.svc.Routes {
 		route := info.Route
 		route.Level = w.levels[r]
-		if f.Slices == 0 {
+		if cfg.Slices == 0 {
 			if bound := w.bound[id]; r < len(bound) && bound[r] >= 0 && w.tables[bound[r]] != nil {
 				route.Table = "t" + strconv.Itoa(int(bound[r]))
 				addTable(route.Table, w.tables[bound[r]])
@@ -279,7 +279,7 @@
 		}
 		d.Routes[info.Name] = route
 	}
-	w.docs[key] = d.Seal(c.line, w.step, w.at)
+	w.docs[key] = d.Seal(c.history, w.step, w.at)
 	return d
 }
 
--- a/internal/control/types.go
+++ b/internal/control/types.go
@@ -30,7 +30,7 @@
 	Lease        logic.Millis   // a proxy that has not polled for this long has left
 	MaxWait      logic.Millis   // maximum time that a poll stays pending
 	MaxBases     int            // maximum number of documents kept as bases of deltas
-	QueriesPeers bool           // queries other directors for their state; only with SlicesLeased
+	QueriesPeers bool           // queries other directors for their facts; only with SlicesLeased
 	SlicesLeased bool           // each slice is held under a lease by one of several directors
 }
 
@@ -40,7 +40,7 @@
 	Poll         = pollshard.Poll
 	Disconnected = pollshard.Disconnected
 	Answer       = pollshard.Answer
-	AnswerKind   = pollshard.Kind
+	AnswerKind   = pollshard.AnswerKind
 )
 
 // Kinds of answers; see package pollshard.
@@ -54,7 +54,7 @@
 	Busy       = pollshard.Busy
 	Done       = pollshard.Done
 	Conflict   = pollshard.Conflict
-	FactsReply = pollshard.PeerFacts
+	FactsReply = pollshard.FactsReply
 	Replaced   = pollshard.Replaced
 	Refused    = pollshard.Refused
 )
@@ -97,15 +97,15 @@
 	}
 )
 
-// HostEntry is a host of the host list. Born is the start time of the host in Unix milliseconds; 0 is a start long ago.
+// HostEntry is a host of the host list. StartedAt is the start time of the host in Unix milliseconds; 0 means long ago.
 type HostEntry struct {
-	ID      string          `json:"id"`
-	Address tables.Address  `json:"address"`
-	Zone    string          `json:"zone"`
-	Cell    string          `json:"cell"`
-	State   logic.HostState `json:"state"`
-	Weight  float64         `json:"weight"`
-	Born    float64         `json:"born"`
+	ID        string          `json:"id"`
+	Address   tables.Address  `json:"address"`
+	Zone      string          `json:"zone"`
+	Cell      string          `json:"cell"`
+	State     logic.HostState `json:"state"`
+	Weight    float64         `json:"weight"`
+	StartedAt float64         `json:"born"`
 }
 
 // Outputs of New and Core.Handle.
@@ -120,8 +120,8 @@
 	Persist struct{ Change Change }
 	// Probe requests a health check of a host.
 	Probe struct{ Address tables.Address }
-	// AskPeers requests the state that other directors know, which arrives as PeerFacts.
-	AskPeers struct{}
+	// QueryPeers requests the facts of other directors, which arrive as PeerFacts.
+	QueryPeers struct{}
 	// LogEvent is an entry for the log.
 	LogEvent struct {
 		Name                         string
@@ -136,7 +136,7 @@
 	From        tables.Step           `json:",omitempty"` // the version that a rollback restores
 	OldestInUse tables.Step           `json:"-"`          // the oldest version held by a joined proxy; kept in the history
 	Pinned      map[logic.TableID]Pin // all pins, where one has changed
-	Line        tables.HistoryID
+	History     tables.HistoryID      `json:"Line"`
 	Step        tables.Step
 	At          float64
 	Tables      map[logic.TableID]*tables.Table // nil: the table is deleted
@@ -159,8 +159,8 @@
 			delete(s.Tables, id)
 		}
 	}
-	for id, by := range c.Bound {
-		if s.Bound[id] = by; by == nil {
+	for id, byRoute := range c.Bound {
+		if s.Bound[id] = byRoute; byRoute == nil {
 			delete(s.Bound, id)
 		}
 	}
@@ -179,9 +179,9 @@
 	replaceIf(&s.Pinned, c.Pinned, c.Pinned != nil)
 }
 
-func replaceIf[T any](to *T, by T, set bool) {
+func replaceIf[T any](to *T, value T, set bool) {
 	if set {
-		*to = by
+		*to = value
 	}
 }
 
@@ -200,7 +200,7 @@
 
 // SavedState is the complete stored state.
 type SavedState struct {
-	Line    tables.HistoryID
+	History tables.HistoryID `json:"Line"`
 	Step    tables.Step
 	At      float64
 	Tables  map[logic.TableID]*tables.Table
@@ -221,12 +221,12 @@
 	QueuedLines, MaxQueuedLines, QueueLimit float64
 	MaxMessagesInWindow                     int // most messages to one proxy within Config.MessageWindow
 	Reports, RepeatedReports, Refused       uint64
-	Removals                                uint64      // versions that removed a host from all tables; each raises a barrier
+	Removals                                uint64      // versions that removed a host from all tables; each starts a barrier
 	OldestHeld                              tables.Step // oldest version that a joined proxy holds
 	ProxiesBehind                           int         // proxies that hold a version older than the stored one
 	CheckFailures                           uint64      // faults that checks found before publishing
 	PendingReportLines                      int
 	Hosts, Masked                           int
 	Slices                                  int    // slices whose tables this director holds
-	HostsLearnt                             uint64 // hosts whose state was first learnt from another director
+	HostsLearnt                             uint64 // host states taken over from other directors
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -9,7 +9,7 @@
 )
 
 // Watch polls for the document of all proxies on behalf of a client that is no proxy. It is not passed to the decision
-// module, nothing waits for its acknowledgement, and it is answered with a version as soon as that is stored.
+// module, no acknowledgement of it is expected, and it is answered with each version as soon as that is stored.
 type Watch struct {
 	Ticket     Ticket
 	Held       []tables.Tag
@@ -19,9 +19,9 @@
 
 // watcher is a pending Watch.
 type watcher struct {
-	base  *tables.Document // newest kept document that the client holds; nil: none
-	until logic.Millis     // time of the answer if there is no newer version
-	delta bool             // the client accepts a delta
+	base       *tables.Document // newest kept document that the client holds; nil: none
+	deadline   logic.Millis     // when it is answered even if nothing changed
+	wantsDelta bool             // the client accepts a delta
 }
 
 // maxWatchers limits the pending watches. Each costs a comparison per version.
@@ -37,7 +37,7 @@
 		c.refuse(w.Ticket, Busy, "too many pending watches")
 		return
 	}
-	o := watcher{until: now + max(0, min(w.Wait, c.svc.MaxWait)), delta: w.WantsDelta}
+	o := watcher{deadline: now + max(0, min(w.Wait, c.svc.MaxWait)), wantsDelta: w.WantsDelta}
 	for _, tag := range w.Held {
 		if d := c.bases[tag]; d != nil && (o.base == nil || d.Step > o.base.Step) {
 			o.base = d
@@ -47,8 +47,8 @@
 	c.answerWatchers(now)
 }
 
-// answerWatchers answers the watches whose clients do not hold the stored version or whose time is over. It answers
-// nothing before the first step of this start is stored, nor while the shards are closed.
+// answerWatchers answers the watches whose clients do not hold the stored version or whose deadline has passed. It
+// answers nothing before the first step of this start is stored, nor while the shards are closed.
 func (c *Core) answerWatchers(now logic.Millis) {
 	if len(c.watchers) == 0 || c.stored.step < c.firstStep || c.view.closed {
 		return
@@ -57,14 +57,14 @@
 	c.keepBase(doc)
 	for _, t := range slices.Sorted(maps.Keys(c.watchers)) {
 		o := c.watchers[t]
-		if o.base == doc && now < o.until {
+		if o.base == doc && now < o.deadline {
 			continue
 		}
 		delete(c.watchers, t)
 		a := Answer{Ticket: t, Doc: doc, Kind: Full}
 		if o.base == doc {
 			a.Kind = Unchanged
-		} else if o.base != nil && o.delta {
+		} else if o.base != nil && o.wantsDelta {
 			if patch := doc.Delta(o.base); patch != nil {
 				a.Kind, a.Base, a.Patch = Delta, o.base, patch
 			}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -41,17 +41,17 @@
 	if err != nil {
 		return err
 	}
-	var holder *lease.Manager
+	var leases *lease.Manager
 	if s.SliceLease != nil {
-		terms := *s.SliceLease
-		terms.UnixMillis = func() float64 { return float64(time.Now().UnixMilli()) }
-		if holder, err = lease.New(s.Name, d.Line(), terms, d.Now, d.Post, log); err != nil {
+		leaseConfig := *s.SliceLease
+		leaseConfig.UnixMillis = func() float64 { return float64(time.Now().UnixMilli()) }
+		if leases, err = lease.New(s.Name, d.HistoryID(), leaseConfig, d.Now, d.Post, log); err != nil {
 			return err
 		}
-		d.OnRecord(holder.StoreRecord)
-		d.OnAskPeers(peerQuery(holder, d, log))
+		d.OnRecord(leases.StoreRecord)
+		d.OnQueryPeers(peerQuery(leases, d, log))
 	}
-	ledger, err := setUpMemory(ctx, s)
+	resourceBudget, err := setUpMemory(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	}
 	fronts := []director.Front{front}
 	var mqttFront *mqtt.Server
-	ledger.OnEvict(func(c budget.ClientID) {
+	resourceBudget.OnEvict(func(c budget.ClientID) {
 		if front.CloseClient(c); mqttFront != nil {
 			mqttFront.CloseClient(c)
 		}
@@ -78,7 +78,7 @@
 	defer cancel()
 	failed := make(chan error, 4)
 	if s.Admin != "" {
-		admin, err := serveAdmin(s.Admin, d, front, mqttFront, st, holder, ledger)
+		admin, err := serveAdmin(s.Admin, d, front, mqttFront, st, leases, resourceBudget)
 		if err != nil {
 			front.Close()
 			return fmt.Errorf("admin %s: %w", s.Admin, err)
@@ -99,8 +99,8 @@
 		go func() { failed <- mqttFront.Serve() }()
 		log.Info("mqtt.started", "listen", mqttFront.Addr().String())
 	}
-	if holder != nil {
-		go holder.Run(ctx)
+	if leases != nil {
+		go leases.Run(ctx)
 	}
 	go func() { // notifies the service manager once polls are answered
 		tick := time.NewTicker(5 * time.Millisecond)
@@ -112,23 +112,23 @@
 			case <-tick.C:
 			}
 		}
-		notifyManager(log, daemon.SdNotifyReady)
+		notifyServiceManager(log, daemon.SdNotifyReady)
 		for _, r := range reloaders { // handles signals that arrived earlier, too
-			go r.run(ctx, maps.Clone(s.Attributes), front, st, ledger, log)
+			go r.run(ctx, maps.Clone(s.Attributes), front, st, resourceBudget, log)
 		}
 	}()
 	log.Info("director.started", "listen", front.Addr().String(), "admin", s.Admin)
 	select {
 	case <-shutdown.Done():
 		log.Info("director.stopping")
-		notifyManager(log, daemon.SdNotifyStopping)
+		notifyServiceManager(log, daemon.SdNotifyStopping)
 		err = nil
-		if holder != nil { // the director keeps serving while others take over its slices
+		if leases != nil { // the director keeps serving while others take over its slices
 			began := time.Now()
 			wait, cancelWait := context.WithTimeout(ctx, min(10*time.Second, s.SliceLease.TTL))
-			holder.Leave(wait)
+			leases.Leave(wait)
 			cancelWait()
-			log.Info("director.handed_over", "slices_left", holder.HeldSlices(), "after", time.Since(began).String())
+			log.Info("director.handed_over", "slices_left", leases.HeldSlices(), "after", time.Since(began).String())
 		}
 	case err = <-failed:
 	case err = <-ran:
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -11,7 +11,7 @@
 	"vetchwood/internal/settings"
 )
 
-// setUpMemory sets up the limits of the process and returns the ledger that its fronts share. The garbage collector's
+// setUpMemory sets up the limits of the process and returns the budget that its fronts share. The garbage collector's
 // memory limit lies below the configured memory, so that it collects more often before that is reached; with room left,
 // it starts a collection only when the heap has tripled since the last one.
 func setUpMemory(ctx context.Context, s *settings.Director) (*budget.Budget, error) {
@@ -19,14 +19,14 @@
 	if err != nil {
 		return nil, err
 	}
-	ledger := budget.New(limits)
+	resourceBudget := budget.New(limits)
 	debug.SetGCPercent(200)
-	s.LongPoll.Budget = ledger
+	s.LongPoll.Budget = resourceBudget
 	if s.MQTT != nil {
-		s.MQTT.Limits.Budget = ledger
+		s.MQTT.Limits.Budget = resourceBudget
 	}
-	go heapwatch.Watch(ctx, ledger)
-	return ledger, nil
+	go heapwatch.Watch(ctx, resourceBudget)
+	return resourceBudget, nil
 }
 
 // applyMemoryLimit sets the garbage collector's memory limit to 90 % of the configured memory. It returns the memory and
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -22,60 +22,60 @@
 )
 
 // serveAdmin serves metrics, health, profiles and the operators' interface.
-func serveAdmin(address string, d *director.Director, front *longpoll.Server, mqttFront *mqtt.Server, st *store.Store, holder *lease.Manager, ledger *budget.Budget) (*http.Server, error) {
+func serveAdmin(address string, d *director.Director, front *longpoll.Server, mqttFront *mqtt.Server, st *store.Store, leases *lease.Manager, resourceBudget *budget.Budget) (*http.Server, error) {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	gauge := func(name, help string, of func(control.Stats) float64) {
+	gauge := func(name, help string, value func(control.Stats) float64) {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_" + name, Help: help},
-			func() float64 { return of(d.Stats()) }))
+			func() float64 { return value(d.Stats()) }))
 	}
-	counter := func(name, help string, of func(control.Stats) uint64) {
+	counter := func(name, help string, value func(control.Stats) uint64) {
 		reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_" + name + "_total", Help: help},
-			func() float64 { return float64(of(d.Stats())) }))
+			func() float64 { return float64(value(d.Stats())) }))
 	}
-	gauge("version_ordered", "Newest version ordered, stored or not.", func(f control.Stats) float64 { return float64(f.Step) })
-	gauge("version_stored", "Newest version stored durably.", func(f control.Stats) float64 { return float64(f.Stored) })
-	gauge("proxies_joined", "Proxies that have joined.", func(f control.Stats) float64 { return float64(f.Joined) })
-	shardGauge := func(name, help string, of func(director.ShardStats) float64) {
+	gauge("version_ordered", "Newest version ordered, stored or not.", func(s control.Stats) float64 { return float64(s.Step) })
+	gauge("version_stored", "Newest version stored durably.", func(s control.Stats) float64 { return float64(s.Stored) })
+	gauge("proxies_joined", "Proxies that have joined.", func(s control.Stats) float64 { return float64(s.Joined) })
+	shardGauge := func(name, help string, value func(director.ShardStats) float64) {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_" + name, Help: help},
-			func() float64 { return of(d.ShardStats()) }))
+			func() float64 { return value(d.ShardStats()) }))
 	}
-	shardCounter := func(name, help string, of func(director.ShardStats) uint64) {
+	shardCounter := func(name, help string, value func(director.ShardStats) uint64) {
 		reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_" + name + "_total", Help: help},
-			func() float64 { return float64(of(d.ShardStats())) }))
+			func() float64 { return float64(value(d.ShardStats())) }))
 	}
-	shardGauge("polls_parked", "Pending polls.", func(f director.ShardStats) float64 { return float64(f.Pending) })
-	shardGauge("lots", "Shards that proxies are distributed over, each with its own lock.", func(f director.ShardStats) float64 { return float64(f.Shards) })
+	shardGauge("polls_parked", "Pending polls.", func(s director.ShardStats) float64 { return float64(s.Pending) })
+	shardGauge("lots", "Shards that proxies are distributed over, each with its own lock.", func(s director.ShardStats) float64 { return float64(s.Shards) })
 	shardGauge("barrier_longest_seconds", "Longest time that a removal waited for earlier answers to be written.",
-		func(f director.ShardStats) float64 { return f.MaxBarrier.Seconds() })
-	shardCounter("barrier_overdue", "Answers still unwritten when a removal stopped waiting for them.", func(f director.ShardStats) uint64 { return f.Overdue })
+		func(s director.ShardStats) float64 { return s.MaxBarrier.Seconds() })
+	shardCounter("barrier_overdue", "Answers still unwritten when a removal stopped waiting for them.", func(s director.ShardStats) uint64 { return s.Overdue })
 	shardCounter("answers_held", "Answers deferred until a removal reached all shards, or until a lease was renewed.",
-		func(f director.ShardStats) uint64 { return f.Deferred })
-	counter("removals", "Versions that removed a host from all tables; each is a barrier.", func(f control.Stats) uint64 { return f.Removals })
-	gauge("version_oldest_held", "Oldest version that a joined proxy holds.", func(f control.Stats) float64 { return float64(f.OldestHeld) })
-	gauge("proxies_behind", "Joined proxies that hold a version older than the stored one.", func(f control.Stats) float64 { return float64(f.ProxiesBehind) })
-	gauge("channel_waiting_lines", "Lines queued in the channel.", func(f control.Stats) float64 { return f.QueuedLines })
-	gauge("channel_most_lines", "Maximum number of lines ever queued in the channel.", func(f control.Stats) float64 { return f.MaxQueuedLines })
-	gauge("channel_limit_lines", "Maximum number of lines that the channel queues.", func(f control.Stats) float64 { return f.QueueLimit })
-	gauge("messages_most", "Maximum number of messages written to one proxy within the message window.", func(f control.Stats) float64 { return float64(f.MaxMessagesInWindow) })
-	gauge("report_lines_waiting", "Report lines not yet passed to the decision module.", func(f control.Stats) float64 { return float64(f.PendingReportLines) })
-	gauge("hosts_listed", "Hosts in the newest host list.", func(f control.Stats) float64 { return float64(f.Hosts) })
-	gauge("hosts_masked", "Masked hosts.", func(f control.Stats) float64 { return float64(f.Masked) })
+		func(s director.ShardStats) uint64 { return s.Deferred })
+	counter("removals", "Versions that removed a host from all tables; each starts a barrier.", func(s control.Stats) uint64 { return s.Removals })
+	gauge("version_oldest_held", "Oldest version that a joined proxy holds.", func(s control.Stats) float64 { return float64(s.OldestHeld) })
+	gauge("proxies_behind", "Joined proxies that hold a version older than the stored one.", func(s control.Stats) float64 { return float64(s.ProxiesBehind) })
+	gauge("channel_waiting_lines", "Lines queued in the channel.", func(s control.Stats) float64 { return s.QueuedLines })
+	gauge("channel_most_lines", "Maximum number of lines ever queued in the channel.", func(s control.Stats) float64 { return s.MaxQueuedLines })
+	gauge("channel_limit_lines", "Maximum number of lines that the channel queues.", func(s control.Stats) float64 { return s.QueueLimit })
+	gauge("messages_most", "Maximum number of messages written to one proxy within the message window.", func(s control.Stats) float64 { return float64(s.MaxMessagesInWindow) })
+	gauge("report_lines_waiting", "Report lines not yet passed to the decision module.", func(s control.Stats) float64 { return float64(s.PendingReportLines) })
+	gauge("hosts_listed", "Hosts in the newest host list.", func(s control.Stats) float64 { return float64(s.Hosts) })
+	gauge("hosts_masked", "Masked hosts.", func(s control.Stats) float64 { return float64(s.Masked) })
 	if mqttFront != nil {
 		gauge("mqtt_connections", "Open MQTT connections.", func(control.Stats) float64 { return float64(mqttFront.OpenConnections()) })
 		gauge("mqtt_sessions", "MQTT sessions, including those without a connection.", func(control.Stats) float64 { return float64(mqttFront.Figures().Sessions) })
 		gauge("mqtt_unacknowledged", "Documents in flight to MQTT subscribers.", func(control.Stats) float64 { return float64(mqttFront.Figures().InFlight) })
-		counter("mqtt_delivered", "Documents and differences sent over MQTT.", func(control.Stats) uint64 { return mqttFront.Figures().Delivered })
-		counter("mqtt_redelivered", "Documents and differences sent again when a session resumed.", func(control.Stats) uint64 { return mqttFront.Figures().Redelivered })
+		counter("mqtt_delivered", "Documents and deltas sent over MQTT.", func(control.Stats) uint64 { return mqttFront.Figures().Delivered })
+		counter("mqtt_redelivered", "Documents and deltas sent again when a session resumed.", func(control.Stats) uint64 { return mqttFront.Figures().Redelivered })
 		counter("mqtt_refused", "Connections, filters and packets refused with a reason code.", func(control.Stats) uint64 { return mqttFront.Figures().Refused + mqttFront.Refusals() })
 		counter("mqtt_busy", "Connections rejected because too many arrived at once.", func(control.Stats) uint64 { return mqttFront.Figures().Busy })
 		counter("mqtt_taken_over", "Subscriptions taken over by another connection or front of the same proxy.", func(control.Stats) uint64 { return mqttFront.Figures().TakenOver })
 	}
-	if holder != nil {
-		gauge("slices_held", "Slices whose lease this director holds.", func(control.Stats) float64 { return float64(holder.HeldSlices()) })
-		gauge("peers_alive", "Other directors that are alive by the lease store.", func(control.Stats) float64 { return float64(len(holder.Peers())) })
-		counter("hosts_learnt", "Hosts whose state was learnt from another director.", func(f control.Stats) uint64 { return f.HostsLearnt })
-		counter("slices_moved", "Slices acquired or released by this director.", func(control.Stats) uint64 { return holder.OwnershipChanges() })
+	if leases != nil {
+		gauge("slices_held", "Slices that this director owns.", func(control.Stats) float64 { return float64(leases.HeldSlices()) })
+		gauge("peers_alive", "Other directors that are alive by the lease store.", func(control.Stats) float64 { return float64(len(leases.Peers())) })
+		counter("hosts_learnt", "Hosts whose state was learnt from another director.", func(s control.Stats) uint64 { return s.HostsLearnt })
+		counter("slices_moved", "Slices acquired or released by this director.", func(control.Stats) uint64 { return leases.OwnershipChanges() })
 	}
 	gauge("inflow_pressure", "Load shedding: 0 admits all requests, 1 rejects watchers, 2 also reports, 3 also new polls.",
 		func(control.Stats) float64 { return d.AdmissionStats().Pressure })
@@ -85,16 +85,16 @@
 		}
 		return n
 	})
-	shardCounter("inflow_limited", "Requests rejected because their client exceeded its rate.", func(f director.ShardStats) uint64 { return f.Limited })
-	shardCounter("polls", "Polls accepted.", func(f director.ShardStats) uint64 { return f.Polls })
-	shardCounter("answers_delta", "Polls answered with a difference.", func(f director.ShardStats) uint64 { return f.Deltas })
-	shardCounter("answers_whole", "Polls answered with a full document.", func(f director.ShardStats) uint64 { return f.Full })
-	shardCounter("answers_unchanged", "Polls answered with 304.", func(f director.ShardStats) uint64 { return f.Unchanged })
-	counter("reports", "Reports counted.", func(f control.Stats) uint64 { return f.Reports })
-	counter("reports_repeated", "Repeated reports, which are not counted.", func(f control.Stats) uint64 { return f.RepeatedReports })
-	counter("refused", "Polls and reports refused by the director.", func(f control.Stats) uint64 { return f.Refused })
-	counter("check_faults", "Faults found by the checks before publishing.", func(f control.Stats) uint64 { return f.CheckFailures })
-	shardCounter("leases_expired", "Proxies that left by not polling within their lease.", func(f director.ShardStats) uint64 { return f.Expired })
+	shardCounter("inflow_limited", "Requests rejected because their client exceeded its rate.", func(s director.ShardStats) uint64 { return s.Limited })
+	shardCounter("polls", "Polls accepted.", func(s director.ShardStats) uint64 { return s.Polls })
+	shardCounter("answers_delta", "Polls answered with a delta.", func(s director.ShardStats) uint64 { return s.Deltas })
+	shardCounter("answers_whole", "Polls answered with a full document.", func(s director.ShardStats) uint64 { return s.Full })
+	shardCounter("answers_unchanged", "Polls answered with 304.", func(s director.ShardStats) uint64 { return s.Unchanged })
+	counter("reports", "Reports counted.", func(s control.Stats) uint64 { return s.Reports })
+	counter("reports_repeated", "Repeated reports, which are not counted.", func(s control.Stats) uint64 { return s.RepeatedReports })
+	counter("refused", "Polls and reports refused by the director.", func(s control.Stats) uint64 { return s.Refused })
+	counter("check_faults", "Faults found by the checks before publishing.", func(s control.Stats) uint64 { return s.CheckFailures })
+	shardCounter("leases_expired", "Proxies that left by not polling within their lease.", func(s director.ShardStats) uint64 { return s.Expired })
 	counter("requests_malformed", "Requests rejected as malformed.", func(control.Stats) uint64 { return front.Refusals() })
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_connections", Help: "Open connections."},
 		func() float64 { return float64(front.OpenConnections()) }))
@@ -102,17 +102,17 @@
 		Help: "Longest delay of a timer of the decision module."}, func() float64 { return d.MaxTimerDelay().Seconds() }))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_turn_longest_seconds",
 		Help: "Longest time that the loop took for one batch."}, func() float64 { return d.MaxTurn().Seconds() }))
-	for name, of := range map[string]struct {
-		help string
-		of   func(budget.Stats) float64
-	}{"connections_most": {"Maximum number of open connections, above which accepting pauses.", func(f budget.Stats) float64 { return float64(f.MaxConnections) }},
-		"accept_paused":      {"1 while accepting is paused, else 0.", func(f budget.Stats) float64 { return map[bool]float64{true: 1}[f.AcceptPaused] }},
-		"clients_hold_bytes": {"Bytes of partly read requests and queued answers.", func(f budget.Stats) float64 { return float64(f.HeldBytes) }},
-		"heap_live_bytes":    {"Live heap as of the last garbage collection.", func(f budget.Stats) float64 { return float64(f.LiveHeap) }}} {
-		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_" + name, Help: of.help}, func() float64 { return of.of(ledger.Stats()) }))
+	for name, metric := range map[string]struct {
+		help  string
+		value func(budget.Stats) float64
+	}{"connections_most": {"Maximum number of open connections, above which accepting pauses.", func(s budget.Stats) float64 { return float64(s.MaxConnections) }},
+		"accept_paused":      {"1 while accepting is paused, else 0.", func(s budget.Stats) float64 { return map[bool]float64{true: 1}[s.AcceptPaused] }},
+		"clients_hold_bytes": {"Bytes of partly read requests and queued answers.", func(s budget.Stats) float64 { return float64(s.HeldBytes) }},
+		"heap_live_bytes":    {"Live heap as of the last garbage collection.", func(s budget.Stats) float64 { return float64(s.LiveHeap) }}} {
+		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_" + name, Help: metric.help}, func() float64 { return metric.value(resourceBudget.Stats()) }))
 	}
-	counter("accept_pauses", "Number of pauses in accepting.", func(control.Stats) uint64 { return ledger.Stats().AcceptPauses })
-	counter("clients_cut", "Connections closed because the client held the most memory.", func(control.Stats) uint64 { return ledger.Stats().Evictions })
+	counter("accept_pauses", "Number of pauses in accepting.", func(control.Stats) uint64 { return resourceBudget.Stats().AcceptPauses })
+	counter("clients_cut", "Connections closed because the client held the most memory.", func(control.Stats) uint64 { return resourceBudget.Stats().Evictions })
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
 	mux.Handle(operator.Path, operator.Handler(d, st))
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -26,14 +26,14 @@
 
 // peerQuery returns a function that requests the facts of all other directors concurrently and posts those received,
 // with their ages. A peer that fails is logged and left out.
-func peerQuery(holder *lease.Manager, d *director.Director, log *slog.Logger) func(context.Context) {
+func peerQuery(leases *lease.Manager, d *director.Director, log *slog.Logger) func(context.Context) {
 	client := &http.Client{Timeout: peerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second,
 		DialContext: (&net.Dialer{Timeout: peerTimeout / 2}).DialContext}}
 	return func(ctx context.Context) {
 		var mu sync.Mutex
 		var reports []peerfacts.Report
 		var requests sync.WaitGroup
-		for _, p := range holder.Peers() {
+		for _, p := range leases.Peers() {
 			requests.Go(func() {
 				began := time.Now()
 				f, err := fetchFacts(ctx, client, p)
--- a/internal/daemon/relay.go
+++ b/internal/daemon/relay.go
@@ -31,11 +31,11 @@
 		}
 		defer admin.Close()
 	}
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
+	reloads := make(chan os.Signal, 1)
+	signal.Notify(reloads, syscall.SIGHUP)
+	defer signal.Stop(reloads)
 	go func() {
-		for range hangups {
+		for range reloads {
 			s, err := settings.LoadRelay(file)
 			if err == nil {
 				err = r.Reload(s)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -23,24 +23,24 @@
 }
 
 // run reloads the file at each signal, one after the other, until the context ends. A signal during a reload causes one
-// more reload. An invalid file changes nothing.
-func (r Reloader) run(ctx context.Context, before map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Budget, log *slog.Logger) {
+// more reload. An invalid file changes nothing. The attributes in effect are kept in active.
+func (r Reloader) run(ctx context.Context, active map[string]string, front *longpoll.Server, st *store.Store, resourceBudget *budget.Budget, log *slog.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-r.Signal:
 		}
-		r.reload(before, front, st, ledger, log)
+		r.reload(active, front, st, resourceBudget, log)
 	}
 }
 
 // reload performs one reload. The service manager is notified of its end, whatever the outcome, before the outcome is
 // logged.
-func (r Reloader) reload(before map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Budget, log *slog.Logger) {
-	notifyManager(log, daemon.SdNotifyReloading+"\n"+monotonicUsec())
-	plan, err := r.apply(before, front, st, ledger, log)
-	notifyManager(log, daemon.SdNotifyReady)
+func (r Reloader) reload(active map[string]string, front *longpoll.Server, st *store.Store, resourceBudget *budget.Budget, log *slog.Logger) {
+	notifyServiceManager(log, daemon.SdNotifyReloading+"\n"+monotonicUsec())
+	plan, err := r.apply(active, front, st, resourceBudget, log)
+	notifyServiceManager(log, daemon.SdNotifyReady)
 	if err != nil {
 		log.Error("reload.refused", "error", err)
 		return
@@ -50,7 +50,7 @@
 
 // apply reads the file and applies its changes, as far as possible without a restart. An invalid file changes nothing;
 // the error names all its faults, each with its position.
-func (r Reloader) apply(before map[string]string, front *longpoll.Server, st *store.Store, ledger *budget.Budget,
+func (r Reloader) apply(active map[string]string, front *longpoll.Server, st *store.Store, resourceBudget *budget.Budget,
 	log *slog.Logger) (plan reload.Plan, err error) {
 	text, err := os.ReadFile(r.File)
 	if err != nil {
@@ -64,13 +64,13 @@
 	if err != nil {
 		return plan, err
 	}
-	plan = reload.Compare(before, s.Attributes)
-	ledger.SetResources(limits)
+	plan = reload.Compare(active, s.Attributes)
+	resourceBudget.SetResources(limits)
 	st.SetRetention(s.History)
 	front.SetLimits(s.LongPoll)
 	for _, c := range plan.Live {
 		log.Info("reload.changed", "what", c.String())
-		before[c.Name] = c.New // a change that needs a restart stays different and is logged at each reload
+		active[c.Name] = c.New // a change that needs a restart stays different and is logged at each reload
 	}
 	for _, c := range plan.Restart {
 		log.Warn("reload.takes_restart", "what", c.String())
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -57,9 +57,9 @@
 	maxTurnUs       atomic.Int64 // longest turn of the loop, in microseconds
 	maxTimerDelayUs atomic.Int64 // longest delay of a timer of the core, in microseconds
 
-	line          tables.HistoryID
+	history       tables.HistoryID
 	record        func(control.SliceRecord)
-	askPeers      func(context.Context)
+	queryPeers    func(context.Context)
 	writes        chan control.Change
 	initialOutput []any
 }
@@ -77,26 +77,26 @@
 		return nil, err
 	}
 	d := &Director{store: store, probe: probe, log: log, Clock: eventloop.NewClock(), Inbox: eventloop.NewInbox(),
-		line: saved.Line, admission: loadshed.NewShedder(rand.Float64), writes: make(chan control.Change, 4096), started: make(chan struct{})}
+		history: saved.History, admission: loadshed.NewShedder(rand.Float64), writes: make(chan control.Change, 4096), started: make(chan struct{})}
 	d.shards = newShards(svc, d.Now())
 	d.core, d.initialOutput = control.New(rand.Uint64(), d.Now(), svc, saved)
-	f := d.core.Stats()
-	d.stats.Store(&f)
-	d.initialStep = f.Step
-	log.Info("director.loaded", "line", uint64(saved.Line), "step", uint64(saved.Step), "hosts", len(saved.List),
+	stats := d.core.Stats()
+	d.stats.Store(&stats)
+	d.initialStep = stats.Step
+	log.Info("director.loaded", "line", uint64(saved.History), "step", uint64(saved.Step), "hosts", len(saved.List),
 		"tables", len(saved.Tables))
 	return d, nil
 }
 
-// Line returns the identifier of the store's history. A new store begins another line.
-func (d *Director) Line() tables.HistoryID { return d.line }
+// HistoryID returns the identifier of the store's history. A new store begins another history.
+func (d *Director) HistoryID() tables.HistoryID { return d.history }
 
-// OnRecord sets the function that stores the state from which a slice's next holder starts. It must be called before
+// OnRecord sets the function that stores the state from which a slice's next owner starts. It must be called before
 // Run.
 func (d *Director) OnRecord(record func(control.SliceRecord)) { d.record = record }
 
-// OnAskPeers sets the function that requests the facts of other directors. It must be called before Run.
-func (d *Director) OnAskPeers(ask func(context.Context)) { d.askPeers = ask }
+// OnQueryPeers sets the function that requests the facts of other directors. It must be called before Run.
+func (d *Director) OnQueryPeers(query func(context.Context)) { d.queryPeers = query }
 
 // FrontHandle is a director as used by one front. Its tickets contain the front's index among those passed to Run.
 type FrontHandle struct {
@@ -157,7 +157,7 @@
 	if client != "" {
 		sh := d.shardOf(client)
 		sh.mu.Lock()
-		admitted, retryAfter := sh.allowances.Admit(d.Elapsed(), client)
+		admitted, retryAfter := sh.limiter.Admit(d.Elapsed(), client)
 		sh.mu.Unlock()
 		if !admitted {
 			return retryAfter
@@ -255,13 +255,13 @@
 			d.maxTimerDelayUs.Store(delay)
 		}
 		d.execute(ctx, d.core.Handle(now, in))
-		due = d.core.NextWake()
-		f := d.core.Stats()
-		d.stats.Store(&f)
+		due = d.core.NextWakeup()
+		stats := d.core.Stats()
+		d.stats.Store(&stats)
 		if took := time.Since(began).Microseconds(); took > d.maxTurnUs.Load() {
 			d.maxTurnUs.Store(took)
 		}
-		timer.Reset(d.Until(d.core.NextWake()))
+		timer.Reset(d.Until(d.core.NextWakeup()))
 	}
 	close(d.writes)
 	return <-stored
@@ -294,9 +294,9 @@
 			if d.record != nil {
 				d.record(o)
 			}
-		case control.AskPeers:
-			if d.askPeers != nil {
-				go d.askPeers(ctx)
+		case control.QueryPeers:
+			if d.queryPeers != nil {
+				go d.queryPeers(ctx)
 			}
 		case control.Probe:
 			go d.probeHost(ctx, o.Address)
@@ -329,8 +329,8 @@
 	d.Post(control.ProbeResult{Address: host, Latency: spent, Healthy: healthy, Load: load})
 }
 
-// ErrStore is returned by Run if 20 attempts in a row to write to the store failed. The director stops because it must
-// not publish what is not stored.
+// ErrStore is returned by Run after 20 failed attempts in a row to write to the store. The director stops because it
+// must not publish what is not stored.
 var ErrStore = errors.New("store writes keep failing")
 
 // writeLoop makes changes durable, in batches of all that are queued, and notifies the core. A failed write is retried
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -27,7 +27,7 @@
 }
 
 func (m *memoryStore) Load() (control.SavedState, error) {
-	return control.SavedState{Line: 7, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
+	return control.SavedState{History: 7, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
 }
 
 func (m *memoryStore) Write(all []control.Change) error {
--- a/internal/director/shards.go
+++ b/internal/director/shards.go
@@ -19,12 +19,12 @@
 // lockedShard is a shard with its lock. A poll is handled on the processor that received it, and answered there if it can
 // be answered at once.
 type lockedShard struct {
-	mu         sync.Mutex
-	shard      *pollshard.Shard
-	allowances *loadshed.ClientLimiter
-	unwritten  [2]answerCounter // answers not written yet, by the epoch in which they were given
-	epoch      int              // 0 or 1; toggled by each barrier
-	lastView   *pollshard.View  // the view that the shard has adopted
+	mu        sync.Mutex
+	shard     *pollshard.Shard
+	limiter   *loadshed.ClientLimiter
+	unwritten [2]answerCounter // answers not written yet, by the epoch in which they were given
+	epoch     int              // 0 or 1; toggled by each barrier
+	lastView  *pollshard.View  // the view that the shard has adopted
 }
 
 // answerCounter counts answers that are not written yet.
@@ -33,7 +33,7 @@
 // WriteFinished records that one answer has been written or will never be written.
 func (c *answerCounter) WriteFinished() { c.n.Add(-1) }
 
-// shardsPerCore is the least number of shards per processor. With fewer, processors would wait for each other's locks.
+// shardsPerCore is the minimum number of shards per processor. With fewer, processors would wait for each other's locks.
 const shardsPerCore = 8
 
 // maxClients is the number of clients, over all shards, whose request allowances are remembered.
@@ -48,7 +48,7 @@
 	out := make([]*lockedShard, n)
 	config := pollshard.Config{MaxWait: svc.MaxWait, Lease: svc.Lease, Zones: svc.Zones}
 	for i := range out {
-		out[i] = &lockedShard{shard: pollshard.NewShard(i, n, config, now), allowances: loadshed.NewClientLimiter(rand.Float64, maxClients/n)}
+		out[i] = &lockedShard{shard: pollshard.NewShard(i, n, config, now), limiter: loadshed.NewClientLimiter(rand.Float64, maxClients/n)}
 	}
 	return out
 }
@@ -60,15 +60,15 @@
 }
 
 // update calls do with the shard's lock held, after the shard has adopted the newest view, and executes the output. The
-// answer to the ticket own, if any, is returned instead of delivered.
-func (d *Director) update(sh *lockedShard, own control.Ticket, do func(*pollshard.Shard) pollshard.Output) (a control.Answer, answered bool) {
+// answer to ownTicket, if any, is returned instead of delivered.
+func (d *Director) update(sh *lockedShard, ownTicket control.Ticket, do func(*pollshard.Shard) pollshard.Output) (a control.Answer, answered bool) {
 	var others []control.Answer
 	collect := func(out pollshard.Output) {
 		for i := range out.Answers {
 			unwritten := &sh.unwritten[sh.epoch]
 			unwritten.n.Add(1)
 			out.Answers[i].Tracker = unwritten
-			if out.Answers[i].Ticket == own {
+			if out.Answers[i].Ticket == ownTicket {
 				a, answered = out.Answers[i], true
 			} else {
 				others = append(others, out.Answers[i])
@@ -100,7 +100,7 @@
 	<-d.started
 	sh := d.shardOf(p.Proxy)
 	sh.mu.Lock()
-	admitted, retryAfter := sh.allowances.Admit(d.Elapsed(), p.Proxy)
+	admitted, retryAfter := sh.limiter.Admit(d.Elapsed(), p.Proxy)
 	joined := sh.shard.HasJoined(p.Proxy)
 	sh.mu.Unlock()
 	if !admitted && !admissionDisabled {
@@ -137,9 +137,9 @@
 		}
 		byShard[sh] = append(byShard[sh], o)
 	}
-	for sh, own := range byShard {
+	for sh, batch := range byShard {
 		apply := func() {
-			d.update(sh, 0, func(s *pollshard.Shard) pollshard.Output { return s.Apply(d.Now(), own...) })
+			d.update(sh, 0, func(s *pollshard.Shard) pollshard.Output { return s.Apply(d.Now(), batch...) })
 		}
 		if len(commands) < 256 {
 			apply()
@@ -239,7 +239,7 @@
 	for _, sh := range d.shards {
 		sh.mu.Lock()
 		s := sh.shard.Stats()
-		total.Limited += sh.allowances.Rejected()
+		total.Limited += sh.limiter.Rejected()
 		sh.mu.Unlock()
 		total.Sessions += s.Sessions
 		total.Pending += s.Pending
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -1,5 +1,5 @@
-// Package discovery follows the list of hosts in Consul, by blocking queries to the health endpoint of its HTTP API. It
-// does not check whether a list is current or correct.
+// Package discovery follows the host list of a service in Consul, by blocking queries to the health endpoint of its
+// HTTP API. It does not check whether a list is current or correct.
 package discovery
 
 import (
@@ -97,7 +97,7 @@
 			Zone: e.Service.Meta[MetaZone], Cell: e.Service.Meta[MetaCell], Weight: float64(e.Service.Weights.Passing),
 			State: hostState(e.Checks)}
 		if ms, err := strconv.ParseFloat(e.Service.Meta[MetaStarted], 64); err == nil && ms > 0 {
-			h.Born = ms
+			h.StartedAt = ms
 		}
 		hosts = append(hosts, h)
 	}
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -67,7 +67,7 @@
 	}()
 	rec.await(t, "both hosts", func(l []control.HostEntry) bool {
 		return len(l) == 2 && l[0] == control.HostEntry{ID: "h1", Address: "127.0.0.1:7001", Zone: "a", Cell: "a-0", Weight: 1} &&
-			l[1].Born == 1234567.5
+			l[1].StartedAt == 1234567.5
 	})
 	r.SetState("h1", logic.Draining)
 	rec.await(t, "a drain", func(l []control.HostEntry) bool { return l[0].State == logic.Draining })
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -45,12 +45,12 @@
 type Peer struct {
 	Name    string           `json:"name"`
 	URL     string           `json:"url"`
-	Line    tables.HistoryID `json:"line"` // history of its local store; identifies the director across restarts
+	History tables.HistoryID `json:"line"` // history of its local store; identifies the director across restarts
 	Leaving bool             `json:"leaving,omitempty"`
 	Session string           `json:"-"`
 }
 
-// Manager keeps the leases of one director. It uses the director's monotonic clock.
+// Manager acquires, renews and transfers the leases of one director. It uses the director's monotonic clock.
 type Manager struct {
 	config      Config
 	self        Peer
@@ -80,7 +80,7 @@
 
 // New returns a Manager of the director with the given name and store history. It calls notify with
 // control.SliceGrants, control.SliceRevoked and control.LeaseDeadline.
-func New(name string, line tables.HistoryID, config Config, now func() logic.Millis, notify func(any), log *slog.Logger) (*Manager, error) {
+func New(name string, history tables.HistoryID, config Config, now func() logic.Millis, notify func(any), log *slog.Logger) (*Manager, error) {
 	if config.Transport == nil {
 		config.Transport = &http.Transport{MaxIdleConnsPerHost: 4, DialContext: (&net.Dialer{Timeout: config.TTL / 4}).DialContext}
 	}
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	ttl := float64(config.TTL.Microseconds()) / 1000
-	m := &Manager{config: config, self: Peer{Name: name, URL: config.AdvertiseURL, Line: line}, client: client, now: now, notify: notify, log: log,
+	m := &Manager{config: config, self: Peer{Name: name, URL: config.AdvertiseURL, History: history}, client: client, now: now, notify: notify, log: log,
 		coordinator: ownership.NewCoordinator(ownership.DirectorName(name), config.SliceCount, ttl, ttl*clockDriftFraction), inbox: make(chan any, 1024),
 		leaving: make(chan struct{}), released: make(chan struct{}), pendingRecords: map[logic.TableID]control.SliceRecord{},
 		recordsPending: make(chan struct{}, 1)}
@@ -134,7 +134,7 @@
 	records map[logic.TableID]*control.SliceRecord
 }
 
-// Run keeps the leases until the context ends. The session then expires by itself, unless Leave ended it before.
+// Run maintains the leases until the context ends. The session then expires by itself, unless Leave ended it before.
 func (m *Manager) Run(ctx context.Context) {
 	go m.watchStore(ctx)
 	go m.writeRecords(ctx)
@@ -164,11 +164,11 @@
 		}
 		granted := map[logic.TableID]uint64{}
 		in = slices.DeleteFunc(in, func(i any) bool {
-			if r, is := i.(recordsRead); is {
+			if r, ok := i.(recordsRead); ok {
 				m.notifyGrants(r)
 			}
-			_, is := i.(recordsRead)
-			return is
+			_, ok := i.(recordsRead)
+			return ok
 		})
 		for _, o := range m.coordinator.Handle(m.nowMs(), in...) {
 			m.execute(ctx, o, granted)
@@ -268,7 +268,7 @@
 	}
 	if pair != nil && pair.Session != "" {
 		var previous Peer
-		if err := json.Unmarshal(pair.Value, &previous); err != nil || previous.Line != m.self.Line {
+		if err := json.Unmarshal(pair.Value, &previous); err != nil || previous.History != m.self.History {
 			return "", 0, errNameInUse
 		}
 		if e, _, err := m.client.Session().Renew(pair.Session, w); err != nil {
@@ -350,18 +350,18 @@
 	m.mu.Lock()
 	id := m.sessionID
 	m.mu.Unlock()
-	wait, cancel := m.requestContext(ctx)
+	reqCtx, cancel := m.requestContext(ctx)
 	defer cancel()
-	if _, err := m.client.Session().Destroy(id, (&api.WriteOptions{}).WithContext(wait)); err != nil && id != "" {
+	if _, err := m.client.Session().Destroy(id, (&api.WriteOptions{}).WithContext(reqCtx)); err != nil && id != "" {
 		m.log.Warn("lease.not_ended", "error", err)
 	}
 }
 
 func (m *Manager) renewSession(ctx context.Context, id string) {
 	sent := m.nowMs()
-	wait, cancel := m.requestContext(ctx)
+	reqCtx, cancel := m.requestContext(ctx)
 	defer cancel()
-	e, _, err := m.client.Session().Renew(id, (&api.WriteOptions{}).WithContext(wait))
+	e, _, err := m.client.Session().Renew(id, (&api.WriteOptions{}).WithContext(reqCtx))
 	switch {
 	case err != nil:
 		if ctx.Err() == nil {
@@ -406,7 +406,7 @@
 // changeLeases sends the changes in one transaction. The changes that the store refuses are removed and the others sent
 // again, up to 4 times in all. Each change is a list of operations on one slice.
 func (m *Manager) changeLeases(ctx context.Context, request string, changes [][]*api.KVTxnOp) {
-	wait, cancel := m.requestContext(ctx)
+	reqCtx, cancel := m.requestContext(ctx)
 	defer cancel()
 	for range 4 {
 		var ops api.TxnOps
@@ -419,7 +419,7 @@
 		if len(ops) == 0 {
 			break
 		}
-		ok, res, _, err := m.client.Txn().Txn(ops, (&api.QueryOptions{}).WithContext(wait))
+		ok, res, _, err := m.client.Txn().Txn(ops, (&api.QueryOptions{}).WithContext(reqCtx))
 		if err != nil || res == nil {
 			if ctx.Err() == nil {
 				m.log.Warn("lease.not_moved", "what", request, "error", err)
@@ -429,7 +429,7 @@
 		if ok {
 			last := map[string]ownership.Lease{}
 			for _, r := range res.Results {
-				if l, is := m.parseLease(r.KV); is {
+				if l, ok := m.parseLease(r.KV); ok {
 					last[r.KV.Key] = l
 				}
 			}
@@ -462,9 +462,9 @@
 
 // parseLease returns the lease that a key-value pair holds, or false if its key is not that of a slice.
 func (m *Manager) parseLease(p *api.KVPair) (ownership.Lease, bool) {
-	number, is := strings.CutPrefix(p.Key, m.key("slices")+"/")
+	number, isSlice := strings.CutPrefix(p.Key, m.key("slices")+"/")
 	n, err := strconv.Atoi(number)
-	if !is || err != nil {
+	if !isSlice || err != nil {
 		return ownership.Lease{}, false
 	}
 	return ownership.Lease{Slice: ownership.Slice(n), Session: p.Session, LockIndex: p.LockIndex, ModifyIndex: p.ModifyIndex}, true
--- a/internal/lease/watch.go
+++ b/internal/lease/watch.go
@@ -18,8 +18,8 @@
 func (m *Manager) watchStore(ctx context.Context) {
 	index, failures := uint64(0), 0
 	for ctx.Err() == nil {
-		wait, cancel := context.WithTimeout(ctx, 2*m.config.TTL)
-		pairs, meta, err := m.client.KV().List(m.config.KeyPrefix+"/", (&api.QueryOptions{WaitIndex: index, WaitTime: m.config.TTL}).WithContext(wait))
+		reqCtx, cancel := context.WithTimeout(ctx, 2*m.config.TTL)
+		pairs, meta, err := m.client.KV().List(m.config.KeyPrefix+"/", (&api.QueryOptions{WaitIndex: index, WaitTime: m.config.TTL}).WithContext(reqCtx))
 		cancel()
 		if err != nil {
 			if failures++; ctx.Err() == nil {
@@ -47,12 +47,12 @@
 	snapshot := ownership.Snapshot{Index: index}
 	peers := []Peer{}
 	for _, p := range pairs {
-		if l, is := m.parseLease(p); is {
+		if l, ok := m.parseLease(p); ok {
 			snapshot.Leases = append(snapshot.Leases, l)
 			continue
 		}
-		name, is := strings.CutPrefix(p.Key, m.key("members")+"/")
-		if !is || p.Session == "" {
+		name, isMember := strings.CutPrefix(p.Key, m.key("members")+"/")
+		if !isMember || p.Session == "" {
 			continue
 		}
 		peer := Peer{}
@@ -80,8 +80,8 @@
 	var ops api.TxnOps
 	readBatch := func() {
 		for tries := 0; tries < 2 && len(ops) > 0; tries++ {
-			wait, cancel := m.requestContext(ctx)
-			ok, res, _, err := m.client.Txn().Txn(ops, (&api.QueryOptions{}).WithContext(wait))
+			reqCtx, cancel := m.requestContext(ctx)
+			ok, res, _, err := m.client.Txn().Txn(ops, (&api.QueryOptions{}).WithContext(reqCtx))
 			cancel()
 			if err != nil || !ok || res == nil {
 				m.log.Warn("lease.records_not_read", "error", err, "slices", len(ops))
@@ -189,8 +189,8 @@
 		if len(ops) == 0 {
 			return
 		}
-		wait, cancel := m.requestContext(ctx)
-		ok, res, _, err := m.client.Txn().Txn(ops, (&api.QueryOptions{}).WithContext(wait))
+		reqCtx, cancel := m.requestContext(ctx)
+		ok, res, _, err := m.client.Txn().Txn(ops, (&api.QueryOptions{}).WithContext(reqCtx))
 		cancel()
 		switch {
 		case ctx.Err() != nil || ok:
--- a/internal/longpoll/cores_test.go
+++ b/internal/longpoll/cores_test.go
@@ -23,7 +23,7 @@
 type discardStore struct{}
 
 func (discardStore) Load() (control.SavedState, error) {
-	return control.SavedState{Line: 7, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
+	return control.SavedState{History: 7, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
 }
 func (discardStore) Write([]control.Change) error { return nil }
 
--- a/internal/mqtt/mqtt_test.go
+++ b/internal/mqtt/mqtt_test.go
@@ -33,7 +33,7 @@
 type discardStore struct{}
 
 func (discardStore) Load() (control.SavedState, error) {
-	return control.SavedState{Line: 42, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
+	return control.SavedState{History: 42, Tables: map[logic.TableID]*tables.Table{}, Bound: map[logic.ProxyID][]logic.TableID{}}, nil
 }
 func (discardStore) Write([]control.Change) error { return nil }
 
--- a/internal/ownership/coordinator.go
+++ b/internal/ownership/coordinator.go
@@ -8,8 +8,8 @@
 )
 
 // Coordinator is one director's state machine for slice ownership. It decides when to renew the session, which slices
-// to acquire, which to transfer to whom, and for which slices the director may act. The store's answers are its inputs.
-// All times are milliseconds of the director's own monotonic clock.
+// to acquire, which to transfer to whom, and until when the director may act for its slices. The store's answers are
+// its inputs. All times are milliseconds of the director's own monotonic clock.
 type Coordinator struct {
 	self             DirectorName
 	sliceCount       int
@@ -98,12 +98,12 @@
 		From, To string
 		Slices   []Slice
 	}
-	// SliceGranted tells the director that it owns a slice.
+	// SliceGranted reports that the director owns a slice from now on.
 	SliceGranted struct {
 		Slice Slice
 		Fence Fence
 	}
-	// SliceRevoked tells the director that it no longer owns a slice.
+	// SliceRevoked reports that the director no longer owns a slice.
 	SliceRevoked struct{ Slice Slice }
 	// LeaseDeadline is the time until which the director may act for its slices. The next one replaces it.
 	LeaseDeadline struct{ Until float64 }
@@ -271,7 +271,7 @@
 	if int(l.Slice) >= c.sliceCount || l.Slice < 0 {
 		return
 	}
-	if was, known := c.leases[l.Slice]; known && l.ModifyIndex < was.ModifyIndex {
+	if previous, known := c.leases[l.Slice]; known && l.ModifyIndex < previous.ModifyIndex {
 		return
 	}
 	c.leases[l.Slice] = l
@@ -292,15 +292,15 @@
 // reconcile compares the known leases with the owned slices and emits each grant and revocation.
 func (c *Coordinator) reconcile(now float64) {
 	for s := range Slice(c.sliceCount) {
-		l, has := c.leases[s], c.held[s]
+		l, heldFence := c.leases[s], c.held[s]
 		mine := c.sessionID != "" && l.Session == c.sessionID
 		switch fence := c.fenceBase + Fence(l.LockIndex); {
-		case mine && has != fence:
+		case mine && heldFence != fence:
 			c.held[s], c.acquiredAt[s] = fence, now
 			c.emit(SliceGranted{s, fence})
-		case !mine && has > 0 && l.Session != "":
+		case !mine && heldFence > 0 && l.Session != "":
 			c.revokeSlice(s)
-		case !mine && has > 0 && l.Session == "" && l.ModifyIndex > 0:
+		case !mine && heldFence > 0 && l.Session == "" && l.ModifyIndex > 0:
 			c.revokeSlice(s)
 		}
 	}
@@ -413,7 +413,7 @@
 	return true
 }
 
-// NextWakeup returns the latest time of the next call of Handle.
+// NextWakeup returns the time by which Handle must be called again.
 func (c *Coordinator) NextWakeup(now float64) float64 {
 	at := now + c.ttl/8
 	if c.sessionID != "" && c.inFlight[RequestRenew] == 0 {
--- a/internal/peerfacts/peerfacts.go
+++ b/internal/peerfacts/peerfacts.go
@@ -16,7 +16,7 @@
 // Facts are what one director observed itself. All ages and spans are in milliseconds.
 type Facts struct {
 	Director   string           `json:"director"`
-	Line       tables.HistoryID `json:"line"`
+	History    tables.HistoryID `json:"line"`
 	Uptime     float64          `json:"up_ms"`
 	ProxyCount int              `json:"proxies_joined"`
 	Leaving    bool             `json:"leaving,omitempty"` // set by the receiver, from the peer's membership record
--- a/internal/pollshard/shard.go
+++ b/internal/pollshard/shard.go
@@ -81,7 +81,7 @@
 }
 
 // emit adds an event for the core.
-func (sh *Shard) emit(o any) { sh.output.Events = append(sh.output.Events, o) }
+func (sh *Shard) emit(event any) { sh.output.Events = append(sh.output.Events, event) }
 
 // HasJoined reports whether a proxy has joined. If so, its polls are answered by the shard without work for the core.
 func (sh *Shard) HasJoined(proxy string) bool {
@@ -130,9 +130,9 @@
 }
 
 // Disconnect handles a closed connection: the proxy whose poll was pending on it has left.
-func (sh *Shard) Disconnect(now logic.Millis, b Disconnected) Output {
-	if s := sh.sessions[b.Proxy]; s != nil && s.ticket == b.Ticket && b.Ticket != 0 {
-		sh.end(s, "broken")
+func (sh *Shard) Disconnect(now logic.Millis, d Disconnected) Output {
+	if s := sh.sessions[d.Proxy]; s != nil && s.ticket == d.Ticket && d.Ticket != 0 {
+		sh.end(s, "connection closed")
 	}
 	return sh.takeOutput()
 }
@@ -278,7 +278,7 @@
 
 // Stats returns the present counters.
 func (sh *Shard) Stats() Stats {
-	f := sh.stats
-	f.Sessions, f.Pending = len(sh.sessions), sh.pending
-	return f
+	s := sh.stats
+	s.Sessions, s.Pending = len(sh.sessions), sh.pending
+	return s
 }
--- a/internal/pollshard/shard_test.go
+++ b/internal/pollshard/shard_test.go
@@ -14,7 +14,7 @@
 
 func document(step tables.Step) *tables.Document {
 	d := &tables.Document{PickPolicy: "lottery", Hosts: map[tables.Address]tables.Host{}, Masked: map[tables.Address]bool{}, Tables: map[string]*tables.Table{}}
-	for i := range 20 { // large enough that a difference is shorter than the full document
+	for i := range 20 { // large enough that a delta is shorter than the full document
 		d.Hosts[tables.Address(fmt.Sprintf("10.0.0.%d:80", i))] = tables.Host{ID: "some host", Zone: "a"}
 	}
 	return d.Seal(1, step, float64(step))
@@ -106,7 +106,7 @@
 	}
 	// A command for an earlier session does not apply to the present one.
 	shard.Poll(10, newPoll(2, 20000, one))
-	if out := shard.Disconnect(20, Disconnected{Ticket: 2, Proxy: "p"}); out.Events[0] != any(Left{"p", id, "broken"}) {
+	if out := shard.Disconnect(20, Disconnected{Ticket: 2, Proxy: "p"}); out.Events[0] != any(Left{"p", id, "connection closed"}) {
 		t.Fatalf("%+v", out)
 	}
 	again := shard.Poll(30, Poll{Ticket: 3, Proxy: "p", Zone: "a"}).Events[0].(JoinRequest)
@@ -180,7 +180,7 @@
 						if a.proxy != c.Proxy {
 							continue
 						}
-						if c.Reason != "broken" {
+						if c.Reason != "connection closed" {
 							t.Fatalf("%+v while its poll is pending", c)
 						}
 						delete(open, k)
--- a/internal/pollshard/types.go
+++ b/internal/pollshard/types.go
@@ -13,7 +13,8 @@
 	"vetchwood/logic"
 )
 
-// Ticket identifies a pending request. The front that received the request assigns it.
+// Ticket identifies a pending request. The front (the server, such as package longpoll, that received the request)
+// assigns it.
 type Ticket uint64
 
 // SessionID identifies a proxy's session, which lasts from its first poll until the proxy has left.
@@ -39,36 +40,36 @@
 }
 
 // Kind is the kind of an answer.
-type Kind int
+type AnswerKind int
 
 // Kinds of answers.
 const (
-	Unchanged Kind = iota
+	Unchanged AnswerKind = iota
 	Full
 	Delta
 	Accepted // a report was counted
 	Unknown  // the proxy is not configured, or more have joined than the settings allow
 	Invalid  // the request names something that does not exist
 	Busy
-	Done      // an operator's change is ordered, or an operator's query is answered
-	Conflict  // another operator's change came first
-	PeerFacts // facts for another director
-	Replaced  // a newer poll of the proxy took the place of this one
-	Refused   // the change would break a rule or move too much
+	Done       // an operator's request is carried out or answered
+	Conflict   // another operator's change came first
+	FactsReply // facts for another director
+	Replaced   // a newer poll of the proxy took the place of this one
+	Refused    // the change would break a rule or move too much
 )
 
 // WriteTracker is notified when an answer has been written or will never be written.
 type WriteTracker interface{ WriteFinished() }
 
 // Answer completes a poll or another request. Doc is the document that the proxy holds from now on; if Base is set,
-// only the difference from Base to Doc is sent.
+// only the delta from Base to Doc is sent.
 type Answer struct {
 	Ticket  Ticket
 	Origin  any // as in the poll
-	Kind    Kind
+	Kind    AnswerKind
 	Doc     *tables.Document
 	Base    *tables.Document
-	Patch   []byte // the encoded difference
+	Patch   []byte // the encoded delta
 	Reason  string
 	Lease   logic.Millis // counted from the sending of the poll: the answer may not take effect later; 0: unlimited
 	Body    any          // of answers to requests other than polls
@@ -84,7 +85,7 @@
 
 // View is the state of the core that all shards share. It is immutable once published.
 type View struct {
-	Bases    map[tables.Tag]*tables.Document // documents that differences may start from
+	Bases    map[tables.Tag]*tables.Document // documents that deltas may start from
 	MinStep  tables.Step                     // no older document is sent
 	Shared   *tables.Document                // the newest stored document, if all proxies get the same one
 	Closed   bool                            // a removal is being published: no poll is answered
@@ -130,7 +131,7 @@
 	RejectJoin struct {
 		Proxy   string
 		Session SessionID
-		Kind    Kind
+		Kind    AnswerKind
 		Reason  string
 	}
 )
--- a/internal/rehearse/rollback.go
+++ b/internal/rehearse/rollback.go
@@ -36,7 +36,7 @@
 	}
 	u := RollbackResult{To: s.startVersion, Version: o.Version, Tables: len(o.Tables), MovedFraction: o.MovedFraction, Proxies: len(s.proxies)}
 	for _, t := range o.Tables {
-		u.LinesNotHonoured += len(t.Faults)
+		u.LinesNotHonoured += len(t.Deviations)
 	}
 	report(fmt.Sprintf("an operator rolls back to version %d: new version %d, %d tables, %d lines not honoured", s.startVersion, o.Version, u.Tables, u.LinesNotHonoured))
 	for end := time.Now().Add(10 * time.Second); ; {
--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -15,11 +15,13 @@
 }
 
 // String returns the change as "name: old to new".
-func (c Change) String() string { return c.Name + ": " + display(c.Old) + " to " + display(c.New) }
+func (c Change) String() string {
+	return c.Name + ": " + displayValue(c.Old) + " to " + displayValue(c.New)
+}
 
-func display(v string) string {
+func displayValue(v string) string {
 	if v == "" {
-		return "(not stated)"
+		return "(not set)"
 	}
 	return v
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -112,7 +112,7 @@
 func load(tx *bbolt.Tx) (saved control.SavedState, err error) {
 	saved.Tables = map[logic.TableID]*tables.Table{}
 	saved.Bound = map[logic.ProxyID][]logic.TableID{}
-	for key, to := range map[string]any{"line": &saved.Line, "step": &saved.Step, "at": &saved.At,
+	for key, to := range map[string]any{"line": &saved.History, "step": &saved.Step, "at": &saved.At,
 		"masked": &saved.Masked, "levels": &saved.Levels, "carried": &saved.Carried,
 		"known": &saved.Known, "list": &saved.List, "pinned": &saved.Pinned} {
 		if b := tx.Bucket(metaBucket).Get([]byte(key)); b != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	first, err := s.Load()
-	if err != nil || first.Line == 0 || first.Step != 0 {
+	if err != nil || first.History == 0 || first.Step != 0 {
 		t.Fatalf("%+v, %v", first, err)
 	}
 	from, to := uint64(0), uint64(9)
@@ -32,7 +32,7 @@
 		{Step: 1, At: 5, Tables: map[logic.TableID]*tables.Table{3: table, 4: table}, Masked: map[tables.Address]bool{"a:1": true},
 			Bound: map[logic.ProxyID][]logic.TableID{2: {1, -1}}},
 		{Step: 2, At: 6, Tables: map[logic.TableID]*tables.Table{4: nil}, Bound: map[logic.ProxyID][]logic.TableID{2: nil}},
-		{List: []control.HostEntry{{ID: "h", Address: "a:1", State: logic.Draining, Born: 12.5}},
+		{List: []control.HostEntry{{ID: "h", Address: "a:1", State: logic.Draining, StartedAt: 12.5}},
 			Known: map[tables.Address]control.KnownHost{"a:1": {Number: 9}}, Named: map[logic.ProxyID]string{3: "q"}},
 		{Named: map[logic.ProxyID]string{3: "p"}}, // the number is reassigned to another proxy
 	})
@@ -49,10 +49,10 @@
 	}
 	defer s.Close()
 	got, err := s.Load()
-	want := control.SavedState{Line: first.Line, Step: 2, At: 6, Tables: map[logic.TableID]*tables.Table{3: table},
+	want := control.SavedState{History: first.History, Step: 2, At: 6, Tables: map[logic.TableID]*tables.Table{3: table},
 		Masked: map[tables.Address]bool{"a:1": true}, Bound: map[logic.ProxyID][]logic.TableID{},
 		Proxies: map[string]logic.ProxyID{"o": 1, "p": 3}, Known: map[tables.Address]control.KnownHost{"a:1": {Number: 9}},
-		List: []control.HostEntry{{ID: "h", Address: "a:1", State: logic.Draining, Born: 12.5}}}
+		List: []control.HostEntry{{ID: "h", Address: "a:1", State: logic.Draining, StartedAt: 12.5}}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Fatalf("%v\n%+v\n%+v", err, got, want)
 	}
