--- a/internal/control/leases_test.go
+++ b/internal/control/leases_test.go
@@ -12,52 +12,52 @@
 func startLeased(t *testing.T) *harness {
 	svc := testService(8)
 	svc.SlicesLeased, svc.QueriesPeers, svc.Name = true, true, "d1"
-	r := newHarness(t, svc, SavedState{})
-	r.handle(HostList{upHosts(3)}, LeaseDeadline{Until: r.now + 60000})
+	h := newHarness(t, svc, SavedState{})
+	h.handle(HostList{upHosts(3)}, LeaseDeadline{Until: h.now + 60000})
 	var all []SliceGrant
 	for s := range logic.TableID(4) {
 		all = append(all, SliceGrant{Slice: s, Fence: 100 + uint64(s), Record: &SliceRecord{Slice: s, Lines: map[tables.Address]float64{"10.0.0.1:80": 1}}})
 	}
-	r.handle(SliceGrants{all})
-	return r
+	h.handle(SliceGrants{all})
+	return h
 }
 
 // A director publishes only the slices that it owns, each with its fence. A slice granted without a record is not
 // published before it has a line, and a revoked slice is no longer published.
 func TestOnlyOwnedSlicesArePublished(t *testing.T) {
-	r := startLeased(t)
-	d := r.wantAnswer(r.poll("p1", 0), Full)
+	h := startLeased(t)
+	d := h.wantAnswer(h.poll("p1", 0), Full)
 	if len(d.Tables) != 4 || d.Tables["2"].Fence != 102 || len(d.Tables["2"].Lines) == 0 {
 		t.Fatalf("%+v", d.Tables)
 	}
-	r.holdWrites = true
-	r.handle(SliceGrants{[]SliceGrant{{Slice: 6, Fence: 7}}})
-	for _, c := range r.pendingWrites {
+	h.holdWrites = true
+	h.handle(SliceGrants{[]SliceGrant{{Slice: 6, Fence: 7}}})
+	for _, c := range h.pendingWrites {
 		for id, table := range c.Tables {
 			if id == 6 && len(table.Lines) == 0 && table.Fence > 0 {
 				t.Fatalf("slice 6 would be published without a line: %+v", table)
 			}
 		}
 	}
-	r.holdWrites = false
-	r.handle()
-	r.advance(1500)
-	d = r.wantAnswer(r.poll("p1", 0), Full)
+	h.holdWrites = false
+	h.handle()
+	h.advance(1500)
+	d = h.wantAnswer(h.poll("p1", 0), Full)
 	if table := d.Tables["6"]; table == nil || table.Fence != 7 || len(table.Lines) == 0 {
 		t.Fatalf("slice 6 is not published with its fence and lines: %+v", table)
 	}
-	pending := r.poll("p1", 20000, d.Tag())
-	r.handle(SliceRevoked{2})
-	if a := r.answers[pending]; a.Doc == nil || a.Doc.Tables["2"] != nil || a.Doc.Tables["1"] == nil {
+	pending := h.poll("p1", 20000, d.Tag())
+	h.handle(SliceRevoked{2})
+	if a := h.answers[pending]; a.Doc == nil || a.Doc.Tables["2"] != nil || a.Doc.Tables["1"] == nil {
 		t.Fatalf("slice 2 is revoked, but the answer is: %+v", a)
 	}
-	r.advance(3000)
-	for _, table := range r.store.Tables {
+	h.advance(3000)
+	for _, table := range h.store.Tables {
 		if table.Fence == 0 {
 			t.Fatal("a table without a fence is stored")
 		}
 	}
-	if r.store.Tables[2] != nil {
+	if h.store.Tables[2] != nil {
 		t.Fatal("the decision module still writes a revoked slice")
 	}
 }
@@ -65,51 +65,51 @@
 // After its lease deadline a director sends no tables, and a poll that waited too long is answered as busy. Once the
 // lease is renewed, it answers with the changes made meanwhile.
 func TestNoAnswersAfterTheLeaseExpires(t *testing.T) {
-	r := startLeased(t)
-	d := r.wantAnswer(r.poll("p1", 0), Full)
-	r.advance(1000)
-	d = r.wantAnswer(r.poll("p1", 0), Full)
-	pending := r.poll("p1", 20000, d.Tag())
-	r.handle(LeaseDeadline{Until: r.now - 1})
+	h := startLeased(t)
+	d := h.wantAnswer(h.poll("p1", 0), Full)
+	h.advance(1000)
+	d = h.wantAnswer(h.poll("p1", 0), Full)
+	pending := h.poll("p1", 20000, d.Tag())
+	h.handle(LeaseDeadline{Until: h.now - 1})
 	hosts := upHosts(3)
 	hosts[1].State = logic.Draining
-	r.handle(HostList{hosts})
-	r.advance(1000)
-	late := r.poll("p2", 0)
-	r.advance(500)
+	h.handle(HostList{hosts})
+	h.advance(1000)
+	late := h.poll("p2", 0)
+	h.advance(500)
 	for _, ticket := range []Ticket{pending, late} {
-		if a, answered := r.answers[ticket]; answered {
+		if a, answered := h.answers[ticket]; answered {
 			t.Fatalf("answered after the lease expired: %+v", a)
 		}
 	}
-	r.handle(LeaseDeadline{Until: r.now + 5000})
-	a := r.answers[pending]
+	h.handle(LeaseDeadline{Until: h.now + 5000})
+	a := h.answers[pending]
 	if a.Doc == nil || isOffered(a.Doc, "10.0.0.1:80") || a.Lease <= 0 || a.Lease > 5000 {
 		t.Fatalf("%+v", a)
 	}
-	r.wantAnswer(late, Full)
-	r.handle(LeaseDeadline{Until: r.now - 1})
-	last := r.poll("p1", 100, a.Doc.Tag())
-	r.advance(4000)
-	r.wantAnswer(last, Busy)
+	h.wantAnswer(late, Full)
+	h.handle(LeaseDeadline{Until: h.now - 1})
+	last := h.poll("p1", 100, a.Doc.Tag())
+	h.advance(4000)
+	h.wantAnswer(last, Busy)
 }
 
 // A peer's facts reach the decision module, override the host list for peerStateTTL and are not passed on as this
 // director's own facts.
 func TestPeerFactsAreApplied(t *testing.T) {
-	r := startLeased(t)
-	d := r.wantAnswer(r.poll("p1", 0), Full)
+	h := startLeased(t)
+	d := h.wantAnswer(h.poll("p1", 0), Full)
 	query := func() *peerfacts.Facts {
-		r.ticket++
-		r.handle(FactsQuery{r.ticket})
-		return r.answers[r.ticket].Body.(*peerfacts.Facts)
+		h.ticket++
+		h.handle(FactsQuery{h.ticket})
+		return h.answers[h.ticket].Body.(*peerfacts.Facts)
 	}
 	facts := *query()
 	facts.Director, facts.Uptime = "d2", 60000
 	facts.Hosts[1].State = peerfacts.Draining
-	r.handle(PeerFacts{[]peerfacts.Report{{Facts: facts, Age: 3}}})
-	r.advance(300)
-	d = r.wantAnswer(r.poll("p1", 0), Full)
+	h.handle(PeerFacts{[]peerfacts.Report{{Facts: facts, Age: 3}}})
+	h.advance(300)
+	d = h.wantAnswer(h.poll("p1", 0), Full)
 	if isOffered(d, "10.0.0.1:80") {
 		t.Fatalf("a host that drains by a peer's facts is still offered; masked: %+v", d.Masked)
 	}
@@ -118,18 +118,18 @@
 	} else if own.Hosts[1].State != peerfacts.Up {
 		t.Fatal("a state learnt from a peer is passed on as the director's own")
 	}
-	r.handle(HostList{upHosts(3)}) // a list that does not have the drain yet
-	r.advance(300)
-	if d = r.wantAnswer(r.poll("p1", 0), Full); isOffered(d, "10.0.0.1:80") {
+	h.handle(HostList{upHosts(3)}) // a list that does not have the drain yet
+	h.advance(300)
+	if d = h.wantAnswer(h.poll("p1", 0), Full); isOffered(d, "10.0.0.1:80") {
 		t.Fatal("a late host list overrode the peer's state")
 	}
-	r.advance(peerStateTTL)
-	if len(r.c.peerStates) > 0 {
+	h.advance(peerStateTTL)
+	if len(h.c.peerStates) > 0 {
 		t.Fatal("the peer's state did not expire")
 	}
-	r.handle(HostList{upHosts(3)[1:2]}) // the only host now
-	r.advance(3000)
-	if d = r.wantAnswer(r.poll("p1", 0), Full); !isOffered(d, "10.0.0.1:80") {
+	h.handle(HostList{upHosts(3)[1:2]}) // the only host now
+	h.advance(3000)
+	if d = h.wantAnswer(h.poll("p1", 0), Full); !isOffered(d, "10.0.0.1:80") {
 		t.Fatal("the host list is not in force again")
 	}
 }
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -37,18 +37,18 @@
 type Director struct {
 	eventloop.Clock
 	*eventloop.Inbox
-	core           *control.Core
-	store          Store
-	probe          Prober
-	log            *slog.Logger
-	fronts         []Front
-	started        chan struct{} // closed once fronts is set
-	shards         []*lockedShard
-	view           atomic.Pointer[pollshard.View] // the view that shards adopt
-	maxBarrierUs   atomic.Int64                   // longest wait of a removal, in microseconds
-	overdueAnswers atomic.Uint64                  // answers still unwritten when a barrier timed out
-	lastTicket     atomic.Uint64
-	waiters        sync.Map // control.Ticket -> chan control.Answer
+	core            *control.Core
+	store           Store
+	probe           Prober
+	log             *slog.Logger
+	fronts          []Front
+	started         chan struct{} // closed once fronts is set
+	shards          []*lockedShard
+	view            atomic.Pointer[pollshard.View] // the view that shards adopt
+	maxBarrierUs    atomic.Int64                   // longest wait of a removal, in microseconds
+	overdueAnswers  atomic.Uint64                  // answers still unwritten when a barrier timed out
+	lastTicket      atomic.Uint64
+	pendingRequests sync.Map // control.Ticket -> chan control.Answer
 
 	admission       *loadshed.Shedder
 	admissionMu     sync.Mutex
@@ -194,8 +194,8 @@
 // Ask posts a request to the core and waits for its answer. It serves operators, whose requests are few.
 func (d *Director) Ask(ctx context.Context, in func(control.Ticket) any) (control.Answer, error) {
 	t, answer := d.ForFront(internalFront).Ticket(), make(chan control.Answer, 1)
-	d.waiters.Store(t, answer)
-	defer d.waiters.Delete(t)
+	d.pendingRequests.Store(t, answer)
+	defer d.pendingRequests.Delete(t)
 	d.Post(in(t))
 	select {
 	case a := <-answer:
@@ -271,7 +271,7 @@
 func (d *Director) deliver(a control.Answer) {
 	if front := a.Ticket & internalFront; front != internalFront {
 		d.fronts[front].Answer(a)
-	} else if waiter, found := d.waiters.LoadAndDelete(a.Ticket); found {
+	} else if waiter, found := d.pendingRequests.LoadAndDelete(a.Ticket); found {
 		waiter.(chan control.Answer) <- a
 	}
 }
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -93,7 +93,7 @@
 	r.Distort(func(all []*api.ServiceEntry) []*api.ServiceEntry {
 		invalid := *all[0]
 		service := *invalid.Service
-		service.ID, service.Address, service.Port = "ghost", "not an address", 0
+		service.ID, service.Address, service.Port = "invalid", "not an address", 0
 		invalid.Service = &service
 		return []*api.ServiceEntry{&invalid, all[1]}
 	})
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -301,7 +301,7 @@
 func TestLeaseHistories(t *testing.T) {
 	t.Parallel()
 	for _, breaksLocks := range []bool{false, true} {
-		t.Run(fmt.Sprint("careless=", breaksLocks), func(t *testing.T) {
+		t.Run(fmt.Sprint("breaks_locks=", breaksLocks), func(t *testing.T) {
 			t.Parallel()
 			f := startFleet(t, 3)
 			f.awaitOwnership(t, 0, 1, 2)
--- a/internal/peerfacts/peerfacts_test.go
+++ b/internal/peerfacts/peerfacts_test.go
@@ -76,7 +76,7 @@
 			got = append(got, fmt.Sprint(h.Address, " ", h.State))
 		}
 		if fmt.Sprint(got) != c.want {
-			t.Errorf("%s: %v, not %v", c.name, got, c.want)
+			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/pollshard/model_test.go
+++ b/internal/pollshard/model_test.go
@@ -10,10 +10,10 @@
 const modelShards = 3
 
 type modelShard struct {
-	floor     uint8
-	closed    bool
-	epoch     uint8
-	unwritten [2][4]uint8 // number of answers, by the epoch they were given in and by version
+	minVersion uint8
+	closed     bool
+	epoch      uint8
+	unwritten  [2][4]uint8 // number of answers, by the epoch they were given in and by version
 }
 
 type modelState struct {
@@ -51,7 +51,7 @@
 		}
 		if !l.closed && unwritten < 3 { // a poll is answered
 			n := s
-			n.shards[i].unwritten[l.epoch][l.floor]++
+			n.shards[i].unwritten[l.epoch][l.minVersion]++
 			out = append(out, n)
 		}
 	}
@@ -62,7 +62,7 @@
 	l := &n.shards[s.shard]
 	switch s.phase {
 	case closing:
-		l.floor, l.closed = s.version, !f.noClosing
+		l.minVersion, l.closed = s.version, !f.noClosing
 		l.epoch ^= 1
 		n.shard++
 	case awaiting:
@@ -89,7 +89,7 @@
 func explore(f fault) (states int, broken bool) {
 	initial := modelState{version: 2, newestWritten: 1}
 	for i := range initial.shards {
-		initial.shards[i].floor = 1
+		initial.shards[i].minVersion = 1
 	}
 	seen, todo := map[modelState]bool{initial: true}, []modelState{initial}
 	for len(todo) > 0 {
--- a/internal/pollshard/shard.go
+++ b/internal/pollshard/shard.go
@@ -132,7 +132,7 @@
 // Disconnect handles a closed connection: the proxy whose poll was pending on it has left.
 func (sh *Shard) Disconnect(now logic.Millis, d Disconnected) Output {
 	if s := sh.sessions[d.Proxy]; s != nil && s.ticket == d.Ticket && d.Ticket != 0 {
-		sh.end(s, "connection closed")
+		sh.end(s, "broken")
 	}
 	return sh.takeOutput()
 }
--- a/internal/pollshard/shard_test.go
+++ b/internal/pollshard/shard_test.go
@@ -106,7 +106,7 @@
 	}
 	// A command for an earlier session does not apply to the present one.
 	shard.Poll(10, newPoll(2, 20000, one))
-	if out := shard.Disconnect(20, Disconnected{Ticket: 2, Proxy: "p"}); out.Events[0] != any(Left{"p", id, "connection closed"}) {
+	if out := shard.Disconnect(20, Disconnected{Ticket: 2, Proxy: "p"}); out.Events[0] != any(Left{"p", id, "broken"}) {
 		t.Fatalf("%+v", out)
 	}
 	again := shard.Poll(30, Poll{Ticket: 3, Proxy: "p", Zone: "a"}).Events[0].(JoinRequest)
@@ -180,7 +180,7 @@
 						if a.proxy != c.Proxy {
 							continue
 						}
-						if c.Reason != "connection closed" {
+						if c.Reason != "broken" {
 							t.Fatalf("%+v while its poll is pending", c)
 						}
 						delete(open, k)
