--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -72,7 +72,7 @@
 
 // The numbers of calls in flight and queued never exceed their limits, each queued call leaves the queue in one way,
 // and no call runs while a more important one is queued.
-func TestTheGateHolds(t *testing.T) {
+func TestLimiterKeepsItsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxRunning, maxQueued := rapid.IntRange(1, 4).Draw(t, "most"), rapid.IntRange(0, 5).Draw(t, "queue")
 		l, now, ticket := NewLimiter(maxRunning, maxQueued), 0.0, Ticket(0)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -16,27 +16,27 @@
 }
 
 func TestAcceptingPausesAndResumes(t *testing.T) {
-	l := New(Resources{Memory: 1 << 30, Descriptors: 66})
+	b := New(Resources{Memory: 1 << 30, Descriptors: 66})
 	for range 2 {
-		if canAccept, _ := l.CanAccept(); !canAccept {
+		if canAccept, _ := b.CanAccept(); !canAccept {
 			t.Fatal("accepting pauses below the limit")
 		}
-		l.ConnectionOpened()
+		b.ConnectionOpened()
 	}
-	if canAccept, pauseStarted := l.CanAccept(); canAccept || !pauseStarted {
+	if canAccept, pauseStarted := b.CanAccept(); canAccept || !pauseStarted {
 		t.Fatal("accepting continues at the limit, or the start of the pause is not reported")
 	}
-	if canAccept, pauseStarted := l.CanAccept(); canAccept || pauseStarted {
+	if canAccept, pauseStarted := b.CanAccept(); canAccept || pauseStarted {
 		t.Fatal("accepting continues at the limit, or the start of one pause is reported twice")
 	}
-	l.ConnectionClosed(1)
-	if canAccept, _ := l.CanAccept(); !canAccept || l.Stats().AcceptPauses != 1 {
-		t.Fatalf("accepting did not resume after one pause: %+v", l.Stats())
+	b.ConnectionClosed(1)
+	if canAccept, _ := b.CanAccept(); !canAccept || b.Stats().AcceptPauses != 1 {
+		t.Fatalf("accepting did not resume after one pause: %+v", b.Stats())
 	}
-	if l.SetLiveHeap(l.limits.SoftHeap); l.HasHeapRoom() {
+	if b.SetLiveHeap(b.limits.SoftHeap); b.HasHeapRoom() {
 		t.Fatal("room is reported with the live heap at its soft limit")
 	}
-	if canAccept, _ := l.CanAccept(); canAccept {
+	if canAccept, _ := b.CanAccept(); canAccept {
 		t.Fatal("a connection is accepted with the live heap at its soft limit")
 	}
 }
@@ -45,23 +45,23 @@
 // remaining one, and a client that holds nothing is never evicted.
 func TestEvictsLargestHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New(Resources{Memory: 5000, Descriptors: 1000})
+		b := New(Resources{Memory: 5000, Descriptors: 1000})
 		expected := map[ClientID]int64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			c := ClientID(rapid.IntRange(1, 8).Draw(t, "client"))
 			var evicted []ClientID
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				l.ConnectionClosed(c)
+				b.ConnectionClosed(c)
 				delete(expected, c)
 			case 1:
-				evicted = l.SetLiveHeap(int64(rapid.IntRange(0, 5000).Draw(t, "heap")))
+				evicted = b.SetLiveHeap(int64(rapid.IntRange(0, 5000).Draw(t, "heap")))
 			default:
 				n := int64(rapid.IntRange(0, 600).Draw(t, "bytes"))
 				if expected[c] = n; n == 0 {
 					delete(expected, c)
 				}
-				evicted = l.SetHeldBytes(c, n)
+				evicted = b.SetHeldBytes(c, n)
 			}
 			for _, c := range evicted {
 				released, held := expected[c]
@@ -78,8 +78,8 @@
 			for _, n := range expected {
 				sum += n
 			}
-			if f := l.Stats(); f.HeldBytes != sum || sum > l.limits.MaxHeldBytes {
-				t.Fatalf("%d bytes held, stats report %d, limit %d", sum, f.HeldBytes, l.limits.MaxHeldBytes)
+			if f := b.Stats(); f.HeldBytes != sum || sum > b.limits.MaxHeldBytes {
+				t.Fatalf("%d bytes held, stats report %d, limit %d", sum, f.HeldBytes, b.limits.MaxHeldBytes)
 			}
 		}
 	})
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -22,11 +22,11 @@
 
 // Limits are the proxy's own limits, independent of the tables.
 type Limits struct {
-	Zone             string
+	Zone             string  // zone that the proxy runs in
 	MaxInFlight      int     // concurrent calls in total
 	MaxQueued        int     // calls that may wait for one of the MaxInFlight places
 	MaxPerHost       int     // concurrent calls at one host
-	TableWaitMs      float64 // how long a call waits for a line to appear, in milliseconds
+	TableWaitMs      float64 // how long a call waits for the first document, in milliseconds
 	UnlimitedRetries bool    // disables the retry budget, as a baseline for measurements
 }
 
@@ -43,7 +43,7 @@
 	limiter     *admission.Limiter
 	budget      *retry.Budget
 	tallies     []*loadreport.Tally // by index of the director in the proxy's list
-	incarnation string
+	instanceID  string
 	routeLevels map[levelKey]*admission.Level
 	counters    Counters
 }
@@ -97,13 +97,13 @@
 // latencyWeight is the weight of a new answer in the moving average of a route's latency.
 const latencyWeight = 0.05
 
-// New returns a Dispatcher that has no document yet. The incarnation tells reports of this run of the proxy from those
-// of earlier runs.
-func New(limits Limits, incarnation string, random pick.RandFunc) *Dispatcher {
+// New returns a Dispatcher that has no document yet. The parameter instanceID distinguishes load reports of this run of
+// the proxy from those of earlier runs.
+func New(limits Limits, instanceID string, random pick.RandFunc) *Dispatcher {
 	d := &Dispatcher{limits: limits, random: random, tables: map[string]*table{}, routes: map[string]*route{},
 		hosts: map[tables.Address]*host{}, detector: outlier.New[tables.Address](0),
 		limiter: admission.NewLimiter(limits.MaxInFlight, limits.MaxQueued),
-		budget:  retry.NewBudget(), incarnation: incarnation, routeLevels: map[levelKey]*admission.Level{}}
+		budget:  retry.NewBudget(), instanceID: instanceID, routeLevels: map[levelKey]*admission.Level{}}
 	if limits.UnlimitedRetries {
 		d.budget = retry.NewUnlimitedBudget()
 	}
@@ -127,7 +127,8 @@
 	return &l
 }
 
-// SetDocument puts a new document in force. The state of hosts that it still names is kept.
+// SetDocument puts a new document in force. The state of hosts that it does not name is dropped, unless calls are in
+// flight at them.
 func (d *Dispatcher) SetDocument(doc *tables.Document) {
 	d.doc = doc
 	d.detector.SetThreshold(doc.EjectAfterFailures)
@@ -185,7 +186,7 @@
 	}
 }
 
-// updateRouteLevels takes over the levels of routes from the document of one director.
+// updateRouteLevels sets the levels of the routes to those in the document of one director.
 func (d *Dispatcher) updateRouteLevels(doc *tables.Document, director int) {
 	for name, r := range doc.Routes {
 		k := levelKey{director, name}
@@ -204,7 +205,7 @@
 	return d.routeLevels[levelKey{0, c.Route}], r.Level
 }
 
-// host returns the state of a host, which it creates if there is none.
+// host returns the state of a host and creates it if there is none.
 func (d *Dispatcher) host(a tables.Address) *host {
 	h := d.hosts[a]
 	if h == nil {
@@ -250,9 +251,9 @@
 const (
 	Proceed          Outcome = iota
 	Throttled                // rejected by an admission level
-	AtCapacity               // the proxy, or each host of the table, has as many calls as its limits allow
+	AtCapacity               // the proxy or the hosts of the table have no room for another call
 	Queued                   // waiting for a place among the calls in flight
-	NoLine                   // no line in the tables yet; the caller may wait briefly and ask again
+	NoLine                   // from Admit: no document yet, the caller may wait and ask again; from FirstTry: no usable line
 	NoRoute                  // the document has no such route
 	DeadlineExceeded         // the deadline of the call has passed
 )
@@ -337,8 +338,8 @@
 	return c.table.director
 }
 
-// Table returns the name of the call's table, "" if it has none. No version is kept with it, since each try uses the
-// tables in force at its time.
+// Table returns the name of the call's table, "" if it has none. The table is looked up again for each try, in the
+// tables then in force.
 func (c *Call) Table() string { return c.tableName() }
 
 // findTable looks up the call's table: by the hash of its key if the tables are slices, otherwise by its route.
@@ -519,13 +520,13 @@
 	return d.limiter.Release(now)
 }
 
-// CountNoLine counts a call for which no line appeared within the wait limit.
+// CountNoLine counts a call that ended before the proxy had a document.
 func (d *Dispatcher) CountNoLine() { d.counters.NoLine++ }
 
-// Tally returns the unreported figures for a director, given by its index in the proxy's list.
+// Tally returns the counts not yet reported to a director, given by its index in the proxy's list.
 func (d *Dispatcher) Tally(director int) *loadreport.Tally {
 	for len(d.tallies) <= director {
-		d.tallies = append(d.tallies, loadreport.New(d.incarnation))
+		d.tallies = append(d.tallies, loadreport.New(d.instanceID))
 	}
 	return d.tallies[director]
 }
@@ -541,7 +542,7 @@
 // EjectedHosts returns how many hosts are ejected now.
 func (d *Dispatcher) EjectedHosts(now float64) int { return d.detector.EjectedCount(now) }
 
-// TableWaitMs returns how long a call waits for a line to appear, in milliseconds.
+// TableWaitMs returns how long a call waits for the first document, in milliseconds.
 func (d *Dispatcher) TableWaitMs() float64 { return d.limits.TableWaitMs }
 
 // Route returns a route of the document in force.
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -108,7 +108,7 @@
 
 // A host that keeps failing is ejected. If all hosts are ejected, the least bad one is tried, so the call is not
 // dropped.
-func TestAllAvoided(t *testing.T) {
+func TestAllHostsEjected(t *testing.T) {
 	d := newDispatcher(nil)
 	lastResorts := 0
 	for i := range 60 {
@@ -129,7 +129,7 @@
 }
 
 // Without an idempotency key, a host can't recognize a repeat of a keyed call, so a retry could take effect twice.
-func TestAKeyedCallWithoutAMarkIsTriedOnce(t *testing.T) {
+func TestKeyedCallWithoutIdempotencyKeyIsTriedOnce(t *testing.T) {
 	d := newDispatcher(nil)
 	for _, c := range []*Call{{Route: "note", Key: "k"}, {Route: "note", Key: "k", HasIdempotencyKey: true}} {
 		startCall(t, d, c, 0)
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestHostsAndTheProxyHoldOnlySoMuch(t *testing.T) {
+func TestInFlightLimits(t *testing.T) {
 	d := newDispatcher(nil)
 	var calls []*Call
 	for i := range 9 {
@@ -217,7 +217,7 @@
 
 // In any order of events, the calls in flight are counted correctly, no host exceeds its limit, and no call that ended
 // keeps a place.
-func TestNothingIsLeftInHand(t *testing.T) {
+func TestCallsInFlightAreCounted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDispatcher(nil)
 		now, running, queued := 0.0, map[uint64]*Call{}, map[uint64]*Call{}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -32,27 +32,27 @@
 // Update describes a document that took effect.
 type Update struct {
 	Doc   *tables.Document // the document in force from now on
-	Lines int              // operations of a delta, or lines, routes and masks of a full document
+	Lines int              // size of the update: operations of a delta, or lines, routes and masks of a full document
 	Full  bool             // whether the update was a full document, not a delta
 	// DirectorIndex is the place in Config.Directors of the director that sent the update, if all directors are
-	// followed at once. Raw is the document of that director then, and Doc the merged document of all directors.
+	// followed at once. Raw is the document that it sent; in that case, Doc is the merged document of all directors.
 	DirectorIndex int
 	Raw           *tables.Document
 }
 
 // Config holds the settings of a follower.
 type Config struct {
-	Directors []string      // base URLs; those with the scheme MQTTScheme are subscribed to
-	Proxy     string        // name of the proxy
-	Zone      string        // zone of the proxy
-	Rate      float64       // calls per second that the proxy expects to forward
-	MaxWait   time.Duration // maximum time that a director may keep a poll pending
-	Watch     bool          // follow the document that is published to all proxies, without joining as a proxy
-	CacheFile string        // file that stores the document in force; empty: none
+	Directors    []string      // base URLs; those with the scheme MQTTScheme are subscribed to
+	Proxy        string        // name of the proxy
+	Zone         string        // zone of the proxy
+	ExpectedRate float64       // calls per second that the proxy expects to forward
+	MaxWait      time.Duration // maximum time that a director may keep a poll pending
+	Watch        bool          // follow the document that is published to all proxies, without joining as a proxy
+	CacheFile    string        // file that stores the document in force; empty: none
 	// OnUpdate is called after each update and before the next poll, OnJoinChange whenever the proxy joins a director
 	// or leaves it. Both are optional.
 	OnUpdate     func(Update)
-	OnJoinChange func(director string, on bool)
+	OnJoinChange func(director string, joined bool)
 	Log          *slog.Logger
 }
 
@@ -82,6 +82,7 @@
 
 var errLeaseExpired = errors.New("response arrived after the director's lease had expired")
 
+// maxDocumentBytes limits how much of a response to a poll is read.
 const maxDocumentBytes = 64 << 20
 
 // New returns a follower, which starts with Run.
@@ -146,7 +147,7 @@
 		err := f.pollOrSubscribe(pollCtx, f.config.Directors[director])
 		cancel()
 		switch {
-		case errors.Is(err, errLeaseExpired):
+		case errors.Is(err, errLeaseExpired): // The director responded, so it is polled again at once.
 			f.chooser.Succeeded(director)
 		case err == nil:
 			f.chooser.Succeeded(director)
@@ -163,6 +164,7 @@
 	}
 }
 
+// setJoined records whether the proxy has joined the current director, and calls OnJoinChange if that changed.
 func (f *Follower) setJoined(joined bool) {
 	if f.joined != joined {
 		f.joined = joined
@@ -175,7 +177,7 @@
 // poll sends one poll to a director and applies the response.
 func (f *Follower) poll(ctx context.Context, director string) error {
 	current := f.document.Load()
-	// A director whose host vanished without closing the connection must not block the poll for ever.
+	// The timeout ends a poll at a director whose machine failed without closing the connection.
 	ctx, cancel := context.WithTimeout(ctx, f.config.MaxWait+3*time.Second)
 	defer cancel()
 	tablesURL := f.tablesURL(director)
@@ -296,7 +298,7 @@
 		return strings.TrimRight(director, "/") + "/v1/tables"
 	}
 	return fmt.Sprintf("%s/v1/proxies/%s/tables?zone=%s&rate=%s", strings.TrimRight(director, "/"),
-		url.PathEscape(f.config.Proxy), url.QueryEscape(f.config.Zone), strconv.FormatFloat(f.config.Rate, 'g', 4, 64))
+		url.PathEscape(f.config.Proxy), url.QueryEscape(f.config.Zone), strconv.FormatFloat(f.config.ExpectedRate, 'g', 4, 64))
 }
 
 // rejectf returns an error about a document or a delta that can't be applied, and lets the next poll request a full
@@ -307,7 +309,7 @@
 }
 
 func versionOf(d *tables.Document) followpolicy.Version {
-	return followpolicy.Version{Line: d.History, Step: d.Step, At: d.At}
+	return followpolicy.Version{History: d.History, Step: d.Step, At: d.At}
 }
 
 // applyDocument puts a document into force if its content has the expected entity tag and it is newer than the document
@@ -380,7 +382,7 @@
 	}
 }
 
-// countLines returns the number of table lines, routes and masks of a document.
+// countLines returns the number of lines, routes and masks in a document, which together are the size of a full update.
 func countLines(d *tables.Document) (n int) {
 	for _, t := range d.Tables {
 		n += len(t.Lines)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -15,11 +15,11 @@
 	"vetchwood/internal/tables"
 )
 
-func newDocument(line tables.HistoryID, step tables.Step, at float64) *tables.Document {
+func newDocument(history tables.HistoryID, step tables.Step, at float64) *tables.Document {
 	d := &tables.Document{PickPolicy: "lottery", Routes: map[string]tables.Route{},
 		Hosts: map[tables.Address]tables.Host{}, Masked: map[tables.Address]bool{},
 		Tables: map[string]*tables.Table{"t": {Lines: map[tables.Address]float64{"h:1": float64(step)}}}}
-	d.Seal(line, step, at).Tag()
+	d.Seal(history, step, at).Tag()
 	return d
 }
 
@@ -208,7 +208,7 @@
 }
 
 // A response that arrives after its lease has expired takes no effect, and a new poll is sent at once.
-func TestAnAnswerPastItsLease(t *testing.T) {
+func TestResponsePastItsLease(t *testing.T) {
 	s := newFakeDirector(t)
 	old, next := newDocument(1, 1, 1000), newDocument(1, 2, 2000)
 	s.setHandler(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/follow/subscriber.go
+++ b/internal/follow/subscriber.go
@@ -29,8 +29,8 @@
 var errConnectionClosed = errors.New("MQTT connection closed")
 
 // subscribe follows a director by MQTT 5 until the connection ends. Documents are applied on the goroutine of Run and
-// acknowledged once they are in force. CONNECT carries the version in force, so that the first
-// document can be a delta from it, also after a change of the director or from long polls.
+// acknowledged once they are in force. CONNECT carries the version in force, so that the first document can be a delta
+// from it, also if that version came from another director or by long polls.
 func (f *Follower) subscribe(ctx context.Context, director *url.URL) error {
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", director.Host)
 	if err != nil {
@@ -109,7 +109,7 @@
 	expiry := uint32(sessionExpirySeconds)
 	props := &paho.ConnectProperties{SessionExpiryInterval: &expiry}
 	props.User.Add(mqttsession.PropertyZone, f.config.Zone).
-		Add(mqttsession.PropertyRate, strconv.FormatFloat(f.config.Rate, 'g', 4, 64))
+		Add(mqttsession.PropertyRate, strconv.FormatFloat(f.config.ExpectedRate, 'g', 4, 64))
 	current := f.document.Load()
 	if current != nil && !f.needsFull {
 		props.User.Add(mqttsession.PropertyHeld, current.Tag().ETag())
--- a/internal/followpolicy/followpolicy.go
+++ b/internal/followpolicy/followpolicy.go
@@ -72,9 +72,9 @@
 
 // Version identifies a version of a document.
 type Version struct {
-	Line tables.HistoryID
-	Step tables.Step
-	At   float64 // time of the order that created it, in Unix milliseconds
+	History tables.HistoryID
+	Step    tables.Step
+	At      float64 // time of the order that created it, in Unix milliseconds
 }
 
 // Verdict is the result of Evaluate for an offered version.
@@ -83,18 +83,18 @@
 // Verdicts on an offered version.
 const (
 	Accept    Verdict = "take"
-	Duplicate Verdict = "repeat" // already in force, takes no effect again
+	Duplicate Verdict = "repeat" // already in force; applied only once
 	Older     Verdict = "older"
 )
 
-// Evaluate compares an offered version with the current one, which is nil before the first version. Within a line, the
-// version with the higher step is newer. A different line is the history of a different store, for example after the
-// first one was lost: such a version is accepted only if it was ordered later.
+// Evaluate compares an offered version with the current one, which is nil before the first version. Within a history, the
+// version with the higher step is newer. A different history is that of a different store, for example after the first
+// one was lost: such a version is accepted only if it was created later.
 func Evaluate(current *Version, offered Version) Verdict {
 	switch {
 	case current == nil:
 		return Accept
-	case current.Line != offered.Line:
+	case current.History != offered.History:
 		if offered.At > current.At {
 			return Accept
 		}
--- a/internal/followpolicy/followpolicy_test.go
+++ b/internal/followpolicy/followpolicy_test.go
@@ -16,9 +16,9 @@
 		var newest Version
 		effects := map[[2]uint64]int{}
 		for range rapid.IntRange(1, 60).Draw(t, "offers") {
-			line := tables.HistoryID(rapid.IntRange(1, 2).Draw(t, "line"))
+			history := tables.HistoryID(rapid.IntRange(1, 2).Draw(t, "line"))
 			step := tables.Step(rapid.IntRange(1, 12).Draw(t, "step"))
-			offer := Version{line, step, float64(line)*1000 + float64(step)} // the second line begins after the first
+			offer := Version{history, step, float64(history)*1000 + float64(step)} // the second history begins after the first
 			if offer.At > newest.At {
 				newest = offer
 			}
@@ -27,7 +27,7 @@
 				if current != nil && offer.At <= current.At {
 					t.Fatalf("%v replaced the newer %v", offer, *current)
 				}
-				if effects[[2]uint64{uint64(line), uint64(step)}]++; effects[[2]uint64{uint64(line), uint64(step)}] > 1 {
+				if effects[[2]uint64{uint64(history), uint64(step)}]++; effects[[2]uint64{uint64(history), uint64(step)}] > 1 {
 					t.Fatalf("%v took effect twice", offer)
 				}
 				current = &offer
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestTheNextDirectorIsAsked(t *testing.T) {
+func TestFailover(t *testing.T) {
 	c := NewChooser(3)
 	if d, at := c.Next(5); d != 0 || at != 5 {
 		t.Fatal(d, at)
@@ -65,7 +65,7 @@
 
 // Directors that never answer are polled with increasing backoff but never given up. The number of polls per director
 // does not grow with the number of directors.
-func TestPollsThatFailGrowRare(t *testing.T) {
+func TestBackoff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 3).Draw(t, "directors")
 		c, now, polls, maxPolls := NewChooser(n), 0.0, 0, n*80
--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -68,7 +68,7 @@
 	return len(b) > 0
 }
 
-// HeadEnd returns the index behind the end of a message head in buf, or 0 if the head is incomplete. The parameter from
+// HeadEnd returns the index just past the end of a message head in buf, or 0 if the head is incomplete. The parameter from
 // is the length of the part of buf that an earlier call has already searched.
 func HeadEnd(buf []byte, from int) int {
 	if from > 3 {
--- a/internal/loadreport/tally.go
+++ b/internal/loadreport/tally.go
@@ -35,7 +35,7 @@
 
 // Batch is the content of one load report.
 type Batch struct {
-	Key   string
+	Key   string // identifies the batch, so that a director counts a repeated one once
 	Tries map[tryKey]TryStats
 	Calls map[callKey]CallStats
 }
@@ -104,6 +104,7 @@
 // Outcome says what became of a batch that was sent.
 type Outcome int
 
+// The outcomes of a batch.
 const (
 	Accepted Outcome = iota // the director has counted it
 	Rejected                // the director will never count it; it is dropped, as it would block all later batches
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -17,8 +17,8 @@
 	consecutiveFailures int
 	ejectedUntil        float64 // 0: not ejected
 	ejectionMs          float64 // of the last ejection, without jitter
-	probing             bool    // a trial that decides about readmission is in flight
-	probeStart          float64
+	trialInFlight       bool    // a trial that decides about readmission is in flight
+	trialStart          float64
 }
 
 // Detector detects failing hosts for one proxy.
@@ -38,16 +38,16 @@
 }
 
 // Available reports whether a try may go to a host. After its ejection a host gets one try as a trial, and further ones
-// once that was answered. A trial that never ends must not keep the host ejected, so after maxEjectionMs it is ignored.
+// once the trial succeeded. A trial that never ends must not keep the host ejected, so after maxEjectionMs it is ignored.
 func (d *Detector[K]) Available(k K, now float64) bool {
 	h := d.hosts[k]
-	return h == nil || h.ejectedUntil == 0 || now >= h.ejectedUntil && (!h.probing || now-h.probeStart > maxEjectionMs)
+	return h == nil || h.ejectedUntil == 0 || now >= h.ejectedUntil && (!h.trialInFlight || now-h.trialStart > maxEjectionMs)
 }
 
 // TryStarted records that a try was sent to a host. The first one after an ejection is the trial.
 func (d *Detector[K]) TryStarted(k K, now float64) {
 	if h := d.hosts[k]; h != nil && h.ejectedUntil > 0 && now >= h.ejectedUntil {
-		h.probing, h.probeStart = true, now
+		h.trialInFlight, h.trialStart = true, now
 	}
 }
 
@@ -79,14 +79,14 @@
 		return false
 	}
 	// The jitter of 30 percent keeps the proxies of a fleet from returning to a host at the same time.
-	h.ejectedUntil, h.probing = now+h.ejectionMs*(0.7+0.6*random), false
+	h.ejectedUntil, h.trialInFlight = now+h.ejectionMs*(0.7+0.6*random), false
 	return true
 }
 
 // TryCanceled records that a try was canceled by its client, which says nothing about the host.
 func (d *Detector[K]) TryCanceled(k K) {
 	if h := d.hosts[k]; h != nil {
-		h.probing = false
+		h.trialInFlight = false
 	}
 }
 
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -11,7 +11,7 @@
 	return ejected
 }
 
-func TestARunOfFailuresShutsAHost(t *testing.T) {
+func TestConsecutiveFailuresEject(t *testing.T) {
 	d := New[string](3)
 	fail(d, 2, 0)
 	d.TryEnded("h", true, 0, 0) // a successful answer resets the count
@@ -28,7 +28,7 @@
 }
 
 // After an ejection a single trial tells whether the host recovered. Until it ends, no other try goes to the host.
-func TestOneTryProbes(t *testing.T) {
+func TestOneTrialAfterEjection(t *testing.T) {
 	d := New[string](3)
 	fail(d, 3, 0)
 	d.TryStarted("h", 3000)
@@ -47,7 +47,7 @@
 }
 
 // A trial that is canceled by its client, or that never ends, does not keep a host ejected forever.
-func TestALostProbe(t *testing.T) {
+func TestTrialWithoutResult(t *testing.T) {
 	d := New[string](1)
 	fail(d, 1, 0)
 	d.TryStarted("h", 3000)
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestSpansHaveAnEnd(t *testing.T) {
+func TestEjectionsAreBounded(t *testing.T) {
 	d := New[string](1)
 	now := 0.0
 	for range 20 {
--- a/internal/pick/pick_test.go
+++ b/internal/pick/pick_test.go
@@ -62,7 +62,7 @@
 }
 
 // Round robin stays within about one turn of the exact share at any time, which random picks don't.
-func TestTheWheelIsEven(t *testing.T) {
+func TestRoundRobinIsEven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0.05, 5), 1, 12).Draw(t, "weights")
 		r := rand.New(rand.NewPCG(3, 4))
@@ -83,7 +83,7 @@
 	})
 }
 
-func TestAPairTakesTheLessBusy(t *testing.T) {
+func TestTwoChoicesPicksTheLessBusy(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
 	p := New(TwoChoices, []float64{1, 1}, r.Float64)
 	got := 0
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestNothingOpenAndOneOpen(t *testing.T) {
+func TestNoneOrOneAvailable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(1e-9, 1e9), 0, 30).Draw(t, "weights")
 		policy := Policy(rapid.IntRange(0, 2).Draw(t, "way"))
--- a/internal/relay/connpool.go
+++ b/internal/relay/connpool.go
@@ -33,84 +33,84 @@
 }
 
 // get returns an idle connection to a host, or a new one. An error means that nothing was sent to the host.
-func (h *connPool) get(host tables.Address, deadline time.Time) (netpoll.Connection, error) {
-	h.mu.Lock()
-	for conns := h.idle[host]; len(conns) > 0; conns = h.idle[host] {
+func (p *connPool) get(host tables.Address, deadline time.Time) (netpoll.Connection, error) {
+	p.mu.Lock()
+	for conns := p.idle[host]; len(conns) > 0; conns = p.idle[host] {
 		c := conns[len(conns)-1].conn
 		conns[len(conns)-1] = idleConn{}
-		h.idle[host] = conns[:len(conns)-1]
+		p.idle[host] = conns[:len(conns)-1]
 		if c.IsActive() && c.Reader().Len() == 0 {
-			h.mu.Unlock()
+			p.mu.Unlock()
 			return c, nil
 		}
 		c.Close()
 	}
-	connect := h.settings.ConnectTimeout
-	h.mu.Unlock()
-	return h.dial("tcp", string(host), min(connect, max(time.Until(deadline), time.Millisecond)))
+	connect := p.settings.ConnectTimeout
+	p.mu.Unlock()
+	return p.dial("tcp", string(host), min(connect, max(time.Until(deadline), time.Millisecond)))
 }
 
 // put returns a connection on which no response is outstanding to the pool. It closes the connection if it is broken,
 // has unread data or exceeds the maximum of idle connections for the host.
-func (h *connPool) put(host tables.Address, conn netpoll.Connection) {
+func (p *connPool) put(host tables.Address, conn netpoll.Connection) {
 	if !conn.IsActive() || conn.Reader().Len() > 0 {
 		conn.Close()
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.isClosed || len(h.idle[host]) >= h.maxIdle {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.isClosed || len(p.idle[host]) >= p.maxIdle {
 		go conn.Close()
 		return
 	}
-	h.idle[host] = append(h.idle[host], idleConn{conn, time.Now()})
+	p.idle[host] = append(p.idle[host], idleConn{conn, time.Now()})
 }
 
 // configure replaces the settings.
-func (h *connPool) configure(hostSettings settings.HostConns, maxIdle int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.settings, h.maxIdle = hostSettings, maxIdle
+func (p *connPool) configure(hostSettings settings.HostConns, maxIdle int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.settings, p.maxIdle = hostSettings, maxIdle
 }
 
 // closeIdle closes connections that are broken or have been idle for the time limit.
-func (h *connPool) closeIdle(now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for host, conns := range h.idle {
+func (p *connPool) closeIdle(now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for host, conns := range p.idle {
 		kept := conns[:0]
 		for _, c := range conns {
-			if now.Sub(c.since) < h.settings.IdleTimeout && c.conn.IsActive() {
+			if now.Sub(c.since) < p.settings.IdleTimeout && c.conn.IsActive() {
 				kept = append(kept, c)
 			} else {
 				go c.conn.Close()
 			}
 		}
 		clear(conns[len(kept):])
-		if h.idle[host] = kept; len(kept) == 0 {
-			delete(h.idle, host)
+		if p.idle[host] = kept; len(kept) == 0 {
+			delete(p.idle, host)
 		}
 	}
 }
 
 // close closes all idle connections. Connections that are returned later are closed, too.
-func (h *connPool) close() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.isClosed = true
-	for host, conns := range h.idle {
+func (p *connPool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.isClosed = true
+	for host, conns := range p.idle {
 		for _, c := range conns {
 			c.conn.Close()
 		}
-		delete(h.idle, host)
+		delete(p.idle, host)
 	}
 }
 
 // idleCount returns the number of idle connections.
-func (h *connPool) idleCount() (n int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, conns := range h.idle {
+func (p *connPool) idleCount() (n int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, conns := range p.idle {
 		n += len(conns)
 	}
 	return n
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -23,9 +23,9 @@
 	host    tables.Address
 	conn    netpoll.Connection
 	load    logic.Load
-	chunked,
-	untilClose bool // the body ends when the connection is closed
-	remaining int64 // unread bytes of the body, or of the current chunk
+	// chunked and untilClose tell how the rest of the body is framed: in chunks, or by the end of the connection.
+	chunked, untilClose bool
+	remaining           int64 // unread bytes of the body, or of the current chunk
 }
 
 var errMalformed = errors.New("malformed message")
@@ -87,7 +87,7 @@
 }
 
 // exchange sends a request to a host and reads its response, until the deadline of the try passes or the client
-// disconnects. The response is nil unless its head and the buffered part of its body were received.
+// disconnects. It returns a nil response if the head or the part of the body that is to be buffered was not received.
 func (s *Relay) exchange(cl *client, try dispatch.Try, method, head, body []byte) (*response, dispatch.Failure) {
 	deadline := s.timeAt(try.Deadline)
 	conn, err := s.hostPool.get(try.Host, s.timeAt(min(try.Deadline, try.ArriveBy)))
@@ -281,7 +281,7 @@
 	r := conn.Reader()
 	for {
 		if n := r.Len(); n > 0 {
-			buf, err := r.Peek(min(n, 256))
+			buf, err := r.Peek(min(n, 256)) // h1.ParseChunkSize examines at most 256 bytes
 			if err != nil {
 				return 0, err
 			}
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -21,7 +21,7 @@
 	"vetchwood/internal/retry"
 )
 
-// metrics counts and times calls, and traces one call in traceOneIn with the routing decisions made for it.
+// metrics counts and times calls, and traces one of every traceOneIn calls with the routing decisions made for it.
 type metrics struct {
 	relay           *Relay
 	registry        *prometheus.Registry
@@ -46,7 +46,7 @@
 		return func() float64 {
 			relay.mu.Lock()
 			defer relay.mu.Unlock()
-			return float64(value(relay.core.Counters()))
+			return float64(value(relay.dispatcher.Counters()))
 		}
 	}
 	for name, metric := range map[string]struct {
@@ -56,7 +56,7 @@
 		"calls_total":         {"Calls received.", func(c dispatch.Counters) uint64 { return c.Calls }},
 		"throttled_total":     {"Calls rejected by an admission level.", func(c dispatch.Counters) uint64 { return c.Throttled }},
 		"refused_total":       {"Calls rejected because too many calls were in flight.", func(c dispatch.Counters) uint64 { return c.Rejected }},
-		"bare_total":          {"Calls for which the tables listed no host in time.", func(c dispatch.Counters) uint64 { return c.NoLine }},
+		"bare_total":          {"Calls that ended before the proxy had received tables.", func(c dispatch.Counters) uint64 { return c.NoLine }},
 		"tries_total":         {"Tries, including retries.", func(c dispatch.Counters) uint64 { return c.Tries }},
 		"further_total":       {"Retries.", func(c dispatch.Counters) uint64 { return c.Retries }},
 		"hosts_avoided_total": {"Times that a host was ejected after consecutive failures.", func(c dispatch.Counters) uint64 { return c.Ejections }},
@@ -78,7 +78,7 @@
 	gauge("hosts_avoided", "Hosts currently ejected.", func() float64 {
 		relay.mu.Lock()
 		defer relay.mu.Unlock()
-		return float64(relay.core.EjectedHosts(relay.now()))
+		return float64(relay.dispatcher.EjectedHosts(relay.now()))
 	})
 	gauge("host_connections_idle", "Idle connections to hosts.", func() float64 { return float64(relay.hostPool.idleCount()) })
 	gauge("tables_version", "Step of the tables in force.", func() float64 {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -28,11 +28,11 @@
 	"vetchwood/internal/tables"
 )
 
-// Hooks are callbacks for tests and rehearsals. Any of them may be nil.
+// Hooks are callbacks for tests and for package rehearse. Any of them may be nil.
 type Hooks struct {
-	OnTry        func(route, mark, table string, host tables.Address) // called before a try is written to its host
-	OnUpdate     func(follow.Update)                                  // called after an update of the tables took effect
-	OnJoinChange func(director string, on bool)                       // called when the proxy joins or leaves a director
+	OnTry        func(route, idempotencyKey, table string, host tables.Address) // called before a try is written to its host
+	OnUpdate     func(follow.Update)                                            // called after an update of the tables took effect
+	OnJoinChange func(director string, joined bool)                             // called when the proxy joins or leaves a director
 }
 
 // Relay is a running proxy.
@@ -46,8 +46,8 @@
 	metrics        *metrics
 
 	mu            sync.Mutex
-	core          *dispatch.Dispatcher
-	waiting       map[admission.Ticket]*waiter // queued calls
+	dispatcher    *dispatch.Dispatcher
+	queuedCalls   map[admission.Ticket]*waiter
 	lastTicket    admission.Ticket
 	tablesChanged chan struct{} // closed and replaced when the tables change
 
@@ -69,13 +69,13 @@
 // New returns a proxy that already listens, so that Addr is valid. Run must be called to serve calls.
 func New(set *settings.Relay, hooks Hooks, log *slog.Logger) (*Relay, error) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	s := &Relay{log: log, hooks: hooks, epoch: time.Now(), waiting: map[admission.Ticket]*waiter{}, tablesChanged: make(chan struct{}),
+	s := &Relay{log: log, hooks: hooks, epoch: time.Now(), queuedCalls: map[admission.Ticket]*waiter{}, tablesChanged: make(chan struct{}),
 		done: make(chan struct{})}
 	s.activeSettings.Store(set)
-	s.core = dispatch.New(set.Limits, strconv.FormatInt(s.epoch.UnixNano(), 36), random.Float64)
+	s.dispatcher = dispatch.New(set.Limits, strconv.FormatInt(s.epoch.UnixNano(), 36), random.Float64)
 	s.hostPool = newConnPool(set.HostConns, set.Limits.MaxPerHost)
 	s.metrics = newMetrics(s)
-	s.follower = follow.NewGroup(follow.Config{Directors: set.Directors, Proxy: set.Name, Zone: set.Zone, Rate: set.ExpectedRate, MaxWait: set.PollWait,
+	s.follower = follow.NewGroup(follow.Config{Directors: set.Directors, Proxy: set.Name, Zone: set.Zone, ExpectedRate: set.ExpectedRate, MaxWait: set.PollWait,
 		CacheFile: set.SnapshotPath, OnUpdate: s.onUpdate, OnJoinChange: hooks.OnJoinChange, Log: log}, set.FollowAll)
 	ln, err := netpoll.CreateListener("tcp", set.Listen)
 	if err != nil {
@@ -116,7 +116,7 @@
 		slices.Sort(fixed)
 		return fmt.Errorf("settings that cannot change while the proxy runs: %s", strings.Join(fixed, ", "))
 	}
-	s.withCore(func(float64) { s.core.SetLimits(set.Limits) })
+	s.withDispatcher(func(float64) { s.dispatcher.SetLimits(set.Limits) })
 	s.hostPool.configure(set.HostConns, set.Limits.MaxPerHost)
 	s.activeSettings.Store(set)
 	s.log.Info("relay.reloaded", "routes", len(set.Routes))
@@ -131,9 +131,9 @@
 	return s.epoch.Add(time.Duration(min(ms, 1e12) * float64(time.Millisecond)))
 }
 
-// withCore runs f with exclusive access to the core. The lock is released even if f panics, because a fault in the
-// handling of one call must not block all others.
-func (s *Relay) withCore(f func(now float64)) {
+// withDispatcher runs f with exclusive access to the dispatcher. The lock is released even if f panics, because a fault
+// in the handling of one call must not block all others.
+func (s *Relay) withDispatcher(f func(now float64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.now())
@@ -141,8 +141,8 @@
 
 // onUpdate puts new tables in force and wakes the calls that wait for them.
 func (s *Relay) onUpdate(u follow.Update) {
-	s.withCore(func(float64) {
-		s.core.SetDocument(u.Doc)
+	s.withDispatcher(func(float64) {
+		s.dispatcher.SetDocument(u.Doc)
 		close(s.tablesChanged)
 		s.tablesChanged = make(chan struct{})
 	})
@@ -229,7 +229,7 @@
 	}
 }
 
-// sendReports posts to each director the load report for it.
+// sendReports posts to each director the load report that is for it.
 func (s *Relay) sendReports(ctx context.Context) {
 	var all sync.WaitGroup
 	for i, url := range s.follower.Directors() {
@@ -238,16 +238,16 @@
 	all.Wait()
 }
 
-// sendReport posts the sums that the director has not yet acknowledged. The parameter index is the director's place in
-// the list of directors, url its address.
+// sendReport posts the sums that the director has not yet acknowledged. The parameter index is the index of the director
+// in the list of directors, url its base URL.
 func (s *Relay) sendReport(ctx context.Context, index int, url string) {
 	var b *loadreport.Batch
-	s.withCore(func(float64) { b = s.core.Tally(index).PendingBatch(url) })
+	s.withDispatcher(func(float64) { b = s.dispatcher.Tally(index).PendingBatch(url) })
 	if b == nil {
 		return
 	}
 	outcome := loadreport.Unknown
-	defer func() { s.withCore(func(float64) { s.core.Tally(index).Resolve(b.Key, outcome) }) }()
+	defer func() { s.withDispatcher(func(float64) { s.dispatcher.Tally(index).Resolve(b.Key, outcome) }) }()
 	body, err := json.Marshal(b.Request(s.settings().Name, s.settings().Zone))
 	if err != nil {
 		outcome = loadreport.Rejected
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -64,9 +64,9 @@
 // startRelay starts a proxy that follows a director with the document doc, and waits until it holds tables. The text
 // extraSettings is added to its settings.
 func startRelay(t testing.TB, extraSettings string, doc *tables.Document) (*Relay, *atomic.Pointer[tables.Document], string) {
-	var now atomic.Pointer[tables.Document]
-	now.Store(doc)
-	text := fmt.Sprintf("relay \"p1\" {\n listen = \"127.0.0.1:0\"\n directors = [%q]\n drain = \"1s\"\n report_every = \"50ms\"\n}\n%s\n", serveDocument(t, &now), extraSettings)
+	var served atomic.Pointer[tables.Document]
+	served.Store(doc)
+	text := fmt.Sprintf("relay \"p1\" {\n listen = \"127.0.0.1:0\"\n directors = [%q]\n drain = \"1s\"\n report_every = \"50ms\"\n}\n%s\n", serveDocument(t, &served), extraSettings)
 	for _, r := range []string{"repeatable", "keyed", "mutating"} {
 		text += fmt.Sprintf("route %q {\n prefix = \"/%s\"\n key = \"query:key\"\n}\n", r, r)
 	}
@@ -88,7 +88,7 @@
 			t.Fatal("the proxy holds no tables after 5 s")
 		}
 	}
-	return s, &now, s.Addr().String()
+	return s, &served, s.Addr().String()
 }
 
 const responseOK = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
@@ -97,7 +97,7 @@
 // it is complete, and responds up to a given byte.
 type faultyHost struct {
 	ln            net.Listener
-	runsByMark    sync.Map // mark -> *atomic.Int32, the number of runs
+	runsByCall    sync.Map // callID -> *atomic.Int32, the number of runs
 	mu            sync.Mutex
 	readLimit     int // bytes of a request that are read; -1: all
 	responseLimit int // bytes of the response that are sent; -1: all
@@ -125,9 +125,9 @@
 
 func (f *faultyHost) address() string { return f.ln.Addr().String() }
 
-func (f *faultyHost) configure(readTo, answerTo int, response string) {
+func (f *faultyHost) configure(readLimit, responseLimit int, response string) {
 	f.mu.Lock()
-	f.readLimit, f.responseLimit, f.response = readTo, answerTo, response
+	f.readLimit, f.responseLimit, f.response = readLimit, responseLimit, response
 	f.mu.Unlock()
 }
 
@@ -140,10 +140,10 @@
 			return
 		}
 		f.mu.Lock()
-		readTo, answerTo, response := f.readLimit, f.responseLimit, f.response
+		readLimit, responseLimit, response := f.readLimit, f.responseLimit, f.response
 		f.mu.Unlock()
 		for !bytes.HasSuffix(text, []byte("\r\n\r\n")) {
-			if readTo >= 0 && len(text) >= readTo {
+			if readLimit >= 0 && len(text) >= readLimit {
 				c.(*net.TCPConn).SetLinger(0)
 				return
 			}
@@ -154,8 +154,8 @@
 			text = append(text, b)
 		}
 		f.count(text)
-		if answerTo >= 0 {
-			io.WriteString(c, response[:answerTo])
+		if responseLimit >= 0 {
+			io.WriteString(c, response[:responseLimit])
 			return
 		}
 		if _, err := io.WriteString(c, response); err != nil {
@@ -165,14 +165,14 @@
 }
 
 func (f *faultyHost) count(text []byte) {
-	_, mark, _ := strings.Cut(string(text), "X-Call: ")
-	mark, _, _ = strings.Cut(mark, "\r\n")
-	n, _ := f.runsByMark.LoadOrStore(mark, new(atomic.Int32))
+	_, callID, _ := strings.Cut(string(text), "X-Call: ")
+	callID, _, _ = strings.Cut(callID, "\r\n")
+	n, _ := f.runsByCall.LoadOrStore(callID, new(atomic.Int32))
 	n.(*atomic.Int32).Add(1)
 }
 
-func (f *faultyHost) runs(mark string) int32 {
-	n, ran := f.runsByMark.Load(mark)
+func (f *faultyHost) runs(callID string) int32 {
+	n, ran := f.runsByCall.Load(callID)
 	if !ran {
 		return 0
 	}
@@ -180,7 +180,7 @@
 }
 
 // sendCall sends one request on a connection of its own and requires exactly one response.
-func sendCall(t testing.TB, address, route, mark string) (status int, body string) {
+func sendCall(t testing.TB, address, route, callID string) (status int, body string) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Error(err)
@@ -188,21 +188,21 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(5 * time.Second))
-	fmt.Fprintf(c, "POST /%s?key=k HTTP/1.1\r\nHost: h\r\nX-Call: %s\r\nIdempotency-Key: %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", route, mark, mark)
+	fmt.Fprintf(c, "POST /%s?key=k HTTP/1.1\r\nHost: h\r\nX-Call: %s\r\nIdempotency-Key: %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", route, callID, callID)
 	all, err := io.ReadAll(c)
 	if err != nil {
-		t.Errorf("%s: %v after %q", mark, err, all)
+		t.Errorf("%s: %v after %q", callID, err, all)
 		return 0, ""
 	}
 	r := bufio.NewReader(bytes.NewReader(all))
 	res, err := http.ReadResponse(r, nil)
 	if err != nil {
-		t.Errorf("%s: no response: %v, received %q", mark, err, all)
+		t.Errorf("%s: no response: %v, received %q", callID, err, all)
 		return 0, ""
 	}
 	text, err := io.ReadAll(res.Body)
 	if rest, _ := io.ReadAll(r); err != nil || len(rest) > 0 {
-		t.Errorf("%s: error %v, %q after the response", mark, err, rest)
+		t.Errorf("%s: error %v, %q after the response", callID, err, rest)
 	}
 	return res.StatusCode, string(text)
 }
@@ -212,10 +212,10 @@
 // host.
 func TestFaultAtEveryByte(t *testing.T) {
 	bad, good := newFaultyHost(t), newFaultyHost(t)
-	s, now, address := startRelay(t, "# no budget", newDocument(1, 3, bad.address()))
+	s, served, address := startRelay(t, "# no budget", newDocument(1, 3, bad.address()))
 	step := tables.Step(1)
 	requestSize := 150 // approximate length of a request; a cut past its end causes no fault
-	type cut struct{ read, answer int }
+	type cut struct{ read, response int }
 	var cuts []cut
 	for i := 0; i < requestSize; i++ {
 		cuts = append(cuts, cut{i, -1})
@@ -223,7 +223,7 @@
 	for i := range len(responseOK) {
 		cuts = append(cuts, cut{-1, i})
 	}
-	for _, repeat := range []string{"mutating", "keyed", "repeatable"} {
+	for _, idempotency := range []string{"mutating", "keyed", "repeatable"} {
 		for i, c := range cuts {
 			// The weight of the good host is so small that only a retry reaches it.
 			step++
@@ -234,25 +234,25 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			bad.configure(c.read, c.answer, responseOK)
-			now.Store(parsed)
+			bad.configure(c.read, c.response, responseOK)
+			served.Store(parsed)
 			for s.Document().Step != step {
 				time.Sleep(100 * time.Microsecond)
 			}
-			mark := fmt.Sprintf("%s-%d", repeat, i)
-			status, body := sendCall(t, address, repeat, mark)
-			badRuns, goodRuns := bad.runs(mark), good.runs(mark)
-			if repeat != "repeatable" && badRuns+goodRuns > 1 {
-				t.Errorf("%s, cut at %+v: ran %d and %d times", mark, c, badRuns, goodRuns)
+			callID := fmt.Sprintf("%s-%d", idempotency, i)
+			status, body := sendCall(t, address, idempotency, callID)
+			badRuns, goodRuns := bad.runs(callID), good.runs(callID)
+			if idempotency != "repeatable" && badRuns+goodRuns > 1 {
+				t.Errorf("%s, cut at %+v: ran %d and %d times", callID, c, badRuns, goodRuns)
 			}
 			if badRuns > 1 || goodRuns > 1 {
-				t.Errorf("%s, cut at %+v: ran %d and %d times", mark, c, badRuns, goodRuns)
+				t.Errorf("%s, cut at %+v: ran %d and %d times", callID, c, badRuns, goodRuns)
 			}
-			if repeat == "repeatable" && (status != 200 || body != "hello") && c.read < 0 {
-				t.Errorf("%s, cut at %+v: got status %d, body %q", mark, c, status, body)
+			if idempotency == "repeatable" && (status != 200 || body != "hello") && c.read < 0 {
+				t.Errorf("%s, cut at %+v: got status %d, body %q", callID, c, status, body)
 			}
 			if status != 200 && status != 502 && status != 504 {
-				t.Errorf("%s, cut at %+v: got status %d, body %q", mark, c, status, body)
+				t.Errorf("%s, cut at %+v: got status %d, body %q", callID, c, status, body)
 			}
 		}
 	}
@@ -329,10 +329,10 @@
 	h := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { <-release; io.WriteString(w, "late") }))
 	defer h.Close()
 	doc := newDocument(1, 0, h.Listener.Addr().String())
-	var now atomic.Pointer[tables.Document]
-	now.Store(doc)
+	var served atomic.Pointer[tables.Document]
+	served.Store(doc)
 	config, err := settings.ParseRelay("p.hcl", []byte(fmt.Sprintf("relay \"p\" {\n listen = \"127.0.0.1:0\"\n directors = [%q]\n drain = \"2s\"\n kept = %q\n}\nroute \"mutating\" { prefix = \"/\" }",
-		serveDocument(t, &now), t.TempDir()+"/kept.json")))
+		serveDocument(t, &served), t.TempDir()+"/kept.json")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -363,7 +363,7 @@
 	}
 	<-done
 	// After a restart without a reachable director, the proxy uses the document in its file.
-	now.Store(newDocument(2, 0))
+	served.Store(newDocument(2, 0))
 	config.Directors, config.Listen = []string{"http://127.0.0.1:1"}, "127.0.0.1:0"
 	restarted, err := New(config, Hooks{}, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -190,10 +190,10 @@
 		return s.rejectCall(cl, c, outcome, h.Close)
 	}
 	head := appendRequestHead(make([]byte, 0, 512+h.Size), h, len(body))
-	mark := string(h.Get(match.IdempotencyHeader))
+	idempotencyKey := string(h.Get(match.IdempotencyHeader))
 	var try dispatch.Try
 	var outcome dispatch.Outcome
-	s.withCore(func(now float64) { try, outcome = s.core.FirstTry(c, now) })
+	s.withDispatcher(func(now float64) { try, outcome = s.dispatcher.FirstTry(c, now) })
 	if outcome != dispatch.Proceed {
 		s.finishCall(c, false)
 		span.finish(c.Table(), outcome.String(), 0, 0)
@@ -201,7 +201,7 @@
 	}
 	for {
 		if s.hooks.OnTry != nil {
-			s.hooks.OnTry(match.Route, mark, c.Table(), try.Host)
+			s.hooks.OnTry(match.Route, idempotencyKey, c.Table(), try.Host)
 		}
 		res, failure := s.exchange(cl, try, h.Method, head, body)
 		load, failedAt := noLoad, 0.0
@@ -209,15 +209,15 @@
 			load = res.load
 		}
 		if failure == noFailure {
-			s.withCore(func(now float64) { s.core.TrySucceeded(c, now, load) })
+			s.withDispatcher(func(now float64) { s.dispatcher.TrySucceeded(c, now, load) })
 			s.finishCall(c, true)
 			span.finish(c.Table(), string(try.Host), res.head.Status, try.Number)
 			return s.forwardResponse(cl, res, h)
 		}
 		var next dispatch.Try
 		var verdict retry.Verdict
-		s.withCore(func(now float64) {
-			next, verdict = s.core.TryFailed(c, failure, now, load)
+		s.withDispatcher(func(now float64) {
+			next, verdict = s.dispatcher.TryFailed(c, failure, now, load)
 			failedAt = now
 		})
 		span.tryFailed(string(try.Host), failure, verdict)
@@ -246,49 +246,50 @@
 	}
 }
 
-// admit asks for admission of a call. It waits for tables that name a host for the call, and in the queue while too many
-// calls are in flight.
+// admit asks the dispatcher to admit a call. The call waits for the first tables if there are none yet, and in the queue
+// while too many calls are in flight.
 func (s *Relay) admit(cl *client, c *dispatch.Call) dispatch.Outcome {
-	var giveUp <-chan time.Time
+	var waitTimeout <-chan time.Time
 	for {
 		var outcome dispatch.Outcome
 		var tablesChanged chan struct{}
 		var w *waiter
-		s.withCore(func(now float64) {
+		s.withDispatcher(func(now float64) {
 			s.lastTicket++
 			c.Ticket = s.lastTicket
-			var dropped ticket
-			outcome, dropped = s.core.Admit(c, now)
+			var evicted ticket
+			outcome, evicted = s.dispatcher.Admit(c, now)
 			if tablesChanged = s.tablesChanged; outcome == dispatch.Queued {
 				w = &waiter{c, make(chan bool, 1)}
-				s.waiting[c.Ticket] = w
+				s.queuedCalls[c.Ticket] = w
 			}
-			s.rejectWaiting(dropped)
+			s.rejectQueued(evicted)
 		})
 		switch outcome {
 		case dispatch.Queued:
 			return s.awaitAdmission(cl, c, w)
 		case dispatch.NoLine:
-			if giveUp == nil {
-				giveUp = time.After(time.Duration(s.core.TableWaitMs() * float64(time.Millisecond)))
+			if waitTimeout == nil {
+				waitTimeout = time.After(time.Duration(s.dispatcher.TableWaitMs() * float64(time.Millisecond)))
 			}
 			select {
 			case <-tablesChanged:
 				continue
-			case <-giveUp:
+			case <-waitTimeout:
 			case <-cl.closed:
 			}
-			s.withCore(func(float64) { s.core.CountNoLine() })
+			s.withDispatcher(func(float64) { s.dispatcher.CountNoLine() })
 		}
 		return outcome
 	}
 }
 
-// rejectWaiting tells queued calls that they were dropped from the queue. Tickets that are not queued are ignored.
-func (s *Relay) rejectWaiting(tickets ...ticket) {
+// rejectQueued notifies calls that were dropped from the queue. Tickets without a queued call are ignored. The lock must
+// be held.
+func (s *Relay) rejectQueued(tickets ...ticket) {
 	for _, t := range tickets {
-		if w := s.waiting[t]; w != nil {
-			delete(s.waiting, t)
+		if w := s.queuedCalls[t]; w != nil {
+			delete(s.queuedCalls, t)
 			w.admitted <- false
 		}
 	}
@@ -308,9 +309,9 @@
 	case <-cl.closed:
 	}
 	wasQueued := false
-	s.withCore(func(float64) {
-		wasQueued = s.core.CancelQueued(c)
-		delete(s.waiting, c.Ticket)
+	s.withDispatcher(func(float64) {
+		wasQueued = s.dispatcher.CancelQueued(c)
+		delete(s.queuedCalls, c.Ticket)
 	})
 	if !wasQueued { // The call was admitted or dropped at the same moment.
 		if <-w.admitted {
@@ -323,12 +324,12 @@
 
 // finishCall ends a call and admits a queued call in its place, if there is one.
 func (s *Relay) finishCall(c *dispatch.Call, answered bool) {
-	s.withCore(func(now float64) {
-		next, dropped := s.core.EndCall(c, answered, now)
-		s.rejectWaiting(dropped...)
-		if w := s.waiting[next]; next != 0 && w != nil {
-			delete(s.waiting, next)
-			s.core.Dequeued(w.call, now)
+	s.withDispatcher(func(now float64) {
+		next, expired := s.dispatcher.EndCall(c, answered, now)
+		s.rejectQueued(expired...)
+		if w := s.queuedCalls[next]; next != 0 && w != nil {
+			delete(s.queuedCalls, next)
+			s.dispatcher.Dequeued(w.call, now)
 			w.admitted <- true
 		}
 	})
@@ -338,9 +339,9 @@
 func (s *Relay) rejectCall(cl *client, c *dispatch.Call, outcome dispatch.Outcome, closes bool) bool {
 	switch outcome {
 	case dispatch.Throttled:
-		wait := 0.0
-		s.withCore(func(float64) { wait = s.core.RetryAfter(c) })
-		return s.writeProblem(cl, http.StatusTooManyRequests, "the route is throttled", wait, closes)
+		retryAfterMs := 0.0
+		s.withDispatcher(func(float64) { retryAfterMs = s.dispatcher.RetryAfter(c) })
+		return s.writeProblem(cl, http.StatusTooManyRequests, "the route is throttled", retryAfterMs, closes)
 	case dispatch.AtCapacity:
 		return s.writeProblem(cl, http.StatusServiceUnavailable, "the limit of calls in flight is reached", 1000, closes)
 	case dispatch.NoLine:
@@ -351,17 +352,17 @@
 	return s.writeProblem(cl, http.StatusServiceUnavailable, "the tables have no such route", 1000, closes)
 }
 
-// writeProblem answers with a problem document (RFC 9457). The parameter wait is the time in milliseconds after which
-// the client may retry, sent as Retry-After in whole seconds; 0 omits it. It reports whether the client's connection can
-// be used for another request.
-func (s *Relay) writeProblem(cl *client, status int, detail string, wait float64, closes bool) bool {
+// writeProblem answers with a problem document (RFC 9457). The parameter retryAfterMs is the time in milliseconds
+// after which the client may retry, sent as Retry-After in whole seconds; 0 omits it. It reports whether the client's
+// connection can be used for another request.
+func (s *Relay) writeProblem(cl *client, status int, detail string, retryAfterMs float64, closes bool) bool {
 	body, _ := json.Marshal(map[string]any{"type": "about:blank", "title": http.StatusText(status), "status": status, "detail": detail})
 	head := make([]byte, 0, 256)
 	head = appendStatusLine(head, status, []byte(http.StatusText(status)))
 	head = append(head, "Content-Type: application/problem+json\r\nCache-Control: no-store\r\n"...)
-	if wait > 0 {
+	if retryAfterMs > 0 {
 		head = append(head, "Retry-After: "...)
-		head = strconv.AppendInt(head, int64(math.Ceil(wait/1000)), 10)
+		head = strconv.AppendInt(head, int64(math.Ceil(retryAfterMs/1000)), 10)
 		head = append(head, "\r\n"...)
 	}
 	head = appendFraming(head, len(body), closes || s.draining.Load())
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -8,7 +8,7 @@
 
 var keyedRoute = Route{Idempotency: IdempotentByKey, DedupScope: DedupCell, DedupWindow: 4000, SLO: 1000, TryTimeoutShare: 1.2}
 
-func TestOnlyAsOrderedAndOnlyWhatIsSafe(t *testing.T) {
+func TestDecide(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		route      Route
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestAKeyedCallStaysWithinReach(t *testing.T) {
+func TestDedupScope(t *testing.T) {
 	for scope, want := range map[string][3]bool{DedupAll: {true, true, true}, DedupZone: {true, true, false}, DedupCell: {true, false, false}, "": {}} {
 		call := NewState(Route{Idempotency: IdempotentByKey, DedupScope: scope, DedupWindow: 4000}, 3, 5000)
 		if !call.Allows(Location{"b", "b-1"}) {
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestTheWaitOfATry(t *testing.T) {
+func TestTryDeadline(t *testing.T) {
 	call := NewState(keyedRoute, 2, 5000)
 	if got := call.TryDeadline(100); got != 1300 {
 		t.Errorf("the deadline of a try that may be retried is %v, want 1300", got)
