--- a/internal/aggregate/aggregate.go
+++ b/internal/aggregate/aggregate.go
@@ -6,7 +6,8 @@
 
 import "vetchwood/logic"
 
-// Tries sums the tries of one proxy at a host since its last report.
+// Tries sums tries at a host by callers of one zone: those of one proxy since its last report, or of all proxies in a
+// pending line.
 type Tries struct {
 	Host              logic.HostID
 	Zone              logic.ZoneID
@@ -33,8 +34,8 @@
 		proxy logic.ProxyID
 		route logic.RouteID
 	}
-	// row is a pending report line; since is the start of the time that it covers.
-	row struct {
+	// reportLine is a pending report line; since is the start of the time that it covers.
+	reportLine struct {
 		tries  Tries
 		demand Demand
 		since  logic.Millis
@@ -49,24 +50,24 @@
 	periodEnd      logic.Millis // end of the latest period
 	credit         float64
 	pending        []any // keys of the pending lines, oldest first
-	rows           map[any]*row
+	lines          map[any]*reportLine
 }
 
 // New returns an empty Aggregator that releases lines at the end of each interval. bySlice tells that the key space has
 // slices, so that demand is summed by slice and not by proxy.
 func New(bySlice bool, interval logic.Millis, linesPerSecond float64) *Aggregator {
-	return &Aggregator{bySlice: bySlice, interval: interval, linesPerSecond: linesPerSecond, rows: map[any]*row{}}
+	return &Aggregator{bySlice: bySlice, interval: interval, linesPerSecond: linesPerSecond, lines: map[any]*reportLine{}}
 }
 
-// row returns the pending line for a key, and adds one if there is none.
-func (a *Aggregator) row(now logic.Millis, key any) *row {
-	r := a.rows[key]
+// lineFor returns the pending line for a key, and adds one if there is none.
+func (a *Aggregator) lineFor(now logic.Millis, key any) *reportLine {
+	r := a.lines[key]
 	if r == nil {
 		if a.periodEnd == 0 {
 			a.periodEnd = now - a.interval
 		}
-		r = &row{since: a.periodEnd}
-		a.rows[key] = r
+		r = &reportLine{since: a.periodEnd}
+		a.lines[key] = r
 		a.pending = append(a.pending, key)
 	}
 	return r
@@ -74,7 +75,7 @@
 
 // AddTries adds the tries of a proxy at a host. Of the hosts' own load figures, the latest are kept.
 func (a *Aggregator) AddTries(now logic.Millis, t Tries) {
-	r := a.row(now, triesKey{t.Host, t.Zone})
+	r := a.lineFor(now, triesKey{t.Host, t.Zone})
 	load := r.tries.Load
 	if t.Load != (logic.Load{}) {
 		load = t.Load
@@ -82,12 +83,12 @@
 	r.tries = Tries{t.Host, t.Zone, r.tries.Ended + t.Ended, r.tries.Unanswered + t.Unanswered, r.tries.AnsweredMs + t.AnsweredMs, load}
 }
 
-// AddDemand adds the calls of a route.
+// AddDemand adds the calls of a route to the pending line for the slice or the proxy.
 func (a *Aggregator) AddDemand(now logic.Millis, c Demand) {
 	if a.bySlice {
 		c.Proxy = 0
 	}
-	r := a.row(now, demandKey{c.Slice, c.Proxy, c.Route})
+	r := a.lineFor(now, demandKey{c.Slice, c.Proxy, c.Route})
 	c.Calls, c.Unanswered = c.Calls+r.demand.Calls, c.Unanswered+r.demand.Unanswered
 	r.demand = c
 }
@@ -106,12 +107,12 @@
 	n := min(len(a.pending), int(a.credit))
 	a.credit -= float64(n)
 	for _, key := range a.pending[:n] {
-		r := a.rows[key]
-		delete(a.rows, key)
-		over := now - r.since
+		r := a.lines[key]
+		delete(a.lines, key)
+		period := now - r.since
 		switch key.(type) {
 		case triesKey:
-			m := logic.HostSample{Host: r.tries.Host, Zone: r.tries.Zone, Period: over, Finished: r.tries.Ended, Failed: r.tries.Unanswered,
+			m := logic.HostSample{Host: r.tries.Host, Zone: r.tries.Zone, Period: period, Finished: r.tries.Ended, Failed: r.tries.Unanswered,
 				Load: r.tries.Load}
 			if good := m.Finished - m.Failed; good > 0 {
 				m.MeanLatency = logic.Millis(r.tries.AnsweredMs / float64(good))
@@ -120,9 +121,9 @@
 		case demandKey:
 			c := r.demand
 			if a.bySlice {
-				events = append(events, logic.SliceDemand{Slice: c.Slice, Route: c.Route, Period: over, Calls: c.Calls, Unanswered: c.Unanswered})
+				events = append(events, logic.SliceDemand{Slice: c.Slice, Route: c.Route, Period: period, Calls: c.Calls, Unanswered: c.Unanswered})
 			} else {
-				events = append(events, logic.RouteDemand{Proxy: c.Proxy, Route: c.Route, Period: over, Calls: c.Calls, Unanswered: c.Unanswered})
+				events = append(events, logic.RouteDemand{Proxy: c.Proxy, Route: c.Route, Period: period, Calls: c.Calls, Unanswered: c.Unanswered})
 			}
 		}
 	}
--- a/internal/channel/channel.go
+++ b/internal/channel/channel.go
@@ -1,4 +1,4 @@
-// Package channel models the rate-limited way of orders to the proxies: messages leave one after the other at a
+// Package channel models the rate-limited channel for orders to the proxies: messages leave one after the other at a
 // configured number of lines per second. The queued lines are counted, so that a limit on them can be enforced. The
 // package does no I/O and reads no clock.
 package channel
@@ -8,22 +8,22 @@
 // Message carries the orders of one reply of the decision module to one proxy. Body belongs to the caller.
 type Message struct {
 	Proxy logic.ProxyID
-	Lines float64 // including the head
+	Lines float64 // including the fixed overhead of a message
 	Body  any
 
 	queuedAt, leavesAt logic.Millis
 }
 
-// Channel is the channel of one director.
+// Channel is the queue of messages from one director to its proxies.
 type Channel struct {
 	linesPerMs     float64
 	queue          []Message
 	queuedLines    float64
 	freeAt         logic.Millis // when the last queued message leaves
 	maxQueuedLines float64
-	sentAt         [][]logic.Millis // recent messages by proxy, whose numbers are small and dense
+	sentAt         [][]logic.Millis // times of the recent messages by proxy; proxy IDs are small and dense
 	window         logic.Millis
-	maxInWindow    int // highest number of messages to one proxy within the window
+	maxInWindow    int // highest number of messages to one proxy within any window
 }
 
 // New returns an empty channel. window is the period over which messages to one proxy are counted.
@@ -91,7 +91,7 @@
 	}
 }
 
-// Next returns when the first message leaves, or false if none is queued.
+// Next returns the time at which the first message leaves, and false if none is queued.
 func (c *Channel) Next() (logic.Millis, bool) {
 	if len(c.queue) == 0 {
 		return 0, false
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -10,8 +10,8 @@
 	"vetchwood/logic"
 )
 
-// Clock is the module's time: Unix milliseconds, read from the system clock once at creation and advanced by the
-// monotonic clock.
+// Clock provides the time of the decision module in Unix milliseconds. It reads the system clock once at creation and
+// advances with the monotonic clock, so steps of the system clock do not affect it.
 type Clock struct {
 	epoch  time.Time
 	offset float64
@@ -23,7 +23,7 @@
 	return Clock{now, float64(now.UnixMicro()) / 1000}
 }
 
-// Now returns the module's time.
+// Now returns the present time in Unix milliseconds.
 func (c Clock) Now() logic.Millis {
 	return logic.Millis(c.offset + float64(time.Since(c.epoch).Nanoseconds())/1e6)
 }
@@ -66,7 +66,7 @@
 	}
 }
 
-// Wake returns a channel that receives when items are present.
+// Wake returns a channel that delivers a value when items are present.
 func (b *Inbox) Wake() <-chan struct{} { return b.wake }
 
 // Take removes up to limit items, or all if limit is 0, and returns them with the time when the oldest was posted. If
--- a/internal/netutil/socket.go
+++ b/internal/netutil/socket.go
@@ -13,8 +13,9 @@
 
 // AcceptLimiter decides whether one more connection may be accepted.
 type AcceptLimiter interface {
-	// CanAccept reports whether a connection may be accepted; began is true on the first refusal after a permission.
-	CanAccept() (may, began bool)
+	// CanAccept reports whether a connection may be accepted; pauseStarted is true on the first refusal after a
+	// connection was allowed.
+	CanAccept() (canAccept, pauseStarted bool)
 }
 
 // limitedListener pauses accepting while its limiter refuses connections or the system is out of descriptors. netpoll
@@ -24,15 +25,15 @@
 	netpoll.Listener
 	limiter AcceptLimiter
 	log     *slog.Logger
-	closing atomic.Bool // no connection is accepted any more
+	closing atomic.Bool // set by Close; no further connection is accepted
 }
 
 func (l *limitedListener) Accept() (net.Conn, error) {
 	if l.closing.Load() {
 		return nil, syscall.EMFILE
 	}
-	if may, began := l.limiter.CanAccept(); !may {
-		if began {
+	if canAccept, pauseStarted := l.limiter.CanAccept(); !canAccept {
+		if pauseStarted {
 			l.log.Warn("accept.paused", "listen", l.Addr().String(), "why", "connection limit reached or memory is short")
 		}
 		return nil, syscall.EMFILE
@@ -73,16 +74,16 @@
 // Serve accepts and serves connections until Close.
 func (s *Socket) Serve() error { return s.loop.Serve(s.ln) }
 
-// Close closes the socket and all connections. conns calls each for every open connection of the owner. These are
-// closed before the loop is shut down, since a connection that the loop closes may have been read a moment ago.
+// Close closes the socket and all connections. forEachConn calls visit for every open connection of the owner. These
+// are closed before the loop is shut down, since a connection that the loop closes may have been read a moment ago.
 // Connections that are not accepted by then have not been read.
-func (s *Socket) Close(conns func(each func(netpoll.Connection))) error {
+func (s *Socket) Close(forEachConn func(visit func(netpoll.Connection))) error {
 	s.ln.closing.Store(true)
-	conns(func(c netpoll.Connection) { c.Close() })
+	forEachConn(func(c netpoll.Connection) { c.Close() })
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	err := s.loop.Shutdown(ctx)
-	conns(func(c netpoll.Connection) { c.Close() })
+	forEachConn(func(c netpoll.Connection) { c.Close() })
 	if ctx.Err() != nil {
 		return nil // the loop only waits for idle connections, and those of the owner are closed above
 	}
--- a/internal/netutil/socket_test.go
+++ b/internal/netutil/socket_test.go
@@ -17,7 +17,7 @@
 // switchLimiter accepts connections while open is set.
 type switchLimiter struct{ open atomic.Bool }
 
-func (l *switchLimiter) CanAccept() (may, began bool) { return l.open.Load(), false }
+func (l *switchLimiter) CanAccept() (canAccept, pauseStarted bool) { return l.open.Load(), false }
 
 // serveName opens a socket that answers the first bytes of each connection with its name.
 func serveName(t *testing.T, name string, limiter AcceptLimiter) *Socket {
--- a/internal/platform/codec/codec_test.go
+++ b/internal/platform/codec/codec_test.go
@@ -183,7 +183,7 @@
 		{logic.Stamp{Serial: 905, All: true}, `{"verb":"mark","ticket":905,"set":1}`},
 		{logic.Stamp{Serial: 905}, `{"verb":"mark","ticket":905,"set":0}`},
 	} {
-		if op, relays, err := schema.EncodeOrder(c.order, h); err != nil || !relays || op.Text != c.text {
+		if op, forRelay, err := schema.EncodeOrder(c.order, h); err != nil || !forRelay || op.Text != c.text {
 			t.Errorf("%+v: %s, %v", c.order, op.Text, err)
 		}
 	}
--- a/internal/platform/codec/messages.go
+++ b/internal/platform/codec/messages.go
@@ -17,7 +17,7 @@
 	maxUtilization = 16.0 // a fraction; the margin allows for noise
 )
 
-// Message is a decoded message that was sent to the director's own address.
+// Message is a decoded message that was sent to the director's listening address.
 type Message struct {
 	Kind  string
 	Zone  logic.ZoneID // of a collector that joins
@@ -38,7 +38,7 @@
 	Route    *string
 }
 
-// DecodeMessage decodes a line that was sent to the director's own address.
+// DecodeMessage decodes a line that was sent to the director's listening address.
 func (s *Schema) DecodeMessage(line []byte) (Message, error) {
 	var m message
 	if err := decodeObject(line, &m); err != nil {
@@ -133,14 +133,14 @@
 	return l, nil
 }
 
-// Notification is a notification from the relay. Host is the host name in a line of the store.
+// Notification is a notification from the relay.
 type Notification struct {
 	Kind  string // joined, left, applied, given, held, ping
-	Event any
-	Host  string
+	Event any    // nil for a ping
+	Host  string // the host that a logic.StoredLine is about
 }
 
-// Frame is a line from the relay: a notification, or the answer to a call.
+// Frame is a decoded line from the relay: a notification, or the answer to a call.
 type Frame struct {
 	Notification *Notification
 	// The other fields are set for the answer to a call.
--- a/internal/platform/codec/names.go
+++ b/internal/platform/codec/names.go
@@ -27,15 +27,15 @@
 	"recent_ms": "latency_ms", "errors_per_s": "eps"}
 
 // NewSchema returns the schema that follows from a director's settings.
-func NewSchema(f logic.Config, names wire.Names) *Schema {
-	s := &Schema{Names: names, Proxies: f.Proxies, Slices: f.Slices, columnByName: map[string]string{}}
-	for _, c := range f.LoadColumns {
+func NewSchema(config logic.Config, names wire.Names) *Schema {
+	s := &Schema{Names: names, Proxies: config.Proxies, Slices: config.Slices, columnByName: map[string]string{}}
+	for _, c := range config.LoadColumns {
 		s.columnByName[c] = c
 		if alias, known := columnAliases[c]; known {
 			s.columnByName[alias] = c
 		}
 	}
-	for _, r := range f.Routes {
+	for _, r := range config.Routes {
 		s.longestCallMs = max(s.longestCallMs, float64(r.TimeLimit))
 	}
 	return s
@@ -62,10 +62,11 @@
 // ErrUnreadable is returned for input that is not a JSON object. The rest of its connection cannot be trusted either.
 var ErrUnreadable = errors.New("not a JSON object")
 
-// FieldError reports an invalid field. It makes only its own message unusable, not the messages before and after it.
+// FieldError reports an invalid field. Only the message that contains it is unusable; the messages before and after it
+// on the same connection remain valid.
 type FieldError struct{ Kind, Field, Why string }
 
-func (s *FieldError) Error() string { return fmt.Sprintf("%s.%s: %s", s.Kind, s.Field, s.Why) }
+func (e *FieldError) Error() string { return fmt.Sprintf("%s.%s: %s", e.Kind, e.Field, e.Why) }
 
 // decodeObject decodes a line into a struct whose fields are pointers, so that absent fields stay nil.
 func decodeObject(line []byte, into any) error {
--- a/internal/platform/codec/orders.go
+++ b/internal/platform/codec/orders.go
@@ -9,8 +9,9 @@
 	"vetchwood/logic"
 )
 
-// EncodeOrder encodes an order as a relay operation. It returns false for orders that are not for the relay.
-func (s *Schema) EncodeOrder(o logic.Order, h *Hosts) (op outbox.Op, relays bool, err error) {
+// EncodeOrder encodes an order as a relay operation. forRelay is false for orders that are not sent to the relay.
+// An order for a host whose name is not known is an error.
+func (s *Schema) EncodeOrder(o logic.Order, h *Hosts) (op outbox.Op, forRelay bool, err error) {
 	var text []byte
 	verb := func(name string) { text = append(text, `{"verb":"`+name+`"`...) }
 	host := func(id logic.HostID) {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -20,13 +20,13 @@
 type Config struct {
 	Name, Listen, Discovery, Relay string
 	Seed                           uint64
-	Cores                          float64
-	Memory                         int64 // bytes
-	Sockets                        int
-	Known                          codec.List // hosts in use until discovery answers
-	Facts                          logic.Config
-	Names                          *codec.Schema
-	Resolution                     logic.Millis // time for which events are collected before a turn
+	Cores                          float64    // CPU limit in cores; 0: none
+	Memory                         int64      // memory limit in bytes; 0: none
+	Sockets                        int        // limit of open descriptors; 0: none
+	InitialHosts                   codec.List // hosts in use until discovery answers
+	Settings                       logic.Config
+	Schema                         *codec.Schema
+	Resolution                     logic.Millis // time for which events are collected before each pass of the event loop
 }
 
 // configFile is the configuration as written in the JSON file.
@@ -64,12 +64,12 @@
 	if err != nil {
 		return nil, &ConfigError{Where: "GW_CONFIG", Why: err.Error(), Err: err}
 	}
-	s, err := parse(text, env)
+	config, err := parse(text, env)
 	var invalid *ConfigError
 	if errors.As(err, &invalid) {
 		invalid.Where = path + ": " + invalid.Where
 	}
-	return s, err
+	return config, err
 }
 
 func parse(text []byte, env func(string) string) (*Config, error) {
@@ -93,7 +93,7 @@
 	}
 	config := &Config{Name: withFallback(file.Name, "GW_NAME"), Listen: withFallback(file.Listen, "GW_LISTEN"),
 		Discovery: withFallback(file.Discovery, "GW_DISCOVERY"), Relay: file.Store.Address, Cores: file.Limits.Cores,
-		Memory: int64(file.Limits.MemoryMB * (1 << 20)), Sockets: file.Limits.Sockets, Known: file.Known}
+		Memory: int64(file.Limits.MemoryMB * (1 << 20)), Sockets: file.Limits.Sockets, InitialHosts: file.Known}
 	for _, a := range []struct{ where, address string }{{"listen", config.Listen}, {"discovery", config.Discovery},
 		{"store.address", config.Relay}} {
 		host, port, err := net.SplitHostPort(a.address)
@@ -123,12 +123,12 @@
 	if len(file.Settings) == 0 {
 		return nil, &ConfigError{Where: "settings", Why: "missing"}
 	}
-	facts, n, err := wire.DecodeFacts(file.Settings)
+	settings, names, err := wire.DecodeFacts(file.Settings)
 	if err != nil {
 		return nil, &ConfigError{Where: "settings", Why: err.Error()}
 	}
-	config.Facts, config.Names, config.Resolution = facts, codec.NewSchema(facts, n), max(1, n.Resolution)
-	if len(n.Zones) == 0 || len(facts.Routes) == 0 {
+	config.Settings, config.Schema, config.Resolution = settings, codec.NewSchema(settings, names), max(1, names.Resolution)
+	if len(names.Zones) == 0 || len(settings.Routes) == 0 {
 		return nil, &ConfigError{Where: "settings", Why: "at least one zone and one route are required"}
 	}
 	return config, nil
--- a/internal/platform/decisions.go
+++ b/internal/platform/decisions.go
@@ -44,18 +44,18 @@
 	return strconv.Itoa(int(c.SinceReport))
 }
 
-// logLoad logs the inputs and results of admission control while calls are rejected, hosts are full or answers are
-// late, and once when that is over.
+// logLoad logs the inputs and results of admission control while calls are rejected, hosts are saturated or answers take
+// longer than the shortest SLO, and once when that is over.
 func (d *director) logLoad() {
 	r := d.module.Load()
-	strained := r.SaturatedHosts > 0 || r.AnswerTime > d.config.shortestSLO()
+	isOverloaded := r.SaturatedHosts > 0 || r.AnswerTime > d.config.shortestSLO()
 	for _, level := range slices.Concat(r.Levels, r.WrittenLevels) {
-		strained = strained || level < 1
+		isOverloaded = isOverloaded || level < 1
 	}
-	if !strained && !d.overloaded {
+	if !isOverloaded && !d.overloaded {
 		return
 	}
-	d.overloaded = strained
+	d.overloaded = isOverloaded
 	d.log.Info("load", "calls_per_s", round(r.Calls), "let_in_per_s", round(r.Admitted),
 		"unanswered_per_s", round(r.Unanswered), "tries_per_s", round(r.Tries), "demand_per_s", round(r.Demand),
 		"capacity_per_s", round(r.Capacity), "busy", round(r.Utilization), "loss", round(r.Loss),
@@ -66,11 +66,11 @@
 
 // shortestSLO returns the shortest answer time objective of all routes.
 func (c *Config) shortestSLO() logic.Millis {
-	goal := logic.Millis(math.Inf(1))
-	for _, route := range c.Facts.Routes {
-		goal = min(goal, route.SLO)
+	shortest := logic.Millis(math.Inf(1))
+	for _, route := range c.Settings.Routes {
+		shortest = min(shortest, route.SLO)
 	}
-	return goal
+	return shortest
 }
 
 // logDecisions logs the state of the decision module: demand and capacity, admission levels, hosts by condition, and
--- a/internal/platform/hostwatch/hostwatch.go
+++ b/internal/platform/hostwatch/hostwatch.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// pollWait is how long the agent may hold a poll. It is short, because an unresponsive agent is detected only
+	// pollWait is how long the service may hold a poll. It is short, because an unresponsive service is detected only
 	// after it has elapsed.
 	pollWait = 1000 * time.Millisecond
-	// answerTimeout is how long the agent may take to respond, in addition to pollWait for a poll that it may hold.
+	// answerTimeout is how long the service may take to respond, in addition to pollWait for a poll that it may hold.
 	answerTimeout = 500 * time.Millisecond
 	backoffUnit   = 30 * time.Millisecond
-	// minPollInterval is the pause before polling again if the agent did not hold the poll. It is well below the time
+	// minPollInterval is the pause before polling again if the service did not hold the poll. It is well below the time
 	// within which the next poll must follow.
 	minPollInterval = 50 * time.Millisecond
 	maxListBytes    = 8 << 20
 )
 
-// Update is a response of the discovery service, posted to the inbox. Source identifies the follower that received it.
+// Update is a response of the discovery service, posted to the inbox. WatchID is the ID that was passed to Follow.
 type Update struct {
-	Source int
+	WatchID int
 	codec.List
 }
 
@@ -46,10 +46,9 @@
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
-// Get requests a page. The complete response must arrive within the time, and its body must not exceed the limit in
-// bytes.
-func Get(ctx context.Context, client *http.Client, url string, within time.Duration, limit int64) (status int, body []byte, err error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// Get requests a URL. The complete response must arrive within the timeout, and its body must not exceed maxBytes.
+func Get(ctx context.Context, client *http.Client, url string, timeout time.Duration, maxBytes int64) (status int, body []byte, err error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -60,27 +59,27 @@
 		return 0, nil, err
 	}
 	defer res.Body.Close()
-	body, err = io.ReadAll(io.LimitReader(res.Body, limit+1))
-	if err == nil && int64(len(body)) > limit {
+	body, err = io.ReadAll(io.LimitReader(res.Body, maxBytes+1))
+	if err == nil && int64(len(body)) > maxBytes {
 		err = errors.New("response body exceeds the size limit")
 	}
 	return res.StatusCode, body, err
 }
 
-// Follow posts the responses of the discovery service as Updates until the context is cancelled. It requests the
-// complete host list at first and again after each failure.
-func Follow(ctx context.Context, address string, source int, post func(...any), log *slog.Logger) {
+// Follow posts the responses of the discovery service as Updates with the ID of the watch, until the context is
+// cancelled. It requests the complete host list at first and again after each failure.
+func Follow(ctx context.Context, address string, watchID int, post func(...any), log *slog.Logger) {
 	client := NewClient(1)
 	defer client.CloseIdleConnections()
 	index, failures := int64(-1), 0
 	for ctx.Err() == nil {
-		url, within := "http://"+address+"/v1/endpoints", answerTimeout
+		url, timeout := "http://"+address+"/v1/endpoints", answerTimeout
 		if index >= 0 {
 			url += "?after=" + strconv.FormatInt(index, 10) + "&wait_ms=" + strconv.FormatInt(pollWait.Milliseconds(), 10)
-			within += pollWait
+			timeout += pollWait
 		}
 		began := time.Now()
-		l, err := fetchList(ctx, client, url, within)
+		l, err := fetchList(ctx, client, url, timeout)
 		if ctx.Err() != nil {
 			return
 		}
@@ -97,16 +96,16 @@
 		}
 		index, failures = l.Index, 0
 		if l.Snapshot || len(l.Endpoints) > 0 {
-			post(Update{source, l})
+			post(Update{watchID, l})
 		} else if spent := time.Since(began); spent < minPollInterval {
-			eventloop.Pause(ctx, minPollInterval-spent) // avoid a busy loop if the agent does not hold polls
+			eventloop.Pause(ctx, minPollInterval-spent) // avoid a busy loop if the service does not hold polls
 		}
 	}
 }
 
 // fetchList requests a host list and decodes it.
-func fetchList(ctx context.Context, client *http.Client, url string, within time.Duration) (codec.List, error) {
-	status, body, err := Get(ctx, client, url, within, maxListBytes)
+func fetchList(ctx context.Context, client *http.Client, url string, timeout time.Duration) (codec.List, error) {
+	status, body, err := Get(ctx, client, url, timeout, maxListBytes)
 	if err != nil {
 		return codec.List{}, err
 	}
--- a/internal/platform/hostwatch/hostwatch_test.go
+++ b/internal/platform/hostwatch/hostwatch_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// followAgent follows an agent that gives these responses in turn and then does not respond any more. It returns the
-// first updates, as many as wanted, and the queries of all requests until then.
-func followAgent(t *testing.T, want int, answers ...func(http.ResponseWriter)) (updates []Update, queries []string) {
+// followStub follows a stub of the discovery service that gives the responses in turn and then does not respond any
+// more. It returns the first updates, as many as wanted, and the queries of all requests until then.
+func followStub(t *testing.T, want int, answers ...func(http.ResponseWriter)) (updates []Update, queries []string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	calls := make(chan string, 64)
@@ -20,7 +20,7 @@
 	for _, a := range answers {
 		next <- a
 	}
-	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.RawQuery
 		select {
 		case a := <-next:
@@ -35,10 +35,10 @@
 	lists := make(chan Update, 64)
 	ended := make(chan struct{})
 	go func() {
-		Follow(ctx, agent.Listener.Addr().String(), 3, func(in ...any) { lists <- in[0].(Update) }, slog.New(slog.DiscardHandler))
+		Follow(ctx, service.Listener.Addr().String(), 3, func(in ...any) { lists <- in[0].(Update) }, slog.New(slog.DiscardHandler))
 		close(ended)
 	}()
-	t.Cleanup(func() { cancel(); <-ended; agent.CloseClientConnections(); agent.Close() })
+	t.Cleanup(func() { cancel(); <-ended; service.CloseClientConnections(); service.Close() })
 	for range want {
 		select {
 		case l := <-lists:
@@ -77,7 +77,7 @@
 
 func unavailable(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
 
-// After any failure of the agent the client requests the complete list, and it posts nothing of the failed response.
+// After any failure of the service the client requests the complete list, and it posts nothing of the failed response.
 func TestSnapshotIsRequestedAfterEachFailure(t *testing.T) {
 	for name, failures := range map[string][]func(http.ResponseWriter){
 		"unresponsive at the start":       {unresponsive},
@@ -97,9 +97,9 @@
 			if len(failures) > 1 {
 				want = 2
 			}
-			updates, queries := followAgent(t, want, append(failures, snapshotOf(2, "h2"))...)
+			updates, queries := followStub(t, want, append(failures, snapshotOf(2, "h2"))...)
 			last := updates[want-1]
-			if last.Index != 2 || last.Source != 3 || len(last.Endpoints) != 1 || last.Endpoints[0].Name != "h2" {
+			if last.Index != 2 || last.WatchID != 3 || len(last.Endpoints) != 1 || last.Endpoints[0].Name != "h2" {
 				t.Errorf("updates: %+v", updates)
 			}
 			if n := len(failures); len(queries) <= n || queries[n] != "" {
@@ -111,7 +111,7 @@
 
 // Each poll continues from the index of the previous response.
 func TestPollContinuesFromLastIndex(t *testing.T) {
-	updates, queries := followAgent(t, 3, snapshotOf(4, "h1"), changeOf(6, "h2"),
+	updates, queries := followStub(t, 3, snapshotOf(4, "h1"), changeOf(6, "h2"),
 		respondWith(`{"index":6,"snapshot":false,"endpoints":[]}`), changeOf(7, "h3"))
 	for i, want := range []string{"", "after=4&wait_ms=1000", "after=6&wait_ms=1000", "after=6&wait_ms=1000"} {
 		if queries[i] != want {
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -12,8 +12,9 @@
 // kernel's memory for it.
 const uncountedMemory = 10 << 20
 
-// applyLimits sets the runtime's CPU and memory limits to those of the configuration, and returns the resources that
-// are available.
+// applyLimits sets the runtime's CPU and memory limits by those of the configuration, and returns the resources that
+// are available. Go's memory limit leaves uncountedMemory, or a quarter of the memory if that is more, to what it does
+// not count, but never more than half of the memory.
 func applyLimits(config *Config) budget.Resources {
 	available := budget.Unlimited
 	if config.Cores > 0 {
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -26,12 +26,12 @@
 // newOfflineDirector returns a director without sockets, to which the test passes events directly.
 func newOfflineDirector(t *testing.T) *director {
 	t.Helper()
-	s, err := parse([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","store":{"address":"127.0.0.1:3"},"settings":`+
+	config, err := parse([]byte(`{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","store":{"address":"127.0.0.1:3"},"settings":`+
 		testSettings+`}`), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := newDirector(s, slog.New(slog.DiscardHandler))
+	d := newDirector(config, slog.New(slog.DiscardHandler))
 	d.events = nil
 	return d
 }
@@ -48,17 +48,17 @@
 
 // A list of the former watch that is queued behind one of the new watch is older and must be ignored, whatever its
 // index.
-func TestAListOfAFormerWatchIsNotTakenAfterTheNewOnes(t *testing.T) {
+func TestListOfFormerWatchIsIgnoredAfterNewOne(t *testing.T) {
 	d := newOfflineDirector(t)
 	ended := 0
 	d.watches = map[int]watchHandle{4: {"x", func() { ended++ }}, 7: {"y", func() { t.Error("the new watch was stopped") }}}
 	d.newestWatch = 7
-	d.handleEvent(1, hostwatch.Update{Source: 4, List: hostList("h1", "h2")})
+	d.handleEvent(1, hostwatch.Update{WatchID: 4, List: hostList("h1", "h2")})
 	if d.hosts.ListedCount() != 2 || ended != 0 {
 		t.Fatalf("%d hosts listed, %d watches stopped; wanted 2 and 0 until the new watch answers", d.hosts.ListedCount(), ended)
 	}
-	d.handleEvent(2, hostwatch.Update{Source: 7, List: hostList("h1")})
-	d.handleEvent(3, hostwatch.Update{Source: 4, List: hostList("h1", "h2", "h3")})
+	d.handleEvent(2, hostwatch.Update{WatchID: 7, List: hostList("h1")})
+	d.handleEvent(3, hostwatch.Update{WatchID: 4, List: hostList("h1", "h2", "h3")})
 	if d.hosts.ListedCount() != 1 || ended != 1 {
 		t.Errorf("%d hosts listed, %d watches stopped; wanted 1 and 1", d.hosts.ListedCount(), ended)
 	}
@@ -100,19 +100,19 @@
 
 // If the configuration returns to a former relay address, the stopped follower of that address may still subscribe once
 // more. Its subscription must be ignored.
-func TestASubscriptionOfAFormerFollowerIsNotTaken(t *testing.T) {
+func TestSubscriptionOfFormerFollowerIsIgnored(t *testing.T) {
 	d := newOfflineDirector(t)
 	d.relayAddress, d.followerID, d.subscriptionID, d.subscriptionOpen = "r", 5, 6, true
-	d.handleEvent(1, uplink.Subscribed{Follower: 1, Source: 9, Address: "r"})
+	d.handleEvent(1, uplink.Subscribed{FollowerID: 1, SubscriptionID: 9, Address: "r"})
 	if d.subscriptionID != 6 {
 		t.Fatal("the subscription of a former follower was accepted")
 	}
-	d.handleEvent(2, uplink.SubscriptionLost{Source: 9})
+	d.handleEvent(2, uplink.SubscriptionLost{SubscriptionID: 9})
 	if !d.subscriptionOpen {
 		t.Error("its end was taken for the end of the current subscription")
 	}
-	d.handleEvent(3, uplink.Subscribed{Follower: 5, Source: 12, Address: "r"})
-	d.handleEvent(4, uplink.SubscriptionLost{Source: 6}) // the end of the former subscription arrives after the start of the new one
+	d.handleEvent(3, uplink.Subscribed{FollowerID: 5, SubscriptionID: 12, Address: "r"})
+	d.handleEvent(4, uplink.SubscriptionLost{SubscriptionID: 6}) // the end of the former subscription arrives after the start of the new one
 	if d.subscriptionID != 12 || !d.subscriptionOpen {
 		t.Error("the end of the former subscription was taken for the new one's")
 	}
@@ -124,20 +124,20 @@
 	for silent, want := range map[logic.Millis]int{500: 0, 2000: 1} {
 		d := newOfflineDirector(t)
 		d.followerID = 1
-		say := func(now logic.Millis, source int, lines ...string) {
-			d.handleEvent(now, uplink.Subscribed{Follower: 1, Source: source})
+		subscribe := func(now logic.Millis, source int, lines ...string) {
+			d.handleEvent(now, uplink.Subscribed{FollowerID: 1, SubscriptionID: source})
 			for _, line := range lines {
-				f, err := d.config.Names.DecodeFrame([]byte(line))
+				f, err := d.config.Schema.DecodeFrame([]byte(line))
 				if err != nil {
 					t.Fatal(err)
 				}
-				d.handleEvent(now, uplink.Notification{Source: source, Body: *f.Notification})
+				d.handleEvent(now, uplink.Notification{SubscriptionID: source, Body: *f.Notification})
 			}
 		}
 		joined := `{"method":"joined","params":{"node":1,"locality":"a","w":2,"cold":false}}`
-		say(1000, 2, joined, `{"method":"ping"}`)
+		subscribe(1000, 2, joined, `{"method":"ping"}`)
 		d.events = nil
-		say(1000+silent, 3, joined)
+		subscribe(1000+silent, 3, joined)
 		if len(d.events) != want {
 			t.Errorf("after %v ms of silence: %d events, wanted %d", silent, len(d.events), want)
 		}
@@ -149,7 +149,7 @@
 	d := newOfflineDirector(t)
 	d.prober = &prober{inFlight: map[logic.HostID]bool{}}
 	d.newestWatch, d.watches = 1, map[int]watchHandle{1: {}}
-	d.handleEvent(1, hostwatch.Update{Source: 1, List: hostList("h1")})
+	d.handleEvent(1, hostwatch.Update{WatchID: 1, List: hostList("h1")})
 	d.events = nil
 	id := codec.IDOf("h1")
 	d.prober.inFlight[id] = true
@@ -281,7 +281,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	answers := make(chan probeResult, 64)
-	p := newProber(ctx, newOfflineDirector(t).config.Names, func(in ...any) { answers <- in[0].(probeResult) })
+	p := newProber(ctx, newOfflineDirector(t).config.Schema, func(in ...any) { answers <- in[0].(probeResult) })
 	for h := range 20 {
 		p.enqueue(logic.HostID(1+h), hangingServer.Addr().String())
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	maxCallBytes     = 59_000 // size of the orders in one call; the relay accepts up to 60,000 bytes
-	maxWaitingOrders = 20_000 // orders queued for the relay
-	shutdownTimeout  = 300 * time.Millisecond
-	figuresInterval  = 5 * time.Second
-	loadInterval     = time.Second
-	pingTimeout      = logic.Millis(1200) // the relay sends a ping every second
+	maxCallBytes    = 59_000 // size of the orders in one call; the relay accepts up to 60,000 bytes
+	maxQueuedOrders = 20_000 // orders queued for the relay
+	shutdownTimeout = 300 * time.Millisecond
+	figuresInterval = 5 * time.Second
+	loadInterval    = time.Second
+	pingTimeout     = logic.Millis(1200) // the relay sends a ping every second
 )
 
 // director is a running director. All fields except inbox and lastID, which are safe for concurrent use, are owned by
@@ -77,8 +77,8 @@
 	cancel  context.CancelFunc
 }
 
-// counters count calls to the relay, orders and notifications since the start; ordersByKind restarts with each log line
-// of figures.
+// counters counts calls to the relay, orders, subscriptions and host lists since the start; ordersByKind restarts with
+// each log line of figures.
 type counters struct {
 	calls, unconfirmed, notSent, deferred, rejected, appliedOrders, unknownHosts uint64
 	subscriptions, subscriptionsLost, hostLists                                  int
@@ -104,12 +104,12 @@
 	failed := make(chan error, 1)
 	go func() { failed <- d.server.Serve() }()
 	go heapwatch.Watch(ctx, d.budget)
-	d.calls = uplink.NewCaller(config.Names, d.inbox.Post, log)
+	d.calls = uplink.NewCaller(config.Schema, d.inbox.Post, log)
 	go d.calls.Run(ctx)
-	d.prober = newProber(ctx, config.Names, d.inbox.Post)
+	d.prober = newProber(ctx, config.Schema, d.inbox.Post)
 	d.connect(ctx, config)
 	log.Info("director.started", "listen", config.Listen, "discovery", config.Discovery, "relay", config.Relay,
-		"hosts", len(config.Known.Endpoints), "slices", config.Facts.Slices, "proxies", config.Facts.Proxies, "cores", config.Cores,
+		"hosts", len(config.InitialHosts.Endpoints), "slices", config.Settings.Slices, "proxies", config.Settings.Proxies, "cores", config.Cores,
 		"memory", config.Memory, "sockets", config.Sockets, "after", d.Elapsed().String())
 	return d.run(ctx, env, signals, failed)
 }
@@ -117,10 +117,10 @@
 // newDirector creates a director whose first event is the host list of the configuration.
 func newDirector(config *Config, log *slog.Logger) *director {
 	d := &director{Clock: eventloop.NewClock(), inbox: eventloop.NewInbox(), log: log, config: config, hosts: codec.NewHosts(),
-		watches: map[int]watchHandle{}, outbox: outbox.New(outbox.Limits{MaxCallBytes: maxCallBytes, MaxQueued: maxWaitingOrders}),
-		relayState: relaystate.New(), module: logic.New(config.Seed, config.Facts)}
+		watches: map[int]watchHandle{}, outbox: outbox.New(outbox.Limits{MaxCallBytes: maxCallBytes, MaxQueued: maxQueuedOrders}),
+		relayState: relaystate.New(), module: logic.New(config.Seed, config.Settings)}
 	d.relayState.DiscardOrders = d.outbox.DiscardTable
-	hostList, invalid := d.hosts.Apply(config.Known, logic.HostListFromDisk, config.Names)
+	hostList, invalid := d.hosts.Apply(config.InitialHosts, logic.HostListFromDisk, config.Schema)
 	d.logInvalidHosts("known", invalid)
 	d.events = append(d.events, hostList)
 	return d
@@ -136,7 +136,7 @@
 		followCtx, stop := context.WithCancel(ctx)
 		nextID := func() int { return int(d.lastID.Add(1)) }
 		d.relayAddress, d.stopFollower, d.followerID = config.Relay, stop, nextID()
-		go uplink.Follow(followCtx, config.Relay, config.Names, d.followerID, nextID, d.inbox.Post, d.log)
+		go uplink.Follow(followCtx, config.Relay, config.Schema, d.followerID, nextID, d.inbox.Post, d.log)
 	}
 	if d.watches[d.newestWatch].address != config.Discovery {
 		watchCtx, stop := context.WithCancel(ctx)
@@ -265,12 +265,12 @@
 		d.reports.add(x.Event)
 		d.events = append(d.events, x.Event)
 	case hostwatch.Update:
-		if !d.acceptList(x.Source) {
-			d.log.Info("list.late", "source", x.Source, "index", x.List.Index)
+		if !d.acceptList(x.WatchID) {
+			d.log.Info("list.late", "source", x.WatchID, "index", x.List.Index)
 			return
 		}
 		d.counters.hostLists++
-		hostList, invalid := d.hosts.Apply(x.List, logic.HostListFull, d.config.Names)
+		hostList, invalid := d.hosts.Apply(x.List, logic.HostListFull, d.config.Schema)
 		d.logInvalidHosts("discovery", invalid)
 		d.events = append(d.events, hostList)
 	case probeResult:
@@ -283,13 +283,13 @@
 	case uplink.Subscribed:
 		d.acceptSubscription(now, x)
 	case uplink.Notification:
-		if x.Source == d.subscriptionID {
+		if x.SubscriptionID == d.subscriptionID {
 			d.lastNotification = now
 			d.handleNotification(now, x.Body)
 		}
 	case uplink.SubscriptionLost:
-		d.log.Warn("news.broke", "source", x.Source, "why", x.Reason)
-		if d.counters.subscriptionsLost++; x.Source == d.subscriptionID {
+		d.log.Warn("news.broke", "source", x.SubscriptionID, "why", x.Reason)
+		if d.counters.subscriptionsLost++; x.SubscriptionID == d.subscriptionID {
 			d.subscriptionOpen = false
 		}
 	default:
@@ -339,7 +339,7 @@
 		case logic.WatchHosts, logic.RequestHosts, logic.SendToPeer:
 			// The host list is always followed here, and directors on the platform cannot reach each other.
 		default:
-			op, forRelay, err := d.config.Names.EncodeOrder(o, d.hosts)
+			op, forRelay, err := d.config.Schema.EncodeOrder(o, d.hosts)
 			if err != nil || !forRelay {
 				d.log.Error("order.dropped", "order", fmt.Sprintf("%T%+v", o, o), "error", err)
 				continue
@@ -357,19 +357,19 @@
 	}
 }
 
-// restoreAfterDrop corrects the module's view after orders were dropped: it resends what the store holds of the tables
-// concerned.
+// restoreAfterDrop corrects the module's view after orders were dropped: it passes the stored state of the tables
+// concerned to the module again.
 func (d *director) restoreAfterDrop(ops []outbox.Op) {
-	d.resendSlices(ops)
+	d.resyncSlices(ops)
 	if slices.ContainsFunc(ops, func(o outbox.Op) bool { return o.Table == outbox.NoTable && o.Kind != outbox.AckRequest }) {
 		// Masks or levels were dropped: the module writes them again for proxies that it takes for newly joined.
 		d.events = append(d.events, d.relayState.ResyncProxies()...)
 	}
 }
 
-// resendSlices passes the stored state of the slices that the orders concern to the module again, and drops the other
+// resyncSlices passes the stored state of the slices that the orders concern to the module again, and drops the other
 // queued orders for these slices.
-func (d *director) resendSlices(ops []outbox.Op) {
+func (d *director) resyncSlices(ops []outbox.Op) {
 	handled := map[logic.TableID]bool{outbox.NoTable: true}
 	for _, o := range ops {
 		if !handled[o.Table] {
@@ -414,7 +414,7 @@
 	}
 	if d.discardUnanswered && e.Result != outbox.Answered {
 		// The relay resends its state, and all proxies are reported as joined again. That state includes whatever the
-		// relay applied of this call, and the module orders the rest again if it is still wanted. Sending orders from
+		// relay applied of this call, and the module orders the rest again if it is still needed. Sending orders from
 		// before the gap could undo what another director did during it.
 		d.discardUnanswered = false
 		d.discardOrders()
@@ -425,11 +425,11 @@
 		d.log.Info("call.proven", "id", c.ID)
 		e.Result, e.Applied = outbox.Answered, len(c.Ops) // a proxy has acknowledged the call, so the answer is not needed
 	} else if e.Result == outbox.Unconfirmed && c != nil {
-		marked := c.Serials()
-		for _, m := range marked {
-			d.events = append(d.events, logic.Unconfirmed{Serial: m})
+		serials := c.Serials()
+		for _, serial := range serials {
+			d.events = append(d.events, logic.Unconfirmed{Serial: serial})
 		}
-		d.callUnconfirmed = len(marked) > 0
+		d.callUnconfirmed = len(serials) > 0
 	}
 	d.finishCall(e.Result, e.Applied, e.Reason)
 }
@@ -439,7 +439,7 @@
 func (d *director) discardOrders() {
 	ops := d.outbox.Reset()
 	d.log.Info("orders.void", "orders", len(ops), "why", "relay connection was lost; the relay resends its state")
-	d.resendSlices(ops)
+	d.resyncSlices(ops)
 }
 
 // clearUnconfirmed ends the wait for the acknowledgement of an unconfirmed call: either a proxy has acknowledged it, or
@@ -466,30 +466,30 @@
 	}
 }
 
-// finishCall records the outcome of the current call and corrects the module's view of rejected orders.
-func (d *director) finishCall(how outbox.Result, taken int, why string) {
-	outcome := d.outbox.Finish(how, taken)
+// finishCall records the outcome of the current call and corrects the module's view after orders were rejected.
+func (d *director) finishCall(result outbox.Result, applied int, reason string) {
+	outcome := d.outbox.Finish(result, applied)
 	d.counters.appliedOrders += uint64(len(outcome.Applied))
 	d.counters.ordersByKind.add(outcome.Applied)
 	d.relayState.OrdersApplied(outcome.Applied)
 	for _, o := range outcome.Rejected {
 		d.counters.rejected++
-		d.log.Error("order.refused", "order", o.Text, "why", why)
+		d.log.Error("order.refused", "order", o.Text, "why", reason)
 	}
 	d.restoreAfterDrop(outcome.Rejected)
 }
 
 // acceptSubscription switches to the notifications of a new subscription. Those of former ones are ignored from then
 // on, and the followers of former addresses are stopped.
-func (d *director) acceptSubscription(now logic.Millis, b uplink.Subscribed) {
-	if b.Follower != d.followerID {
+func (d *director) acceptSubscription(now logic.Millis, subscribed uplink.Subscribed) {
+	if subscribed.FollowerID != d.followerID {
 		return // the follower of a former address has reconnected before it was stopped
 	}
 	// A silent connection counts as open until its read deadline; proxies may have left and joined again in that time
 	// without a notification.
 	continuous := d.subscriptionID > 0 && d.subscriptionOpen && now-d.lastNotification < pingTimeout
-	d.log.Info("news.began", "source", b.Source, "address", b.Address, "continuous", continuous)
-	d.subscriptionID, d.subscriptionOpen, d.lastNotification = b.Source, true, now
+	d.log.Info("news.began", "source", subscribed.SubscriptionID, "address", subscribed.Address, "continuous", continuous)
+	d.subscriptionID, d.subscriptionOpen, d.lastNotification = subscribed.SubscriptionID, true, now
 	d.counters.subscriptions++
 	for _, stop := range d.stopFormerFollowers {
 		stop()
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -276,7 +276,7 @@
 
 func TestWrongConfigurationsNameThePlace(t *testing.T) {
 	good := `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff","store":{"address":"127.0.0.1:3"},"settings":` + testSettings + `}`
-	if s, err := parse([]byte(good), func(string) string { return "" }); err != nil || s.Seed != 255 || s.Resolution != 5 || s.Facts.Slices != 4 {
+	if s, err := parse([]byte(good), func(string) string { return "" }); err != nil || s.Seed != 255 || s.Resolution != 5 || s.Settings.Slices != 4 {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	for change, place := range map[string]string{
--- a/internal/platform/probe.go
+++ b/internal/platform/probe.go
@@ -25,9 +25,9 @@
 
 // prober runs health checks with bounded concurrency and at most one check per host at a time.
 type prober struct {
-	names    *codec.Schema
+	schema   *codec.Schema
 	client   *http.Client
-	inFlight map[logic.HostID]bool
+	inFlight map[logic.HostID]bool // hosts with a queued or running probe; used only by the event loop
 	queue    chan probe
 	post     func(...any)
 }
@@ -44,8 +44,8 @@
 	address string
 }
 
-func newProber(ctx context.Context, names *codec.Schema, post func(...any)) *prober {
-	p := &prober{names: names, client: hostwatch.NewClient(0), inFlight: map[logic.HostID]bool{},
+func newProber(ctx context.Context, schema *codec.Schema, post func(...any)) *prober {
+	p := &prober{schema: schema, client: hostwatch.NewClient(0), inFlight: map[logic.HostID]bool{},
 		queue: make(chan probe, maxQueuedProbes), post: post}
 	for range maxConcurrentProbes {
 		go func() {
@@ -62,8 +62,8 @@
 	return p
 }
 
-// enqueue queues a probe of a host. It does nothing if the host has no address or is being probed, or if the queue is
-// full; the module orders another probe later. Only the event loop calls it.
+// enqueue queues a probe of a host. It does nothing if the host has no address, has a queued or running probe, or if
+// the queue is full; the module orders another probe later. Only the event loop calls it.
 func (p *prober) enqueue(host logic.HostID, address string) {
 	if address == "" || p.inFlight[host] {
 		return
@@ -77,18 +77,18 @@
 
 func (p *prober) probe(ctx context.Context, t probe) logic.ProbeResult {
 	began, path := time.Now(), "/health"
-	if p.names.HasLoadReports() {
+	if p.schema.HasLoadReports() {
 		path = "/status/load"
 	}
 	result := logic.ProbeResult{Host: t.host}
 	status, body, err := hostwatch.Get(ctx, p.client, "http://"+t.address+path, probeTimeout, maxReportBytes)
 	for err != nil && netutil.IsLocalShortage(err) && time.Since(began) < probeTimeout && ctx.Err() == nil {
-		eventloop.Pause(ctx, shortageRetryInterval) // the host was not reached, so this says nothing about it
+		eventloop.Pause(ctx, shortageRetryInterval) // no attempt reached the host, so this says nothing about it
 		status, body, err = hostwatch.Get(ctx, p.client, "http://"+t.address+path, probeTimeout, maxReportBytes)
 	}
 	result.Healthy = err == nil && status == http.StatusOK
-	if result.Healthy && p.names.HasLoadReports() {
-		result.Load, _ = p.names.DecodeLoad(string(body)) // an unreadable report is ignored; the host did answer
+	if result.Healthy && p.schema.HasLoadReports() {
+		result.Load, _ = p.schema.DecodeLoad(string(body)) // an unreadable report is ignored; the host did answer
 	}
 	result.Latency = logic.Millis(float64(time.Since(began).Nanoseconds()) / 1e6)
 	return result
--- a/internal/platform/reports/reports.go
+++ b/internal/platform/reports/reports.go
@@ -1,6 +1,6 @@
-// Package reports serves the director's own address. Collectors forward load reports there, and any client may ask for
-// a pong. A connection that has not joined as a collector is limited in the length of its lines, in the number of
-// pings that are answered and in its lifetime.
+// Package reports serves the director's listening address. Collectors forward load reports there, and any client may
+// send a ping, which is answered by a pong. A connection that has not joined as a collector is limited in the length of
+// its lines, in the number of pings that are answered and in its lifetime.
 package reports
 
 import (
@@ -45,7 +45,7 @@
 	*netutil.Socket
 	schema         *codec.Schema
 	post           func(...any)
-	ledger         *budget.Budget
+	budget         *budget.Budget
 	log            *slog.Logger
 	maxUnjoined    int // limit of connections that have not joined
 	lastID         atomic.Uint64
@@ -59,7 +59,7 @@
 	closing        bool // connections accepted from now on are closed before anything is read
 }
 
-// connection is an open connection to the director's own address.
+// connection is an open connection to the director's listening address.
 type connection struct {
 	id           budget.ClientID
 	conn         netpoll.Connection
@@ -74,7 +74,7 @@
 
 	// The fields below are used only by the goroutine that reads the connection.
 	partial   []byte // the beginning of an incomplete line
-	heldBytes int    // length of partial as last reported to the ledger
+	heldBytes int    // length of partial as last reported to the budget
 	joined    bool
 	pings     int
 }
@@ -83,13 +83,13 @@
 type connectionKey struct{}
 
 // Listen opens the listening socket. Load reports are passed to post as codec.Message.
-func Listen(address string, schema *codec.Schema, ledger *budget.Budget, post func(...any), log *slog.Logger) (*Server, error) {
-	s := &Server{schema: schema, post: post, ledger: ledger, log: log, done: make(chan struct{}), unjoined: list.New(),
+func Listen(address string, schema *codec.Schema, resourceBudget *budget.Budget, post func(...any), log *slog.Logger) (*Server, error) {
+	s := &Server{schema: schema, post: post, budget: resourceBudget, log: log, done: make(chan struct{}), unjoined: list.New(),
 		joined: map[logic.ZoneID][]*connection{}, open: map[budget.ClientID]*connection{}}
-	s.maxUnjoined = max(8, ledger.Stats().MaxConnections-maxConnsPerZone*len(schema.Zones)-reservedConns)
-	ledger.OnEvict(s.evict)
+	s.maxUnjoined = max(8, resourceBudget.Stats().MaxConnections-maxConnsPerZone*len(schema.Zones)-reservedConns)
+	resourceBudget.OnEvict(s.evict)
 	var err error
-	s.Socket, err = netutil.Listen(address, s.read, s.accept, writeTimeout, ledger, log)
+	s.Socket, err = netutil.Listen(address, s.read, s.accept, writeTimeout, resourceBudget, log)
 	return s, err
 }
 
@@ -103,7 +103,7 @@
 // because a request that has just been read will not be answered any more.
 func (s *Server) Close() error {
 	close(s.done)
-	return s.Socket.Close(func(each func(netpoll.Connection)) {
+	return s.Socket.Close(func(visit func(netpoll.Connection)) {
 		s.mu.Lock()
 		s.closing = true
 		all := make([]*connection, 0, len(s.open))
@@ -117,19 +117,19 @@
 				s.refuse(c, "director is shutting down")
 			}
 			c.refuseMu.Lock() // wait until a refusal in progress is fully written
-			each(c.conn)
+			visit(c.conn)
 			c.refuseMu.Unlock()
 		}
 	})
 }
 
-// Stats are counters for the operator.
+// Stats holds the figures of a server for the log.
 type Stats struct {
 	Open, Unjoined               int
 	DroppedReports, RefusedConns uint64 // invalid reports; connections that were refused
 }
 
-// Stats returns the current counters.
+// Stats returns the current figures.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +139,7 @@
 // accept registers a new connection as unjoined. If there are more than maxUnjoined of them, the oldest is refused.
 func (s *Server) accept(raw netpoll.Connection) context.Context {
 	c := &connection{id: budget.ClientID(s.lastID.Add(1)), conn: raw, acceptedAt: time.Now()}
-	s.ledger.ConnectionOpened()
+	s.budget.ConnectionOpened()
 	var oldest *connection
 	s.mu.Lock()
 	closing := s.closing
@@ -157,7 +157,7 @@
 		}
 		delete(s.open, c.id)
 		s.mu.Unlock()
-		s.ledger.ConnectionClosed(c.id)
+		s.budget.ConnectionClosed(c.id)
 		return nil
 	})
 	if closing {
@@ -168,7 +168,7 @@
 	return context.WithValue(context.Background(), connectionKey{}, c)
 }
 
-// evict closes the connection of a client that holds more memory than the others. The ledger calls it when memory is
+// evict closes the connection of a client that holds more memory than the others. The budget calls it when memory is
 // exhausted.
 func (s *Server) evict(client budget.ClientID) {
 	s.mu.Lock()
@@ -269,7 +269,7 @@
 	r.Release()
 	if len(c.partial) != c.heldBytes && !c.closed.Load() {
 		c.heldBytes = len(c.partial)
-		s.ledger.SetHeldBytes(c.id, int64(c.heldBytes))
+		s.budget.SetHeldBytes(c.id, int64(c.heldBytes))
 	}
 	return nil
 }
@@ -323,7 +323,7 @@
 // join registers a connection as the collector of a zone. If the zone has more than maxConnsPerZone connections then,
 // the one that has been idle for longest is refused.
 func (s *Server) join(c *connection, zone logic.ZoneID) {
-	var idlest *connection
+	var longestIdle *connection
 	s.mu.Lock()
 	if c.joined {
 		s.joined[c.zone] = slices.DeleteFunc(s.joined[c.zone], func(other *connection) bool { return other == c })
@@ -332,12 +332,12 @@
 	c.joined, c.zone = true, zone
 	s.joined[zone] = append(s.joined[zone], c)
 	if joined := s.joined[zone]; len(joined) > maxConnsPerZone {
-		idlest = slices.MinFunc(joined, func(a, b *connection) int { return int(min(1, max(-1, a.lastReadAt.Load()-b.lastReadAt.Load()))) })
+		longestIdle = slices.MinFunc(joined, func(a, b *connection) int { return int(min(1, max(-1, a.lastReadAt.Load()-b.lastReadAt.Load()))) })
 	}
 	s.mu.Unlock()
 	c.isCollector.Store(true)
 	s.log.Info("collector.joined", "from", c.conn.RemoteAddr().String(), "zone", s.schema.Zones[zone])
-	if idlest != nil {
-		s.refuse(idlest, "collector of the zone has reconnected")
+	if longestIdle != nil {
+		s.refuse(longestIdle, "collector of the zone has reconnected")
 	}
 }
--- a/internal/platform/rollout_test.go
+++ b/internal/platform/rollout_test.go
@@ -89,7 +89,7 @@
 type hostSample struct {
 	ended, failed int
 	spent         time.Duration
-	busy          float64
+	utilization   float64
 }
 
 // outcomes counts calls by how they ended.
@@ -132,10 +132,10 @@
 
 // addHost starts a host and lists it at discovery.
 func (f *fleet) addHost(name string, cell int, warm bool) {
-	shape := standin.HostConfig{Cores: 1, Queue: 60, ColdCapacity: 0.35, WarmAfter: warmUpTime, ColdOverloadLimit: 1e6, ColdFailAfter: time.Hour,
+	config := standin.HostConfig{Cores: 1, Queue: 60, ColdCapacity: 0.35, WarmAfter: warmUpTime, ColdOverloadLimit: 1e6, ColdFailAfter: time.Hour,
 		Recorder: &verdict.Recorder{},
 		Now:      func() float64 { return float64(time.Now().UnixMilli()) }}
-	h := standin.NewHost(shape, "")
+	h := standin.NewHost(config, "")
 	if err := h.Start(warm); err != nil {
 		f.t.Fatal(err)
 	}
@@ -224,7 +224,7 @@
 
 // try sends a call once, as a proxy does, to a host chosen by the weights of the table. It returns false if the call
 // was rejected.
-func (f *fleet) try(slice int) (taken bool) {
+func (f *fleet) try(slice int) (accepted bool) {
 	hosts, weights, throttled := f.usableLines(slice)
 	f.mu.Lock()
 	f.calls[slice]++
@@ -257,7 +257,7 @@
 		io.Copy(io.Discard, response.Body)
 		response.Body.Close()
 		if load, err := orca.Parse(response.Header.Get(orca.Header)); err == nil && load.Utilization != nil {
-			t.busy = *load.Utilization
+			t.utilization = *load.Utilization
 		}
 	}
 	switch {
@@ -270,10 +270,10 @@
 		return true
 	case errors.Is(err, context.DeadlineExceeded):
 		f.ended.unanswered++
-		taken = true
+		accepted = true
 	}
 	t.failed++
-	return taken
+	return accepted
 }
 
 // outcomes returns the counts of the calls that have ended.
@@ -346,7 +346,7 @@
 			mean = fmt.Sprintf(`"rtt":%d,`, t.spent.Milliseconds()/int64(good))
 		}
 		fmt.Fprintf(&text, `{"t":"heard","locality":"a","endpoint":%q,"total":%d,"errors":%d,%s"interval":%d,"metrics":{"utilization":%g}}`+"\n",
-			host, t.ended, t.failed, mean, reportInterval.Milliseconds(), t.busy)
+			host, t.ended, t.failed, mean, reportInterval.Milliseconds(), t.utilization)
 	}
 	for slice, n := range f.calls {
 		fmt.Fprintf(&text, `{"t":"heat","shard":%d,"route":"read","total":%d,"errors":0,"interval":%d}`+"\n", slice, n, reportInterval.Milliseconds())
@@ -356,9 +356,9 @@
 	return text.String()
 }
 
-// replaceHost adds a new host and drains an old one, which is removed after drainTime.
-func (f *fleet) replaceHost(old string, cell int, by string) {
-	f.addHost(by, fleetHosts+cell, false)
+// replaceHost adds a replacement and drains the old host, which is removed after drainTime.
+func (f *fleet) replaceHost(old string, cell int, replacement string) {
+	f.addHost(replacement, fleetHosts+cell, false)
 	f.mu.Lock()
 	address := string(f.hosts[old].Address)
 	f.mu.Unlock()
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -230,12 +230,12 @@
 			t.Fatal(err)
 		}
 	}
-	room := make(chan struct{}, soakParallelism)
+	slots := make(chan struct{}, soakParallelism)
 	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			room <- struct{}{}
-			defer func() { <-room }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			runSoak(t, uint64(seed))
 		})
 	}
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -36,7 +36,7 @@
 func listenWithRetry(ctx context.Context, config *Config, d *director,
 	log *slog.Logger) (server *reports.Server, err error) {
 	err = retryTransient(ctx, log.With("what", config.Listen), syscall.EADDRINUSE, func() error {
-		server, err = reports.Listen(config.Listen, config.Names, d.budget, d.inbox.Post, log)
+		server, err = reports.Listen(config.Listen, config.Schema, d.budget, d.inbox.Post, log)
 		return err
 	})
 	return server, err
@@ -78,7 +78,7 @@
 			"why", "changes of the listen address or name require a restart")
 		config.Listen, config.Name = d.config.Listen, d.config.Name
 	}
-	config.Facts, config.Names, config.Resolution = d.config.Facts, d.config.Names, d.config.Resolution
+	config.Settings, config.Schema, config.Resolution = d.config.Settings, d.config.Schema, d.config.Resolution
 	d.log.Info("reload.taken", "discovery", config.Discovery, "relay", config.Relay)
 	d.budget.SetResources(applyLimits(config))
 	d.connect(ctx, config)
--- a/internal/platform/start_test.go
+++ b/internal/platform/start_test.go
@@ -41,7 +41,7 @@
 }
 
 // A former process may still hold the listening address for a moment; the director must wait for it.
-func TestAnAddressThatIsHeldIsWaitedFor(t *testing.T) {
+func TestListenRetriesWhileAddressIsInUse(t *testing.T) {
 	s := &testEnv{t: t, relay: newRelayStub(t), discovery: newDiscoveryStub(t, "h1"),
 		listen: freeAddress(t), configPath: t.TempDir() + "/config.json",
 		signals: make(chan os.Signal, 4), exited: make(chan error, 1), log: &logBuffer{}}
@@ -54,7 +54,7 @@
 	s.start()
 }
 
-func TestOwnShortageIsToldFromPeerFailure(t *testing.T) {
+func TestLocalShortageIsDistinguishedFromPeerFailure(t *testing.T) {
 	for err, isLocal := range map[error]bool{syscall.EADDRNOTAVAIL: true, syscall.ENFILE: true, syscall.ENOBUFS: true, syscall.ENETUNREACH: true,
 		syscall.ECONNREFUSED: false, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false, syscall.ECONNRESET: false} {
 		wrapped := fmt.Errorf("get: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)})
--- a/internal/platform/uplink/uplink.go
+++ b/internal/platform/uplink/uplink.go
@@ -38,9 +38,9 @@
 	Elapsed time.Duration
 }
 
-// Caller makes commit calls, one at a time.
+// Caller makes commit calls to the relay, one at a time.
 type Caller struct {
-	names    *codec.Schema
+	schema   *codec.Schema
 	post     func(...any)
 	requests chan request
 	conn     netutil.Conn
@@ -58,8 +58,8 @@
 }
 
 // NewCaller returns a Caller that posts the end of each call.
-func NewCaller(names *codec.Schema, post func(...any), log *slog.Logger) *Caller {
-	return &Caller{names: names, post: post, requests: make(chan request, 1), log: log}
+func NewCaller(schema *codec.Schema, post func(...any), log *slog.Logger) *Caller {
+	return &Caller{schema: schema, post: post, requests: make(chan request, 1), log: log}
 }
 
 // Submit starts a call to the relay at the address. Its end is posted as a CallEnded; until then no other call may be
@@ -143,43 +143,43 @@
 	if err != nil {
 		return codec.Frame{}, err
 	}
-	f, err := c.names.DecodeFrame(line)
+	f, err := c.schema.DecodeFrame(line)
 	if err == nil && (f.Notification != nil || f.ID != call.ID || f.Error == "" && (f.Accepted < 0 || f.Accepted > len(call.Ops))) {
 		err = fmt.Errorf("%w: %.200q", errUnexpectedAnswer, line)
 	}
 	return f, err
 }
 
-// Messages that Follow posts to the inbox. Source is the number of the subscription.
+// Messages that Follow posts to the inbox.
 type (
-	// Subscribed reports that the relay accepted the subscription. Follower identifies the call of Follow: the
+	// Subscribed reports that the relay accepted the subscription. FollowerID identifies the call of Follow: the
 	// director may leave an address and return to it while the earlier follower of that address still runs.
 	Subscribed struct {
-		Follower, Source int
-		Address          string
+		FollowerID, SubscriptionID int
+		Address                    string
 	}
 	// Notification carries one notification of the relay.
 	Notification struct {
-		Source int
-		Body   codec.Notification
+		SubscriptionID int
+		Body           codec.Notification
 	}
 	// SubscriptionLost reports that a subscription ended or could not be opened.
 	SubscriptionLost struct {
-		Source int
-		Reason string
+		SubscriptionID int
+		Reason         string
 	}
 )
 
-// Follow keeps a subscription open at an address until the context ends. Each subscription gets a number from source;
-// follower is the number of this call of Follow.
-func Follow(ctx context.Context, address string, names *codec.Schema, follower int, source func() int, post func(...any), log *slog.Logger) {
+// Follow keeps a subscription open at an address until the context ends. Each subscription gets an ID from nextID;
+// followerID identifies this call of Follow.
+func Follow(ctx context.Context, address string, schema *codec.Schema, followerID int, nextID func() int, post func(...any), log *slog.Logger) {
 	for failures := 0; ctx.Err() == nil; {
-		began, number := time.Now(), source()
-		err := subscribe(ctx, address, names, Subscribed{follower, number, address}, post, log)
+		began, id := time.Now(), nextID()
+		err := subscribe(ctx, address, schema, Subscribed{followerID, id, address}, post, log)
 		if ctx.Err() != nil {
 			return
 		}
-		post(SubscriptionLost{number, err.Error()})
+		post(SubscriptionLost{id, err.Error()})
 		if time.Since(began) > time.Second {
 			failures = 0 // the subscription worked; the next attempt is immediate
 		}
@@ -189,7 +189,7 @@
 }
 
 // subscribe opens one subscription and posts its notifications until it fails.
-func subscribe(ctx context.Context, address string, names *codec.Schema, start Subscribed, post func(...any), log *slog.Logger) error {
+func subscribe(ctx context.Context, address string, schema *codec.Schema, subscribed Subscribed, post func(...any), log *slog.Logger) error {
 	conn, err := netutil.Dial(address, dialTimeout)
 	if err != nil {
 		return err
@@ -206,7 +206,7 @@
 		if err != nil {
 			return err
 		}
-		f, err := names.DecodeFrame(line)
+		f, err := schema.DecodeFrame(line)
 		var invalid *codec.FieldError
 		switch {
 		case errors.As(err, &invalid) && accepted:
@@ -214,12 +214,12 @@
 		case err != nil:
 			return err
 		case f.Notification != nil && accepted:
-			post(Notification{start.Source, *f.Notification})
+			post(Notification{subscribed.SubscriptionID, *f.Notification})
 		case f.Notification == nil && f.Error != "":
 			return errors.New(f.Error)
 		case f.Notification == nil && f.Subscribed && !accepted:
 			accepted, timeout = true, silenceTimeout
-			post(start)
+			post(subscribed)
 		default:
 			return fmt.Errorf("%w: %.200q", errUnexpectedAnswer, line)
 		}
