--- a/internal/platform/figures.go
+++ b/internal/platform/figures.go
@@ -17,7 +17,7 @@
 	server, counts := d.server.Stats(), d.counters
 	d.log.Info("figures", "proxies", proxies, "slices", slices, "hosts", d.hosts.ListedCount(), "lists", counts.hostLists,
 		"calls", counts.calls, "orders", counts.appliedOrders, "waiting", d.outbox.Queued(),
-		"merged", d.outbox.Discarded, "unsure", counts.unconfirmed, "unsent", counts.notSent, "later", counts.deferred,
+		"merged", d.outbox.Discarded, "unsure", counts.unconfirmed, "unsent", counts.notSent, "later", counts.retryable,
 		"refused", counts.rejected, "subscribed", counts.subscriptions, "broke", counts.subscriptionsLost,
 		"open", server.Open, "strangers", server.Unjoined, "sent_away", server.RefusedConns,
 		"reports_dropped", server.DroppedReports, "of_unknown_hosts", counts.unknownHosts,
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -80,9 +80,9 @@
 // counters counts calls to the relay, orders, subscriptions and host lists since the start; ordersByKind restarts with
 // each log line of figures.
 type counters struct {
-	calls, unconfirmed, notSent, deferred, rejected, appliedOrders, unknownHosts uint64
-	subscriptions, subscriptionsLost, hostLists                                  int
-	ordersByKind                                                                 orderCounts
+	calls, unconfirmed, notSent, retryable, rejected, appliedOrders, unknownHosts uint64
+	subscriptions, subscriptionsLost, hostLists                                   int
+	ordersByKind                                                                  orderCounts
 }
 
 // Run runs a director until it receives SIGTERM, the context ends, or its listener fails. SIGHUP reloads the
@@ -406,7 +406,7 @@
 	case outbox.NotSent:
 		d.counters.notSent++
 	case outbox.Retryable:
-		d.counters.deferred++
+		d.counters.retryable++
 	}
 	if e.Result != outbox.Answered {
 		d.log.Info("call.failed", "id", e.ID, "how", int(e.Result), "why", e.Reason,
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -25,7 +25,7 @@
 	soakRuns           = 4 // starts of the director per seed
 	soakParallelism    = 3
 	soakClients        = 8
-	soakStrangers      = 120
+	soakUnjoinedConns  = 120
 	killDelay          = 700 * time.Millisecond // the earliest that SIGKILL may follow SIGTERM
 	readyTimeout       = 10 * time.Second
 	answerTimeout      = 2 * time.Second
@@ -183,10 +183,11 @@
 	return all.Wait
 }
 
-// connectStrangers opens connections that send nothing, half a line, or malformed data, and never close.
-func (s *soak) connectStrangers() {
+// connectUnjoined opens connections that never join: they send nothing, half a line, or malformed data, and are not
+// closed before the end of the test.
+func (s *soak) connectUnjoined() {
 	openings := []string{"", `{"t":"he`, "GET / HTTP/1.1\r\n\r\n", "\x00\xff\n", `{"t":"heard"}` + "\n"}
-	for range soakStrangers {
+	for range soakUnjoinedConns {
 		if c, err := net.Dial("tcp", s.listen); err == nil {
 			io.WriteString(c, openings[s.random.IntN(len(openings))])
 			s.t.Cleanup(func() { c.Close() })
@@ -243,22 +244,22 @@
 
 func runSoak(t *testing.T, seed uint64) {
 	s := newSoak(t, seed)
-	withStrangers := s.random.IntN(3) == 0
+	withUnjoined := s.random.IntN(3) == 0
 	s.startProcess()
 	wait := s.startClients()
 	for run := range soakRuns {
 		if run > 0 {
 			s.startProcess()
 		}
-		if withStrangers {
-			s.connectStrangers()
+		if withUnjoined {
+			s.connectUnjoined()
 		}
 		time.Sleep(time.Duration(200+s.random.IntN(1000)) * time.Millisecond)
 		s.terminate()
 	}
 	close(s.done)
 	wait()
-	t.Logf("seed %d, extra connections %v: %v", seed, withStrangers, &s.counts)
+	t.Logf("seed %d, extra connections %v: %v", seed, withUnjoined, &s.counts)
 	if lost := s.counts.unanswered.Load(); lost > 0 {
 		t.Errorf("seed %d: %d requests were read and their connection closed with no answer", seed, lost)
 	}
