--- a/cmd/vetchwood/tables.go
+++ b/cmd/vetchwood/tables.go
@@ -239,20 +239,20 @@
 
 type tablesVerify struct{}
 
-// Run verifies the history and fails if a record is wrong.
+// Run verifies the history and returns an error if a fault was found.
 func (c *tablesVerify) Run(ctx context.Context, out io.Writer, p *program) error {
 	var v operator.VerifyResult
 	if err := p.Tables.client().Get(ctx, "verify", &v); err != nil {
 		return err
 	}
 	err := p.Tables.print(out, v, func(w io.Writer) {
-		fmt.Fprintf(w, "%d records, %d wrong\n", v.Records, len(v.Wrong))
-		for _, line := range v.Wrong {
+		fmt.Fprintf(w, "%d records, %d wrong\n", v.Records, len(v.Faults))
+		for _, line := range v.Faults {
 			fmt.Fprintln(w, line)
 		}
 	})
-	if err == nil && len(v.Wrong) > 0 {
-		err = fmt.Errorf("%d records are wrong", len(v.Wrong))
+	if err == nil && len(v.Faults) > 0 {
+		err = fmt.Errorf("%d records are wrong", len(v.Faults))
 	}
 	return err
 }
--- a/internal/checks/checks.go
+++ b/internal/checks/checks.go
@@ -15,7 +15,7 @@
 	Up, WarmingUp bool
 }
 
-// Fault describes a fault of a version, and the table and host where it was found.
+// Fault is a reason not to publish a version, with the table and the host that it concerns.
 type Fault struct {
 	Table  string         `json:"table,omitempty"`
 	Host   tables.Address `json:"host,omitempty"`
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -63,13 +63,13 @@
 	gauge("hosts_masked", "Masked hosts.", func(f control.Stats) float64 { return float64(f.Masked) })
 	if mqttFront != nil {
 		gauge("mqtt_connections", "Open MQTT connections.", func(control.Stats) float64 { return float64(mqttFront.OpenConnections()) })
-		gauge("mqtt_sessions", "MQTT sessions, including those without a connection.", func(control.Stats) float64 { return float64(mqttFront.Figures().Sessions) })
-		gauge("mqtt_unacknowledged", "Documents in flight to MQTT subscribers.", func(control.Stats) float64 { return float64(mqttFront.Figures().InFlight) })
-		counter("mqtt_delivered", "Documents and differences sent over MQTT.", func(control.Stats) uint64 { return mqttFront.Figures().Delivered })
-		counter("mqtt_redelivered", "Documents and differences sent again when a session resumed.", func(control.Stats) uint64 { return mqttFront.Figures().Redelivered })
-		counter("mqtt_refused", "Connections, filters and packets refused with a reason code.", func(control.Stats) uint64 { return mqttFront.Figures().Refused + mqttFront.Refusals() })
-		counter("mqtt_busy", "Connections rejected because too many arrived at once.", func(control.Stats) uint64 { return mqttFront.Figures().Busy })
-		counter("mqtt_taken_over", "Subscriptions taken over by another connection or front of the same proxy.", func(control.Stats) uint64 { return mqttFront.Figures().TakenOver })
+		gauge("mqtt_sessions", "MQTT sessions, including those without a connection.", func(control.Stats) float64 { return float64(mqttFront.Stats().Sessions) })
+		gauge("mqtt_unacknowledged", "Documents in flight to MQTT subscribers.", func(control.Stats) float64 { return float64(mqttFront.Stats().InFlight) })
+		counter("mqtt_delivered", "Documents and differences sent over MQTT.", func(control.Stats) uint64 { return mqttFront.Stats().Delivered })
+		counter("mqtt_redelivered", "Documents and differences sent again when a session resumed.", func(control.Stats) uint64 { return mqttFront.Stats().Redelivered })
+		counter("mqtt_refused", "Connections, filters and packets refused with a reason code.", func(control.Stats) uint64 { return mqttFront.Stats().Refused + mqttFront.Refusals() })
+		counter("mqtt_busy", "Connections rejected because too many arrived at once.", func(control.Stats) uint64 { return mqttFront.Stats().Busy })
+		counter("mqtt_taken_over", "Subscriptions taken over by another connection or front of the same proxy.", func(control.Stats) uint64 { return mqttFront.Stats().TakenOver })
 	}
 	if holder != nil {
 		gauge("slices_held", "Slices whose lease this director holds.", func(control.Stats) float64 { return float64(holder.HeldSlices()) })
--- a/internal/fault/injector.go
+++ b/internal/fault/injector.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// now is the time since the start.
+// now returns the time since the start.
 func (in *Injector) now() time.Duration { return time.Since(in.start) }
 
 // logAction writes the log entry of an injected fault.
--- a/internal/fault/injector_test.go
+++ b/internal/fault/injector_test.go
@@ -80,7 +80,7 @@
 }
 
 // A byte is garbled in the middle of a delta. The proxy's follower must reject the delta because of the digest or
-// because it is no valid patch, request the full document, and never use tables that the director didn't send.
+// because it is not a valid patch, request the full document, and never use tables that the director did not send.
 func TestAGarbledDifference(t *testing.T) {
 	one, two := document(1), document(2)
 	var fullCount, deltaCount int
@@ -192,7 +192,7 @@
 	return string(out), err
 }
 
-// The effect of each fault at the sockets. Two runs of a script must have the same effects and logs.
+// Checks the effect of each fault at the sockets. Two runs of a script must have the same effects and logs.
 func TestFaultsOnSockets(t *testing.T) {
 	t.Parallel()
 	to := startEcho(t)
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -1,7 +1,7 @@
 // Package fault injects faults into the TCP connections between two sockets, by a script: it delays, throttles, drops
-// or corrupts bytes, closes one half of a connection, or resets it, by time and by byte count. It doesn't interpret
-// the bytes. This file has the decisions, without I/O or clock: which actions follow for bytes at an offset of a
-// connection. Equal seeds give equal actions.
+// or corrupts bytes, closes one half of a connection, or resets it, by time and by byte count. It does not
+// interpret the bytes. Stream decides, without I/O or clock, which actions follow for bytes at an offset of a
+// connection; Injector carries the actions out. Equal seeds give equal actions.
 package fault
 
 import (
@@ -28,7 +28,7 @@
 	Throttle  Kind = "throttle"   // the rate of bytes is limited
 	Drop      Kind = "drop"       // bytes are read and discarded
 	Garble    Kind = "garble"     // one byte is changed
-	HalfClose Kind = "half_close" // this direction is closed, the other goes on
+	HalfClose Kind = "half_close" // this direction is closed, the other stays open
 	Cut       Kind = "cut"        // the connection is reset
 )
 
@@ -46,7 +46,7 @@
 	Rate       int64         // of a Throttle, bytes per second
 }
 
-// applies returns whether the rule applies at a time to a direction of a connection, whatever the offset.
+// applies reports whether the rule applies at a time to a direction of a connection, whatever the offset.
 func (r Rule) applies(now time.Duration, connection int, direction Direction) bool {
 	return r.Direction == direction && (r.Connection == 0 || r.Connection == connection) &&
 		now >= r.StartAfter && (r.Duration == 0 || now < r.StartAfter+r.Duration)
--- a/internal/fault/plan_test.go
+++ b/internal/fault/plan_test.go
@@ -77,7 +77,7 @@
 	})
 }
 
-// Each fault actions at its offset and its time.
+// Each fault takes effect at its offset and its time.
 func TestFaultsAtTheirPlace(t *testing.T) {
 	text := []byte("0123456789")
 	pass := func(r Rule, now time.Duration) string {
--- a/internal/fault/script.go
+++ b/internal/fault/script.go
@@ -14,7 +14,7 @@
 	Rules      []Rule
 }
 
-// Read reads a script from text or, if that is nil, from the file at path. The error lists all mistakes.
+// Read reads a script from text or, if that is nil, from the file at path. The error lists all errors in the script.
 func Read(path string, text []byte) (*Script, error) {
 	top, err := settings.Open(path, text)
 	if err != nil {
--- a/internal/load/connection.go
+++ b/internal/load/connection.go
@@ -41,7 +41,7 @@
 	timer   *time.Timer
 }
 
-// send writes the text of requests, opening the connection if necessary. Requests that can't be sent have failed.
+// send writes the text of requests, opening the connection if necessary. Requests that cannot be sent have failed.
 func (c *connection) send(text []byte, requests ...pendingRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +162,7 @@
 	return n, err
 }
 
-// appendRequest appends the text of a request to text. InitialPolls don't send the tag.
+// appendRequest appends the text of a request to text. InitialPolls do not send the tag.
 func appendRequest(text []byte, k Kind, name, zone, tag string) []byte {
 	if k == Reports {
 		body := `{"node":{"id":` + strconv.Quote(name) + `}}`
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -29,7 +29,7 @@
 	Max         float64 `json:"max_ms"`
 	CPU         float64 `json:"director_cpu,omitempty"` // cores used by the director
 	ResidentMiB float64 `json:"director_mib,omitempty"`
-	// Changes are the versions that reached pending polls; the delays count from each version's time.
+	// Changes is the number of versions that reached pending polls. The delays count from the time of each version.
 	Changes   int     `json:"told,omitempty"`
 	ChangeP50 float64 `json:"change_p50_ms,omitempty"`
 	ChangeP99 float64 `json:"change_p99_ms,omitempty"`
@@ -56,7 +56,7 @@
 // maxInFlight limits the requests in flight. Further ones fail at once, as on a machine that has run out of sockets.
 const maxInFlight = 50000
 
-// Run runs a script and returns the results of each second. If onSecond isn't nil, it is called with each of them at
+// Run runs a script and returns the results of each second. If onSecond is not nil, it is called with each of them at
 // the end.
 func Run(ctx context.Context, s *Script, onSecond func(Second)) ([]Second, error) {
 	r := &Runner{script: s}
@@ -201,7 +201,7 @@
 	c.send(text, request)
 }
 
-// buildRequest returns the text of a request. A proxy that hasn't polled yet sends a poll instead of a report.
+// buildRequest returns the text of a request. A proxy that has not polled yet sends a poll instead of a report.
 func (r *Runner) buildRequest(k Kind, proxy uint64) []byte {
 	name := fmt.Sprintf(r.script.NameFormat, proxy)
 	if k == Reports {
--- a/internal/load/script.go
+++ b/internal/load/script.go
@@ -1,6 +1,6 @@
 // Package load generates load for a director by a script, up to more than it can serve. Arrivals are independent of
-// the responses, and the latency of a request counts from when it was due: a director that stalls doesn't get fewer
-// requests and doesn't look better for it. Floods send as fast as responses come, to measure the capacity. Pending
+// the responses, and the latency of a request counts from when it was due: a director that stalls does not get fewer
+// requests and does not look better for it. Floods send as fast as responses come, to measure the capacity. Pending
 // polls keep a poll open for each proxy and measure how long a change takes to reach it.
 package load
 
@@ -46,7 +46,7 @@
 	Steps      []Step
 }
 
-// Read reads a script from text or, if that is nil, from the file at path. The error lists all mistakes.
+// Read reads a script from text or, if that is nil, from the file at path. The error lists all errors in the script.
 func Read(path string, text []byte) (*Script, error) {
 	top, err := settings.Open(path, text)
 	if err != nil {
--- a/internal/loadshed/loadshed.go
+++ b/internal/loadshed/loadshed.go
@@ -16,7 +16,7 @@
 
 // Kinds of requests.
 const (
-	Watches          Kind = iota // polls of observers, which are no proxies
+	Watches          Kind = iota // polls of observers, which are not proxies
 	Reports                      // load reports; a rejected one is added to the next
 	NewPolls                     // polls of proxies that have no version the director knows; their tables stay in force
 	PeerQueries                  // queries of other directors
--- a/internal/longpoll/bench_test.go
+++ b/internal/longpoll/bench_test.go
@@ -79,7 +79,7 @@
 	tickets atomic.Uint64
 	server  *Server
 	doc     *tables.Document
-	waiting map[control.Ticket]any
+	pending map[control.Ticket]any
 }
 
 func (s *minimalCore) Ticket() control.Ticket { return control.Ticket(s.tickets.Add(1)) }
@@ -101,7 +101,7 @@
 	case len(p.Held) == 0 || p.Held[0] != s.doc.Tag():
 		a.Kind = control.Full
 	case p.Wait > 0:
-		s.waiting[p.Ticket] = p.Origin
+		s.pending[p.Ticket] = p.Origin
 		return a, false
 	}
 	return a, true
@@ -111,10 +111,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.doc = d
-	for t, from := range s.waiting {
+	for t, from := range s.pending {
 		s.server.Answer(control.Answer{Ticket: t, Origin: from, Kind: control.Full, Doc: d})
 	}
-	clear(s.waiting)
+	clear(s.pending)
 }
 
 // runServerProcess is the main function of the benchmark's server process. It runs the server of the given kind, prints
@@ -131,7 +131,7 @@
 		go http.Serve(ln, p)
 		address, publish = ln.Addr().String(), p.publish
 	} else {
-		s := &minimalCore{doc: doc, waiting: map[control.Ticket]any{}}
+		s := &minimalCore{doc: doc, pending: map[control.Ticket]any{}}
 		l := testLimits
 		l.MaxWait, l.IdleTimeout = 600000, 10*time.Minute
 		s.server, _ = Listen("127.0.0.1:0", s, l, slog.New(slog.DiscardHandler))
--- a/internal/longpoll/budget_test.go
+++ b/internal/longpoll/budget_test.go
@@ -36,7 +36,7 @@
 // Clients send long request bodies and never finish them. The connections that hold the most memory are closed, so that
 // the memory held stays within its share. A pending poll and a proxy that polls meanwhile are not affected.
 func TestBodiesThatNeverEnd(t *testing.T) {
-	d, ledger, address := startWithBudget(t, budget.Resources{Memory: 64 << 20, Descriptors: 1 << 20}, 1<<20)
+	d, sharedBudget, address := startWithBudget(t, budget.Resources{Memory: 64 << 20, Descriptors: 1 << 20}, 1<<20)
 	pending, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 	defer pending.Close()
 	pending.Write([]byte(getRequest("/v1/proxies/p1/tables", "Prefer: wait=20")))
 	waitFor(t, "the poll", func() bool { p, _, _ := d.counts(); return p == 1 })
-	var cut atomic.Int64
+	var closed atomic.Int64
 	for range 60 {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
@@ -56,26 +56,26 @@
 			c.Write([]byte(strings.Repeat("x", 1<<20-1000)))
 			c.SetReadDeadline(time.Now().Add(20 * time.Second))
 			if _, err := c.Read(make([]byte, 1)); err != nil {
-				cut.Add(1)
+				closed.Add(1)
 			}
 		}()
 	}
-	waitFor(t, "the connections that hold the most to be closed", func() bool { return cut.Load() >= 40 })
-	if f := ledger.Stats(); f.HeldBytes > f.MaxHeldBytes || f.Evictions < 40 {
+	waitFor(t, "the connections that hold the most to be closed", func() bool { return closed.Load() >= 40 })
+	if f := sharedBudget.Stats(); f.HeldBytes > f.MaxHeldBytes || f.Evictions < 40 {
 		t.Errorf("%+v", f)
 	}
 	if out := exchange(t, address, getRequest("/v1/proxies/p2/tables")); !strings.Contains(out, "304") {
 		t.Errorf("answer to a proxy that polls meanwhile: %.80q", out)
 	}
-	if _, _, broke := d.counts(); broke != 0 {
+	if _, _, disconnects := d.counts(); disconnects != 0 {
 		t.Error("the connection of the pending poll was closed")
 	}
 }
 
-// At the connection limit, accepting pauses without a busy loop. The connections beyond it are accepted once others have
-// been closed.
+// At the connection limit, accepting pauses without a busy loop. The connections beyond it are accepted once others
+// have been closed.
 func TestAcceptingPauses(t *testing.T) {
-	_, ledger, address := startWithBudget(t, budget.Resources{Memory: 64 << 20, Descriptors: 64 + 20}, 4096)
+	_, sharedBudget, address := startWithBudget(t, budget.Resources{Memory: 64 << 20, Descriptors: 64 + 20}, 4096)
 	var open []net.Conn
 	for range 40 {
 		c, err := net.Dial("tcp", address)
@@ -85,8 +85,8 @@
 		defer c.Close()
 		open = append(open, c)
 	}
-	waitFor(t, "accepting to pause", func() bool { return ledger.Stats().AcceptPaused })
-	if f := ledger.Stats(); f.Connections != 20 || f.AcceptPauses != 1 {
+	waitFor(t, "accepting to pause", func() bool { return sharedBudget.Stats().AcceptPaused })
+	if f := sharedBudget.Stats(); f.Connections != 20 || f.AcceptPauses != 1 {
 		t.Fatalf("%+v", f)
 	}
 	late := open[30]
@@ -102,5 +102,5 @@
 	if n, err := late.Read(make([]byte, 10)); n == 0 {
 		t.Fatal("not answered after other connections were closed: ", err)
 	}
-	waitFor(t, "accepting to resume", func() bool { return !ledger.Stats().AcceptPaused })
+	waitFor(t, "accepting to resume", func() bool { return !sharedBudget.Stats().AcceptPaused })
 }
--- a/internal/longpoll/cores_test.go
+++ b/internal/longpoll/cores_test.go
@@ -113,8 +113,8 @@
 	return a.Doc.ETag()
 }
 
-// BenchmarkCores measures polls that acknowledge a version, from request bytes to response bytes without sockets, on the
-// number of cores given by -cpu. The variant with one shared lock shows the cost of contention.
+// BenchmarkCores measures polls that acknowledge a version, from request bytes to response bytes without sockets, on
+// the number of cores given by -cpu. The variant with one shared lock shows the cost of contention.
 func BenchmarkCores(b *testing.B) {
 	for _, shared := range []bool{false, true} {
 		b.Run(map[bool]string{false: "lots", true: "one-lock"}[shared], func(b *testing.B) {
--- a/internal/longpoll/longpoll_test.go
+++ b/internal/longpoll/longpoll_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func (d *fakeCore) counts() (polls, reports, broke int) {
+func (d *fakeCore) counts() (polls, reports, disconnects int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.polls), len(d.reports), len(d.disconnects)
@@ -172,9 +172,9 @@
 			return &c.answer
 		}
 		d.mu.Unlock()
-		asked := time.Now()
+		sentAt := time.Now()
 		out := exchange(t, address, getRequest(tablesPath+"?zone=a&rate=2.5", append(c.headers, "Connection: close")...))
-		if spent := time.Since(asked); spent >= exchangeTimeout || !strings.Contains(out, "Connection: close\r\n") {
+		if spent := time.Since(sentAt); spent >= exchangeTimeout || !strings.Contains(out, "Connection: close\r\n") {
 			t.Errorf("%s: the connection was not closed with the answer, in %v: %.80q", c.name, spent, out)
 		}
 		if !strings.HasPrefix(out, "HTTP/1.1 "+c.status+"\r\n") {
--- a/internal/longpoll/server.go
+++ b/internal/longpoll/server.go
@@ -29,8 +29,8 @@
 	// the client may retry.
 	Admit(k loadshed.Kind, client string) time.Duration
 	// Poll passes on a poll. If it can be answered immediately, the answer is returned; otherwise it is sent to Answer
-	// later. A later above 0 means that the poll was not admitted, and is the time after which the client may retry.
-	Poll(control.Poll) (a control.Answer, answered bool, later time.Duration)
+	// later. A retryAfter above 0 means that the poll was not admitted, and is the time after which the client may retry.
+	Poll(control.Poll) (a control.Answer, answered bool, retryAfter time.Duration)
 }
 
 // LeaseHeader is the response header that limits when an answer may take effect: within so many milliseconds after its
@@ -98,8 +98,8 @@
 // SetLimits changes the limits of a running server. A request that is partly read is checked against the new limits
 // when more of it arrives. Budget, MaxWait and WriteTimeout keep their values.
 func (s *Server) SetLimits(l Limits) {
-	was := s.limits.Load()
-	l.Budget, l.MaxWait, l.WriteTimeout = was.Budget, was.MaxWait, was.WriteTimeout
+	previous := s.limits.Load()
+	l.Budget, l.MaxWait, l.WriteTimeout = previous.Budget, previous.MaxWait, previous.WriteTimeout
 	s.limits.Store(&l)
 }
 
--- a/internal/longpoll/wire.go
+++ b/internal/longpoll/wire.go
@@ -43,7 +43,7 @@
 }
 
 // closing marks the problem as one after which the connection is closed, as the end of the request is unknown or what
-// follows it can't be read.
+// follows it cannot be read.
 func (p *problem) closing() *problem { p.closeConn = true; return p }
 
 // request is a parsed request. Its slices point into the buffer that it was parsed from.
@@ -131,7 +131,7 @@
 }
 
 // parsePreferWait returns the wait preference of a Prefer list, which is in seconds, and whether there is one. Values
-// that can't be parsed are ignored, as RFC 7240 requires.
+// that cannot be parsed are ignored, as RFC 7240 requires.
 func parsePreferWait(list []byte) (logic.Millis, bool) {
 	for len(list) > 0 {
 		var part []byte
--- a/internal/mqtt/mqtt_test.go
+++ b/internal/mqtt/mqtt_test.go
@@ -136,15 +136,15 @@
 	r := start(t, nil)
 	var mu sync.Mutex
 	var held *tables.Document
-	wholes, deltas, retained, ups, redelivered := 0, 0, 0, 0, 0
+	fullDocuments, deltas, retained, connections, redelivered := 0, 0, 0, 0, 0
 	fail := ""
 	cfg := autopaho.ClientConfig{ServerUrls: []*url.URL{r.url()}, KeepAlive: 10, SessionExpiryInterval: 60, CleanStartOnInitialConnection: true,
 		ReconnectBackoff: func(int) time.Duration { return 20 * time.Millisecond },
 		WillMessage:      &paho.WillMessage{Topic: "vetchwood/proxies/p1/left", Payload: []byte("gone"), QoS: 1},
 		OnConnectionUp: func(m *autopaho.ConnectionManager, ack *paho.Connack) {
 			mu.Lock()
-			first := ups == 0
-			ups++
+			first := connections == 0
+			connections++
 			if !first && !ack.SessionPresent {
 				fail = "the session was not resumed"
 			}
@@ -171,7 +171,7 @@
 				}
 				d, err = tables.Apply(held, p.Packet.Payload)
 			} else {
-				wholes++
+				fullDocuments++
 				d, err = tables.Parse(p.Packet.Payload)
 			}
 			if p.Packet.Retain {
@@ -205,8 +205,8 @@
 	waitFor(t, "the next host that drains to be removed, in the resumed session", func() bool { return !offers(now(), "10.0.0.2:80") })
 	mu.Lock()
 	defer mu.Unlock()
-	if fail != "" || ups < 2 || wholes != 1 || retained != 1 || deltas < 2 || redelivered >= ups {
-		t.Fatalf("%q; %d connections, %d whole documents, %d of them retained, %d deltas, %d redelivered", fail, ups, wholes, retained, deltas, redelivered)
+	if fail != "" || connections < 2 || fullDocuments != 1 || retained != 1 || deltas < 2 || redelivered >= connections {
+		t.Fatalf("%q; %d connections, %d whole documents, %d of them retained, %d deltas, %d redelivered", fail, connections, fullDocuments, retained, deltas, redelivered)
 	}
 }
 
@@ -381,9 +381,9 @@
 	})
 }
 
-// All subscribers connect at once, as after a restart of the director. Those beyond the connection rate limit are refused
-// as busy and retry, and each gets the tables in the end. A subscriber that reads nothing does not delay the others.
-// VETCHWOOD_STORM sets the number of subscribers.
+// All subscribers connect at once, as after a restart of the director. Those beyond the connection rate limit are
+// refused as busy and retry, and each gets the tables in the end. A subscriber that reads nothing does not delay the
+// others. VETCHWOOD_STORM sets the number of subscribers.
 func TestAStormOfSubscribers(t *testing.T) {
 	t.Parallel()
 	n := 300
--- a/internal/mqtt/server.go
+++ b/internal/mqtt/server.go
@@ -61,10 +61,10 @@
 	done      chan struct{}
 	closeOnce sync.Once
 
-	mu      sync.Mutex
-	inbox   []any
-	wake    chan struct{}
-	figures atomic.Pointer[mqttsession.Stats]
+	mu    sync.Mutex
+	inbox []any
+	wake  chan struct{}
+	stats atomic.Pointer[mqttsession.Stats]
 }
 
 // clientConn is one connection.
@@ -96,7 +96,7 @@
 		limits.Budget = budget.New(budget.Unlimited)
 	}
 	s := &Server{core: core, limits: limits, log: log, done: make(chan struct{}), wake: make(chan struct{}, 1)}
-	s.figures.Store(&mqttsession.Stats{})
+	s.stats.Store(&mqttsession.Stats{})
 	var err error
 	s.Socket, err = netutil.Listen(address, s.read, s.accept, limits.WriteTimeout, limits.Budget, log)
 	return s, err
@@ -108,8 +108,8 @@
 // Refusals returns the number of protocol errors and of refused reports.
 func (s *Server) Refusals() uint64 { return s.refusals.Load() }
 
-// Figures returns the counters of the sessions.
-func (s *Server) Figures() mqttsession.Stats { return *s.figures.Load() }
+// Stats returns the statistics of the sessions.
+func (s *Server) Stats() mqttsession.Stats { return *s.stats.Load() }
 
 // Serve accepts and serves connections until Close.
 func (s *Server) Serve() error {
@@ -381,8 +381,8 @@
 	}
 }
 
-// Answer passes an answer of the core to the session loop. It encodes the document first: only the goroutine of the
-// core, which calls Answer, may do that.
+// Answer passes an answer of the core to the session loop. It encodes the document first, in the goroutine of the core,
+// so that the session loop finds the encoding in the document's cache.
 func (s *Server) Answer(a control.Answer) {
 	if a.Doc != nil {
 		a.Doc.Tag()
@@ -392,7 +392,7 @@
 
 // run is the session loop: it handles the inbox in batches and executes the outputs, until the server is closed.
 func (s *Server) run() {
-	desk := mqttsession.NewBroker(s.limits.Limits, s.limits.MaxWait, s.core.Ticket)
+	broker := mqttsession.NewBroker(s.limits.Limits, s.limits.MaxWait, s.core.Ticket)
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -407,7 +407,7 @@
 		in := s.inbox
 		s.inbox = nil
 		s.mu.Unlock()
-		for _, o := range desk.Handle(s.core.Now(), in...) {
+		for _, o := range broker.Handle(s.core.Now(), in...) {
 			s.execute(o)
 		}
 		for _, i := range in {
@@ -415,8 +415,8 @@
 				answered.Answer.WriteFinished() // its packets are in the queue of the connection, in order
 			}
 		}
-		f := desk.Stats()
-		s.figures.Store(&f)
+		stats := broker.Stats()
+		s.stats.Store(&stats)
 	}
 }
 
--- a/internal/mqttsession/broker_test.go
+++ b/internal/mqttsession/broker_test.go
@@ -185,8 +185,8 @@
 	})
 }
 
-// The limits of sessions and of connections per second, a client that acknowledges nothing, an expired session, and a
-// proxy that polls through another front.
+// Covers the limits of sessions and of connections per second, a client that acknowledges nothing, an expired session,
+// and a proxy that polls through another front.
 func TestLimits(t *testing.T) {
 	ticket := control.Ticket(0)
 	b := NewBroker(Limits{MaxSessions: 2, MaxExpiry: 5000, AckTimeout: 8000, ConnectsPerSecond: 3, MaxWatchers: 1}, 1000,
--- a/internal/mqttsession/types.go
+++ b/internal/mqttsession/types.go
@@ -78,7 +78,7 @@
 		Conn    Conn
 		ID      uint16
 		Filters []Filter
-		// Resend reports that the document in flight can't take effect any more; it is sent again once it has been
+		// Resend reports that the document in flight cannot take effect any more; it is sent again once it has been
 		// acknowledged.
 		Resend bool
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -31,7 +31,7 @@
 
 // Store is the part of the history that the endpoint uses.
 type Store interface {
-	Versions(most int) ([]store.Version, error)
+	Versions(limit int) ([]store.Version, error)
 	At(tables.Step) (control.SavedState, error)
 	Verify() (int, []error)
 }
@@ -71,7 +71,7 @@
 // VerifyResult is the result of verifying all records of the history.
 type VerifyResult struct {
 	Records int      `json:"records"`
-	Wrong   []string `json:"wrong"`
+	Faults  []string `json:"wrong"`
 }
 
 // Handler serves the endpoint. It rejects requests that do not come from the loopback interface.
@@ -89,12 +89,12 @@
 		return n, nil
 	}
 	mux.HandleFunc("GET "+Path+"versions", func(w http.ResponseWriter, r *http.Request) {
-		most, err := uintParam(r, "most", 50)
+		limit, err := uintParam(r, "most", 50)
 		if err != nil {
 			writeProblem(w, http.StatusBadRequest, err)
 			return
 		}
-		respond(w)(s.Versions(int(min(most, 100000))))
+		respond(w)(s.Versions(int(min(limit, 100000))))
 	})
 	mux.HandleFunc("GET "+Path+"versions/{step}", func(w http.ResponseWriter, r *http.Request) {
 		step, err := strconv.ParseUint(r.PathValue("step"), 10, 64)
@@ -122,11 +122,11 @@
 		respond(w)(nil, err)
 	})
 	mux.HandleFunc("GET "+Path+"verify", func(w http.ResponseWriter, _ *http.Request) {
-		v := VerifyResult{Wrong: []string{}}
-		var wrong []error
-		v.Records, wrong = s.Verify()
-		for _, err := range wrong {
-			v.Wrong = append(v.Wrong, err.Error())
+		v := VerifyResult{Faults: []string{}}
+		var faults []error
+		v.Records, faults = s.Verify()
+		for _, err := range faults {
+			v.Faults = append(v.Faults, err.Error())
 		}
 		respond(w)(v, nil)
 	})
--- a/internal/rehearse/directors.go
+++ b/internal/rehearse/directors.go
@@ -26,7 +26,7 @@
 // director is a director of the environment, which runs as a separate process.
 type director struct {
 	name, file, log string
-	running         *settings.Director
+	settings        *settings.Director
 	registryLink    *standin.Link // its link to the registry and the lease store; nil if it is the only director
 	peerLink        *standin.Link // its peers' link to its state; nil if it is the only director
 
@@ -53,51 +53,51 @@
 	if d.file, d.log = filepath.Join(s.dir, "director.hcl"), filepath.Join(s.dir, "director.log"); i > 0 {
 		d.file, d.log = filepath.Join(s.dir, d.name+".hcl"), filepath.Join(s.dir, d.name+".log")
 	}
-	fill := map[string]string{"Store": filepath.Join(s.dir, "director.db"), "Roster": s.registry.URL(), "Name": d.name, "Custody": "", "MQTT": "",
+	values := map[string]string{"Store": filepath.Join(s.dir, "director.db"), "Roster": s.registry.URL(), "Name": d.name, "Custody": "", "MQTT": "",
 		"Listen": s.script.Listen, "Admin": s.script.Admin, "Proxies": strconv.Itoa(max(24, s.script.Fleet.Proxies+s.script.Fleet.SimulatedProxies)),
 		"Lines": strconv.Itoa(8000 * max(1, (s.script.Fleet.Proxies+s.script.Fleet.SimulatedProxies)/12))}
 	if s.script.Fleet.Directors > 1 {
 		if d.registryLink, err = s.registry.NewLink(d.name, uint64(i)); err != nil {
 			return err
 		}
-		fill["Store"], fill["Roster"] = filepath.Join(s.dir, d.name+".db"), d.registryLink.URL()
-		if fill["Listen"], err = freePort(); err != nil {
+		values["Store"], values["Roster"] = filepath.Join(s.dir, d.name+".db"), d.registryLink.URL()
+		if values["Listen"], err = freeAddress(); err != nil {
 			return err
 		}
-		if d.peerLink, err = standin.NewLinkTo(d.name, uint64(i), fill["Listen"]); err != nil {
+		if d.peerLink, err = standin.NewLinkTo(d.name, uint64(i), values["Listen"]); err != nil {
 			return err
 		}
-		fill["Custody"] = fmt.Sprintf("custody {\n  prefix = %q\n  ttl    = %q\n  advertise = %q\n}\n", leasePrefix, leaseTTL, d.peerLink.URL())
+		values["Custody"] = fmt.Sprintf("custody {\n  prefix = %q\n  ttl    = %q\n  advertise = %q\n}\n", leasePrefix, leaseTTL, d.peerLink.URL())
 		if !s.script.Fleet.LearnFromPeers {
-			fill["Custody"] = strings.Replace(fill["Custody"], "ttl ", "learn  = false\n  ttl ", 1)
+			values["Custody"] = strings.Replace(values["Custody"], "ttl ", "learn  = false\n  ttl ", 1)
 		}
 	}
 	for _, at := range []string{"Listen", "Admin"} {
-		if _, port, _ := net.SplitHostPort(fill[at]); port == "0" || at == "Admin" && i > 0 {
-			if fill[at], err = freePort(); err != nil {
+		if _, port, _ := net.SplitHostPort(values[at]); port == "0" || at == "Admin" && i > 0 {
+			if values[at], err = freeAddress(); err != nil {
 				return err
 			}
 		}
 	}
 	if s.script.Fleet.Front != "poll" {
-		port, err := freePort()
+		address, err := freeAddress()
 		if err != nil {
 			return err
 		}
-		fill["MQTT"] = fmt.Sprintf("mqtt {\n  listen = %q\n}\n", port)
+		values["MQTT"] = fmt.Sprintf("mqtt {\n  listen = %q\n}\n", address)
 	}
 	t, err := template.New("director.hcl").Option("missingkey=error").Parse(s.script.Director)
 	if err != nil {
 		return err
 	}
 	var text bytes.Buffer
-	if err = t.Execute(&text, fill); err != nil {
+	if err = t.Execute(&text, values); err != nil {
 		return err
 	}
 	if err = os.WriteFile(d.file, text.Bytes(), 0o600); err != nil {
 		return err
 	}
-	if d.running, err = settings.LoadDirector(d.file); err != nil {
+	if d.settings, err = settings.LoadDirector(d.file); err != nil {
 		return err
 	}
 	s.directors = append(s.directors, d)
@@ -118,7 +118,7 @@
 			director = strings.TrimPrefix(holder, leasePrefix+" ")
 		}
 		epoch, _ := strconv.ParseUint(value(leasePrefix+"/epoch"), 10, 64)
-		s.records.AddOwnership(verdict.Ownership{At: s.now(), Table: strconv.Itoa(slice), Director: director, Fence: epoch + lockIndex})
+		s.recorder.AddOwnership(verdict.Ownership{At: s.now(), Table: strconv.Itoa(slice), Director: director, Fence: epoch + lockIndex})
 	}
 }
 
@@ -126,10 +126,10 @@
 func (s *environment) directorURLs(mqtt bool) (out []string) {
 	for _, d := range s.directors {
 		if mqtt {
-			out = append(out, "mqtt://"+d.running.MQTT.Listen)
+			out = append(out, "mqtt://"+d.settings.MQTT.Listen)
 			continue
 		}
-		out = append(out, "http://"+d.running.Listen)
+		out = append(out, "http://"+d.settings.Listen)
 	}
 	return out
 }
@@ -138,7 +138,7 @@
 func (s *environment) directorName(url string) string {
 	if len(s.directors) > 1 {
 		for _, d := range s.directors {
-			if url == "http://"+d.running.Listen || d.running.MQTT != nil && url == "mqtt://"+d.running.MQTT.Listen {
+			if url == "http://"+d.settings.Listen || d.settings.MQTT != nil && url == "mqtt://"+d.settings.MQTT.Listen {
 				return d.name
 			}
 		}
@@ -206,7 +206,7 @@
 // metric returns one of the director's metrics, or 0 if the director does not answer within 1 s.
 func (d *director) metric(name string) float64 {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	res, err := client.Get("http://" + d.running.Admin + "/metrics")
+	res, err := client.Get("http://" + d.settings.Admin + "/metrics")
 	if err != nil {
 		return 0
 	}
@@ -314,17 +314,17 @@
 		until := h.until + 5000 // handovers within 5 s of the end of the fault are attributed to it
 		switch h.Fault {
 		case "stop_director", "flap_leases", "lossy_director", "cut_peer":
-			for _, g := range s.records.Gaps(h.from, h.until) {
+			for _, g := range s.recorder.Gaps(h.from, h.until) {
 				h.GapsMs = append(h.GapsMs, g.Ms)
 				h.LongestGapMs = max(h.LongestGapMs, g.Ms)
 			}
 		default:
-			h.GapsMs = s.records.FailoverTimes(h.Director, h.from, until, h.Fault != "cut_director")
+			h.GapsMs = s.recorder.FailoverTimes(h.Director, h.from, until, h.Fault != "cut_director")
 			for _, ms := range h.GapsMs {
 				h.LongestGapMs = max(h.LongestGapMs, ms)
 			}
 		}
-		h.PropagationMs = s.records.LongestHandover(h.from, h.until)
+		h.PropagationMs = s.recorder.LongestHandover(h.from, h.until)
 	}
 	return s.handovers
 }
@@ -337,14 +337,14 @@
 	if !s.sleep(ctx, min(duration, leaseTTL)) {
 		return
 	}
-	held := s.records.Owners()
+	held := s.recorder.Owners()
 	for _, c := range held {
-		s.records.AddOwnership(verdict.Ownership{At: s.now(), Table: c.Table})
+		s.recorder.AddOwnership(verdict.Ownership{At: s.now(), Table: c.Table})
 	}
 	s.sleep(ctx, duration-leaseTTL)
 	s.registry.KV.SetUnavailable(false)
 	for _, c := range held {
 		c.At = s.now()
-		s.records.AddOwnership(c)
+		s.recorder.AddOwnership(c)
 	}
 }
--- a/internal/rehearse/directors_test.go
+++ b/internal/rehearse/directors_test.go
@@ -51,7 +51,7 @@
 			n := d.metric("vetchwood_slices_held")
 			held, all = held+n, all && n > 0
 		}
-		return all && int(held) == s.running.Service.Config.Slices
+		return all && int(held) == s.settings.Service.Config.Slices
 	})
 }
 
@@ -81,14 +81,14 @@
 	s := startSharedFleet(t, 3, 6, 4, true)
 	lease := float64(leaseTTL.Milliseconds())
 	for _, k := range []struct {
-		kind string
-		last time.Duration
-		most float64
+		kind     string
+		duration time.Duration
+		limit    float64
 	}{{"stop_director", time.Millisecond, 0}, {"kill_director", 3 * time.Second, lease + 500}, {"pause_director", 3 * time.Second, lease + 500},
 		{"cut_director", 3 * time.Second, lease + 500}} {
 		var each []float64
 		for round := range envInt("VETCHWOOD_ROUNDS", 1) {
-			if err := s.injectDirectorFault(t.Context(), Fault{Kind: k.kind, Duration: k.last, Director: round%3 + 1}, func(string) {}); err != nil {
+			if err := s.injectDirectorFault(t.Context(), Fault{Kind: k.kind, Duration: k.duration, Director: round%3 + 1}, func(string) {}); err != nil {
 				t.Fatal(err)
 			}
 			s.awaitSharedSlices(t)
@@ -99,15 +99,15 @@
 					t.Fatalf("%s: director %s owned no slices", k.kind, h.Director)
 				}
 				each = append(each, h.GapsMs...)
-				if h.LongestGapMs > k.most {
-					t.Errorf("%s: a slice had no owner for %.0f ms; the limit is %.0f ms", k.kind, h.LongestGapMs, k.most)
+				if h.LongestGapMs > k.limit {
+					t.Errorf("%s: a slice had no owner for %.0f ms; the limit is %.0f ms", k.kind, h.LongestGapMs, k.limit)
 				}
 			}
 		}
 		t.Logf("%s: slices without an owner, in ms: %s", k.kind, summarize(each))
 		s.handovers = nil
 	}
-	v := s.records.Judge(s.judgeParams(0, s.now()))
+	v := s.recorder.Judge(s.criteria(0, s.now()))
 	for _, r := range v.Rules {
 		if !r.Kept {
 			t.Errorf("%+v", r)
@@ -128,11 +128,11 @@
 	var after []int
 	var all sync.WaitGroup
 	n := envInt("VETCHWOOD_ROUNDS", 1)
-	running := make(chan struct{}, 3)
+	slots := make(chan struct{}, 3)
 	for range n {
 		all.Go(func() {
-			running <- struct{}{}
-			defer func() { <-running }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			ms, sends := drainWithoutList(t, os.Getenv("VETCHWOOD_BASELINE") == "")
 			mu.Lock()
 			defer mu.Unlock()
@@ -168,14 +168,14 @@
 	s.registry.SetState(host.id, logic.Draining)
 	eventually(t, "the restarted director owns slices again", func() bool { return d.metric("vetchwood_slices_held") > 0 })
 	assigned := map[string]float64{}
-	for _, c := range s.records.Owners() {
+	for _, c := range s.recorder.Owners() {
 		if c.Director == d.name {
 			assigned[c.Table] = c.At
 		}
 	}
-	grace := float64(s.running.Service.Config.DrainGrace)
+	grace := float64(s.settings.Service.Config.DrainGrace)
 	time.Sleep(time.Duration(grace)*time.Millisecond + 4*time.Second)
-	for _, x := range s.records.TriesSoFar() {
+	for _, x := range s.recorder.TriesSoFar() {
 		if at, owned := assigned[x.Table]; owned && x.Host == host.Address && x.At > at {
 			latest = max(latest, x.At-at)
 			if x.At > at+grace {
--- a/internal/rehearse/environment.go
+++ b/internal/rehearse/environment.go
@@ -32,8 +32,8 @@
 // environment is a started fleet: the directors, the proxies, the hosts and the registry.
 type environment struct {
 	script   *Script
-	running  *settings.Director
-	records  *verdict.Recorder
+	settings *settings.Director
+	recorder *verdict.Recorder
 	log      *slog.Logger
 	dir      string
 	command  func(file string) *exec.Cmd
@@ -46,7 +46,7 @@
 	hostsCreated  int // hosts created so far; numbers the IDs of new ones
 	proxies       []*proxy
 	directors     []*director
-	dedupMemories map[string]*standin.Deduplicator // by cell
+	deduplicators map[string]*standin.Deduplicator // by cell
 	pending       sync.WaitGroup                   // call generators and calls in flight
 	random        *rand.Rand
 	routes        map[string]tables.Route
@@ -79,7 +79,7 @@
 }
 
 // freePort returns a loopback address whose port was free a moment ago. Another process may take it before its use.
-func freePort() (string, error) {
+func freeAddress() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -102,14 +102,14 @@
 
 // tryStartEnvironment makes one attempt to start the environment, and stops what it has started if the attempt fails.
 func tryStartEnvironment(ctx context.Context, script *Script, dir string, command func(string) *exec.Cmd, log *slog.Logger) (s *environment, err error) {
-	s = &environment{script: script, records: &verdict.Recorder{}, log: log, dir: dir, command: command, epoch: time.Now(),
-		dedupMemories: map[string]*standin.Deduplicator{}, random: rand.New(rand.NewPCG(1, 2))}
+	s = &environment{script: script, recorder: &verdict.Recorder{}, log: log, dir: dir, command: command, epoch: time.Now(),
+		deduplicators: map[string]*standin.Deduplicator{}, random: rand.New(rand.NewPCG(1, 2))}
 	defer func() {
 		if err != nil {
 			s.stop()
 		}
 	}()
-	if s.registry, err = standin.NewRegistry("127.0.0.1:0", s.records, s.now, script.Fleet.ListDelay); err != nil {
+	if s.registry, err = standin.NewRegistry("127.0.0.1:0", s.recorder, s.now, script.Fleet.ListDelay); err != nil {
 		return s, err
 	}
 	s.recordOwnership()
@@ -118,9 +118,9 @@
 			return s, err
 		}
 	}
-	s.running = s.directors[0].running
+	s.settings = s.directors[0].settings
 	s.routes = map[string]tables.Route{}
-	for _, r := range s.running.Service.Routes {
+	for _, r := range s.settings.Service.Routes {
 		s.routes[r.Name] = r.Route
 	}
 	for _, r := range script.Routes {
@@ -151,7 +151,7 @@
 	for {
 		ready := 0
 		for _, r := range s.proxies {
-			if d := r.Document(); d != nil && len(d.Tables) >= max(1, s.running.Service.Config.Slices) && allTablesHaveLines(d) {
+			if d := r.Document(); d != nil && len(d.Tables) >= max(1, s.settings.Service.Config.Slices) && allTablesHaveLines(d) {
 				ready++
 			}
 		}
@@ -208,22 +208,22 @@
 func (s *environment) addHost(warm bool) (*fleetHost, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f, fleet := s.running.Service.Config, s.script.Fleet
+	f, fleet := s.settings.Service.Config, s.script.Fleet
 	n := s.hostsCreated
 	s.hostsCreated++
-	zones := s.running.Service.Zones
+	zones := s.settings.Service.Zones
 	zone := zones[n/fleet.PerCell%len(zones)]
 	cell := fmt.Sprintf("%s-%d", zone, n/fleet.PerCell)
-	if s.dedupMemories[cell] == nil {
+	if s.deduplicators[cell] == nil {
 		window := time.Duration(0)
 		for _, r := range f.Routes {
 			window = max(window, time.Duration(float64(r.DedupWindow)*float64(time.Millisecond)))
 		}
-		s.dedupMemories[cell] = standin.NewDeduplicator(window)
+		s.deduplicators[cell] = standin.NewDeduplicator(window)
 	}
 	m := &fleetHost{id: fmt.Sprintf("host-%02d", n+1), zone: zone, cell: cell}
 	m.Host = standin.NewHost(standin.HostConfig{Cores: fleet.Cores, Queue: fleet.Queue, ColdCapacity: f.ColdCapacity,
-		WarmAfter: toDuration(f.WarmAfter), ColdOverloadLimit: f.ColdOverloadLimit, ColdFailAfter: toDuration(f.ColdFailAfter), Dedup: s.dedupMemories[cell], Recorder: s.records,
+		WarmAfter: toDuration(f.WarmAfter), ColdOverloadLimit: f.ColdOverloadLimit, ColdFailAfter: toDuration(f.ColdFailAfter), Dedup: s.deduplicators[cell], Recorder: s.recorder,
 		Now: s.now}, "")
 	if err := m.Start(warm); err != nil {
 		return nil, err
@@ -252,11 +252,11 @@
 func (s *environment) addProxy(i int) (err error) {
 	p := &proxy{}
 	mqtt := s.script.Fleet.Front == "mqtt" || s.script.Fleet.Front == "mixed" && i%2 == 1
-	name, zones := "relay-"+strconv.Itoa(i+1), s.running.Service.Zones
+	name, zones := "relay-"+strconv.Itoa(i+1), s.settings.Service.Zones
 	text := fmt.Sprintf("relay %q {\n  listen = \"127.0.0.1:0\"\n  zone = %q\n  directors = [\"%s\"]\n  follow = %q\n  front = %q\n  rate = %g\n  wait = \"5s\"\n"+
 		"  report_every = \"%dms\"\n  drain = \"0s\"\n}\n", name, zones[i%len(zones)], strings.Join(s.directorURLs(mqtt), `", "`),
 		map[bool]string{true: "all", false: "one"}[len(s.directors) > 1], map[bool]string{true: "mqtt", false: "poll"}[mqtt],
-		s.script.Load.PeakRate/float64(s.script.Fleet.Proxies), int(s.running.Service.Config.ReportInterval))
+		s.script.Load.PeakRate/float64(s.script.Fleet.Proxies), int(s.settings.Service.Config.ReportInterval))
 	for _, r := range s.script.Routes {
 		text += fmt.Sprintf("route %q {\n  prefix = %q\n  key = \"header:%s\"\n}\n", r.Name, "/"+r.Name, standin.HeaderSliceKey)
 	}
@@ -267,7 +267,7 @@
 		return err
 	}
 	s.proxies = append(s.proxies, p)
-	p.client = standin.NewClient(name, "http://"+p.config.Listen, s.records, s.now)
+	p.client = standin.NewClient(name, "http://"+p.config.Listen, s.recorder, s.now)
 	return nil
 }
 
@@ -277,17 +277,17 @@
 	for tries := 0; ; tries++ {
 		p.Relay, err = relay.New(p.config, relay.Hooks{
 			OnTry: func(_, mark, table string, host tables.Address) {
-				s.records.AddTry(verdict.Try{At: s.now(), Proxy: name, Call: mark, Table: table, Host: host})
+				s.recorder.AddTry(verdict.Try{At: s.now(), Proxy: name, Call: mark, Table: table, Host: host})
 			},
 			OnUpdate: func(u follow.Update) {
 				h := verdict.ProxyUpdate{At: s.now(), Proxy: name, Doc: u.Doc, Lines: u.Lines, Full: u.Full}
 				if len(s.directors) > 1 {
 					h.DirectorDoc, h.Director = u.Raw, s.directors[u.DirectorIndex].name
 				}
-				s.records.AddProxyUpdate(h)
+				s.recorder.AddProxyUpdate(h)
 			},
 			OnJoinChange: func(director string, on bool) {
-				s.records.AddProxyUpdate(verdict.ProxyUpdate{At: s.now(), Proxy: name, Joined: on, Director: s.directorName(director)})
+				s.recorder.AddProxyUpdate(verdict.ProxyUpdate{At: s.now(), Proxy: name, Joined: on, Director: s.directorName(director)})
 			},
 		}, s.log)
 		if err == nil {
--- a/internal/rehearse/play.go
+++ b/internal/rehearse/play.go
@@ -116,7 +116,7 @@
 	if script.Length == 0 {
 		fmt.Fprintf(q.Out, "The director listens on http://%s, with metrics on http://%s/metrics. Try:\n\n"+
 			"  curl -si http://%s/v1/proxies/relay-20/tables\n\nIt runs until a signal.\n",
-			s.running.Listen, s.running.Admin, s.running.Listen)
+			s.settings.Listen, s.settings.Admin, s.settings.Listen)
 	}
 	s.dayStart, s.startVersion = time.Now(), s.lowestVersion()
 	from := s.now()
@@ -157,7 +157,7 @@
 		res.MaxQueuedLines, res.MaxMessages = max(res.MaxQueuedLines, d.maxQueuedLines), max(res.MaxMessages, d.maxMessages)
 	}
 	res.Rollbacks, res.Handovers, res.Storms = s.rollbacks, s.measureHandovers(), s.storms
-	if v = s.records.Judge(s.judgeParams(from, until)); !v.Kept() || q.KeepDir != "" {
+	if v = s.recorder.Judge(s.criteria(from, until)); !v.Kept() || q.KeepDir != "" {
 		res.Folder = dir
 	}
 	return v, res, nil
@@ -182,15 +182,14 @@
 	}
 }
 
-// judgeParams returns the parameters by which the period between two times is judged, taken from the directors'
-// settings.
-func (s *environment) judgeParams(from, until float64) verdict.Criteria {
-	f := s.running.Service.Config
+// criteria returns the criteria by which the period between two times is judged, taken from the directors' settings.
+func (s *environment) criteria(from, until float64) verdict.Criteria {
+	f := s.settings.Service.Config
 	t := verdict.Criteria{Routes: map[string]tables.Route{}, LateShare: map[string]float64{}, Slices: f.Slices,
 		EmptyTableLimit: float64(f.EmptyTableLimit), DrainGrace: float64(f.DrainGrace), WarmAfter: toDuration(f.WarmAfter), ColdCapacity: f.ColdCapacity,
 		ColdOverloadLimit: f.ColdOverloadLimit, ColdFailAfter: toDuration(f.ColdFailAfter), QueueLimit: f.QueueLimit, MessageOverhead: f.MessageOverhead, MessageLimit: f.MessageLimit,
 		MessageWindow: float64(f.MessageWindow), From: from, Until: until}
-	for i, r := range s.running.Service.Routes {
+	for i, r := range s.settings.Service.Routes {
 		t.Routes[r.Name], t.LateShare[r.Name] = r.Route, f.Routes[i].LateShare
 	}
 	return t
@@ -202,20 +201,20 @@
 	terminal bool
 	quiet    bool
 	mu       sync.Mutex
-	records  *verdict.Recorder
+	recorder *verdict.Recorder
 	started  time.Time
 	length   time.Duration
 }
 
 func newProgress(q Request, script *Script, s *environment) *progress {
 	f, file := q.Out.(*os.File)
-	return &progress{out: q.Out, quiet: q.JSON, terminal: file && isatty.IsTerminal(f.Fd()), records: s.records, started: time.Now(),
+	return &progress{out: q.Out, quiet: q.JSON, terminal: file && isatty.IsTerminal(f.Fd()), recorder: s.recorder, started: time.Now(),
 		length: script.Length}
 }
 
 // report records an event of the day and prints it with the time since the start.
 func (p *progress) report(what string) {
-	p.records.AddAction(verdict.Action{Text: what})
+	p.recorder.AddAction(verdict.Action{Text: what})
 	if p.quiet {
 		return
 	}
@@ -242,7 +241,7 @@
 			if !p.terminal || p.quiet || p.length == 0 {
 				continue
 			}
-			calls, answered, throttled, step := p.records.Counts()
+			calls, answered, throttled, step := p.recorder.Counts()
 			p.mu.Lock()
 			fmt.Fprintf(p.out, "\r\x1b[K%6.1f of %.0f s  calls %d  answered %.1f%%  throttled %d  version %d", time.Since(p.started).Seconds(),
 				p.length.Seconds(), calls, 100*float64(answered)/float64(max(1, calls)), throttled, step)
@@ -282,7 +281,7 @@
 			h.Fault, h.Director, h.Slices, h.LongestGapMs, h.PropagationMs)
 	}
 	for _, x := range res.Storms {
-		fmt.Fprintf(w, "storm of %s\t%d requests\t%d answered, %d rejected, %d failed; 99th percentile %.0f ms in the worst second\n", x.Kind, x.Asked,
+		fmt.Fprintf(w, "storm of %s\t%d requests\t%d answered, %d rejected, %d failed; 99th percentile %.0f ms in the worst second\n", x.Kind, x.Scheduled,
 			x.Answered, x.Rejected, x.Failed, x.WorstP99Ms)
 	}
 	fmt.Fprintf(w, "hosts failed under load\t%d\t\n", v.Collapses)
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -95,7 +95,7 @@
 
 // storedVersion returns the newest version that the director has stored, or 0 if it does not answer.
 func (s *environment) storedVersion() tables.Step {
-	res, err := http.Get("http://" + s.running.Admin + "/metrics")
+	res, err := http.Get("http://" + s.settings.Admin + "/metrics")
 	if err != nil {
 		return 0
 	}
@@ -106,7 +106,7 @@
 
 // highestVersion returns the newest version that any proxy holds.
 func (s *environment) highestVersion() (step tables.Step) {
-	s.records.Counts()
+	s.recorder.Counts()
 	for _, r := range s.proxies {
 		if d := r.Document(); d != nil {
 			step = max(step, d.Step)
@@ -146,7 +146,7 @@
 		time.Sleep(delay)
 		s.killAndRestart(t, func() { s.registry.SetState(h.id, logic.Up) })
 	}
-	v := s.records.Judge(s.judgeParams(0, s.now()))
+	v := s.recorder.Judge(s.criteria(0, s.now()))
 	if v.Regressions > 0 {
 		t.Fatalf("proxies went back to older versions %d times", v.Regressions)
 	}
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	eventually(t, "the director serves again", func() bool {
-		res, err := http.Get("http://" + s.running.Admin + "/readyz") // ready once its first version is stored
+		res, err := http.Get("http://" + s.settings.Admin + "/readyz") // ready once its first version is stored
 		if err != nil {
 			return false
 		}
@@ -186,8 +186,8 @@
 		return true
 	})
 	var v operator.VerifyResult
-	if err := s.operatorClient().Get(t.Context(), "verify", &v); err != nil || len(v.Wrong) > 0 {
-		t.Fatalf("%v, %v", err, v.Wrong)
+	if err := s.operatorClient().Get(t.Context(), "verify", &v); err != nil || len(v.Faults) > 0 {
+		t.Fatalf("%v, %v", err, v.Faults)
 	}
 }
 
--- a/internal/rehearse/rollback.go
+++ b/internal/rehearse/rollback.go
@@ -23,7 +23,7 @@
 }
 
 func (s *environment) operatorClient() operator.Client {
-	return operator.Client{URL: "http://" + s.running.Admin}
+	return operator.Client{URL: "http://" + s.settings.Admin}
 }
 
 // rollback returns to the tables of the day's start, as an operator does, and waits at most 10 s until every proxy
@@ -56,7 +56,7 @@
 			return nil
 		}
 	}
-	u.SlowestMs, u.MostPolls = s.records.Propagation(o.Version, began)
+	u.SlowestMs, u.MostPolls = s.recorder.Propagation(o.Version, began)
 	s.mu.Lock()
 	s.rollbacks = append(s.rollbacks, u)
 	s.mu.Unlock()
--- a/internal/rehearse/script.go
+++ b/internal/rehearse/script.go
@@ -1,5 +1,5 @@
 // Package rehearse starts directors, proxies and simulated hosts on the local machine, plays a scripted day of load and
-// faults over real sockets, and checks the five rules against the traffic recorded there.
+// faults over real sockets, and checks the rules of package verdict against the traffic recorded there.
 package rehearse
 
 import (
--- a/internal/rehearse/scripted_director_test.go
+++ b/internal/rehearse/scripted_director_test.go
@@ -26,13 +26,13 @@
 // break the rules on purpose and to check that package verdict detects each violation.
 type scriptedDirector struct {
 	t        *testing.T
-	records  *verdict.Recorder
+	recorder *verdict.Recorder
 	epoch    time.Time
 	registry *standin.Registry
 	hosts    []*standin.Host
 	relay    *relay.Relay
 	client   *standin.Client
-	params   verdict.Criteria
+	criteria verdict.Criteria
 
 	mu        sync.Mutex
 	tickets   atomic.Uint64
@@ -133,16 +133,16 @@
 
 func newScriptedDirector(t *testing.T) *scriptedDirector {
 	t.Parallel()
-	r := &scriptedDirector{t: t, records: &verdict.Recorder{}, epoch: time.Now(), pending: map[control.Ticket]control.Poll{}, published: map[tables.Tag]*tables.Document{},
-		params: verdict.Criteria{Slices: 1, EmptyTableLimit: 500, DrainGrace: 500, WarmAfter: 10 * time.Second, ColdCapacity: 0.2, ColdOverloadLimit: 3, ColdFailAfter: time.Second, QueueLimit: 60,
+	r := &scriptedDirector{t: t, recorder: &verdict.Recorder{}, epoch: time.Now(), pending: map[control.Ticket]control.Poll{}, published: map[tables.Tag]*tables.Document{},
+		criteria: verdict.Criteria{Slices: 1, EmptyTableLimit: 500, DrainGrace: 500, WarmAfter: 10 * time.Second, ColdCapacity: 0.2, ColdOverloadLimit: 3, ColdFailAfter: time.Second, QueueLimit: 60,
 			MessageOverhead: 16, MessageLimit: 8, MessageWindow: 10000, Routes: map[string]tables.Route{"read": {Idempotency: "repeatable"}, "note": {Idempotency: "keyed"}}}}
 	var err error
-	if r.registry, err = standin.NewRegistry("127.0.0.1:0", r.records, r.now, 0); err != nil {
+	if r.registry, err = standin.NewRegistry("127.0.0.1:0", r.recorder, r.now, 0); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 2 {
 		h := standin.NewHost(standin.HostConfig{Cores: 4, Queue: 100, ColdCapacity: 0.2, WarmAfter: 10 * time.Second, ColdOverloadLimit: 1e9, ColdFailAfter: time.Second,
-			Dedup: standin.NewDeduplicator(4 * time.Second), Recorder: r.records, Now: r.now}, "")
+			Dedup: standin.NewDeduplicator(4 * time.Second), Recorder: r.recorder, Now: r.now}, "")
 		if err := h.Start(true); err != nil {
 			t.Fatal(err)
 		}
@@ -158,7 +158,7 @@
 	}
 	go r.front.Serve()
 	r.publish(r.equalWeights(1), 1, 0)
-	set, err := settings.ParseRelay("p.hcl", []byte(fmt.Sprintf(`
+	config, err := settings.ParseRelay("p.hcl", []byte(fmt.Sprintf(`
 relay "p" {
   listen       = "127.0.0.1:0"
   zone         = "a"
@@ -171,20 +171,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.relay, err = relay.New(set, relay.Hooks{
+	if r.relay, err = relay.New(config, relay.Hooks{
 		OnTry: func(_, mark, _ string, host tables.Address) {
-			r.records.AddTry(verdict.Try{At: r.now(), Proxy: "p", Call: mark, Host: host})
+			r.recorder.AddTry(verdict.Try{At: r.now(), Proxy: "p", Call: mark, Host: host})
 		},
 		OnUpdate: func(u follow.Update) {
-			r.records.AddProxyUpdate(verdict.ProxyUpdate{At: r.now(), Proxy: "p", Doc: u.Doc, Lines: u.Lines, Full: u.Full})
+			r.recorder.AddProxyUpdate(verdict.ProxyUpdate{At: r.now(), Proxy: "p", Doc: u.Doc, Lines: u.Lines, Full: u.Full})
 		},
 		OnJoinChange: func(_ string, on bool) {
-			r.records.AddProxyUpdate(verdict.ProxyUpdate{At: r.now(), Proxy: "p", Joined: on})
+			r.recorder.AddProxyUpdate(verdict.ProxyUpdate{At: r.now(), Proxy: "p", Joined: on})
 		},
 	}, log); err != nil {
 		t.Fatal(err)
 	}
-	r.client = standin.NewClient("p", "http://"+r.relay.Addr().String(), r.records, r.now)
+	r.client = standin.NewClient("p", "http://"+r.relay.Addr().String(), r.recorder, r.now)
 	done := make(chan struct{})
 	go func() { r.relay.Run(ctx); close(done) }()
 	t.Cleanup(func() {
@@ -203,7 +203,7 @@
 
 // lastHostList returns the host list that the registry delivered last.
 func (r *scriptedDirector) lastHostList() []verdict.ListedHost {
-	last, ok := r.records.LastHostList()
+	last, ok := r.recorder.LastHostList()
 	if !ok {
 		return nil
 	}
@@ -214,11 +214,11 @@
 // name all must be kept.
 func (r *scriptedDirector) expectOnlyBroken(name string) {
 	r.t.Helper()
-	r.params.Until = r.now()
-	v := r.records.Judge(r.params)
-	if len(r.records.Tries) == 0 && len(r.records.Outcomes) > 0 {
-		o := r.records.Outcomes[0]
-		r.t.Errorf("no tries for %d calls; the first call took %.1f ms: %+v", len(r.records.Outcomes), o.Latency, o)
+	r.criteria.Until = r.now()
+	v := r.recorder.Judge(r.criteria)
+	if len(r.recorder.Tries) == 0 && len(r.recorder.Outcomes) > 0 {
+		o := r.recorder.Outcomes[0]
+		r.t.Errorf("no tries for %d calls; the first call took %.1f ms: %+v", len(r.recorder.Outcomes), o.Latency, o)
 	}
 	found := name == ""
 	for _, rule := range v.Rules {
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -30,10 +30,10 @@
 
 // HostConfig holds the properties of a stand-in host.
 type HostConfig struct {
-	Cores, Queue      int           // calls executed at a time, and calls that may wait
+	Cores, Queue      int           // calls executed at a time, and calls that may be queued
 	ColdCapacity      float64       // fraction of the full capacity right after a start
 	WarmAfter         time.Duration // time from the start until full capacity
-	ColdOverloadLimit float64       // multiple of its capacity that a cold host bears over ColdFailAfter
+	ColdOverloadLimit float64       // multiple of its capacity that a cold host withstands over ColdFailAfter
 	ColdFailAfter     time.Duration
 	Dedup             *Deduplicator // of calls with idempotency keys, shared within a cell
 	Recorder          *verdict.Recorder
@@ -52,7 +52,7 @@
 	return &Deduplicator{window: float64(window.Milliseconds()), seen: map[string]float64{}}
 }
 
-// isRepeat returns whether the key was seen within the window, and remembers it if not.
+// isRepeat reports whether the key was seen within the window, and remembers it if not.
 func (d *Deduplicator) isRepeat(key string, now float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -143,10 +143,10 @@
 // SetFaults replaces the faults in force.
 func (h *Host) SetFaults(f HostFaults) { h.mu.Lock(); h.faults = f; h.mu.Unlock() }
 
-// Collapsed returns whether the host has failed because of overload while it was cold.
+// Collapsed reports whether the host has failed because of overload while it was cold.
 func (h *Host) Collapsed() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.collapsed }
 
-// capacity is the fraction of the full capacity that the host has now, by its warm-up.
+// capacity returns the fraction of its full capacity that the host has at a time, by its warm-up.
 func (h *Host) capacity(now float64) float64 {
 	return verdict.ColdStartCapacity(now-h.startedAt, h.config.ColdCapacity, h.config.WarmAfter)
 }
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -18,7 +18,8 @@
 // here: check-and-set, locks by session, session TTLs that are lower bounds, lock-delay, blocking queries, and atomic
 // transactions of at most 64 operations.
 type KVStore struct {
-	// SessionTTLFactor times its TTL after the last renewal, a session expires; values under 1 count as 1.
+	// SessionTTLFactor is the time from the last renewal of a session to its expiry, as a multiple of its TTL. Values
+	// below 1 count as 1.
 	SessionTTLFactor float64
 	// OnLockChange is called for each lock that is taken or released, with the session and its name as the holder.
 	// After a release the session is empty, and the holder is empty or, if the session ended, SessionEnded.
@@ -76,8 +77,8 @@
 	mux.HandleFunc("PUT /v1/txn", l.handleTxn)
 }
 
-// SetUnavailable makes the store answer every request with an error, or ends that. Sessions don't expire meanwhile, and
-// get their full TTL afterwards, as from a new Consul leader.
+// SetUnavailable makes the store answer every request with an error, or ends that. Sessions do not expire meanwhile,
+// and get their full TTL afterwards, as from a new Consul leader.
 func (l *KVStore) SetUnavailable(unavailable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -158,7 +159,7 @@
 	return b
 }
 
-// sessionLifetime is how long a session lives without a renewal.
+// sessionLifetime returns the time after which a session expires without a renewal.
 func (l *KVStore) sessionLifetime(s *session) time.Duration {
 	return time.Duration(float64(s.ttl) * max(1, l.SessionTTLFactor))
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -30,7 +30,7 @@
 // LinkFaults are the faults in force on a link.
 type LinkFaults struct {
 	Cut            bool          // nothing passes
-	BlockDiscovery bool          // requests for the host list don't pass
+	BlockDiscovery bool          // requests for the host list do not pass
 	Delay          time.Duration // added in each direction
 	LossRate       float64       // fraction of requests, and of responses, that is lost
 }
--- a/internal/verdict/ownership.go
+++ b/internal/verdict/ownership.go
@@ -10,8 +10,8 @@
 	"vetchwood/logic"
 )
 
-// This file has what the rules need where several directors share the slices. Each owner is responsible for a slice
-// from the time at which the lease store granted it.
+// The functions in this file evaluate the ownership of slices where several directors share them. An owner is
+// responsible for a slice from the time at which the lease store granted it.
 
 // directorDocument returns the director's own document, or the only one there is.
 func (h ProxyUpdate) directorDocument() *tables.Document {
--- a/internal/verdict/recorder.go
+++ b/internal/verdict/recorder.go
@@ -1,5 +1,6 @@
-// Package verdict checks by what was recorded at the sockets whether a director kept its rules, and computes how good
-// the service was. It doesn't use the director's own view. It has no I/O and no clock.
+// Package verdict checks, from events recorded at the sockets, whether a director kept its rules, and computes the
+// quality of service. It does not use the director's own view of the events. The package does no I/O and reads no
+// clock.
 package verdict
 
 import (
@@ -21,7 +22,7 @@
 		WorkMs, HostStartedAt float64
 		Cores                 int
 		Executed              bool // the host executed the call
-		Deduplicated          bool // the host recognized the call as a repeat and didn't execute it
+		Deduplicated          bool // the host recognized the call as a repeat and did not execute it
 	}
 	// Try is a try as recorded by the proxy that sent it.
 	Try struct {
@@ -164,8 +165,8 @@
 	return len(rec.Outcomes), answered, throttled, step
 }
 
-// ColdStartCapacity is the fraction of its full capacity that a host has age milliseconds after its start. It increases
-// linearly from coldCapacity to 1 over warmAfter.
+// ColdStartCapacity returns the fraction of its full capacity that a host has age milliseconds after its start. It
+// increases linearly from coldCapacity to 1 over warmAfter.
 func ColdStartCapacity(age, coldCapacity float64, warmAfter time.Duration) float64 {
 	if warmAfter <= 0 {
 		return 1
@@ -173,9 +174,9 @@
 	return min(1, coldCapacity+(1-coldCapacity)*max(0, age)/float64(warmAfter.Milliseconds()))
 }
 
-// ColdOverload is the work sent to a host during the last failAfter, as a fraction of what a cold host bears in that
-// time: limit times its capacity. At 1 the host fails. A warm host doesn't fail, and has 0. Older entries of work are
-// removed.
+// ColdOverload returns the work sent to a host during the last failAfter, as a fraction of what a cold host withstands
+// in that time: limit times its capacity. At 1 the host fails. A warm host does not fail; the result is 0. Entries of
+// work that are older than failAfter are removed.
 func ColdOverload(work *[]Work, now, startedAt float64, cores int, coldCapacity float64, warmAfter time.Duration,
 	limit float64, failAfter time.Duration) float64 {
 	window := float64(failAfter.Milliseconds())
@@ -189,7 +190,7 @@
 	for _, w := range *work {
 		sum += w.Ms
 	}
-	// Twice the mean work of a call is deducted: one or two calls can come by chance and are no overload.
+	// Twice the mean work of a call is deducted: one or two calls can arrive by chance and are no overload.
 	allowance := 2 * sum / float64(max(1, len(*work)))
 	return max(0, sum-allowance) / (limit * ColdStartCapacity(now-startedAt, coldCapacity, warmAfter) * window * float64(cores))
 }
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -60,7 +60,7 @@
 	Deltas          int                `json:"deltas"`
 }
 
-// Kept returns whether all rules were kept and no proxy was sent back to an earlier version.
+// Kept reports whether all rules were kept and no proxy was sent back to an earlier version.
 func (v Verdict) Kept() bool {
 	return v.Regressions == 0 && !slices.ContainsFunc(v.Rules, func(r Rule) bool { return !r.Kept })
 }
@@ -193,8 +193,8 @@
 	return r
 }
 
-// checkEffects checks the second rule: no call that isn't repeatable is executed twice. The clients of a rehearsal
-// don't retry by themselves, so each repeat is due to the director's orders.
+// checkEffects checks the second rule: no call that is not repeatable is executed twice. The clients of a rehearsal
+// do not retry by themselves, so each repeat is due to the director's orders.
 func (rec *Recorder) checkEffects(t Criteria) Rule {
 	r := Rule{Name: "no effect twice", Kept: true, Unit: "calls"}
 	executions := map[string]int{}
@@ -271,7 +271,7 @@
 	return r
 }
 
-// checkMessages checks the limit of messages to one proxy. Full documents and changes of owner don't count.
+// checkMessages checks the limit of messages to one proxy. Full documents and changes of owner do not count.
 func (rec *Recorder) checkMessages(t Criteria) Rule {
 	r := Rule{Name: "the message limit", Kept: true, Limit: float64(t.MessageLimit), Unit: "messages"}
 	type pair struct{ proxy, director string }
@@ -294,7 +294,7 @@
 }
 
 // measureService computes the quality of service: in total, by route, and in the worst ten seconds. Periods with less
-// than 1 % of the day's demand don't count as the worst.
+// than 1 % of the day's demand do not count as the worst.
 func (rec *Recorder) measureService(t Criteria, v *Verdict) {
 	type sum struct{ earned, demand float64 }
 	var total sum
