--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -69,7 +69,7 @@
 		switch {
 		case e.Start != nil || e.Killed:
 			if e.Killed && live[e.Director] == nil {
-				return fmt.Errorf("event %d: field Director: %d was never started", i, e.Director)
+				return fmt.Errorf("event %d: field Director: %d is not running", i, e.Director)
 			}
 			if known {
 				deliveries[n].events = nil
@@ -85,7 +85,7 @@
 			}
 			live[e.Director] = instance
 		case live[e.Director] == nil:
-			return fmt.Errorf("event %d: field Director: %d was never started", i, e.Director)
+			return fmt.Errorf("event %d: field Director: %d is not running", i, e.Director)
 		}
 		if !known {
 			n = len(deliveries)
@@ -105,13 +105,13 @@
 }
 
 // start creates an instance. If the decision module panics, failed is the reason.
-func start(b *wire.Start) (d *logic.Director, failed string) {
+func start(s *wire.Start) (d *logic.Director, failed string) {
 	defer func() {
 		if r := recover(); r != nil {
 			failed = fmt.Sprint(r)
 		}
 	}()
-	return logic.New(b.Seed, b.Facts), ""
+	return logic.New(s.Seed, s.Config), ""
 }
 
 // handleDelivery passes the events to the instance and adds its orders to the reply, or a failure if it panics.
--- a/internal/platform/codec/codec_test.go
+++ b/internal/platform/codec/codec_test.go
@@ -14,7 +14,7 @@
 func testSchema() *Schema {
 	return NewSchema(logic.Config{Proxies: 4, Slices: 8, LoadColumns: []string{"utilization", "throughput"},
 		Routes: []logic.Route{{TimeLimit: 3000}, {TimeLimit: 4000}}},
-		wire.Names{Routes: []string{"read", "note"}, Zones: []string{"a", "b"}, Kinds: []string{"m"}})
+		wire.Names{Routes: []string{"read", "note"}, Zones: []string{"a", "b"}, HardwareTypes: []string{"m"}})
 }
 
 func TestDecodeMessage(t *testing.T) {
--- a/internal/platform/codec/names.go
+++ b/internal/platform/codec/names.go
@@ -50,7 +50,7 @@
 }
 
 func (s *Schema) kindID(name string) (logic.HardwareID, bool) {
-	i := slices.Index(s.Kinds, name)
+	i := slices.Index(s.HardwareTypes, name)
 	return logic.HardwareID(i), i >= 0
 }
 
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -123,7 +123,7 @@
 	if len(file.Settings) == 0 {
 		return nil, &ConfigError{Where: "settings", Why: "missing"}
 	}
-	facts, n, err := wire.DecodeFacts(file.Settings)
+	facts, n, err := wire.DecodeConfig(file.Settings)
 	if err != nil {
 		return nil, &ConfigError{Where: "settings", Why: err.Error()}
 	}
--- a/internal/wire/facts.go
+++ b/internal/wire/facts.go
@@ -39,22 +39,22 @@
 	}
 }
 
-// Names holds the names of routes, zones and host kinds from the settings, each at the index of its ID, and the
+// Names holds the names of routes, zones and hardware types from the settings, each at the index of its ID, and the
 // shortest interval between batches.
 type Names struct {
-	Routes, Zones, Kinds []string
-	Resolution           logic.Millis
+	Routes, Zones, HardwareTypes []string
+	Resolution                   logic.Millis
 }
 
-// DecodeFacts decodes the settings that a director starts with, given as a JSON object of their own.
-func DecodeFacts(text json.RawMessage) (logic.Config, Names, error) {
+// DecodeConfig decodes the settings that a director starts with, given as a JSON object of their own.
+func DecodeConfig(text json.RawMessage) (logic.Config, Names, error) {
 	o := object{raw: map[string]json.RawMessage{"Facts": text}}
-	f, names := decodeFacts(&o)
+	f, names := decodeConfig(&o)
 	return f, names, o.err
 }
 
-// decodeFacts decodes the Facts field of an object.
-func decodeFacts(o *object) (logic.Config, Names) {
+// decodeConfig decodes the Facts field of an object, which holds the settings of a start.
+func decodeConfig(o *object) (logic.Config, Names) {
 	var s settings
 	var names Names
 	v, ok := o.get("Facts", true)
@@ -90,7 +90,7 @@
 	if s.Report.Via != "none" {
 		f.LoadColumns = s.Report.Columns
 	}
-	names.Zones, names.Kinds, names.Resolution = s.Dcs, s.HostTypes, ms(s.ResolutionMs)
+	names.Zones, names.HardwareTypes, names.Resolution = s.Dcs, s.HostTypes, ms(s.ResolutionMs)
 	for i, c := range s.Classes {
 		names.Routes = append(names.Routes, c.Name)
 		repeat, known := map[string]logic.Idempotency{"safe": logic.Idempotent, "keyed": logic.IdempotentByKey,
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -54,7 +54,7 @@
 	r.buf = append(r.buf, '}')
 }
 
-// Add appends an order of an instance. It panics if o is not an order.
+// Add appends an order of an instance. It panics if o is of no order type that the simulator knows.
 func (r *Reply) Add(d logic.DirectorID, o logic.Order) {
 	switch o := o.(type) {
 	case logic.SetLine:
@@ -109,7 +109,7 @@
 		r.openOrder("SayLog", d)
 		r.text("Words", o.Text)
 	default:
-		panic("not an order")
+		panic("unknown order type")
 	}
 	r.buf = append(r.buf, '}')
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -22,8 +22,8 @@
 
 // Start starts an instance.
 type Start struct {
-	Seed  uint64
-	Facts logic.Config
+	Seed   uint64
+	Config logic.Config
 }
 
 // Batch is one line of input: the events at one time.
@@ -115,7 +115,7 @@
 	return f
 }
 
-// boolean returns a truth value; an absent field is false.
+// boolean returns a boolean; an absent field is false.
 func (o *object) boolean(field string) bool {
 	var b bool
 	if v, ok := o.get(field, false); ok && json.Unmarshal(v, &b) != nil {
@@ -267,7 +267,7 @@
 	switch verb {
 	case "Begin":
 		e.Start = &Start{Seed: o.unsigned("Nonce64")}
-		e.Start.Facts, _ = decodeFacts(o)
+		e.Start.Config, _ = decodeConfig(o)
 	case "Killed":
 		e.Killed = true
 	case "Sync":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -36,9 +36,9 @@
 		t.Fatalf("clock %v, %d events", b.Clock, len(b.Events))
 	}
 	start := b.Events[0].Start
-	if start.Seed != 1<<63 || start.Facts.Slices != 7 || start.Facts.Levels != logic.LevelRate || !start.Facts.SingleOwner ||
-		start.Facts.Routes[0].DedupScope != logic.DedupCell || !start.Facts.Routes[1].IsWrite || start.Facts.Pick != logic.PickTwoChoices {
-		t.Errorf("facts: %+v", start)
+	if start.Seed != 1<<63 || start.Config.Slices != 7 || start.Config.Levels != logic.LevelRate || !start.Config.SingleOwner ||
+		start.Config.Routes[0].DedupScope != logic.DedupCell || !start.Config.Routes[1].IsWrite || start.Config.Pick != logic.PickTwoChoices {
+		t.Errorf("start: %+v", start)
 	}
 	// A later list replaces the former one of the same number, also within a batch.
 	first, second := b.Events[1].Payload.(logic.HostList), b.Events[2].Payload.(logic.HostList)
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -11,7 +11,7 @@
 	// admissionInterval is the time between updates: the shortest time in which a burst has to be met, and the usual
 	// interval of reports.
 	admissionInterval = Millis(500)
-	// queueingFactor is the ratio of the answer time to the usual one above which calls count as queued at a host.
+	// queueingFactor is the multiple of the usual answer time above which calls count as queued at a host.
 	queueingFactor = 1.5
 	// repeatedShare is the part of the unanswered calls that clients are taken to repeat: between none and all of them.
 	repeatedShare = 0.5
@@ -30,21 +30,21 @@
 
 // fleetCapacity is what the hosts in use can do, and what they do.
 type fleetCapacity struct {
-	capacity, tryRate, lossRate float64 // calls a second
-	busyWeighted, busyCapacity  float64 // sum of the busy shares times the hosts' capacities, and of these capacities
-	usable                      float64 // hosts in use
-	restarting                  float64 // those of them that started recently
-	unmeasured                  float64 // those of these whose capacity is not known yet
-	unfit                       float64 // hosts that are listed and out of use
-	queuedCalls                 float64 // calls that are queued at hosts, beside those in service
-	growth                      float64 // of the call rate since the hosts' reports
-}
-
-// hasRoom says whether hosts report room to spare, which overrides the computed load. It is false while many hosts have
-// just started and have not reported, since the reports of the others are then too old to tell. In a burst all reports
-// are older than the burst, so they are scaled by its growth.
+	capacity, tryRate, lossRate         float64 // calls a second
+	utilizedCapacity, reportingCapacity float64 // over the hosts that report a utilization: sum of utilization times capacity, and of capacity
+	usable                              float64 // hosts in use
+	restarting                          float64 // those of them that started recently
+	unmeasured                          float64 // those of these whose capacity is not known yet
+	unfit                               float64 // hosts that are listed and out of use
+	queuedCalls                         float64 // calls that are queued at hosts, beside those in service
+	growth                              float64 // of the call rate since the hosts' reports
+}
+
+// hasRoom reports whether hosts report room to spare, which overrides the computed load. It is false while many hosts
+// have just started and have not reported, since the reports of the others are then too old to tell. In a burst all
+// reports are older than the burst, so they are scaled by its growth.
 func (c fleetCapacity) hasRoom() bool {
-	return c.busyCapacity > 0 && c.busyWeighted*max(1, c.growth) < c.busyCapacity*unthrottledUtilization && c.unmeasured <= c.usable*massRestartShare
+	return c.reportingCapacity > 0 && c.utilizedCapacity*max(1, c.growth) < c.reportingCapacity*unthrottledUtilization && c.unmeasured <= c.usable*massRestartShare
 }
 
 // measure sums up the state of the hosts.
@@ -57,17 +57,17 @@
 		}
 		c.usable, c.restarting = c.usable+1, c.restarting+float64(bit(s.fresh && s.cold, 0))
 		// A host that no table names gets no calls: it counts neither as capacity nor as unmeasured.
-		if s.capacity == 0 && s.dueRate > 0 { // its capacity is unknown; a release brings many such hosts
+		if s.capacity == 0 && s.assignedRate > 0 { // its capacity is unknown; a release brings many such hosts
 			c.unmeasured += float64(bit(s.fresh && s.cold, 0))
 			c.capacity += each * s.listedWeight * s.warmShare / 2
 		}
 		c.capacity, c.tryRate, c.lossRate = c.capacity+s.capacity, c.tryRate+s.tryRate, c.lossRate+s.loss*s.tryRate
 		if s.utilization > 0 {
-			c.busyWeighted, c.busyCapacity = c.busyWeighted+s.utilization*s.capacity, c.busyCapacity+s.capacity
+			c.utilizedCapacity, c.reportingCapacity = c.utilizedCapacity+s.utilization*s.capacity, c.reportingCapacity+s.capacity
 		}
 		c.queuedCalls += max(0, s.answerTime-queueingFactor*g.calmAnswerTime) / 1000 * s.tryRate * (1 - s.loss)
 	}
-	c.capacity = max(c.capacity, c.tryRate-c.lossRate) // without busy shares, only the rate of answers is known
+	c.capacity = max(c.capacity, c.tryRate-c.lossRate) // without reports of utilization, only the rate of answers is known
 	if usual := g.typicalAnswerTime(); c.hasRoom() && usual > 0 {
 		if g.calmAnswerTime == 0 {
 			g.calmAnswerTime = usual
@@ -93,8 +93,8 @@
 	return sum
 }
 
-// callGrowth returns the present rate of calls over that of the last seconds, or 1 where the difference may be a ripple
-// of the reports.
+// callGrowth returns the ratio of the present rate of calls to that of the last seconds, or 1 where the difference may
+// be a ripple of the reports.
 func (g *admitter) callGrowth() float64 {
 	lately := g.recentCalls.rate(g.now, demandHalfLife, g.firstReport-g.params.reportInterval)
 	if growth := g.totalCallRate() / max(lately, 0.1); growth > burstGrowth {
@@ -108,7 +108,7 @@
 	return max(0, g.callRate(r)-repeatedShare*g.unanswered[r].rate(g.now, admissionHalfLife, 0))
 }
 
-// isThrottling says whether some calls are rejected: levels are published in steps, and less than half a step is no
+// isThrottling reports whether some calls are rejected: levels are published in steps, and less than half a step is no
 // change.
 func (g *admitter) isThrottling() bool { return g.level < float64(len(g.usualRates))-0.5/levelSteps }
 
@@ -133,30 +133,30 @@
 }
 
 // update compares the rate of calls and the queued calls with the capacity of the hosts and admits the part that fits.
-// The rate of tries would not do: tries end late, and those of an overload would throttle the calls after it.
+// The rate of tries is not suited: tries end late, so those of an overload would throttle the calls after it.
 func (g *admitter) update() {
 	c := g.measure()
 	c.growth = g.callGrowth()
 	all, usual := g.estimateDemand()
 	fleet := fleetLoad{pressure: c.tryRate / max(c.capacity, 0.1), loss: c.lossRate / max(c.tryRate, 0.1),
-		utilization: c.busyWeighted / max(c.busyCapacity, 0.1), medianLoss: g.medianLoss(),
+		utilization: c.utilizedCapacity / max(c.reportingCapacity, 0.1), medianLoss: g.medianLoss(),
 		unfitShare: c.unfit / max(c.unfit+c.usable, 1)}
 	if g.isThrottling() { // otherwise the pressure includes all calls
-		fleet.demandRatio = all / max(c.capacity, 0.1)
+		fleet.demandPressure = all / max(c.capacity, 0.1)
 	}
 	g.fleet, g.demand, g.capacity, g.queuedCalls = fleet, all, c.capacity, c.queuedCalls
 	g.post(g.placer, fleet)
 	for _, s := range g.hosts.all() {
 		g.post(s.actor, fleet)
 	}
-	if g.params.levelKind != NoLevels && c.capacity > 0 && usual > 0 {
+	if g.params.levelUnit != NoLevels && c.capacity > 0 && usual > 0 {
 		g.adjustLevel(c)
 	}
 	if g.published.level == nil && (c.capacity == 0 || usual == 0) {
 		return // proxies may hold levels of an earlier start, which are based on more than is known yet
 	}
 	now := g.routeLevels(g.isThrottling() || fleet.pressure > targetPressure || c.restarting > c.usable*massRestartShare)
-	if !slices.Equal(now.level, g.published.level) || !slices.Equal(now.tries, g.published.tries) {
+	if !slices.Equal(now.level, g.published.level) || !slices.Equal(now.retries, g.published.retries) {
 		g.published = now
 		g.post(g.publisher, now)
 	}
@@ -189,28 +189,28 @@
 // rateWithRoom returns the rate of calls to admit while hosts have room to spare: all, or, while calls are rejected,
 // the present rate raised in proportion to the room. All at once would be a burst.
 func (g *admitter) rateWithRoom(c fleetCapacity, total float64) float64 {
-	if !g.isThrottling() || len(g.published.level) == 0 || g.params.levelKind != LevelShare {
+	if !g.isThrottling() || len(g.published.level) == 0 || g.params.levelUnit != LevelShare {
 		return total
 	}
 	admitted := 0.0
 	for r, level := range g.published.level {
 		admitted += level * g.callRate(RouteID(r))
 	}
-	return admitted * targetPressure * c.busyCapacity / c.busyWeighted
+	return admitted * targetPressure * c.reportingCapacity / c.utilizedCapacity
 }
 
-// routeLevels returns the levels and retries that follow from the level. Under strain there is at most one retry, since
-// retries add work where there is already too much.
-func (g *admitter) routeLevels(isStrained bool) admissionLevels {
+// routeLevels returns the levels and retries by route that follow from the number of routes to admit. With limitRetries
+// there is at most one retry, since retries add work where there is already too much.
+func (g *admitter) routeLevels(limitRetries bool) admissionLevels {
 	top := float64(len(g.params.byImportance))
 	now := admissionLevels{make([]float64, len(g.usualRates)), make([]int, len(g.usualRates))}
 	for i, r := range g.params.byImportance {
 		part := max(minLevel, min(1, g.level-(top-1-float64(i))))
-		now.level[r], now.tries[r] = math.Round(part*levelSteps)/levelSteps, g.params.retries[r]
-		if isStrained {
-			now.tries[r] = min(1, now.tries[r])
+		now.level[r], now.retries[r] = math.Round(part*levelSteps)/levelSteps, g.params.retries[r]
+		if limitRetries {
+			now.retries[r] = min(1, now.retries[r])
 		}
-		if g.params.levelKind == LevelRate {
+		if g.params.levelUnit == LevelRate {
 			if now.level[r] = 1e6; part < 1 && g.proxies.len() > 0 {
 				now.level[r] = math.Ceil(part * g.callRate(r) / float64(g.proxies.len()))
 			}
@@ -219,11 +219,11 @@
 	return now
 }
 
-// median returns the median of a value over the hosts in use that show it.
-func (g *admitter) median(of func(hostStatus) (value float64, shown bool)) float64 {
+// median returns the median of a value over the hosts in use for which it is known.
+func (g *admitter) median(of func(hostStatus) (value float64, known bool)) float64 {
 	var all []float64
 	for _, s := range g.hosts.all() {
-		if value, shown := of(s); s.usable && shown {
+		if value, known := of(s); s.usable && known {
 			all = append(all, value)
 		}
 	}
@@ -235,7 +235,7 @@
 	return g.median(func(s hostStatus) (float64, bool) { return s.capacity / s.listedWeight, s.capacity > 0 })
 }
 
-// medianLoss returns the median share of tries that hosts lose.
+// medianLoss returns the median over hosts of the share of tries without a good answer.
 func (g *admitter) medianLoss() float64 {
 	return g.median(func(s hostStatus) (float64, bool) { return s.loss, s.tryRate > 0 })
 }
@@ -245,5 +245,5 @@
 	return g.median(func(s hostStatus) (float64, bool) { return s.answerTime, s.answerTime > 0 })
 }
 
-// isOverloaded says whether the demand exceeds the capacity of all hosts, so that calls are rejected.
-func (f fleetLoad) isOverloaded() bool { return f.demandRatio > 1 }
+// isOverloaded reports whether the demand exceeds the capacity of all hosts, so that calls are rejected.
+func (f fleetLoad) isOverloaded() bool { return f.demandPressure > 1 }
--- a/logic/api.go
+++ b/logic/api.go
@@ -32,7 +32,7 @@
 // AllTables stands for all tables of all joined proxies in a Throttle order.
 const AllTables TableID = 65535
 
-// Idempotency tells when a call may take effect a second time without harm.
+// Idempotency states under which condition a call may take effect a second time without harm.
 type Idempotency int
 
 // The kinds of idempotency.
@@ -98,14 +98,14 @@
 	// under more than ColdOverloadLimit times its capacity for ColdFailAfter.
 	ColdCapacity, ColdOverloadLimit      float64
 	WarmAfter, ColdFailAfter, DrainGrace Millis
-	// RejectedMayHaveRun tells that a host may have begun a call that it rejects as overloaded. RemovalIsAdvisory tells
-	// that a host may serve on although the host list dropped it.
+	// RejectedMayHaveRun is set if a host may have begun a call that it rejects as overloaded, RemovalIsAdvisory if a
+	// host may still be in service although the host list has dropped it.
 	RejectedMayHaveRun, RemovalIsAdvisory bool
-	// Weighted tells that the weights of the host list are meaningful.
+	// Weighted is set if the weights of the host list are meaningful.
 	Weighted    bool
 	LoadColumns []string
-	// Slices is the number of slices of the key space, 0 at sites without slices. With SingleOwner the writes of a slice
-	// go to a single host.
+	// Slices is the number of slices of the key space, 0 at sites without slices. With SingleOwner the writes of a
+	// slice go to a single host.
 	Slices                int
 	SingleOwner, WarmKeys bool
 	// WriteLease and WriteSettle bound how long writes by an earlier table may still be sent and be in flight.
@@ -136,14 +136,14 @@
 		Kind    HostListKind
 		Entries []HostEntry
 	}
-	// ProxyJoined tells that a proxy has connected. A fresh one holds neither tables nor masks.
+	// ProxyJoined reports that a proxy has connected. A fresh one holds neither tables nor masks.
 	ProxyJoined struct {
 		Proxy ProxyID
 		Fresh bool
 		Rate  float64
 		Zone  ZoneID
 	}
-	// ProxyLeft tells that a proxy has disconnected.
+	// ProxyLeft reports that a proxy has disconnected.
 	ProxyLeft struct{ Proxy ProxyID }
 	// HostSample sums up the tries that the joined proxies of a zone made at a host within a period, with the host's
 	// latest load report.
@@ -168,7 +168,7 @@
 		Period            Millis
 		Calls, Unanswered int
 	}
-	// SliceOwnership tells whether this director owns a slice. A StoredLine for each line of its table follows if so.
+	// SliceOwnership reports whether this director owns a slice. A StoredLine for each line of its table follows if so.
 	SliceOwnership struct {
 		Slice TableID
 		Owned bool
@@ -179,19 +179,20 @@
 		Host   HostID
 		Weight float64
 	}
-	// InheritedMask tells at a start of a host that proxies still mask by an order of an earlier start.
+	// InheritedMask reports, at a start, a host that proxies still mask by an order of an earlier start.
 	InheritedMask struct{ Host HostID }
-	// Acknowledged tells that a proxy has applied all orders up to a stamp. Latency is the time since they were written.
+	// Acknowledged reports that a proxy has applied all orders up to a stamp. Latency is the time since they were
+	// written.
 	Acknowledged struct {
 		Proxy   ProxyID
 		Serial  SerialID
 		Latency Millis
 	}
-	// AckStreamAlive tells that the connection that brings acknowledgements has just shown a sign of life.
+	// AckStreamAlive reports that the connection that brings acknowledgements has just shown a sign of life.
 	AckStreamAlive struct{}
-	// Unconfirmed tells that it is unknown whether the channel took the reply with this stamp.
+	// Unconfirmed reports that it is unknown whether the channel took the reply with this stamp.
 	Unconfirmed struct{ Serial SerialID }
-	// TimerFired tells that a timer has expired.
+	// TimerFired reports that a timer has expired.
 	TimerFired struct{ Timer TimerID }
 	// ProbeResult is the outcome of a Probe.
 	ProbeResult struct {
@@ -207,7 +208,7 @@
 	}
 )
 
-// HostListKind tells what the entries of a HostList are.
+// HostListKind is the kind of a HostList: which entries it holds, or that the request for it failed.
 type HostListKind int
 
 // The kinds of host lists: the changed entries, all entries, the list as stored on disk, and a failed request.
--- a/logic/channel.go
+++ b/logic/channel.go
@@ -7,7 +7,7 @@
 
 // The channel: what may still be queued in it, what proxies have acknowledged, and what is written again.
 
-// hasRoom says whether the given part of the queue has room for more lines.
+// hasRoom reports whether the given part of the queue has room for more lines.
 func (f *channelMessage) hasRoom(part, lines float64) bool {
 	return f.filled+lines <= f.queueLimit*part && f.totalUnacknowledged+lines <= f.queueLimit*unacknowledgedBudget
 }
@@ -77,8 +77,9 @@
 // before has arrived too, whether or not an acknowledgement of it was received.
 func (p *publisher) acknowledge(n Acknowledged) {
 	for i, f := range p.inFlight {
-		// An acknowledgement tells how long ago its message was written. One of a repeat proves that the first copy is
-		// no longer in flight, since a stream is ordered; one of the first copy says nothing about the repeat.
+		// An acknowledgement carries the time since its message was written. That of a repeat proves that the first
+		// copy is no longer in flight, since a stream is ordered; that of the first copy proves nothing about the
+		// repeat.
 		if f.serial == n.Serial && !(f.isRepeat && p.now-n.Latency < f.writtenAt) {
 			for _, before := range p.inFlight[:i+1] {
 				before.unacknowledged.delete(n.Proxy)
@@ -112,9 +113,9 @@
 	p.aliveAt = p.now
 }
 
-// isSilent says whether messages are in flight and no proxy has acknowledged anything for so long that the messages or
-// their acknowledgements must be lost: a channel that is merely slow still brings some, and the connection that brings
-// them is alive.
+// isSilent reports whether messages are in flight and no proxy has acknowledged anything for so long that the messages
+// or their acknowledgements must be lost: a channel that is merely slow still brings some, and the connection that
+// brings them is alive.
 func (p *publisher) isSilent() bool {
 	// While that connection shows no sign of life nothing is known: the network to the proxies may be partitioned, with
 	// everything written still queued.
@@ -137,7 +138,7 @@
 		return
 	}
 	p.inFlight = nil
-	p.silences++
+	p.channelResets++
 	for id := range p.availability.all() {
 		p.masked.delete(id)
 	}
@@ -176,7 +177,7 @@
 	p.emit(Resend{n.Serial}) // no proxy is left that could acknowledge it
 }
 
-// repeatUnconfirmed orders unconfirmed messages to be written again and says whether some still wait for that. An
+// repeatUnconfirmed orders unconfirmed messages to be written again and reports whether some still wait for that. An
 // unconfirmed message may be in the channel after all, and its lines twice would exceed the limit. So it first gets the
 // time in which a proxy would acknowledge it, and then counts double until one does. Without room for that, it waits
 // until it can no longer be in flight. Nothing else is written meanwhile: it would queue behind that message, and would
--- a/logic/collections.go
+++ b/logic/collections.go
@@ -132,7 +132,8 @@
 	return ls
 }
 
-// bit returns the set of one route, or the empty set. With at 0 it also counts conditions.
+// bit returns the set of one route if on is set, else the empty set. With at 0 the result is the number 1 or 0, which
+// serves to count conditions.
 func bit(on bool, at int) RouteSet {
 	if on {
 		return 1 << at
@@ -140,7 +141,8 @@
 	return 0
 }
 
-// rate returns the sum as a rate a second, corrected for the time since from being short beside the half-life.
+// rate returns the sum as a rate a second. It corrects for the sum having begun at from, too short a time ago beside
+// the half-life for the sum to be complete.
 func (s *decayingSum) rate(now, halfLife, from Millis) float64 {
 	full := float64(halfLife) / math.Ln2
 	return 1000 * s.read(now, halfLife) / (full * (1 - math.Exp(-max(float64(now-from), 500)/full)))
--- a/logic/draft.go
+++ b/logic/draft.go
@@ -11,7 +11,7 @@
 }
 
 func (p *publisher) newDraft() *draft {
-	f := &channelMessage{proxies: &p.proxies, overhead: p.params.headLines + 1, queueLimit: p.params.queueLimit}
+	f := &channelMessage{proxies: &p.proxies, overhead: p.params.overheadLines + 1, queueLimit: p.params.queueLimit}
 	overhead := float64(p.proxies.len()) * f.overhead
 	f.filled, f.totalUnacknowledged = p.queuedLines()
 	f.filled, f.totalUnacknowledged = f.filled+overhead, f.totalUnacknowledged+overhead
@@ -21,7 +21,7 @@
 
 func everyProxy(*joinedProxy) bool { return true }
 
-// usersOf returns a function that says whether a proxy holds a table.
+// usersOf returns a function that reports whether a proxy holds a table.
 func (d *draft) usersOf(t TableID) func(*joinedProxy) bool {
 	return func(s *joinedProxy) bool { return d.params.sliced || s.bound && s.table == t || t >= firstZoneTable }
 }
@@ -57,8 +57,9 @@
 	}
 }
 
-// writeTables writes the tables that can wait, in the order of their priority. Where not all fit, tables whose calls
-// have to move get their main lines first; in an overload all do.
+// writeTables writes the tables that can wait, in the order of their priority. Where not all fit, a table first gets
+// only the lines that its calls need. A table that has named an excluded host for more than writeWholeAfter is written
+// whole, unless the change is urgent or the fleet is overloaded.
 func (d *draft) writeTables() {
 	part := d.ordinaryShare()
 	whole := d.fitsAllPending(d.message, part)
@@ -74,7 +75,7 @@
 	}
 }
 
-// isFull says whether there is no room for one line to every proxy.
+// isFull reports whether there is no room for one line to every proxy.
 func (d *draft) isFull(part float64) bool {
 	return d.params.sliced && !d.message.hasRoom(part, float64(d.proxies.len()))
 }
@@ -95,7 +96,7 @@
 	if d.current.set(t, next); slices.Equal(next, w.lines) {
 		d.pending.delete(t)
 	} else if len(changes) > 0 {
-		w.pendingSince, w.urgent = d.now, false // its calls go where they should: the rest can wait
+		w.pendingSince, w.urgent = d.now, false // its calls now go to the wanted hosts: the rest can wait
 		d.pending.set(t, w)
 	}
 	d.post(d.placer, tableWritten{t, next})
--- a/logic/health.go
+++ b/logic/health.go
@@ -67,7 +67,7 @@
 	if saturated && h.fleet.loss < restMaxFleetLoss && h.fleet.utilization < targetPressure &&
 		h.now > h.restUntil+restPeriod {
 		h.restUntil = h.now + restPeriod
-		h.recordChange(ReasonJammed)
+		h.recordChange(ReasonSaturated)
 	}
 	silence := lastReport - max(h.lastAnswer, h.expectedSince)
 	h.countMissing(lastReport)
@@ -100,14 +100,14 @@
 	}
 }
 
-// isOutlier tells whether more tries fail at a host than the failures of the whole fleet and chance explain.
+// isOutlier reports whether more tries fail at a host than the failures of the whole fleet and chance explain.
 func (h *host) isOutlier(finished, failed float64) bool {
 	usualLoss := min(1, max(h.fleet.loss, h.fleet.medianLoss))
 	chance := lossSigmas * math.Sqrt(finished*usualLoss*(1-usualLoss))
 	return failed > finished*(1+usualLoss)/2 && failed > finished*usualLoss+chance
 }
 
-// isSpared tells whether a failing host stays in service, since it answers some calls and many hosts are out already.
+// isSpared reports whether a failing host stays in service, since it answers some calls and many hosts are out already.
 func (h *host) isSpared(finished, failed float64) bool {
 	return h.fleet.unfitShare >= maxRemovedShare && failed < finished*totalLoss
 }
@@ -159,7 +159,7 @@
 	h.missedCountedTo = max(h.missedCountedTo, lastReport)
 }
 
-// isSilent tells whether a host receives calls and gives no answers, while samples of other hosts come.
+// isSilent reports whether a host receives calls and gives no answers, while samples of other hosts come.
 func (h *host) isSilent(silence Millis) bool {
 	return h.lastAnswer > 0 && h.missedAnswers > maxMissedAnswers && silence > 2*h.reportGap+silenceSlack
 }
@@ -172,7 +172,7 @@
 	t.failed += m.Failed
 }
 
-// hasPassed tells whether the host may serve again.
+// hasPassed reports whether the host may serve again.
 func (t trial) hasPassed() bool {
 	return t.finished >= minTrialTries && float64(t.failed) <= maxTrialLoss*float64(t.finished)
 }
--- a/logic/health_test.go
+++ b/logic/health_test.go
@@ -4,7 +4,7 @@
 
 // Guards against removing hosts for failures that chance explains: where half of all tries fail, only a host with
 // many failed tries is an outlier, not one with a handful, and a high share alone does not suffice.
-func TestStandsOutByWhatChanceCannotExplain(t *testing.T) {
+func TestOutliersExceedChance(t *testing.T) {
 	for _, c := range []struct {
 		name                        string
 		fleetLoss, finished, failed float64
@@ -46,7 +46,7 @@
 
 // Guards against taking a hanging host for alive: its samples come again once its calls have timed out, and samples
 // without an answer do not end its silence.
-func TestLostTriesAreNoSignOfLife(t *testing.T) {
+func TestFailedTriesDoNotEndSilence(t *testing.T) {
 	for name, c := range map[string]struct {
 		failed   int
 		isSilent bool
--- a/logic/host.go
+++ b/logic/host.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// The state of a host: what the host list tells of it, what samples tell of its load and its answers, and the status
+// The state of a host: its entry in the host list, its load and answers by samples, and the status
 // that it sends to the placer and the admitter.
 
 // updateEntry takes in the entry of the host list. A new start time makes the host cold, also where it never left the
@@ -27,7 +27,7 @@
 		if h.hasEntry {
 			reason = ReasonRestart
 			h.enterState(serving)
-			h.throughput, h.pressure, h.answered, h.utilizations, h.utilization, h.implausibleSince =
+			h.throughput, h.occupancy, h.answered, h.utilizations, h.utilization, h.implausibleSince =
 				decayingSum{}, decayingSum{}, decayingSum{}, decayingSum{}, 0, 0
 		}
 	}
@@ -54,14 +54,15 @@
 	// The rate is computed when a sample arrives, so that it does not ripple with the period of the samples.
 	perSecond := (1 - math.Exp2(-float64(h.params.reportInterval/h.params.healthHalfLife))) * 1000 / float64(h.params.reportInterval)
 	h.tryRate = h.finished.read(h.now, h.params.healthHalfLife) * perSecond
-	utilization, pressure := m.Load.Utilization, float64(m.MeanLatency)*throughput/1000
+	utilization, occupancy := m.Load.Utilization, float64(m.MeanLatency)*throughput/1000
 	if utilization != nil {
-		// A host that always holds a call is not idle. Reports that say so would attract load, so an estimate takes their
-		// place. A single one may be newer than the answers it came with, unless its throughput contradicts those, too.
-		trackSince(&h.implausibleSince, *utilization < 0.1 && pressure > 1, h.now)
+		// A host that always holds a call is not idle. Reports that say so would attract load, so an estimate takes
+		// their place. A single one may be newer than the answers it came with, unless its throughput contradicts
+		// those, too.
+		trackSince(&h.implausibleSince, *utilization < 0.1 && occupancy > 1, h.now)
 		contradicts := m.Load.Throughput != nil && *m.Load.Throughput < throughput/4
-		if h.implausible = h.implausibleSince > 0 &&
-			(contradicts || h.now-h.implausibleSince >= failPeriod); h.implausible {
+		if h.implausibleLoad = h.implausibleSince > 0 &&
+			(contradicts || h.now-h.implausibleSince >= failPeriod); h.implausibleLoad {
 			estimate := min(1, float64(m.MeanLatency/h.params.slo))
 			utilization = &estimate
 		}
@@ -74,21 +75,21 @@
 		trust := 1 - 0.7*float64(bit(m.Failed*3 >= m.Finished, 0))
 		h.answered.add(h.now, loadHalfLife, trust*(h.tryRate-h.failed.read(h.now, h.params.healthHalfLife)*perSecond))
 		h.utilizations.add(h.now, loadHalfLife, trust*max(0.05, *utilization))
-		pressure = *utilization
+		occupancy = *utilization
 	} else if m.Load.Outstanding != nil {
-		pressure = *m.Load.Outstanding
+		occupancy = *m.Load.Outstanding
 	}
-	if h.implausible {
+	if h.implausibleLoad {
 		return
 	}
 	if m.Load.Throughput != nil {
 		throughput = *m.Load.Throughput
 	}
 	h.throughput.add(h.now, loadHalfLife, throughput)
-	h.pressure.add(h.now, loadHalfLife, pressure)
+	h.occupancy.add(h.now, loadHalfLife, occupancy)
 }
 
-// isUnproven tells whether a host must not be used yet: it has answered nothing, and no published table attests it.
+// isUnproven reports whether a host must not be used yet: it has answered nothing, and no published table attests it.
 func (h *host) isUnproven() bool { return h.unproven && h.now >= h.trustedUntil }
 
 // publishStatus sends the present status to the placer and the admitter.
@@ -96,23 +97,23 @@
 	finished, listed := h.finished.read(h.now, h.params.healthHalfLife), h.hasEntry && h.entry.State == Up
 	s := hostStatus{id: h.id, actor: h, zone: h.entry.Zone, cell: h.entry.Cell, fresh: h.now < h.freshUntil,
 		warmShare: 1 - (1-h.params.freshShare)*float64(max(0, h.freshUntil-h.now)/freshPeriod), listedWeight: 1,
-		tryRate: min(h.tryRate, 2*finished), utilization: h.utilization, invalidReports: h.implausible,
-		dueRate: h.expectedRate + h.pendingRate,
-		loss:    h.failed.read(h.now, h.params.healthHalfLife) / max(finished, 0.1), cold: h.now < h.coldUntil,
+		tryRate: min(h.tryRate, 2*finished), utilization: h.utilization, implausibleLoad: h.implausibleLoad,
+		assignedRate: h.expectedRate + h.pendingRate,
+		loss:         h.failed.read(h.now, h.params.healthHalfLife) / max(finished, 0.1), cold: h.now < h.coldUntil,
 		resting: h.now < h.restUntil, unproven: listed && h.isUnproven()}
 	s.answerTime = h.latency.read(h.now, h.params.healthHalfLife) / max(0.1, finished*(1-s.loss))
 	up := listed && !h.isUnproven()
-	if h.params.goneIsAdvisory && h.hasEntry && h.entry.State == Gone {
+	if h.params.removalIsAdvisory && h.hasEntry && h.entry.State == Gone {
 		up = finished > 0.5 && s.loss < 0.5 // the host list may be wrong: a host that answers well stays
 	}
-	s.leaving = h.hasEntry && !listed && !up && (h.entry.State == Draining || !h.params.goneIsAdvisory)
+	s.leaving = h.hasEntry && !listed && !up && (h.entry.State == Draining || !h.params.removalIsAdvisory)
 	s.usable, s.unfit, s.onTrial = up && h.state == serving, up && h.state != serving, up && h.state == onTrial
 	if h.params.weighted && h.entry.Weight > 0 {
 		s.listedWeight = h.entry.Weight
 	}
-	if pressure, throughput := h.pressure.read(h.now, loadHalfLife),
-		h.throughput.read(h.now, loadHalfLife); pressure > 0.3 && throughput > 0 {
-		s.callsPerPressure = throughput / pressure
+	if occupancy, throughput := h.occupancy.read(h.now, loadHalfLife),
+		h.throughput.read(h.now, loadHalfLife); occupancy > 0.3 && throughput > 0 {
+		s.callsPerOccupancy = throughput / occupancy
 	}
 	if utilizations := h.utilizations.read(h.now, loadHalfLife); utilizations > 0.01 {
 		s.capacity = h.answered.read(h.now, loadHalfLife) / utilizations
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -68,7 +68,8 @@
 	unslicedBudget = 0.65
 	// urgentBudget is for hosts that go out of use and for tables without a usable host.
 	urgentBudget = 0.85
-	// unacknowledgedBudget is for all lines that proxies have not acknowledged, and so holds at any rate of the channel.
+	// unacknowledgedBudget is for all lines that proxies have not acknowledged, and so holds at any rate of the
+	// channel.
 	unacknowledgedBudget = 0.95
 	// maxSlowdown is the most by which the time through a full channel exceeds the usual time.
 	maxSlowdown = 10
@@ -93,23 +94,23 @@
 	firstZoneTable TableID = 60000
 )
 
-// derive computes the parameters of the decisions from the configuration.
+// derive computes the parameters of the decisions from the settings of a start.
 func derive(c Config) params {
-	b := params{sliced: c.Slices > 0, singleOwner: c.SingleOwner, requestsList: c.HostListOnRequest, canProbe: c.MayProbe,
-		sharedProxies:  c.Directors > 1 && c.Slices > 0 && !c.SingleOwner,
-		goneIsAdvisory: c.RemovalIsAdvisory, weighted: c.Weighted, queueLimit: c.QueueLimit, headLines: c.MessageOverhead,
+	b := params{sliced: c.Slices > 0, singleOwner: c.SingleOwner, hostListOnRequest: c.HostListOnRequest, mayProbe: c.MayProbe,
+		sharedProxies:     c.Directors > 1 && c.Slices > 0 && !c.SingleOwner,
+		removalIsAdvisory: c.RemovalIsAdvisory, weighted: c.Weighted, queueLimit: c.QueueLimit, overheadLines: c.MessageOverhead,
 		linesPerMilli: max(1, c.LinesPerSecond) / 1000, transit: c.Transit, worstTransit: c.WorstTransit, messageLimit: c.MessageLimit,
-		messageSpan: c.MessageWindow,
-		levelKind:   c.Levels, reportInterval: max(1, c.ReportInterval), warmUpTime: c.WarmAfter,
+		messageWindow: c.MessageWindow,
+		levelUnit:     c.Levels, reportInterval: max(1, c.ReportInterval), warmUpTime: c.WarmAfter,
 		settleTime: c.WriteLease + c.WriteSettle + c.WorstTransit}
 	b.healthHalfLife = max(healthHalfLife, b.reportInterval*5/4) // a shorter one would cover only the last report
-	// A quarter of the share is safe only while cold caches and chance cannot take it past what overloads a cold host.
+	// freshCapacity is safe only where cold caches and chance cannot raise it past what overloads a cold host.
 	b.freshShare = min(freshCapacity, max(0.05, c.ColdCapacity*c.ColdOverloadLimit/3))
 	if b.standbyWeight = standbyWeight; c.Pick == PickTwoChoices {
 		b.standbyWeight = standbyWeightTwoChoices
 	}
 	if b.urgentInterval = max(0, min(batchDelay, (c.DrainGrace-c.WorstTransit)/4)); b.messageLimit > 0 {
-		b.urgentInterval = max(b.urgentInterval, min(b.messageSpan/Millis(b.messageLimit), (c.DrainGrace-c.WorstTransit)/2))
+		b.urgentInterval = max(b.urgentInterval, min(b.messageWindow/Millis(b.messageLimit), (c.DrainGrace-c.WorstTransit)/2))
 	}
 	b.reportDelay = c.WorstTransit + Millis(b.queueLimit/b.linesPerMilli) + reportDelayPeriods*b.reportInterval
 	b.removalTime = c.DrainGrace*graceShare - c.WorstTransit - tickInterval
@@ -151,7 +152,7 @@
 		d.emit(SetTimer{tickInterval, 0})
 		d.place.listDeadline = now + firstListTimeout
 	}
-	if d.params.requestsList && !d.watchesHosts && now >= d.nextHostRequest {
+	if d.params.hostListOnRequest && !d.watchesHosts && now >= d.nextHostRequest {
 		d.watchesHosts = true
 		d.emit(WatchHosts{true})
 	}
@@ -190,10 +191,10 @@
 	for _, e := range list.Entries {
 		listed[e.Host] = true
 		if !d.hosts.has(e.Host) {
-			// A host that the list adds later may not belong to this service and may accept calls that it never
-			// answers, so it has to prove itself first.
+			// A host that the list adds may not belong to this service and may accept calls that it never answers, so
+			// it gets no calls before it has answered a probe, where the director can send probes.
 			h := d.addHost(e.Host)
-			h.unproven = d.params.canProbe && list.Kind != HostListFromDisk
+			h.unproven = d.params.mayProbe && list.Kind != HostListFromDisk
 			h.addedLater = d.hasLiveList
 			if referenced[e.Host] {
 				h.trustedUntil = d.now + proofPeriod
@@ -233,8 +234,8 @@
 	}
 }
 
-// trustStoredHosts uses the hosts of stored lines for proofPeriod without a proof, since an earlier director has
-// written them. Treated as unproven, each of them lost all its slices at a restart of the director.
+// trustStoredHosts uses the hosts of stored lines for proofPeriod without an answer of theirs, since an earlier
+// director has written them. Treated as unproven, each of them lost all its slices at a restart of the director.
 func (d *Director) trustStoredHosts(stored lines) {
 	for _, l := range stored {
 		if h := d.hosts.get(l.host); h != nil {
--- a/logic/loop.go
+++ b/logic/loop.go
@@ -11,6 +11,7 @@
 // inbox holds the pending messages of an actor. The loop drains inboxes in the order in which they got their first one.
 type inbox struct{ pending []any }
 
+// mailbox returns the inbox that an actor embeds.
 func (b *inbox) mailbox() *inbox { return b }
 
 // actor is one part of the decisions. It acts on the messages in its inbox and shares nothing with others but the loop.
--- a/logic/masks.go
+++ b/logic/masks.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-// Masks: which hosts proxies are kept from by one line each, and what a table still offers then.
+// Masks: one line to each proxy keeps it from a host in all tables. The functions here choose the hosts to mask and
+// determine what a table still offers.
 
-// isMaskOutdated says whether a host's mask at the proxies differs from what it should be, or is unknown.
+// isMaskOutdated reports whether a host's mask at the proxies differs from what it should be, or is unknown.
 func (p *publisher) isMaskOutdated(id HostID) bool {
 	return p.availability.has(id) && (!p.masked.has(id) || p.masked.get(id) == (p.availability.get(id) == available))
 }
@@ -22,7 +23,7 @@
 		if want != state || !p.isMaskOutdated(id) || state == available && p.isHeldBack(id) {
 			continue
 		}
-		if state == excludedByRule && p.mayBeInForeignTables(id) || p.isOffered(id) {
+		if state == excludedByRule && p.mayBeInForeignTables(id) || p.isInOwnTable(id) {
 			ids = append(ids, id)
 		}
 	}
@@ -31,8 +32,8 @@
 	return ids
 }
 
-// isOffered says whether a current table of this director names a host.
-func (p *publisher) isOffered(id HostID) bool {
+// isInOwnTable reports whether a current table of this director names a host.
+func (p *publisher) isInOwnTable(id HostID) bool {
 	for _, table := range p.current.all() {
 		if table.contains(id) {
 			return true
@@ -41,13 +42,13 @@
 	return false
 }
 
-// isHeldBack says whether a current table would offer a host more than is wanted if its mask were lifted now, and no
+// isHeldBack reports whether a current table would offer a host more than is wanted if its mask were lifted now, and no
 // table depends on that host.
 func (p *publisher) isHeldBack(id HostID) bool {
 	return !p.isOnlyConfirmedHost(id) && p.exceedsWanted(id)
 }
 
-// exceedsWanted says whether a current table would offer a host more than is wanted if its mask were lifted now.
+// exceedsWanted reports whether a current table would offer a host more than is wanted if its mask were lifted now.
 func (p *publisher) exceedsWanted(id HostID) bool {
 	for t, table := range p.current.all() {
 		if p.pending.has(t) && table.weightOf(id) > p.pending.get(t).lines.weightOf(id) {
@@ -57,7 +58,7 @@
 	return false
 }
 
-// hasConfirmedHost says whether a table has another host to offer that is known to be unmasked at every proxy.
+// hasConfirmedHost reports whether a table has another host to offer that is known to be unmasked at every proxy.
 func (p *publisher) hasConfirmedHost(t TableID, except HostID) bool {
 	return slices.ContainsFunc(p.current.get(t), func(l line) bool {
 		return l.host != except && p.availability.get(l.host) == available && !p.isMaskOutdated(l.host) &&
@@ -65,7 +66,7 @@
 	})
 }
 
-// isOnlyHost says whether some table has no other host to offer.
+// isOnlyHost reports whether some table has no other host to offer.
 func (p *publisher) isOnlyHost(id HostID) bool {
 	for t, table := range p.current.all() {
 		if table.contains(id) && p.isExhausted(t, id) {
@@ -75,11 +76,11 @@
 	return false
 }
 
-// isDispensable says whether every table has another host to offer. A host judged unfit is not excluded from a table
+// isDispensable reports whether every table has another host to offer. A host judged unfit is not excluded from a table
 // that has none: the few calls that it still answers are better than none, and a table without any host breaks a rule.
 func (p *publisher) isDispensable(id HostID) bool { return !p.isOnlyHost(id) }
 
-// isOnlyConfirmedHost says whether some table that names a host has no other host that all proxies are known to use.
+// isOnlyConfirmedHost reports whether some table that names a host has no other host that all proxies are known to use.
 // The host's own mask may still have to be lifted, or to be written again.
 func (p *publisher) isOnlyConfirmedHost(id HostID) bool {
 	for t, table := range p.current.all() {
@@ -90,7 +91,7 @@
 	return false
 }
 
-// isExhausted says whether a table has no host to offer once all unavailable hosts, and one more, are masked.
+// isExhausted reports whether a table has no host to offer once all unavailable hosts, and one more, are masked.
 func (p *publisher) isExhausted(t TableID, except HostID) bool {
 	return !slices.ContainsFunc(p.current.get(t), func(l line) bool {
 		return l.host != except && p.availability.get(l.host) == available && !p.masked.get(l.host)
--- a/logic/observe.go
+++ b/logic/observe.go
@@ -34,10 +34,10 @@
 	ReasonAnswer                  // the first answer
 	ReasonFailing                 // too many failed tries
 	ReasonSilent                  // no answers
-	ReasonJammed                  // saturated
+	ReasonSaturated               // saturated
 	ReasonTrialDue                // the removal is over
 	ReasonRecovered               // the trial has been passed
-	ReasonRested                  // the time as saturated is over
+	ReasonRested                  // the rest of a saturated host is over
 )
 
 var reasonNames = [...]string{"list", "restart", "answer", "failing", "silent", "jammed", "trial due", "recovered",
@@ -108,14 +108,14 @@
 // Report returns the present state of the decisions.
 func (d *Director) Report() Report {
 	g, p := d.admit, d.publish
-	r := Report{Demand: g.demand, Capacity: g.capacity, Levels: p.levels.level, Retries: p.levels.tries,
-		Pressure: g.fleet.pressure, DemandPressure: g.fleet.demandRatio, Utilization: g.fleet.utilization,
+	r := Report{Demand: g.demand, Capacity: g.capacity, Levels: p.levels.level, Retries: p.levels.retries,
+		Pressure: g.fleet.pressure, DemandPressure: g.fleet.demandPressure, Utilization: g.fleet.utilization,
 		Loss: g.fleet.loss, LevelsPublished: !p.levelsChanged(), PendingTables: p.pending.len()}
 	for _, w := range p.pending.all() {
 		r.OldestPending = max(r.OldestPending, d.now-w.pendingSince)
 	}
 	r.QueuedLines, r.UnacknowledgedLines = p.queuedLines()
-	r.UnacknowledgedMessages, r.ChannelResets = len(p.inFlight), p.silences
+	r.UnacknowledgedMessages, r.ChannelResets = len(p.inFlight), p.channelResets
 	for _, isMasked := range p.masked.all() {
 		r.Masked += int(bit(isMasked, 0))
 	}
@@ -128,7 +128,7 @@
 	for id, h := range d.hosts.all() {
 		if s := d.place.hosts.get(id); s != nil && h.hasEntry && (h.entry.State == Up || tables[id] > 0) {
 			r.Hosts = append(r.Hosts, HostReport{Host: id, Condition: h.condition(), Cold: s.cold,
-				ColdFor: max(0, h.coldUntil-d.now), AssignedLoad: s.load, Share: s.share, MaxLoad: s.tolerated,
+				ColdFor: max(0, h.coldUntil-d.now), AssignedLoad: s.load, Share: s.share, MaxLoad: s.maxLoad,
 				Tries: s.tryRate, Loss: s.loss, Utilization: s.utilization, Capacity: s.capacity,
 				AnswerTime: Millis(s.answerTime), Tables: tables[id]})
 		}
@@ -145,7 +145,7 @@
 		calls := g.callSums[route].rate(d.now, admissionHalfLife, 0)
 		r.Calls += calls
 		r.Unanswered += g.unanswered[route].rate(d.now, admissionHalfLife, 0)
-		if admitted := 1.0; p.writtenLevels.level != nil && g.params.levelKind == LevelShare {
+		if admitted := 1.0; p.writtenLevels.level != nil && g.params.levelUnit == LevelShare {
 			admitted = min(admitted, p.writtenLevels.level[route])
 			r.Admitted += calls * admitted
 		}
--- a/logic/placement.go
+++ b/logic/placement.go
@@ -14,7 +14,7 @@
 		s = &placementHost{}
 		p.hosts.set(n.id, s)
 		if p.publisher.masked.get(n.id) {
-			p.post(p.publisher, availabilityChange{n.id, available}) // proxies still hold a mask of its earlier time
+			p.post(p.publisher, availabilityChange{n.id, available}) // proxies still mask it by an order of an earlier start, or from before it was forgotten
 		}
 	}
 	p.dirty = p.dirty || s.onTrial != n.onTrial || !s.fresh && n.fresh
@@ -55,10 +55,10 @@
 	}
 }
 
-// addSlice takes over a slice with the store's lines. These are current, so their hosts have warm caches for it. A
-// light line beside a whole one is a standby.
+// addSlice takes over a slice with its stored lines. These are current, so their hosts have warm caches for it. A light
+// line beside a whole one is a standby.
 func (p *placer) addSlice(t TableID, stored lines) {
-	slice := &sliceState{table: t, since: p.now, requested: stored, writtenTable: stored, rate: p.meanRate}
+	slice := &sliceState{table: t, since: p.now, wantedTable: stored, writtenTable: stored, rate: p.meanRate}
 	for _, l := range stored {
 		if l.weight < 0.999 && stored.total() > 1.001 {
 			slice.standby = l.host
@@ -85,9 +85,9 @@
 }
 
 func (p *placer) computeLoads() {
-	// The rate that hosts show for each unit of pressure is compared with their listed weights, relative to the
-	// median, so that the unit of pressure cancels out.
-	ratio, reporting := p.median(func(s *placementHost) float64 { return s.callsPerPressure / s.listedWeight })
+	// The rate of calls that hosts answer for each unit of occupancy is compared with their listed weights, relative to
+	// the median, so that the unit of occupancy cancels out.
+	ratio, reporting := p.median(func(s *placementHost) float64 { return s.callsPerOccupancy / s.listedWeight })
 	typicalTime, _ := p.median(func(s *placementHost) float64 { return s.answerTime })
 	for _, s := range p.hosts.all() {
 		s.standbyLoad, s.load = 0, 0
@@ -120,10 +120,10 @@
 		s.currentLoad = s.load
 		if s.share = 0; s.inUse {
 			s.share = s.listedWeight
-			if s.callsPerPressure > 0 && reporting > 2 {
-				s.share *= min(2.5, max(0.1, s.callsPerPressure/s.listedWeight/ratio))
+			if s.callsPerOccupancy > 0 && reporting > 2 {
+				s.share *= min(2.5, max(0.1, s.callsPerOccupancy/s.listedWeight/ratio))
 			}
-			if s.invalidReports && s.answerTime > typicalTime {
+			if s.implausibleLoad && s.answerTime > typicalTime {
 				s.share *= max(0.1, typicalTime/s.answerTime)
 			}
 			if s.cold {
@@ -132,23 +132,23 @@
 				// and so it would while that overload is throttled: shares are of all calls that come, and levels may
 				// rise before the lines change.
 				s.share = min(s.share, s.listedWeight) * s.warmShare / max(1, p.fleet.pressure*p.fleet.pressure,
-					p.fleet.demandRatio)
+					p.fleet.demandPressure)
 			}
 			shares += s.share
 		}
 	}
 	for _, s := range p.hosts.all() {
 		s.share *= p.totalRate / max(shares, 1e-9)
-		if s.tolerated = s.share * p.tolerance(s); s.utilization > 0 && s.utilization < lowUtilization && !s.cold &&
+		if s.maxLoad = s.share * p.tolerance(s); s.utilization > 0 && s.utilization < lowUtilization && !s.cold &&
 			s.answerTime < typicalTime*3/2 {
 			// A computed share is rough, and among many hosts some are always far off: a host that reports room to
 			// spare and answers as fast as the others is not overloaded, whatever was computed.
-			s.tolerated = max(s.tolerated, s.load*lowUtilization/s.utilization)
+			s.maxLoad = max(s.maxLoad, s.load*lowUtilization/s.utilization)
 		}
 	}
 }
 
-// tolerance is the tolerated ratio of a host's load to its share: above the maximum while even the fullest host has
+// tolerance is the tolerated ratio of a host's load to its share: above maxImbalance while even the fullest host has
 // room, since a move would then only cost warm caches. The capacity of a cold host is unknown: it gets no more than
 // its share.
 func (p *placer) tolerance(s *placementHost) float64 {
@@ -161,19 +161,19 @@
 	return max(maxImbalance, min(2, safeHostLoad/p.fleet.pressure))
 }
 
-// imbalance is the paper's measure, the load of the most overloaded host over its tolerated load, and beside it the
-// sum of all load beyond the tolerated one: among many hosts the worst may be beyond relief while others are not.
+// imbalance returns the paper's measure, the highest ratio of a host's load to its maximum load, and beside it the sum
+// of all load beyond the maximum: among many hosts the worst may be beyond relief while others are not.
 func (p *placer) imbalance() (worst, excess float64) {
 	for _, s := range p.hosts.all() {
 		if s.inUse {
-			worst = max(worst, s.load/max(s.tolerated, 1e-9))
-			excess += max(0, s.load-s.tolerated)
+			worst = max(worst, s.load/max(s.maxLoad, 1e-9))
+			excess += max(0, s.load-s.maxLoad)
 		}
 	}
 	return worst, excess
 }
 
-// rebalance is the periodic check: if a host exceeds its tolerated load twice in a row, blocks are assigned again, and
+// rebalance is the periodic check: if a host exceeds its maximum load twice in a row, blocks are assigned again, and
 // the result is kept only if the gain is worth the cold caches.
 func (p *placer) rebalance() {
 	p.computeLoads()
@@ -197,7 +197,7 @@
 	p.publishTables(false)
 }
 
-// demandKnown says whether reports have come for long enough to know the demand of each slice. Until then all slices
+// demandKnown reports whether reports have come for long enough to know the demand of each slice. Until then all slices
 // count as equal, which does not justify a move: after a restart, hosts that had just started lost slices that they
 // bore well.
 func (p *placer) demandKnown() bool { return p.firstReport > 0 && p.now-p.firstReport > demandHalfLife }
@@ -227,7 +227,7 @@
 					s, l.host = next, next.id
 				}
 			}
-			if s == nil || !s.inUse || (!onlyMust || s.fresh && p.demandKnown()) && s.load+load > s.tolerated {
+			if s == nil || !s.inUse || (!onlyMust || s.fresh && p.demandKnown()) && s.load+load > s.maxLoad {
 				continue
 			}
 			s.load += load
@@ -335,8 +335,8 @@
 	return []block{half, half}
 }
 
-// publishTables tells the publisher what each table is to contain, and each host the calls that the tables send to
-// it.
+// publishTables posts the wanted content of each table to the publisher, and to each host the rate of calls that the
+// current tables send to it.
 func (p *placer) publishTables(urgent bool) {
 	nth, every := 0, max(1, p.owned.len()/trialSliceCount)
 	for id, s := range p.hosts.all() {
@@ -350,16 +350,16 @@
 		if !p.params.sliced && (!slice.reported || p.now-slice.since < checkInterval) {
 			continue
 		}
-		if len(table) > 0 && !slices.Equal(table, slice.requested) {
-			pressing := len(slice.requested) == 0
+		if len(table) > 0 && !slices.Equal(table, slice.wantedTable) {
+			isUrgent := len(slice.wantedTable) == 0
 			for _, l := range slice.written {
 				s := p.hosts.get(l.host)
-				pressing = pressing || urgent && !p.awaitsFirstList(l.host) && (s == nil || !s.inUse || s.fresh)
+				isUrgent = isUrgent || urgent && !p.awaitsFirstList(l.host) && (s == nil || !s.inUse || s.fresh)
 			}
-			slice.requested = table
-			p.post(p.publisher, wantedTable{t, table, pressing, 0, p.gainOf(slice, table)})
-		} else if !slices.Equal(slice.requested, slice.writtenTable) {
-			p.post(p.publisher, gainUpdate{t, p.gainOf(slice, slice.requested)})
+			slice.wantedTable = table
+			p.post(p.publisher, wantedTable{t, table, isUrgent, 0, p.gainOf(slice, table)})
+		} else if !slices.Equal(slice.wantedTable, slice.writtenTable) {
+			p.post(p.publisher, gainUpdate{t, p.gainOf(slice, slice.wantedTable)})
 		}
 	}
 	for _, s := range p.hosts.all() {
@@ -433,7 +433,7 @@
 	return best
 }
 
-// median returns the median of a value over the hosts in use that show it, and their number.
+// median returns the median of a value over the hosts in use for which it is known, and their number.
 func (p *placer) median(of func(*placementHost) float64) (float64, int) {
 	var all []float64
 	for _, s := range p.hosts.all() {
--- a/logic/play_test.go
+++ b/logic/play_test.go
@@ -135,7 +135,7 @@
 	case "list", "whole", "disk":
 		kind := map[string]HostListKind{"list": HostListDelta, "whole": HostListFull, "disk": HostListFromDisk}[words[0]]
 		r := HostList{Kind: kind}
-		for _, w := range rest { // host=state[@born][/zone][*weight], a cell a host
+		for _, w := range rest { // host=state[@start time][/zone][*weight]; each host is a cell of its own
 			id, state, _ := strings.Cut(w, "=")
 			state, weight, has := strings.Cut(state, "*")
 			e := HostEntry{Host: HostID(parseNumber(id)), Weight: 1}
--- a/logic/publish.go
+++ b/logic/publish.go
@@ -10,10 +10,10 @@
 
 func (p *publisher) levelsChanged() bool {
 	return p.proxies.len() > 0 && p.levels.level != nil &&
-		!(slices.Equal(p.levels.level, p.writtenLevels.level) && slices.Equal(p.levels.tries, p.writtenLevels.tries))
+		!(slices.Equal(p.levels.level, p.writtenLevels.level) && slices.Equal(p.levels.retries, p.writtenLevels.retries))
 }
 
-// isTightening says whether a level is to fall markedly: until it is written, the excess calls queue at the hosts.
+// isTightening reports whether a level is to fall markedly: until it is written, the excess calls queue at the hosts.
 func (p *publisher) isTightening() bool {
 	for r, level := range p.levels.level {
 		if p.writtenLevels.level != nil && level <= p.writtenLevels.level[r]*(1-urgentLevelDrop) {
@@ -50,7 +50,7 @@
 			p.masked.delete(id)
 		}
 	}
-	p.writtenLevels = admissionLevels{} // it may hold levels of an earlier time
+	p.writtenLevels = admissionLevels{} // it may hold outdated levels
 	s := &joinedProxy{zone: n.Zone}
 	if known := p.proxies.get(n.Proxy); known != nil {
 		// It may have left and come back unnoticed, or have been there all along: what is in the channel for it stays
@@ -96,8 +96,8 @@
 	p.maskedAt.set(id, p.now)
 }
 
-// isDue says whether to write now. Ordinary changes are gathered, and leave a part of the messages that a proxy may get
-// to urgent changes.
+// isDue reports whether to write now. Ordinary changes are gathered, and leave a part of the messages that a proxy may
+// get to urgent changes.
 func (p *publisher) isDue() bool {
 	rebind, reopen, pressing, urgent := false, false, false, false
 	for _, s := range p.proxies.all() {
@@ -118,13 +118,13 @@
 	trackSince(&p.urgentSince, pressing || masks || urgent, p.now)
 	trackSince(&p.pendingSince, p.pending.len() > 0 || rebind || reopen || p.levelsChanged() ||
 		len(p.hostsToMask(available)) > 0 || len(p.hostsToMask(resting)) > 0, p.now)
-	p.sentAt = slices.DeleteFunc(p.sentAt, func(t Millis) bool { return p.now-t > p.params.messageSpan+batchDelay })
+	p.sentAt = slices.DeleteFunc(p.sentAt, func(t Millis) bool { return p.now-t > p.params.messageWindow+batchDelay })
 	// Each message has an overhead for each proxy: messages that carry little would fill the channel of a large fleet.
 	overheadTime := p.overheadInterval()
 	last, most, gap := p.lastSentAt(), math.Inf(1), max(batchDelay, overheadTime)
 	if p.params.messageLimit > 0 {
 		most = float64(p.params.messageLimit)
-		gap = max(gap, p.params.messageSpan/Millis(most*ordinaryBudget))
+		gap = max(gap, p.params.messageWindow/Millis(most*ordinaryBudget))
 	}
 	written, interval := float64(len(p.sentAt)), p.params.urgentInterval
 	if !masks {
@@ -185,8 +185,8 @@
 func (p *publisher) writeLevels() {
 	for i, level := range p.levels.level {
 		if p.writtenLevels.level == nil || level != p.writtenLevels.level[i] ||
-			p.levels.tries[i] != p.writtenLevels.tries[i] {
-			p.emit(Throttle{AllTables, 1 << i, level, p.levels.tries[i]})
+			p.levels.retries[i] != p.writtenLevels.retries[i] {
+			p.emit(Throttle{AllTables, 1 << i, level, p.levels.retries[i]})
 		}
 	}
 	p.writtenLevels, p.levelsWrittenAt = p.levels, p.now
--- a/logic/rollout_test.go
+++ b/logic/rollout_test.go
@@ -31,7 +31,7 @@
 	staleAfter       = Millis(6000) // how long a table may name a host that is gone
 )
 
-func rolloutFacts() Config {
+func rolloutConfig() Config {
 	return Config{Directors: 1, Proxies: simulatedProxies, Slices: simulatedSlices, MayProbe: true, ColdCapacity: 0.2, ColdOverloadLimit: 3,
 		WarmAfter: warmAfter, ColdFailAfter: 1500, DrainGrace: 2000, EmptyTableLimit: 2300, ReportInterval: reportPeriod, ReportLinesPerSecond: 150,
 		LinesPerSecond: 8000, QueueLimit: 8000, MessageOverhead: 16, Transit: 100, WorstTransit: 300, Levels: LevelShare, DefaultRetries: 1,
@@ -72,7 +72,7 @@
 }
 
 type rolloutSimulation struct {
-	chance           *rand.Rand
+	rng              *rand.Rand
 	now              Millis
 	director         *Director
 	started          Millis // when the director started
@@ -91,7 +91,7 @@
 }
 
 func newRolloutSimulation(seed uint64) *rolloutSimulation {
-	p := &rolloutSimulation{chance: rand.New(rand.NewPCG(seed, 39)), scheduled: map[int][]any{}, hosts: map[HostID]*simulatedHost{},
+	p := &rolloutSimulation{rng: rand.New(rand.NewPCG(seed, 39)), scheduled: map[int][]any{}, hosts: map[HostID]*simulatedHost{},
 		tables: map[TableID]map[HostID]float64{}, masked: map[HostID]bool{}, level: 1, callsBySlice: map[TableID]int{}, now: 1e6}
 	for h := range simulatedHosts {
 		p.addHost(HostID(1+h), p.now-1e6)
@@ -106,14 +106,14 @@
 	return p
 }
 
-func (p *rolloutSimulation) addHost(id HostID, born Millis) {
-	p.hosts[id] = &simulatedHost{id: id, startedAt: born, loadReportedAt: p.now}
+func (p *rolloutSimulation) addHost(id HostID, startedAt Millis) {
+	p.hosts[id] = &simulatedHost{id: id, startedAt: startedAt, loadReportedAt: p.now}
 	p.hostOrder = append(p.hostOrder, id)
 }
 
 // startDirector starts a director that knows the initial hosts from disk, and sends it the present state.
 func (p *rolloutSimulation) startDirector(seed uint64) {
-	p.director, p.timers, p.started = New(seed, rolloutFacts()), nil, p.now
+	p.director, p.timers, p.started = New(seed, rolloutConfig()), nil, p.now
 	var disk []HostEntry
 	for h := range simulatedHosts {
 		disk = append(disk, HostEntry{Host: HostID(1 + h), Cell: CellID(h), Weight: 1})
@@ -185,7 +185,7 @@
 
 // call makes one call by the table of a slice, as a plain proxy does.
 func (p *rolloutSimulation) call() {
-	slice, _ := slices.BinarySearch(p.cumulativeDemand, p.chance.Float64()*p.cumulativeDemand[len(p.cumulativeDemand)-1])
+	slice, _ := slices.BinarySearch(p.cumulativeDemand, p.rng.Float64()*p.cumulativeDemand[len(p.cumulativeDemand)-1])
 	table := TableID(slice)
 	p.callsBySlice[table]++
 	p.outcome.calls++
@@ -195,11 +195,11 @@
 			open = append(open, line{id, weight})
 		}
 	}
-	if len(open) == 0 || p.chance.Float64() >= p.level {
+	if len(open) == 0 || p.rng.Float64() >= p.level {
 		p.outcome.rejected++
 		return
 	}
-	draw := p.chance.Float64() * open.sortByHost().total()
+	draw := p.rng.Float64() * open.sortByHost().total()
 	to := open[len(open)-1].host
 	for _, l := range open {
 		if draw -= l.weight; draw < 0 {
@@ -219,20 +219,20 @@
 // advance lets a host work for one tick.
 func (p *rolloutSimulation) advance(h *simulatedHost) {
 	h.calls = slices.DeleteFunc(h.calls, func(c *simulatedCall) bool {
-		over := p.now-c.arrivedAt >= callDeadline
-		if over {
+		expired := p.now-c.arrivedAt >= callDeadline
+		if expired {
 			h.ended, h.lost = h.ended+1, h.lost+1
 			p.outcome.unanswered++
 		}
-		return over
+		return expired
 	})
-	able := min(1, coldSpeed+(1-coldSpeed)*float64((p.now-h.startedAt)/warmAfter))
+	speed := min(1, coldSpeed+(1-coldSpeed)*float64((p.now-h.startedAt)/warmAfter))
 	if len(h.calls) == 0 {
 		return
 	}
 	h.busyTime += simulatedTick
 	c := h.calls[0]
-	if c.remaining -= Millis(able) * simulatedTick; c.remaining > 0 {
+	if c.remaining -= Millis(speed) * simulatedTick; c.remaining > 0 {
 		return
 	}
 	h.calls = h.calls[1:]
--- a/logic/state.go
+++ b/logic/state.go
@@ -2,27 +2,27 @@
 
 package logic
 
-// params are the parameters of all decisions, derived from the facts that are handed over at the start.
+// params are the parameters of all decisions, derived from the Config of a start.
 type params struct {
-	sliced, singleOwner, requestsList, goneIsAdvisory bool
-	canProbe                                          bool
+	sliced, singleOwner, hostListOnRequest, removalIsAdvisory bool
+	mayProbe                                                  bool
 
 	sharedProxies bool    // whether proxies also hold tables of other directors
 	weighted      bool    // whether the weights in the host list are meaningful
 	freshShare    float64 // part of its share that a host gets just after its start
 	// The queue limit of the channel and the overhead of a message in lines, and the channel's rate in lines per ms.
-	queueLimit, headLines, linesPerMilli float64
-	standbyWeight                        float64 // weight of a standby line
-	reportDelay                          Millis  // from the writing of a table to the first load report after it
-	removalTime                          Millis  // within which the removal of a host has to reach the last proxy
-	messageLimit                         int     // maximum of messages to a proxy within messageSpan; 0: unlimited
+	queueLimit, overheadLines, linesPerMilli float64
+	standbyWeight                            float64 // weight of a standby line
+	reportDelay                              Millis  // from the writing of a table to the first load report after it
+	removalTime                              Millis  // within which the removal of a host has to reach the last proxy
+	messageLimit                             int     // maximum of messages to a proxy within messageWindow; 0: unlimited
 
-	messageSpan, urgentInterval, settleTime, reportInterval Millis
-	transit, worstTransit                                   Millis
-	slo, warmUpTime, healthHalfLife                         Millis
+	messageWindow, urgentInterval, settleTime, reportInterval Millis
+	transit, worstTransit                                     Millis
+	slo, warmUpTime, healthHalfLife                           Millis // slo is the shortest SLO of the routes
 
-	levelKind    LevelUnit
-	retries      []int     // retries that can't take effect a second time, by route
+	levelUnit    LevelUnit
+	retries      []int     // maximum number of retries, by route
 	byImportance []RouteID // routes by importance, least important first
 
 	writeRoutes, ownZoneRoutes, allRoutes RouteSet
@@ -36,34 +36,35 @@
 		id                     HostID
 		usable, onTrial, fresh bool
 		cold                   bool    // its caches may not be warm yet
-		unproven               bool    // listed as up, but has not answered anything yet
+		unproven               bool    // listed as up, but not used, since it has not answered anything yet
 		leaving                bool    // it drains, or is gone from a list whose removals are binding
 		unfit                  bool    // up, but judged unfit by its failures or its silence
-		invalidReports         bool    // its load reports contradict the calls that it answers
-		resting                bool    // saturated: it gets no calls for a moment
+		implausibleLoad        bool    // its load reports contradict the calls that it answers
+		resting                bool    // saturated: to be masked for restPeriod
 		listedWeight           float64 // weight by the host list, 1 if that gives none
-		callsPerPressure       float64 // calls a second for each unit of pressure; 0: unknown
-		utilization            float64 // recently reported busy share, 0: none was reported
+		callsPerOccupancy      float64 // calls a second for each unit of host.occupancy; 0: unknown
+		utilization            float64 // smoothed utilization by its load reports, 0: none was reported
 		answerTime             float64 // mean answer time in milliseconds
 		loss                   float64 // share of tries without a good answer
 		tryRate, capacity      float64 // tries a second that it gets, and that it could answer
-		dueRate                float64 // calls a second that the current tables send to it
+		assignedRate           float64 // calls a second that the current tables send to it, also where samples cannot show them yet
 		zone                   ZoneID
 		cell                   CellID
 		actor                  *host
 		warmShare              float64 // part of its share that a recently started host can bear by now
 	}
-	// fleetLoad is the load of all hosts: the tries over the capacity, the share of tries lost, the busy share and,
-	// while calls are throttled, all calls over the capacity. medianLoss is the median over hosts of the share of
-	// tries lost, unfitShare the share of the listed hosts that are judged unfit.
-	fleetLoad    struct{ pressure, loss, utilization, demandRatio, medianLoss, unfitShare float64 }
+	// fleetLoad is the load of all hosts: pressure is the tries over the capacity, loss the share of tries without a
+	// good answer, utilization the mean over hosts by capacity, and demandPressure the demand over the capacity, 0
+	// while nothing is throttled. medianLoss is the median over hosts of the share of tries without a good answer,
+	// unfitShare the share of the listed hosts that are judged unfit.
+	fleetLoad    struct{ pressure, loss, utilization, demandPressure, medianLoss, unfitShare float64 }
 	expectedRate struct{ rate float64 } // calls a second that the current tables send to a host
 	wantedTable  struct {
 		table        TableID
 		lines        lines
 		urgent       bool
 		pendingSince Millis  // since when the change has been pending
-		gain         float64 // calls a second that leave their hosts, times the host's load over its share
+		gain         float64 // gain of writing the table, by gainOf; 1 for common tables
 	}
 	gainUpdate struct { // the present gain of a pending table
 		table TableID
@@ -78,8 +79,8 @@
 		availability availability
 	}
 	admissionLevels struct { // the wanted level and number of retries, by route
-		level []float64
-		tries []int
+		level   []float64
+		retries []int
 	}
 	storedTable struct { // the lines of a slice as found in the store
 		table TableID
@@ -122,33 +123,35 @@
 	finished, failed, answered, utilizations decayingSum
 	latency                                  decayingSum // time that its answers took
 	tryRate                                  float64     // tries a second
-	throughput, pressure                     decayingSum
-	utilization                              float64 // recently reported busy share
-	lastReport, reportGap                    Millis  // the time of the last report of it, and the usual time between two
-	lastAnswer                               Millis  // the time of the last report that contained an answer of it
-	expectedRate                             float64 // calls a second that the current tables send to it
-	expectedSince, failingSince              Millis
-	pendingRate                              float64 // further calls a second, by tables that were written recently
-	pendingAt                                Millis  // when those are expected to show in reports
-	missedAnswers                            float64 // answers that were expected since the last one
-	missedCountedTo                          Millis  // the time up to which those have been counted
-	implausibleSince                         Millis
-	removedUntil                             Millis
-	freshUntil, restUntil                    Millis
-	coldUntil                                Millis
-	fleet                                    fleetLoad
-	state                                    hostState
-	trial                                    trial
-	unlistedAt                               Millis // when it was removed from the list; 0: it is listed
-	unproven                                 bool   // it has not answered anything yet
-	trustedUntil                             Millis // the time until which it is used although it is unproven
-	addedLater                               bool   // a host list came before the one that first contained it
-	lastCondition                            Condition
-	nextProbe, probeInterval                 Millis
-	implausible                              bool // its load reports contradict the calls that it answers
+	// throughput is the decaying sum of calls answered a second, occupancy that of the load at the same time: the
+	// reported utilization, else the number of calls in progress. Their ratio is hostStatus.callsPerOccupancy.
+	throughput, occupancy       decayingSum
+	utilization                 float64 // smoothed utilization by its load reports, 0: none was reported
+	lastReport, reportGap       Millis  // the time of its last sample, and the usual time between two
+	lastAnswer                  Millis  // the time of its last sample that contained an answer
+	expectedRate                float64 // calls a second that the current tables send to it
+	expectedSince, failingSince Millis
+	pendingRate                 float64 // further calls a second, by tables written too recently to show in samples
+	pendingAt                   Millis  // when those are expected to show in samples
+	missedAnswers               float64 // answers that were expected since the last one
+	missedCountedTo             Millis  // the time up to which those have been counted
+	implausibleSince            Millis
+	removedUntil                Millis
+	freshUntil, restUntil       Millis
+	coldUntil                   Millis
+	fleet                       fleetLoad
+	state                       hostState
+	trial                       trial
+	unlistedAt                  Millis // when it was removed from the list; 0: it is listed
+	unproven                    bool   // it has not answered anything yet
+	trustedUntil                Millis // the time until which it is used although it is unproven
+	addedLater                  bool   // a host list came before the one that first contained it
+	lastCondition               Condition
+	nextProbe, probeInterval    Millis
+	implausibleLoad             bool // its load reports contradict the calls that it answers
 }
 
-// hostState says whether a host is used.
+// hostState is how a host is used, as judged by its tries.
 type hostState int
 
 const (
@@ -157,13 +160,13 @@
 	onTrial           // removed before, and given a few calls again
 )
 
-// availability says whether tables may offer a host.
+// availability is whether tables may offer a host and, if not, why.
 type availability int
 
 const (
 	available      availability = iota
 	resting                     // saturated: masked for a moment
-	excluded                    // judged unfit, or no longer listed
+	excluded                    // judged unfit, not yet proven, or gone by a removal that is advisory
 	excludedByRule              // drains, or is gone from a list whose removals are binding: the rules forbid calls to it
 )
 
@@ -173,7 +176,7 @@
 	load, share  float64
 	currentLoad  float64      // load by the current tables, in the same unit as load
 	expectedRate float64      // calls a second that reach it by the current tables
-	tolerated    float64      // load above which it is overloaded
+	maxLoad      float64      // load above which it counts as overloaded
 	standbyLoad  float64      // the part of load that comes by its standby lines
 	inUse        bool         // whether slices may be assigned to it
 	availability availability // whether calls may go to it, as last posted to the publisher
@@ -193,7 +196,7 @@
 	reported     bool
 	lastReport   Millis  // time of the last load report of it
 	rate         float64 // calls a second
-	requested    lines
+	wantedTable  lines   // the table as last posted to the publisher
 }
 
 // block is an aligned block of slices, or a part of one slice.
@@ -217,7 +220,7 @@
 	listDeadline           Millis // until when the first list after the start is awaited; 0: it no longer is
 }
 
-// admitter throttles the least important calls when the fleet can't serve all, and limits retries.
+// admitter throttles the least important calls when the fleet cannot serve all, and limits retries.
 type admitter struct {
 	inbox
 	*loop
@@ -243,7 +246,8 @@
 	calmAnswerTime   float64 // mean answer time in milliseconds while hosts have room
 }
 
-// joinedProxy is the state of a joined proxy; table is the one it is bound to at sites without slices.
+// joinedProxy is the state of a joined proxy. At sites without slices, table is the one that it is bound to if bound
+// is set, and wantedTable the one that it is to be bound to.
 type joinedProxy struct {
 	table, wantedTable TableID
 	zone               ZoneID
@@ -281,7 +285,7 @@
 	acknowledgedAt            Millis // when a proxy last acknowledged a message
 	// The last sign of life of the connection that brings acknowledgements, and since when these come without a gap.
 	aliveAt, aliveSince   Millis
-	silences              int // how often messages were dropped because no proxy acknowledged anything
+	channelResets         int // how often messages were dropped because no proxy acknowledged anything
 	serial                SerialID
 	clearAt               Millis // when the channel is empty at the usual rate
 	levels, writtenLevels admissionLevels
--- a/logic/traffic.go
+++ b/logic/traffic.go
@@ -11,13 +11,13 @@
 // the current tables name, since the list from disk may be older than those tables.
 const firstListTimeout = maxListDelay
 
-// awaitsFirstList says whether a host that current tables name may still appear in the first list after the start. Its
-// slices are not placed anew before that: they went to other hosts and stayed there.
+// awaitsFirstList reports whether a host that current tables name may still appear in the first list after the start.
+// Its slices are not placed anew before that: they went to other hosts and stayed there.
 func (p *placer) awaitsFirstList(id HostID) bool {
 	return id != 0 && p.listDeadline > 0 && !p.hosts.has(id)
 }
 
-// isUsable says whether proxies can use lines of a host.
+// isUsable reports whether proxies can use lines of a host.
 func (p *placer) isUsable(id HostID) bool {
 	s := p.hosts.get(id)
 	return s != nil && s.inUse || p.awaitsFirstList(id)
@@ -68,7 +68,7 @@
 	}
 }
 
-// mayBeInForeignTables says whether tables of other directors may name a host that is excluded. Proxies hold those
+// mayBeInForeignTables reports whether tables of other directors may name a host that is excluded. Proxies hold those
 // tables, too, and a mask applies to all of them. A director without slices does not write such masks: its messages are
 // not acknowledged.
 func (p *publisher) mayBeInForeignTables(id HostID) bool {
@@ -93,8 +93,8 @@
 	return s
 }
 
-// reportsRoom says whether a host has room for more calls by its own reports, where hosts report a busy share. In an
-// overload it is true, since a move gains nothing.
+// reportsRoom reports whether a host has room for more calls by its own reports, where hosts report a utilization. In
+// an overload it is true, since a move gains nothing.
 func (p *placer) reportsRoom(s *placementHost) bool {
 	return p.fleet.utilization == 0 || p.fleet.isOverloaded() || s.utilization > 0 && s.utilization <= lowUtilization
 }
--- a/logic/write_order.go
+++ b/logic/write_order.go
@@ -46,12 +46,12 @@
 
 // messageOverhead returns the overhead, in lines, of a message to all proxies.
 func (p *publisher) messageOverhead() float64 {
-	return float64(p.proxies.len()) * (p.params.headLines + 1)
+	return float64(p.proxies.len()) * (p.params.overheadLines + 1)
 }
 
-// isWorthSending says whether the channel has room for a message that justifies its overhead: one that can carry what
-// is needed, or half of what an empty channel has room for beside the overhead. Sent earlier, messages that carry next
-// to nothing fill the channel with overhead, and the changes that they were sent for never fit.
+// isWorthSending reports whether the channel has room for a message that justifies its overhead: one that can carry
+// what is needed, or half of what an empty channel has room for beside the overhead. Sent earlier, messages that carry
+// next to nothing fill the channel with overhead, and the changes that they were sent for never fit.
 func (p *publisher) isWorthSending(part, needed float64) bool {
 	filled, unacknowledged := p.queuedLines()
 	overhead := p.messageOverhead()
@@ -78,10 +78,10 @@
 			break
 		}
 	}
-	return Millis(float64(times*p.proxies.len()) * (p.params.headLines + 1) / p.params.linesPerMilli)
+	return Millis(float64(times*p.proxies.len()) * (p.params.overheadLines + 1) / p.params.linesPerMilli)
 }
 
-// fitsAllPending says whether the message being filled has room for all pending tables as wanted.
+// fitsAllPending reports whether the message being filled has room for all pending tables as wanted.
 func (p *publisher) fitsAllPending(message *channelMessage, part float64) bool {
 	needed := p.pendingLines(false)
 	return message.hasRoom(part, needed)
@@ -150,7 +150,8 @@
 	return rest
 }
 
-// isObsolete says whether a current line is to go because its host is excluded and the wanted table does not name it.
+// isObsolete reports whether a current line is to go because its host is excluded and the wanted table does not name
+// it.
 func (p *publisher) isObsolete(w wantedTable, l line) bool {
 	state := p.availability.get(l.host)
 	return (state == excluded || state == excludedByRule) && !w.lines.contains(l.host)
