--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -170,7 +170,7 @@
 		d.countLines(1, d.proxiesWithLineFor(a))
 		d.c.log(LogEvent{Name: "host.masked", Host: string(a), Detail: strconv.FormatBool(o.On)})
 	case logic.Throttle:
-		to := tables.Level{Level: o.Level, RetryMode: o.Retries}
+		to := tables.Level{Level: o.Level, RetryMode: o.RetryMode}
 		if o.Table == logic.AllTables {
 			if d.change.Levels == nil {
 				d.next.levels = append([]tables.Level(nil), d.next.levels...)
--- a/internal/platform/codec/codec_test.go
+++ b/internal/platform/codec/codec_test.go
@@ -178,7 +178,7 @@
 		{logic.DropLines{Table: 4}, `{"verb":"clear","cluster":4}`},
 		{logic.Mask{Host: id, On: true}, `{"verb":"withdraw","endpoint":"h1"}`},
 		{logic.Mask{Host: id}, `{"verb":"restore","endpoint":"h1"}`},
-		{logic.Throttle{Table: 4, Routes: 2, Level: 0.9, Retries: 1}, `{"verb":"admit","cluster":4,"classes":["note"],"level":0.9,"retry":1}`},
+		{logic.Throttle{Table: 4, Routes: 2, Level: 0.9, RetryMode: 1}, `{"verb":"admit","cluster":4,"classes":["note"],"level":0.9,"retry":1}`},
 		{logic.Throttle{Table: logic.AllTables, Routes: 3, Level: 1}, `{"verb":"admit","level":1,"retry":0}`},
 		{logic.Stamp{Serial: 905, All: true}, `{"verb":"mark","ticket":905,"set":1}`},
 		{logic.Stamp{Serial: 905}, `{"verb":"mark","ticket":905,"set":0}`},
--- a/internal/platform/codec/orders.go
+++ b/internal/platform/codec/orders.go
@@ -63,7 +63,7 @@
 			text = append(append(text, `,"classes":`...), quoted...)
 		}
 		number("level", o.Level)
-		number("retry", float64(o.Retries))
+		number("retry", float64(o.RetryMode))
 		if op.Kind, op.Routes = outbox.Level, o.Routes; o.Table != logic.AllTables {
 			op.Table = o.Table
 		}
--- a/internal/platform/decisions.go
+++ b/internal/platform/decisions.go
@@ -86,7 +86,7 @@
 	}
 	d.log.Info("decisions", "demand", round(r.Demand), "capacity", round(r.Capacity), "pressure", round(r.Pressure),
 		"wanted", round(r.DemandPressure), "busy", round(r.Utilization), "loss", round(r.Loss), "levels", joinNumbers(r.Levels),
-		"tries", joinNumbers(r.Retries), "levels_stand", r.LevelsPublished, "serving", byCondition[logic.Serving], "cold", cold,
+		"tries", joinNumbers(r.RetryModes), "levels_stand", r.LevelsPublished, "serving", byCondition[logic.Serving], "cold", cold,
 		"resting", byCondition[logic.Resting], "removed", byCondition[logic.Removed], "on_trial", byCondition[logic.OnTrial],
 		"unproven", byCondition[logic.Unproven], "drained", byCondition[logic.Drained], "masked", r.Masked,
 		"tables_waiting", r.PendingTables, "oldest_wait_ms", int(r.OldestPending), "queued_lines", int(r.QueuedLines),
--- a/internal/settings/director.go
+++ b/internal/settings/director.go
@@ -204,13 +204,13 @@
 	d.Service.Lease = toMillis(r.Duration("lease", 3*time.Second, 200*time.Millisecond, time.Hour))
 	config.EmptyTableLimit = toMillis(r.Duration("bare_limit", -1, time.Millisecond, time.Hour))
 	config.EjectAfterFailures = r.Int("ejects_after", 0, 0, 1000)
-	config.DefaultRetries = r.Int("tries", 1, 0, 3)
+	config.DefaultRetryMode = r.Int("tries", 1, 0, 3)
 	config.TryTimeout = r.Number("try_wait", 1.2, 0.01, 100)
 	config.TableWait = toMillis(r.Duration("waits_for_table", 0, 0, time.Minute))
 	config.WriteLease = toMillis(r.Duration("write_lease", 0, 0, time.Hour))
 	config.WriteSettle = toMillis(r.Duration("write_settle", 0, 0, time.Hour))
 	for i := range d.Service.Routes {
-		d.Service.Routes[i].Level = tables.Level{Level: 1, RetryMode: config.DefaultRetries}
+		d.Service.Routes[i].Level = tables.Level{Level: 1, RetryMode: config.DefaultRetryMode}
 		if config.Levels == logic.LevelRate {
 			d.Service.Routes[i].Level.Level = 1e6
 		}
--- a/internal/wire/facts.go
+++ b/internal/wire/facts.go
@@ -81,7 +81,7 @@
 		Weighted: s.Weights != "none" && s.Weights != "", Slices: p.Slices, SingleOwner: p.OneOwner,
 		WarmKeys: p.WarmKeys, WriteLease: ms(p.WriteLeaseMs), WriteSettle: ms(p.InFlightMaxMs),
 		EmptyTableLimit: ms(p.UnservedMaxMs), TableWait: ms(p.WaitsForTableMs), EjectAfterFailures: p.Ejects,
-		DefaultRetries: p.RetryDefault, TryTimeout: p.PerTry, LinesPerSecond: p.EgressPerS,
+		DefaultRetryMode: p.RetryDefault, TryTimeout: p.PerTry, LinesPerSecond: p.EgressPerS,
 		ReportLinesPerSecond: p.IntakePerS, QueueLimit: p.PendingMax, MessageOverhead: p.FixedCost,
 		Transit: ms(p.PropagationMs), WorstTransit: ms(p.WorstTransitMs), MessageLimit: p.MessagesMost,
 		MessageWindow: ms(p.UpdateWindowMs), ReportInterval: ms(p.PeriodMs),
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -79,7 +79,7 @@
 		r.integer("RouteTable", int64(o.Table))
 		r.integer("ClassBits", int64(o.Routes))
 		r.number("Level", o.Level)
-		r.integer("Resend", int64(o.Retries))
+		r.integer("Resend", int64(o.RetryMode))
 	case logic.Stamp:
 		r.openOrder("Stamp", d)
 		r.integer("Serial", int64(o.Serial))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -85,7 +85,7 @@
 	r.Reset()
 	for _, o := range []logic.Order{logic.SetLine{Table: 1, Host: 1<<32 - 1, Weight: 0.75}, logic.DropLines{Table: 2},
 		logic.Bind{Proxy: 3, Table: 1, Routes: 2}, logic.Mask{Host: 4, On: true}, logic.Stamp{Serial: 9},
-		logic.Throttle{Table: logic.AllTables, Routes: 2, Level: 0.5, Retries: 1}, logic.SetTimer{Delay: 0.5, Timer: 1 << 63},
+		logic.Throttle{Table: logic.AllTables, Routes: 2, Level: 0.5, RetryMode: 1}, logic.SetTimer{Delay: 0.5, Timer: 1 << 63},
 		logic.Probe{Host: 4}, logic.SendToPeer{To: -1, Payload: "hi"}, logic.WatchHosts{On: true}, logic.RequestHosts{}, logic.LogText{Text: "\"\n"}} {
 		r.Add(3, o)
 	}
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Admission decides which part of the calls is admitted, and how often a proxy may retry.
+// Admission decides which part of the calls is admitted, and which failed calls proxies may retry.
 
 const (
 	// admissionInterval is the time between updates: the shortest time in which a burst has to be met, and the usual
@@ -113,7 +113,7 @@
 func (g *admitter) isThrottling() bool { return g.level < float64(len(g.usualRates))-0.5/levelSteps }
 
 // estimateDemand returns the demand in calls a second and the usual one, without throttling. Calls of a throttled route
-// are repeated, so their rate does not show the demand; that of the most important route does. The result is never more
+// are repeated, so their rate does not show the demand; that of the most important route does. The demand is never more
 // than the rate at which calls come, since the mix of routes may have been learnt from the first few calls after a
 // start.
 func (g *admitter) estimateDemand() (all, usual float64) {
@@ -156,7 +156,7 @@
 		return // proxies may hold levels of an earlier start, which are based on more than is known yet
 	}
 	now := g.routeLevels(g.isThrottling() || fleet.pressure > targetPressure || c.restarting > c.usable*massRestartShare)
-	if !slices.Equal(now.level, g.published.level) || !slices.Equal(now.retries, g.published.retries) {
+	if !slices.Equal(now.level, g.published.level) || !slices.Equal(now.retryModes, g.published.retryModes) {
 		g.published = now
 		g.post(g.publisher, now)
 	}
@@ -199,16 +199,16 @@
 	return admitted * targetPressure * c.reportingCapacity / c.utilizedCapacity
 }
 
-// routeLevels returns the levels and retries by route that follow from the number of routes to admit. With limitRetries
-// there is at most one retry, since retries add work where there is already too much.
-func (g *admitter) routeLevels(limitRetries bool) admissionLevels {
+// routeLevels returns the levels and retry modes that follow from the number of routes to admit. With restrictRetries a
+// call is retried only if its first try certainly never ran, since retries add work where there is already too much.
+func (g *admitter) routeLevels(restrictRetries bool) admissionLevels {
 	top := float64(len(g.params.byImportance))
 	now := admissionLevels{make([]float64, len(g.usualRates)), make([]int, len(g.usualRates))}
 	for i, r := range g.params.byImportance {
 		part := max(minLevel, min(1, g.level-(top-1-float64(i))))
-		now.level[r], now.retries[r] = math.Round(part*levelSteps)/levelSteps, g.params.retries[r]
-		if limitRetries {
-			now.retries[r] = min(1, now.retries[r])
+		now.level[r], now.retryModes[r] = math.Round(part*levelSteps)/levelSteps, g.params.retryModes[r]
+		if restrictRetries {
+			now.retryModes[r] = min(1, now.retryModes[r])
 		}
 		if g.params.levelUnit == LevelRate {
 			if now.level[r] = 1e6; part < 1 && g.proxies.len() > 0 {
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -9,7 +9,7 @@
 	const cheap, lead = RouteID(0), RouteID(1)
 	d := New(1, Config{Slices: 1, ReportInterval: 500, Levels: LevelShare,
 		Routes: []Route{{Importance: 1, SLO: 1000}, {Importance: 3, SLO: 1000}}})
-	g := d.admit
+	g := d.admitter
 	g.usualRates = []float64{9, 1}
 	g.level = 1.5
 	d.now = 10000
@@ -23,7 +23,7 @@
 
 // A level that is published as whole rejects nothing, so the usual call rates are learnt again.
 func TestLevelsPublishedAsWholeThrottleNothing(t *testing.T) {
-	g := New(1, Config{Slices: 1, ReportInterval: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}, {SLO: 1000}}}).admit
+	g := New(1, Config{Slices: 1, ReportInterval: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}, {SLO: 1000}}}).admitter
 	if g.level = 1.98; g.isThrottling() {
 		t.Error("a level that is published as 1 counts as throttling")
 	}
@@ -38,7 +38,7 @@
 	const cheap, lead = RouteID(0), RouteID(1)
 	const capacity = 100.0
 	g := New(1, Config{Slices: 1, ReportInterval: 500, Levels: LevelShare,
-		Routes: []Route{{Importance: 1, SLO: 1000}, {Importance: 3, SLO: 1000}}}).admit
+		Routes: []Route{{Importance: 1, SLO: 1000}, {Importance: 3, SLO: 1000}}}).admitter
 	g.now = 10000
 	g.usualRates = []float64{60, 30} // wanted, as learnt before
 	g.callSums[cheap].add(g.now, admissionHalfLife, 300)
@@ -54,7 +54,7 @@
 // Levels rise to what hosts have room for, not at once to all calls: that caused the next burst.
 func TestLevelsEaseByTheRoomOfHosts(t *testing.T) {
 	const capacity, utilization, level = 200.0, 0.5, 0.3
-	g := New(1, Config{Slices: 1, ReportInterval: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}}}).admit
+	g := New(1, Config{Slices: 1, ReportInterval: 500, Levels: LevelShare, Routes: []Route{{SLO: 1000}}}).admitter
 	g.now = 10000
 	g.usualRates = []float64{100}
 	g.callSums[0].add(g.now, admissionHalfLife, 1000)
--- a/logic/api.go
+++ b/logic/api.go
@@ -111,10 +111,13 @@
 	// WriteLease and WriteSettle bound how long writes by an earlier table may still be sent and be in flight.
 	// EmptyTableLimit is the longest time that a table may be without a usable host.
 	WriteLease, WriteSettle, EmptyTableLimit Millis
-	TableWait                                Millis
-	Levels                                   LevelUnit
-	Pick                                     PickPolicy
-	EjectAfterFailures, DefaultRetries       int
+	// TableWait is how long proxies let a call wait for a line to appear.
+	TableWait Millis
+	Levels    LevelUnit
+	Pick      PickPolicy
+	// EjectAfterFailures is the number of consecutive failures after which a proxy ejects a host, 0 for never.
+	// DefaultRetryMode is the retry mode, as in Throttle, until one is ordered.
+	EjectAfterFailures, DefaultRetryMode int
 	// TryTimeout is the time limit of a try that another may follow, as a multiple of the SLO.
 	TryTimeout float64
 	// LinesPerSecond is the rate of the channel and ReportLinesPerSecond that of reports to the director.
@@ -267,12 +270,13 @@
 		Host HostID
 		On   bool
 	}
-	// Throttle sets the admission level and the number of retries of some routes.
+	// Throttle sets the admission level and the retry mode of some routes. The mode tells when a failed call is tried
+	// again: 0 never, 1 once if the first try certainly never ran, 2 once after any failure, 3 twice after any failure.
 	Throttle struct {
-		Table   TableID
-		Routes  RouteSet
-		Level   float64
-		Retries int
+		Table     TableID
+		Routes    RouteSet
+		Level     float64
+		RetryMode int
 	}
 	// Stamp ends the messages of a reply with a serial number, which proxies acknowledge. With All it goes to every
 	// proxy, also to those that no order of the reply concerns.
--- a/logic/channel.go
+++ b/logic/channel.go
@@ -12,7 +12,7 @@
 	return f.filled+lines <= f.queueLimit*part && f.totalUnacknowledged+lines <= f.queueLimit*unacknowledgedBudget
 }
 
-// reserve charges lines to each proxy that uses a table, if the given part of the queue has room for all of them.
+// reserve charges lines to each proxy for which uses returns true, if the given part of the queue has room for all.
 func (f *channelMessage) reserve(part, lines float64, uses func(*joinedProxy) bool) bool {
 	var users []ProxyID
 	for n, s := range f.proxies.all() {
@@ -177,19 +177,19 @@
 	p.emit(Resend{n.Serial}) // no proxy is left that could acknowledge it
 }
 
-// repeatUnconfirmed orders unconfirmed messages to be written again and reports whether some still wait for that. An
+// repeatUnconfirmed orders unconfirmed messages to be written again and reports whether some are still pending. An
 // unconfirmed message may be in the channel after all, and its lines twice would exceed the limit. So it first gets the
 // time in which a proxy would acknowledge it, and then counts double until one does. Without room for that, it waits
 // until it can no longer be in flight. Nothing else is written meanwhile: it would queue behind that message, and would
 // be counted as leaving a channel that it is not in.
-func (p *publisher) repeatUnconfirmed() (waiting bool) {
+func (p *publisher) repeatUnconfirmed() (pending bool) {
 	filled, all := p.queuedLines()
 	for _, f := range p.inFlight {
 		size := f.lineCount()
 		begins := f.clearAt - Millis(size/p.params.linesPerMilli)
 		full := filled+size > p.params.queueLimit*urgentBudget || all+size > p.params.queueLimit*unacknowledgedBudget
 		if f.unconfirmedSince == 0 || p.now < begins+p.params.transit || full && p.now < f.clearAt+3*p.params.transit {
-			waiting = waiting || f.unconfirmedSince > 0
+			pending = pending || f.unconfirmedSince > 0
 			continue
 		}
 		p.clearAt = max(p.clearAt, p.now) + Millis(size/p.params.linesPerMilli)
@@ -202,5 +202,5 @@
 		p.inFlight = append(p.inFlight, repeat)
 		p.emit(Resend{f.serial})
 	}
-	return waiting
+	return pending
 }
--- a/logic/forget.go
+++ b/logic/forget.go
@@ -18,19 +18,19 @@
 		return
 	}
 	d.nextForget = d.now + forgetInterval
-	referenced := d.publish.referencedHosts()
+	referenced := d.publisher.referencedHosts()
 	for id, h := range d.hosts.all() {
 		if h.unlistedAt == 0 || d.now-h.unlistedAt < forgetAfter || referenced[id] {
 			continue
 		}
 		d.hosts.delete(id)
-		d.place.hosts.delete(id)
-		d.admit.hosts.delete(id)
-		d.publish.availability.delete(id)
-		d.publish.changedAt.delete(id)
-		if !d.publish.masked.get(id) {
-			d.publish.masked.delete(id)
-			d.publish.maskedAt.delete(id)
+		d.placer.hosts.delete(id)
+		d.admitter.hosts.delete(id)
+		d.publisher.availability.delete(id)
+		d.publisher.changedAt.delete(id)
+		if !d.publisher.masked.get(id) {
+			d.publisher.masked.delete(id)
+			d.publisher.maskedAt.delete(id)
 		}
 	}
 }
--- a/logic/health.go
+++ b/logic/health.go
@@ -29,8 +29,8 @@
 	totalLoss = 0.97
 	// overloadAnswers is the decaying sum of answers above which a saturated host is overloaded and not faulty.
 	overloadAnswers = 0.5
-	// proofPeriod is how long after a start a host that published tables name is used without having answered.
-	proofPeriod = failPeriod
+	// trustPeriod is how long a host that published tables name is used without having answered.
+	trustPeriod = failPeriod
 	// reportDelayPeriods is the number of report intervals until the calls to a host show up in samples.
 	reportDelayPeriods = 2
 
--- a/logic/host.go
+++ b/logic/host.go
@@ -89,7 +89,8 @@
 	h.occupancy.add(h.now, loadHalfLife, occupancy)
 }
 
-// isUnproven reports whether a host must not be used yet: it has answered nothing, and no published table attests it.
+// isUnproven reports whether a host must not be used yet: it has answered nothing, and is not
+// trusted for a time because published tables name it.
 func (h *host) isUnproven() bool { return h.unproven && h.now >= h.trustedUntil }
 
 // publishStatus sends the present status to the placer and the admitter.
@@ -118,6 +119,6 @@
 	if utilizations := h.utilizations.read(h.now, loadHalfLife); utilizations > 0.01 {
 		s.capacity = h.answered.read(h.now, loadHalfLife) / utilizations
 	}
-	h.post(h.place, s)
-	h.post(h.admit, s)
+	h.post(h.placer, s)
+	h.post(h.admitter, s)
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -5,8 +5,8 @@
 // The interface is in api.go, the state of the actors in state.go, their inboxes in loop.go, decaying sums and ordered
 // maps in collections.go, reports for operators in observe.go, and the rationale in docs/design.md. The actors are the
 // Director (logic.go, forget.go), one host actor for each host (host.go, health.go, age.go), the placer (placement.go:
-// the block tree and the algorithm of the paper; traffic.go), the admitter (admission.go: admission levels and retries)
-// and the publisher (publish.go, draft.go, masks.go, channel.go, write_order.go: what is published, what is wanted,
+// the block tree and the algorithm of the paper; traffic.go), the admitter (admission.go: admission levels and retry
+// modes) and the publisher (publish.go, draft.go, masks.go, channel.go, write_order.go: what is published, what is wanted,
 // and what the channel can carry).
 package logic
 
@@ -96,50 +96,50 @@
 
 // derive computes the parameters of the decisions from the settings of a start.
 func derive(c Config) params {
-	b := params{sliced: c.Slices > 0, singleOwner: c.SingleOwner, hostListOnRequest: c.HostListOnRequest, mayProbe: c.MayProbe,
+	p := params{sliced: c.Slices > 0, singleOwner: c.SingleOwner, hostListOnRequest: c.HostListOnRequest, mayProbe: c.MayProbe,
 		sharedProxies:     c.Directors > 1 && c.Slices > 0 && !c.SingleOwner,
 		removalIsAdvisory: c.RemovalIsAdvisory, weighted: c.Weighted, queueLimit: c.QueueLimit, overheadLines: c.MessageOverhead,
 		linesPerMilli: max(1, c.LinesPerSecond) / 1000, transit: c.Transit, worstTransit: c.WorstTransit, messageLimit: c.MessageLimit,
 		messageWindow: c.MessageWindow,
 		levelUnit:     c.Levels, reportInterval: max(1, c.ReportInterval), warmUpTime: c.WarmAfter,
 		settleTime: c.WriteLease + c.WriteSettle + c.WorstTransit}
-	b.healthHalfLife = max(healthHalfLife, b.reportInterval*5/4) // a shorter one would cover only the last report
+	p.healthHalfLife = max(healthHalfLife, p.reportInterval*5/4) // a shorter one would cover only the last report
 	// freshCapacity is safe only where cold caches and chance cannot raise it past what overloads a cold host.
-	b.freshShare = min(freshCapacity, max(0.05, c.ColdCapacity*c.ColdOverloadLimit/3))
-	if b.standbyWeight = standbyWeight; c.Pick == PickTwoChoices {
-		b.standbyWeight = standbyWeightTwoChoices
+	p.freshShare = min(freshCapacity, max(0.05, c.ColdCapacity*c.ColdOverloadLimit/3))
+	if p.standbyWeight = standbyWeight; c.Pick == PickTwoChoices {
+		p.standbyWeight = standbyWeightTwoChoices
 	}
-	if b.urgentInterval = max(0, min(batchDelay, (c.DrainGrace-c.WorstTransit)/4)); b.messageLimit > 0 {
-		b.urgentInterval = max(b.urgentInterval, min(b.messageWindow/Millis(b.messageLimit), (c.DrainGrace-c.WorstTransit)/2))
+	if p.urgentInterval = max(0, min(batchDelay, (c.DrainGrace-c.WorstTransit)/4)); p.messageLimit > 0 {
+		p.urgentInterval = max(p.urgentInterval, min(p.messageWindow/Millis(p.messageLimit), (c.DrainGrace-c.WorstTransit)/2))
 	}
-	b.reportDelay = c.WorstTransit + Millis(b.queueLimit/b.linesPerMilli) + reportDelayPeriods*b.reportInterval
-	b.removalTime = c.DrainGrace*graceShare - c.WorstTransit - tickInterval
+	p.reportDelay = c.WorstTransit + Millis(p.queueLimit/p.linesPerMilli) + reportDelayPeriods*p.reportInterval
+	p.removalTime = c.DrainGrace*graceShare - c.WorstTransit - tickInterval
 	for i, r := range c.Routes {
 		// A call that could take effect twice is retried only after proof that it never ran.
-		b.retries = append(b.retries, 1+int(bit(r.Idempotency == Idempotent, 0)))
-		b.byImportance = append(b.byImportance, RouteID(i))
-		b.allRoutes |= bit(true, i)
-		b.writeRoutes |= bit(r.IsWrite, i)
-		b.ownZoneRoutes |= bit(r.OwnZone, i)
-		if b.slo == 0 || r.SLO < b.slo {
-			b.slo = r.SLO
+		p.retryModes = append(p.retryModes, 1+int(bit(r.Idempotency == Idempotent, 0)))
+		p.byImportance = append(p.byImportance, RouteID(i))
+		p.allRoutes |= bit(true, i)
+		p.writeRoutes |= bit(r.IsWrite, i)
+		p.ownZoneRoutes |= bit(r.OwnZone, i)
+		if p.slo == 0 || r.SLO < p.slo {
+			p.slo = r.SLO
 		}
 	}
-	slices.SortStableFunc(b.byImportance, func(x, y RouteID) int {
+	slices.SortStableFunc(p.byImportance, func(x, y RouteID) int {
 		return cmp.Compare(c.Routes[x].Importance, c.Routes[y].Importance)
 	})
-	return b
+	return p
 }
 
 // New returns the director of one start. The seed determines all its random choices.
 func New(seed uint64, c Config) *Director {
 	d := &Director{}
 	d.seed, d.params = seed, derive(c)
-	d.publish = &publisher{loop: &d.loop}
-	d.place = &placer{loop: &d.loop, publisher: d.publish, meanRate: 1}
-	d.publish.placer = d.place
+	d.publisher = &publisher{loop: &d.loop}
+	d.placer = &placer{loop: &d.loop, publisher: d.publisher, meanRate: 1}
+	d.publisher.placer = d.placer
 	n := len(c.Routes)
-	d.admit = &admitter{loop: &d.loop, publisher: d.publish, placer: d.place, level: float64(n), callSums: make([]decayingSum, n),
+	d.admitter = &admitter{loop: &d.loop, publisher: d.publisher, placer: d.placer, level: float64(n), callSums: make([]decayingSum, n),
 		unanswered: make([]decayingSum, n), usualRates: make([]float64, n)}
 	return d
 }
@@ -150,7 +150,7 @@
 	if !d.ticking {
 		d.ticking = true
 		d.emit(SetTimer{tickInterval, 0})
-		d.place.listDeadline = now + firstListTimeout
+		d.placer.listDeadline = now + firstListTimeout
 	}
 	if d.params.hostListOnRequest && !d.watchesHosts && now >= d.nextHostRequest {
 		d.watchesHosts = true
@@ -164,15 +164,15 @@
 	for t, stored := range d.storedLines.all() {
 		d.removeUnlisted(stored)
 		d.trustStoredHosts(stored)
-		d.post(d.place, storedTable{t, stored})
-		d.post(d.publish, storedTable{t, stored})
+		d.post(d.placer, storedTable{t, stored})
+		d.post(d.publisher, storedTable{t, stored})
 		d.storedLines.delete(t)
 	}
 	for _, h := range d.hosts.all() {
 		d.post(h, endOfBatch{})
 	}
 	// Placement waits for the end of the batch, so that a removal and its replacement go in one reply.
-	for _, a := range []actor{d.place, d.publish} {
+	for _, a := range []actor{d.placer, d.publisher} {
 		d.drainInboxes()
 		d.post(a, endOfBatch{})
 	}
@@ -187,7 +187,7 @@
 		return
 	}
 	d.acceptClockStep(list)
-	listed, referenced := map[HostID]bool{}, d.publish.referencedHosts()
+	listed, referenced := map[HostID]bool{}, d.publisher.referencedHosts()
 	for _, e := range list.Entries {
 		listed[e.Host] = true
 		if !d.hosts.has(e.Host) {
@@ -197,7 +197,7 @@
 			h.unproven = d.params.mayProbe && list.Kind != HostListFromDisk
 			h.addedLater = d.hasLiveList
 			if referenced[e.Host] {
-				h.trustedUntil = d.now + proofPeriod
+				h.trustedUntil = d.now + trustPeriod
 			}
 		}
 		d.post(d.hosts.get(e.Host), e)
@@ -208,8 +208,8 @@
 		}
 	}
 	if list.Kind != HostListFromDisk && !d.hasLiveList {
-		d.hasLiveList, d.place.listDeadline, d.place.dirty = true, 0, true
-		for _, stored := range d.publish.current.all() {
+		d.hasLiveList, d.placer.listDeadline, d.placer.dirty = true, 0, true
+		for _, stored := range d.publisher.current.all() {
 			d.removeUnlisted(stored)
 		}
 	}
@@ -217,7 +217,7 @@
 
 // addHost starts the actor of a host.
 func (d *Director) addHost(id HostID) *host {
-	h := &host{loop: &d.loop, id: id, place: d.place, admit: d.admit}
+	h := &host{loop: &d.loop, id: id, placer: d.placer, admitter: d.admitter}
 	d.hosts.set(id, h)
 	return h
 }
@@ -234,12 +234,12 @@
 	}
 }
 
-// trustStoredHosts uses the hosts of stored lines for proofPeriod without an answer of theirs, since an earlier
+// trustStoredHosts uses the hosts of stored lines for trustPeriod without an answer of theirs, since an earlier
 // director has written them. Treated as unproven, each of them lost all its slices at a restart of the director.
 func (d *Director) trustStoredHosts(stored lines) {
 	for _, l := range stored {
 		if h := d.hosts.get(l.host); h != nil {
-			h.trustedUntil = d.now + proofPeriod
+			h.trustedUntil = d.now + trustPeriod
 		}
 	}
 }
--- a/logic/loop.go
+++ b/logic/loop.go
@@ -88,8 +88,8 @@
 		}
 	case SliceOwnership:
 		d.storedLines.delete(msg.Slice)
-		d.post(d.place, msg)
-		d.post(d.publish, msg)
+		d.post(d.placer, msg)
+		d.post(d.publisher, msg)
 		if msg.Owned {
 			d.storedLines.set(msg.Slice, nil)
 		}
@@ -99,12 +99,12 @@
 		for _, h := range d.hosts.all() {
 			d.post(h, tick{d.lastReport})
 		}
-		d.post(d.admit, msg)
-		d.post(d.place, msg)
+		d.post(d.admitter, msg)
+		d.post(d.placer, msg)
 	default:
-		d.post(d.place, msg)
-		d.post(d.admit, msg)
-		d.post(d.publish, msg)
+		d.post(d.placer, msg)
+		d.post(d.admitter, msg)
+		d.post(d.publisher, msg)
 	}
 }
 
@@ -227,7 +227,7 @@
 		p.recordAlive()
 	case endOfBatch:
 		p.dropLostMessages()
-		if doubted := p.repeatUnconfirmed(); p.isDue() && !doubted {
+		if repeatPending := p.repeatUnconfirmed(); p.isDue() && !repeatPending {
 			p.writePending()
 		}
 	}
--- a/logic/observe.go
+++ b/logic/observe.go
@@ -86,14 +86,15 @@
 	Tables                       int // number of tables that name the host
 }
 
-// Report is the state of the decisions at one moment.
+// Report is the state of the decisions at one moment. Pressure is the tries over the capacity of all hosts, and
+// DemandPressure the demand over that capacity while calls are throttled.
 type Report struct {
 	Hosts                                                   []HostReport
 	Demand, Capacity, Pressure, DemandPressure, Utilization float64
 	Loss                                                    float64
 	Levels                                                  []float64 // by route, as wanted
-	Retries                                                 []int     // by route, as wanted
-	LevelsPublished                                         bool      // whether levels and retries are written as wanted
+	RetryModes                                              []int     // by route, as wanted
+	LevelsPublished                                         bool      // whether levels and retry modes are written as wanted
 	PendingTables                                           int
 	OldestPending                                           Millis
 	QueuedLines, UnacknowledgedLines                        float64
@@ -107,8 +108,8 @@
 
 // Report returns the present state of the decisions.
 func (d *Director) Report() Report {
-	g, p := d.admit, d.publish
-	r := Report{Demand: g.demand, Capacity: g.capacity, Levels: p.levels.level, Retries: p.levels.retries,
+	g, p := d.admitter, d.publisher
+	r := Report{Demand: g.demand, Capacity: g.capacity, Levels: p.levels.level, RetryModes: p.levels.retryModes,
 		Pressure: g.fleet.pressure, DemandPressure: g.fleet.demandPressure, Utilization: g.fleet.utilization,
 		Loss: g.fleet.loss, LevelsPublished: !p.levelsChanged(), PendingTables: p.pending.len()}
 	for _, w := range p.pending.all() {
@@ -126,7 +127,7 @@
 		}
 	}
 	for id, h := range d.hosts.all() {
-		if s := d.place.hosts.get(id); s != nil && h.hasEntry && (h.entry.State == Up || tables[id] > 0) {
+		if s := d.placer.hosts.get(id); s != nil && h.hasEntry && (h.entry.State == Up || tables[id] > 0) {
 			r.Hosts = append(r.Hosts, HostReport{Host: id, Condition: h.condition(), Cold: s.cold,
 				ColdFor: max(0, h.coldUntil-d.now), AssignedLoad: s.load, Share: s.share, MaxLoad: s.maxLoad,
 				Tries: s.tryRate, Loss: s.loss, Utilization: s.utilization, Capacity: s.capacity,
@@ -138,7 +139,7 @@
 
 // Load returns the input of admission and its results.
 func (d *Director) Load() LoadReport {
-	g, p := d.admit, d.publish
+	g, p := d.admitter, d.publisher
 	r := LoadReport{Demand: g.demand, Capacity: g.capacity, Utilization: g.fleet.utilization, Loss: g.fleet.loss,
 		Queued: g.queuedCalls, Levels: p.levels.level, WrittenLevels: p.writtenLevels.level, WrittenAge: d.now - p.levelsWrittenAt}
 	for route := range g.callSums {
--- a/logic/placement.go
+++ b/logic/placement.go
@@ -31,6 +31,7 @@
 		unfit += int(bit(s.unfit, 0))
 	}
 	for id, s := range p.hosts.all() {
+		// At most an eighth of the hosts rest at once, and none whose load is well above the mean.
 		// Where most hosts look unfit at once, the director's view or an overload is the cause: none is excluded.
 		in := s.usable || s.unfit && unfit*2 > up || s.unproven && up == 0
 		state := available
@@ -322,8 +323,8 @@
 	}
 }
 
-// splitBlock halves a block. A single slice is split by weight if its load is high, since both halves have to warm up
-// its keys.
+// splitBlock halves a block. A single slice is split by weight, but only if its load is high, since both halves
+// have to warm up its keys.
 func (p *placer) splitBlock(l block, share float64) []block {
 	if half := l.span / 2; half > 0 {
 		return append(p.unassignedBlocks(l.first, half), p.unassignedBlocks(l.first+half, half)...)
--- a/logic/play_test.go
+++ b/logic/play_test.go
@@ -451,7 +451,7 @@
 	case "level": // table route
 		got = s.levels[w[1]+":"+w[2]].Level
 	case "tries":
-		got = float64(s.levels[w[1]+":"+w[2]].Retries)
+		got = float64(s.levels[w[1]+":"+w[2]].RetryMode)
 	case "bound":
 		got = float64(s.bound[ProxyID(parseNumber(w[1]))])
 	case "orders": // of a kind
@@ -520,7 +520,7 @@
 		d.Handle(now, []any{TimerFired{}, HostList{Kind: HostListFull,
 			Entries: []HostEntry{{Host: HostID(n + 1), State: Up}, {Host: HostID(n + 2), State: Up}}}})
 	}
-	if held := d.hosts.len() + d.place.hosts.len() + d.admit.hosts.len(); held > 3*80 {
+	if held := d.hosts.len() + d.placer.hosts.len() + d.admitter.hosts.len(); held > 3*80 {
 		t.Fatalf("%d entries of hosts are held after 500 hosts, two of them listed at a time", held)
 	}
 }
--- a/logic/publish.go
+++ b/logic/publish.go
@@ -10,7 +10,7 @@
 
 func (p *publisher) levelsChanged() bool {
 	return p.proxies.len() > 0 && p.levels.level != nil &&
-		!(slices.Equal(p.levels.level, p.writtenLevels.level) && slices.Equal(p.levels.retries, p.writtenLevels.retries))
+		!(slices.Equal(p.levels.level, p.writtenLevels.level) && slices.Equal(p.levels.retryModes, p.writtenLevels.retryModes))
 }
 
 // isTightening reports whether a level is to fall markedly: until it is written, the excess calls queue at the hosts.
@@ -23,14 +23,14 @@
 	return false
 }
 
-// pendingTables returns the pending tables that are exhausted now, or the others, ordered by most.
-func (p *publisher) pendingTables(exhausted bool, most func(wantedTable) float64) (order []wantedTable) {
+// pendingTables returns the pending tables that are exhausted now, or the others, in descending order of key.
+func (p *publisher) pendingTables(exhausted bool, key func(wantedTable) float64) (order []wantedTable) {
 	for t, w := range p.pending.all() {
 		if p.isExhausted(t, 0) == exhausted {
 			order = append(order, w)
 		}
 	}
-	slices.SortStableFunc(order, func(a, b wantedTable) int { return cmp.Compare(most(b), most(a)) })
+	slices.SortStableFunc(order, func(a, b wantedTable) int { return cmp.Compare(key(b), key(a)) })
 	return order
 }
 
@@ -91,32 +91,32 @@
 }
 
 // setMask records a mask as written.
-func (p *publisher) setMask(id HostID, out bool) {
-	p.masked.set(id, out)
+func (p *publisher) setMask(id HostID, on bool) {
+	p.masked.set(id, on)
 	p.maskedAt.set(id, p.now)
 }
 
-// isDue reports whether to write now. Ordinary changes are gathered, and leave a part of the messages that a proxy may
-// get to urgent changes.
+// isDue reports whether to write now. Ordinary changes are batched, and leave a part of the messages that a proxy may
+// get to urgent changes. Critical ones and masks that the rules require may use all of them.
 func (p *publisher) isDue() bool {
-	rebind, reopen, pressing, urgent := false, false, false, false
+	bindingDue, writeStopDue, critical, urgent := false, false, false, false
 	for _, s := range p.proxies.all() {
-		rebind = rebind || !p.params.sliced && (!s.bound || s.wantedTable != s.table)
-		pressing = pressing || !p.params.sliced && !s.bound
+		bindingDue = bindingDue || !p.params.sliced && (!s.bound || s.wantedTable != s.table)
+		critical = critical || !p.params.sliced && !s.bound
 	}
 	for _, until := range p.writesStoppedUntil.all() {
-		reopen = reopen || p.now >= until
+		writeStopDue = writeStopDue || p.now >= until
 	}
 	for t, w := range p.pending.all() {
-		urgent, pressing = urgent || w.urgent, pressing || p.isExhausted(t, 0)
+		urgent, critical = urgent || w.urgent, critical || p.isExhausted(t, 0)
 	}
-	masks, exclusions := len(p.hostsToMask(excludedByRule)) > 0,
+	ruleMasks, exclusions := len(p.hostsToMask(excludedByRule)) > 0,
 		slices.ContainsFunc(p.hostsToMask(excluded), p.isDispensable)
-	pressing = pressing || exclusions || slices.ContainsFunc(p.hostsToMask(available), p.isOnlyConfirmedHost) ||
+	critical = critical || exclusions || slices.ContainsFunc(p.hostsToMask(available), p.isOnlyConfirmedHost) ||
 		p.isTightening() ||
 		p.levelsChanged() && p.writtenLevels.level == nil && slices.Min(p.levels.level) < 1
-	trackSince(&p.urgentSince, pressing || masks || urgent, p.now)
-	trackSince(&p.pendingSince, p.pending.len() > 0 || rebind || reopen || p.levelsChanged() ||
+	trackSince(&p.urgentSince, critical || ruleMasks || urgent, p.now)
+	trackSince(&p.pendingSince, p.pending.len() > 0 || bindingDue || writeStopDue || p.levelsChanged() ||
 		len(p.hostsToMask(available)) > 0 || len(p.hostsToMask(resting)) > 0, p.now)
 	p.sentAt = slices.DeleteFunc(p.sentAt, func(t Millis) bool { return p.now-t > p.params.messageWindow+batchDelay })
 	// Each message has an overhead for each proxy: messages that carry little would fill the channel of a large fleet.
@@ -127,14 +127,14 @@
 		gap = max(gap, p.params.messageWindow/Millis(most*ordinaryBudget))
 	}
 	written, interval := float64(len(p.sentAt)), p.params.urgentInterval
-	if !masks {
+	if !ruleMasks {
 		interval = max(interval, overheadTime/2)
 	}
-	if !masks && !pressing {
-		interval, most = max(interval, overheadTime), most*urgentBudget // the last ones are for what the rules require
+	if !ruleMasks && !critical {
+		interval, most = max(interval, overheadTime), most*urgentBudget // the last messages are for critical changes
 	}
 	if p.urgentSince > 0 && written < most && p.now-max(last, p.urgentSince-interval) >= interval &&
-		(masks || !p.params.sliced || p.isWorthSending(urgentBudget, p.pendingLines(true))) {
+		(ruleMasks || !p.params.sliced || p.isWorthSending(urgentBudget, p.pendingLines(true))) {
 		return true
 	}
 	return p.pendingSince > 0 && p.now-p.pendingSince >= batchDelay && p.now-last >= gap && written < most*ordinaryBudget &&
@@ -155,7 +155,7 @@
 	d.writeExhaustedTables()
 	d.writeMasks(available, p.exceedsWanted)
 	// Levels are written before tables that can wait: outdated levels rejected calls for seconds.
-	if p.levelsChanged() && d.message.reserve(urgentBudget, float64(len(p.params.retries)), everyProxy) {
+	if p.levelsChanged() && d.message.reserve(urgentBudget, float64(len(p.params.retryModes)), everyProxy) {
 		p.writeLevels()
 	}
 	d.writeMasks(available, none)
@@ -181,12 +181,12 @@
 	p.sentAt = append(p.sentAt, p.now)
 }
 
-// writeLevels orders the levels and retries that differ from the written ones.
+// writeLevels orders the levels and retry modes that differ from the written ones.
 func (p *publisher) writeLevels() {
 	for i, level := range p.levels.level {
 		if p.writtenLevels.level == nil || level != p.writtenLevels.level[i] ||
-			p.levels.retries[i] != p.writtenLevels.retries[i] {
-			p.emit(Throttle{AllTables, 1 << i, level, p.levels.retries[i]})
+			p.levels.retryModes[i] != p.writtenLevels.retryModes[i] {
+			p.emit(Throttle{AllTables, 1 << i, level, p.levels.retryModes[i]})
 		}
 	}
 	p.writtenLevels, p.levelsWrittenAt = p.levels, p.now
--- a/logic/rollout_test.go
+++ b/logic/rollout_test.go
@@ -34,7 +34,7 @@
 func rolloutConfig() Config {
 	return Config{Directors: 1, Proxies: simulatedProxies, Slices: simulatedSlices, MayProbe: true, ColdCapacity: 0.2, ColdOverloadLimit: 3,
 		WarmAfter: warmAfter, ColdFailAfter: 1500, DrainGrace: 2000, EmptyTableLimit: 2300, ReportInterval: reportPeriod, ReportLinesPerSecond: 150,
-		LinesPerSecond: 8000, QueueLimit: 8000, MessageOverhead: 16, Transit: 100, WorstTransit: 300, Levels: LevelShare, DefaultRetries: 1,
+		LinesPerSecond: 8000, QueueLimit: 8000, MessageOverhead: 16, Transit: 100, WorstTransit: 300, Levels: LevelShare, DefaultRetryMode: 1,
 		Routes: []Route{{SLO: callSLO, TimeLimit: callDeadline, Importance: 1, Idempotency: Idempotent}}}
 }
 
@@ -49,11 +49,11 @@
 	startedAt, goneAt Millis
 	calls             []*simulatedCall // the first is in service
 	busyTime          Millis           // of the core, since the last load report
-	busy              float64
+	utilization       float64
 	loadReportedAt    Millis
 	// Since the last report of the proxies.
-	ended, lost int
-	answerTime  Millis
+	finished, failed int
+	answerTime       Millis
 }
 
 // rolloutOutcome counts the calls by how they ended, and the orders that were written.
@@ -189,19 +189,19 @@
 	table := TableID(slice)
 	p.callsBySlice[table]++
 	p.outcome.calls++
-	var open lines
+	var usable lines
 	for id, weight := range p.tables[table] {
 		if !p.masked[id] {
-			open = append(open, line{id, weight})
+			usable = append(usable, line{id, weight})
 		}
 	}
-	if len(open) == 0 || p.rng.Float64() >= p.level {
+	if len(usable) == 0 || p.rng.Float64() >= p.level {
 		p.outcome.rejected++
 		return
 	}
-	draw := p.rng.Float64() * open.sortByHost().total()
-	to := open[len(open)-1].host
-	for _, l := range open {
+	draw := p.rng.Float64() * usable.sortByHost().total()
+	to := usable[len(usable)-1].host
+	for _, l := range usable {
 		if draw -= l.weight; draw < 0 {
 			to = l.host
 			break
@@ -209,7 +209,7 @@
 	}
 	h := p.hosts[to]
 	if len(h.calls) > hostQueue {
-		h.ended, h.lost = h.ended+1, h.lost+1
+		h.finished, h.failed = h.finished+1, h.failed+1
 		p.outcome.rejected++
 		return
 	}
@@ -221,7 +221,7 @@
 	h.calls = slices.DeleteFunc(h.calls, func(c *simulatedCall) bool {
 		expired := p.now-c.arrivedAt >= callDeadline
 		if expired {
-			h.ended, h.lost = h.ended+1, h.lost+1
+			h.finished, h.failed = h.finished+1, h.failed+1
 			p.outcome.unanswered++
 		}
 		return expired
@@ -237,14 +237,14 @@
 	}
 	h.calls = h.calls[1:]
 	spent := p.now - c.arrivedAt
-	h.ended, h.answerTime = h.ended+1, h.answerTime+spent
+	h.finished, h.answerTime = h.finished+1, h.answerTime+spent
 	if spent < callSLO {
 		p.outcome.inTime++
 	} else {
 		p.outcome.late++
 	}
 	if span := p.now - h.loadReportedAt; span >= loadPeriod {
-		h.busy, h.loadReportedAt, h.busyTime = min(1, float64(h.busyTime/span)), p.now, 0
+		h.utilization, h.loadReportedAt, h.busyTime = min(1, float64(h.busyTime/span)), p.now, 0
 	}
 }
 
@@ -252,16 +252,16 @@
 func (p *rolloutSimulation) report() {
 	for _, id := range p.hostOrder {
 		h := p.hosts[id]
-		if h.ended == 0 {
+		if h.finished == 0 {
 			continue
 		}
-		busy, good := h.busy, h.ended-h.lost
-		m := HostSample{Host: id, Period: reportPeriod, Finished: h.ended, Failed: h.lost, Load: Load{Utilization: &busy}}
+		utilization, good := h.utilization, h.finished-h.failed
+		m := HostSample{Host: id, Period: reportPeriod, Finished: h.finished, Failed: h.failed, Load: Load{Utilization: &utilization}}
 		if good > 0 {
 			m.MeanLatency = h.answerTime / Millis(good)
 		}
 		p.events = append(p.events, m)
-		h.ended, h.lost, h.answerTime = 0, 0, 0
+		h.finished, h.failed, h.answerTime = 0, 0, 0
 	}
 	for t := range simulatedSlices {
 		if calls := p.callsBySlice[TableID(t)]; calls > 0 {
--- a/logic/state.go
+++ b/logic/state.go
@@ -22,7 +22,7 @@
 	slo, warmUpTime, healthHalfLife                           Millis // slo is the shortest SLO of the routes
 
 	levelUnit    LevelUnit
-	retries      []int     // maximum number of retries, by route
+	retryModes   []int     // retry mode (see Throttle) while retries are not restricted, by route
 	byImportance []RouteID // routes by importance, least important first
 
 	writeRoutes, ownZoneRoutes, allRoutes RouteSet
@@ -54,7 +54,7 @@
 		warmShare              float64 // part of its share that a recently started host can bear by now
 	}
 	// fleetLoad is the load of all hosts: pressure is the tries over the capacity, loss the share of tries without a
-	// good answer, utilization the mean over hosts by capacity, and demandPressure the demand over the capacity, 0
+	// good answer, utilization the mean weighted by capacity, and demandPressure the demand over the capacity, 0
 	// while nothing is throttled. medianLoss is the median over hosts of the share of tries without a good answer,
 	// unfitShare the share of the listed hosts that are judged unfit.
 	fleetLoad    struct{ pressure, loss, utilization, demandPressure, medianLoss, unfitShare float64 }
@@ -78,9 +78,9 @@
 		host         HostID
 		availability availability
 	}
-	admissionLevels struct { // the wanted level and number of retries, by route
-		level   []float64
-		retries []int
+	admissionLevels struct { // the wanted level and retry mode, by route
+		level      []float64
+		retryModes []int
 	}
 	storedTable struct { // the lines of a slice as found in the store
 		table TableID
@@ -100,9 +100,9 @@
 	loop
 	hosts           orderedMap[HostID, *host]
 	storedLines     orderedMap[TableID, lines]
-	place           *placer
-	admit           *admitter
-	publish         *publisher
+	placer          *placer
+	admitter        *admitter
+	publisher       *publisher
 	ticking         bool
 	nextHostRequest Millis
 	watchesHosts    bool
@@ -116,8 +116,8 @@
 	inbox
 	*loop
 	id                                       HostID
-	place                                    *placer
-	admit                                    *admitter
+	placer                                   *placer
+	admitter                                 *admitter
 	entry                                    HostEntry
 	hasEntry                                 bool
 	finished, failed, answered, utilizations decayingSum
@@ -145,7 +145,7 @@
 	unlistedAt                  Millis // when it was removed from the list; 0: it is listed
 	unproven                    bool   // it has not answered anything yet
 	trustedUntil                Millis // the time until which it is used although it is unproven
-	addedLater                  bool   // a host list came before the one that first contained it
+	addedLater                  bool   // it was not in the first host list, that from disk aside
 	lastCondition               Condition
 	nextProbe, probeInterval    Millis
 	implausibleLoad             bool // its load reports contradict the calls that it answers
@@ -220,7 +220,7 @@
 	listDeadline           Millis // until when the first list after the start is awaited; 0: it no longer is
 }
 
-// admitter throttles the least important calls when the fleet cannot serve all, and limits retries.
+// admitter throttles the least important calls when the fleet cannot serve all, and restricts retries.
 type admitter struct {
 	inbox
 	*loop
