--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -36,9 +36,9 @@
 		t.Fatalf("clock %v, %d events", b.Clock, len(b.Events))
 	}
 	start := b.Events[0].Start
-	if start.Seed != 1<<63 || start.Facts.Slices != 7 || start.Facts.Levels != logic.LevelRate || !start.Facts.SingleOwner ||
-		start.Facts.Routes[0].DedupScope != logic.DedupCell || !start.Facts.Routes[1].IsWrite || start.Facts.Pick != logic.PickTwoChoices {
-		t.Errorf("facts: %+v", start)
+	if start.Seed != 1<<63 || start.Config.Slices != 7 || start.Config.Levels != logic.LevelRate || !start.Config.SingleOwner ||
+		start.Config.Routes[0].DedupScope != logic.DedupCell || !start.Config.Routes[1].IsWrite || start.Config.Pick != logic.PickTwoChoices {
+		t.Errorf("start: %+v", start)
 	}
 	// A later list replaces the former one of the same number, also within a batch.
 	first, second := b.Events[1].Payload.(logic.HostList), b.Events[2].Payload.(logic.HostList)
@@ -85,7 +85,7 @@
 	r.Reset()
 	for _, o := range []logic.Order{logic.SetLine{Table: 1, Host: 1<<32 - 1, Weight: 0.75}, logic.DropLines{Table: 2},
 		logic.Bind{Proxy: 3, Table: 1, Routes: 2}, logic.Mask{Host: 4, On: true}, logic.Stamp{Serial: 9},
-		logic.Throttle{Table: logic.AllTables, Routes: 2, Level: 0.5, Retries: 1}, logic.SetTimer{Delay: 0.5, Timer: 1 << 63},
+		logic.Throttle{Table: logic.AllTables, Routes: 2, Level: 0.5, RetryMode: 1}, logic.SetTimer{Delay: 0.5, Timer: 1 << 63},
 		logic.Probe{Host: 4}, logic.SendToPeer{To: -1, Payload: "hi"}, logic.WatchHosts{On: true}, logic.RequestHosts{}, logic.LogText{Text: "\"\n"}} {
 		r.Add(3, o)
 	}
--- a/logic/loop.go
+++ b/logic/loop.go
@@ -11,6 +11,7 @@
 // inbox holds the pending messages of an actor. The loop drains inboxes in the order in which they got their first one.
 type inbox struct{ pending []any }
 
+// mailbox returns the inbox that an actor embeds.
 func (b *inbox) mailbox() *inbox { return b }
 
 // actor is one part of the decisions. It acts on the messages in its inbox and shares nothing with others but the loop.
@@ -87,8 +88,8 @@
 		}
 	case SliceOwnership:
 		d.storedLines.delete(msg.Slice)
-		d.post(d.place, msg)
-		d.post(d.publish, msg)
+		d.post(d.placer, msg)
+		d.post(d.publisher, msg)
 		if msg.Owned {
 			d.storedLines.set(msg.Slice, nil)
 		}
@@ -98,12 +99,12 @@
 		for _, h := range d.hosts.all() {
 			d.post(h, tick{d.lastReport})
 		}
-		d.post(d.admit, msg)
-		d.post(d.place, msg)
+		d.post(d.admitter, msg)
+		d.post(d.placer, msg)
 	default:
-		d.post(d.place, msg)
-		d.post(d.admit, msg)
-		d.post(d.publish, msg)
+		d.post(d.placer, msg)
+		d.post(d.admitter, msg)
+		d.post(d.publisher, msg)
 	}
 }
 
@@ -226,7 +227,7 @@
 		p.recordAlive()
 	case endOfBatch:
 		p.dropLostMessages()
-		if doubted := p.repeatUnconfirmed(); p.isDue() && !doubted {
+		if repeatPending := p.repeatUnconfirmed(); p.isDue() && !repeatPending {
 			p.writePending()
 		}
 	}
--- a/logic/rollout_test.go
+++ b/logic/rollout_test.go
@@ -31,10 +31,10 @@
 	staleAfter       = Millis(6000) // how long a table may name a host that is gone
 )
 
-func rolloutFacts() Config {
+func rolloutConfig() Config {
 	return Config{Directors: 1, Proxies: simulatedProxies, Slices: simulatedSlices, MayProbe: true, ColdCapacity: 0.2, ColdOverloadLimit: 3,
 		WarmAfter: warmAfter, ColdFailAfter: 1500, DrainGrace: 2000, EmptyTableLimit: 2300, ReportInterval: reportPeriod, ReportLinesPerSecond: 150,
-		LinesPerSecond: 8000, QueueLimit: 8000, MessageOverhead: 16, Transit: 100, WorstTransit: 300, Levels: LevelShare, DefaultRetries: 1,
+		LinesPerSecond: 8000, QueueLimit: 8000, MessageOverhead: 16, Transit: 100, WorstTransit: 300, Levels: LevelShare, DefaultRetryMode: 1,
 		Routes: []Route{{SLO: callSLO, TimeLimit: callDeadline, Importance: 1, Idempotency: Idempotent}}}
 }
 
@@ -49,11 +49,11 @@
 	startedAt, goneAt Millis
 	calls             []*simulatedCall // the first is in service
 	busyTime          Millis           // of the core, since the last load report
-	busy              float64
+	utilization       float64
 	loadReportedAt    Millis
 	// Since the last report of the proxies.
-	ended, lost int
-	answerTime  Millis
+	finished, failed int
+	answerTime       Millis
 }
 
 // rolloutOutcome counts the calls by how they ended, and the orders that were written.
@@ -72,7 +72,7 @@
 }
 
 type rolloutSimulation struct {
-	chance           *rand.Rand
+	rng              *rand.Rand
 	now              Millis
 	director         *Director
 	started          Millis // when the director started
@@ -91,7 +91,7 @@
 }
 
 func newRolloutSimulation(seed uint64) *rolloutSimulation {
-	p := &rolloutSimulation{chance: rand.New(rand.NewPCG(seed, 39)), scheduled: map[int][]any{}, hosts: map[HostID]*simulatedHost{},
+	p := &rolloutSimulation{rng: rand.New(rand.NewPCG(seed, 39)), scheduled: map[int][]any{}, hosts: map[HostID]*simulatedHost{},
 		tables: map[TableID]map[HostID]float64{}, masked: map[HostID]bool{}, level: 1, callsBySlice: map[TableID]int{}, now: 1e6}
 	for h := range simulatedHosts {
 		p.addHost(HostID(1+h), p.now-1e6)
@@ -106,14 +106,14 @@
 	return p
 }
 
-func (p *rolloutSimulation) addHost(id HostID, born Millis) {
-	p.hosts[id] = &simulatedHost{id: id, startedAt: born, loadReportedAt: p.now}
+func (p *rolloutSimulation) addHost(id HostID, startedAt Millis) {
+	p.hosts[id] = &simulatedHost{id: id, startedAt: startedAt, loadReportedAt: p.now}
 	p.hostOrder = append(p.hostOrder, id)
 }
 
 // startDirector starts a director that knows the initial hosts from disk, and sends it the present state.
 func (p *rolloutSimulation) startDirector(seed uint64) {
-	p.director, p.timers, p.started = New(seed, rolloutFacts()), nil, p.now
+	p.director, p.timers, p.started = New(seed, rolloutConfig()), nil, p.now
 	var disk []HostEntry
 	for h := range simulatedHosts {
 		disk = append(disk, HostEntry{Host: HostID(1 + h), Cell: CellID(h), Weight: 1})
@@ -185,23 +185,23 @@
 
 // call makes one call by the table of a slice, as a plain proxy does.
 func (p *rolloutSimulation) call() {
-	slice, _ := slices.BinarySearch(p.cumulativeDemand, p.chance.Float64()*p.cumulativeDemand[len(p.cumulativeDemand)-1])
+	slice, _ := slices.BinarySearch(p.cumulativeDemand, p.rng.Float64()*p.cumulativeDemand[len(p.cumulativeDemand)-1])
 	table := TableID(slice)
 	p.callsBySlice[table]++
 	p.outcome.calls++
-	var open lines
+	var usable lines
 	for id, weight := range p.tables[table] {
 		if !p.masked[id] {
-			open = append(open, line{id, weight})
+			usable = append(usable, line{id, weight})
 		}
 	}
-	if len(open) == 0 || p.chance.Float64() >= p.level {
+	if len(usable) == 0 || p.rng.Float64() >= p.level {
 		p.outcome.rejected++
 		return
 	}
-	draw := p.chance.Float64() * open.sortByHost().total()
-	to := open[len(open)-1].host
-	for _, l := range open {
+	draw := p.rng.Float64() * usable.sortByHost().total()
+	to := usable[len(usable)-1].host
+	for _, l := range usable {
 		if draw -= l.weight; draw < 0 {
 			to = l.host
 			break
@@ -209,7 +209,7 @@
 	}
 	h := p.hosts[to]
 	if len(h.calls) > hostQueue {
-		h.ended, h.lost = h.ended+1, h.lost+1
+		h.finished, h.failed = h.finished+1, h.failed+1
 		p.outcome.rejected++
 		return
 	}
@@ -219,32 +219,32 @@
 // advance lets a host work for one tick.
 func (p *rolloutSimulation) advance(h *simulatedHost) {
 	h.calls = slices.DeleteFunc(h.calls, func(c *simulatedCall) bool {
-		over := p.now-c.arrivedAt >= callDeadline
-		if over {
-			h.ended, h.lost = h.ended+1, h.lost+1
+		expired := p.now-c.arrivedAt >= callDeadline
+		if expired {
+			h.finished, h.failed = h.finished+1, h.failed+1
 			p.outcome.unanswered++
 		}
-		return over
+		return expired
 	})
-	able := min(1, coldSpeed+(1-coldSpeed)*float64((p.now-h.startedAt)/warmAfter))
+	speed := min(1, coldSpeed+(1-coldSpeed)*float64((p.now-h.startedAt)/warmAfter))
 	if len(h.calls) == 0 {
 		return
 	}
 	h.busyTime += simulatedTick
 	c := h.calls[0]
-	if c.remaining -= Millis(able) * simulatedTick; c.remaining > 0 {
+	if c.remaining -= Millis(speed) * simulatedTick; c.remaining > 0 {
 		return
 	}
 	h.calls = h.calls[1:]
 	spent := p.now - c.arrivedAt
-	h.ended, h.answerTime = h.ended+1, h.answerTime+spent
+	h.finished, h.answerTime = h.finished+1, h.answerTime+spent
 	if spent < callSLO {
 		p.outcome.inTime++
 	} else {
 		p.outcome.late++
 	}
 	if span := p.now - h.loadReportedAt; span >= loadPeriod {
-		h.busy, h.loadReportedAt, h.busyTime = min(1, float64(h.busyTime/span)), p.now, 0
+		h.utilization, h.loadReportedAt, h.busyTime = min(1, float64(h.busyTime/span)), p.now, 0
 	}
 }
 
@@ -252,16 +252,16 @@
 func (p *rolloutSimulation) report() {
 	for _, id := range p.hostOrder {
 		h := p.hosts[id]
-		if h.ended == 0 {
+		if h.finished == 0 {
 			continue
 		}
-		busy, good := h.busy, h.ended-h.lost
-		m := HostSample{Host: id, Period: reportPeriod, Finished: h.ended, Failed: h.lost, Load: Load{Utilization: &busy}}
+		utilization, good := h.utilization, h.finished-h.failed
+		m := HostSample{Host: id, Period: reportPeriod, Finished: h.finished, Failed: h.failed, Load: Load{Utilization: &utilization}}
 		if good > 0 {
 			m.MeanLatency = h.answerTime / Millis(good)
 		}
 		p.events = append(p.events, m)
-		h.ended, h.lost, h.answerTime = 0, 0, 0
+		h.finished, h.failed, h.answerTime = 0, 0, 0
 	}
 	for t := range simulatedSlices {
 		if calls := p.callsBySlice[TableID(t)]; calls > 0 {
