--- a/internal/longpoll/handlers.go
+++ b/internal/longpoll/handlers.go
@@ -46,7 +46,7 @@
 		})
 	}
 	return newProblem(http.StatusNotFound,
-		"unknown path: use /v1/proxies/{proxy}/tables, /v1/proxies/{proxy}/reports or /v1/tables")
+		"there is /v1/proxies/{proxy}/tables, /v1/proxies/{proxy}/reports and /v1/tables")
 }
 
 // postQuery sends the core a request that is not a proxy's poll, and records that its answer is pending.
@@ -59,7 +59,7 @@
 // requireMethod calls do if the request has the given method, and otherwise returns a 405 problem.
 func (s *Server) requireMethod(r *request, method string, do func() *problem) *problem {
 	if string(r.Method) != method {
-		prob := newProblem(http.StatusMethodNotAllowed, "only the method %s is supported for this path", method)
+		prob := newProblem(http.StatusMethodNotAllowed, "%s alone is taken here", method)
 		prob.allow = method
 		return prob
 	}
@@ -73,15 +73,15 @@
 	if bytes.IndexByte(name, '%') >= 0 {
 		plain, err := url.PathUnescape(proxy)
 		if err != nil {
-			return newProblem(http.StatusBadRequest, "invalid percent-encoding in the path %.60q", r.Target)
+			return newProblem(http.StatusBadRequest, "the path %.60q can't be read", r.Target)
 		}
 		proxy = plain
 	} else if proxy == "" || bytes.IndexByte(name, '/') >= 0 {
 		return newProblem(http.StatusNotFound,
-			"unknown path: use /v1/proxies/{proxy}/tables, /v1/proxies/{proxy}/reports or /v1/tables")
+			"there is /v1/proxies/{proxy}/tables, /v1/proxies/{proxy}/reports and /v1/tables")
 	}
 	if len(proxy) > 128 {
-		return newProblem(http.StatusNotFound, "a proxy name may have at most 128 bytes")
+		return newProblem(http.StatusNotFound, "a proxy's name has at most 128 bytes")
 	}
 	return s.requireMethod(r, method, func() *problem { return do(cc, r, proxy, query) })
 }
@@ -99,13 +99,13 @@
 	} else if len(query) > 0 {
 		params, err := url.ParseQuery(string(query))
 		if err != nil {
-			return newProblem(http.StatusBadRequest, "invalid query: %v", err)
+			return newProblem(http.StatusBadRequest, "the query can't be read: %v", err)
 		}
 		q.Zone = params.Get("zone")
 		if text := params.Get("rate"); text != "" {
 			rate, err := strconv.ParseFloat(text, 64)
 			if err != nil || math.IsNaN(rate) || rate < 0 || rate > 1e9 {
-				return newProblem(http.StatusBadRequest, "rate: %.40q is not a number of calls per second", text)
+				return newProblem(http.StatusBadRequest, "rate: %.40q is no number of calls a second", text)
 			}
 			q.Rate = rate
 		}
@@ -126,7 +126,7 @@
 // handleReport passes a proxy's load report to the core.
 func (s *Server) handleReport(cc *clientConn, r *request, proxy string, _ []byte) *problem {
 	if !hasJSONBody(r) {
-		return newProblem(http.StatusUnsupportedMediaType, "a load report must have a JSON content type")
+		return newProblem(http.StatusUnsupportedMediaType, "a report is JSON")
 	}
 	q, err := lrs.Decode(r.body)
 	if err != nil {
--- a/internal/longpoll/server.go
+++ b/internal/longpoll/server.go
@@ -171,7 +171,7 @@
 	}
 	if limit := s.limits.Load().MaxHeadBytes + s.limits.Load().MaxBodyBytes; len(cc.buf) > limit {
 		s.writeProblem(cc, newProblem(http.StatusRequestEntityTooLarge,
-			"more than %d bytes of unprocessed requests", limit).closing())
+			"more than %d bytes wait unanswered", limit).closing())
 		cc.buf = nil
 	}
 	s.processBuffered(cc)
@@ -299,7 +299,7 @@
 				case cc.ticket != 0 || cc.closed:
 				case len(cc.buf) > 0 && idle > limits.RequestTimeout:
 					s.writeProblem(cc, newProblem(http.StatusRequestTimeout,
-						"the request was not complete within %v", limits.RequestTimeout).closing())
+						"the request took longer than %v to come", limits.RequestTimeout).closing())
 				case len(cc.buf) == 0 && idle > limits.IdleTimeout:
 					cc.closed = true
 					go cc.conn.Close()
--- a/internal/longpoll/wire.go
+++ b/internal/longpoll/wire.go
@@ -37,7 +37,7 @@
 
 // overloaded returns the problem that asks a client to retry after the given time.
 func overloaded(after time.Duration) *problem {
-	p := newProblem(http.StatusServiceUnavailable, "the director is overloaded")
+	p := newProblem(http.StatusServiceUnavailable, "the director has more to do than it can")
 	p.retryAfter = after
 	return p
 }
@@ -65,15 +65,15 @@
 	}
 	if r.Chunked {
 		return false, newProblem(http.StatusNotImplemented,
-			"chunked bodies are not supported: a body needs a Content-Length").closing()
+			"a body is taken with a Content-Length alone").closing()
 	}
 	length := max(0, r.ContentLength)
 	if length > int64(maxBody) {
 		return false, newProblem(http.StatusRequestEntityTooLarge,
-			"a body of %d bytes exceeds the limit of %d bytes", length, maxBody).closing()
+			"the body has %d bytes, of %d at most", length, maxBody).closing()
 	}
 	if r.HasExpect {
-		return false, newProblem(http.StatusExpectationFailed, "the Expect header is not supported").closing()
+		return false, newProblem(http.StatusExpectationFailed, "no expectation is met here").closing()
 	}
 	if r.size = end + int(length); len(buf) < r.size {
 		return false, nil
@@ -115,13 +115,13 @@
 			end = bytes.IndexByte(opaque[1:], '"')
 		}
 		if end < 0 {
-			return nil, false, newProblem(http.StatusBadRequest, "If-None-Match: %.60q is not an entity tag", rest)
+			return nil, false, newProblem(http.StatusBadRequest, "If-None-Match: %.60q is no entity tag", rest)
 		}
 		if t, err := tables.ParseETag(string(opaque[:end+2])); err == nil {
 			held = append(held, t)
 		}
 		if rest = bytes.TrimLeft(opaque[end+2:], " \t"); len(rest) > 0 && rest[0] != ',' {
-			return nil, false, newProblem(http.StatusBadRequest, "If-None-Match: a comma is missing before %.60q", rest)
+			return nil, false, newProblem(http.StatusBadRequest, "If-None-Match: %.60q does not go on with a comma", rest)
 		}
 		if len(held) > 16 {
 			return nil, false, newProblem(http.StatusBadRequest, "If-None-Match: more than 16 entity tags")
--- a/internal/lrs/lrs.go
+++ b/internal/lrs/lrs.go
@@ -150,7 +150,7 @@
 func (e EndpointStats) hostTries() (t control.HostTries, err error) {
 	ip, err := netip.ParseAddr(e.Address.Socket.Address)
 	if err != nil || e.Address.Socket.Port < 1 || e.Address.Socket.Port > 65535 {
-		return t, fmt.Errorf("address %.40q, port %d: not a socket address", e.Address.Socket.Address, e.Address.Socket.Port)
+		return t, fmt.Errorf("address %.40q, port %d: no socket address", e.Address.Socket.Address, e.Address.Socket.Port)
 	}
 	if e.Successful > 1e9 || e.Errors > 1e9 {
 		return t, fmt.Errorf("more than 1e9 requests")
--- a/internal/mqtt/packet.go
+++ b/internal/mqtt/packet.go
@@ -47,15 +47,15 @@
 		n |= int(buf[i]&0x7f) << shift
 		if buf[i] < 0x80 {
 			if i > 1 && buf[i] == 0 {
-				return 0, protocolErrorf(malformed, "the remaining length is not encoded in the fewest bytes")
+				return 0, protocolErrorf(malformed, "the remaining length is not in its shortest form")
 			}
 			if n+1+i > limit {
-				return 0, protocolErrorf(packetTooLarge, "packet of %d bytes exceeds the limit of %d bytes", n+1+i, limit)
+				return 0, protocolErrorf(packetTooLarge, "a packet of %d bytes, of %d at most", n+1+i, limit)
 			}
 			return n + 1 + i, nil
 		}
 		if shift += 7; shift > 21 {
-			return 0, protocolErrorf(malformed, "the remaining length is longer than four bytes")
+			return 0, protocolErrorf(malformed, "the remaining length has more than four bytes")
 		}
 	}
 	return 0, nil
@@ -69,7 +69,7 @@
 func parsePacket(buf []byte) (p *packets.ControlPacket, perr *protocolError) {
 	defer func() {
 		if r := recover(); r != nil { // a panic of the codec on malformed input must not stop the server
-			p, perr = nil, protocolErrorf(malformed, "malformed packet")
+			p, perr = nil, protocolErrorf(malformed, "the packet can't be read")
 		}
 	}()
 	kind := buf[0] >> 4
@@ -80,17 +80,17 @@
 		return nil, protocolErrorf(malformed, "reserved flags of packet type %d are %04b", kind, buf[0]&0x0f)
 	}
 	if kind == packets.AUTH {
-		return nil, protocolErrorf(badAuthMethod, "authentication methods are not supported")
+		return nil, protocolErrorf(badAuthMethod, "no authentication method is offered")
 	}
 	if kind == packets.PUBLISH && buf[0]&0x06 == 0x06 {
-		return nil, protocolErrorf(malformed, "QoS 3 is not valid")
+		return nil, protocolErrorf(malformed, "QoS 3")
 	}
 	if kind == packets.PUBLISH && buf[0]&0x0e == 0x08 {
-		return nil, protocolErrorf(malformed, "DUP flag with QoS 0")
+		return nil, protocolErrorf(malformed, "DUP with QoS 0")
 	}
 	p, err := packets.ReadPacket(bytes.NewReader(buf))
 	if err != nil {
-		return nil, protocolErrorf(malformed, "malformed packet: %v", err)
+		return nil, protocolErrorf(malformed, "the packet can't be read: %v", err)
 	}
 	switch c := p.Content.(type) {
 	case *packets.Connect:
@@ -99,25 +99,25 @@
 		return p, checkPublish(c)
 	case *packets.Subscribe:
 		if c.PacketID == 0 || len(c.Subscriptions) == 0 {
-			return nil, protocolErrorf(mqttsession.ProtocolError, "SUBSCRIBE without a packet identifier or a topic filter")
+			return nil, protocolErrorf(mqttsession.ProtocolError, "a SUBSCRIBE needs a packet identifier and a filter")
 		}
 		for _, s := range c.Subscriptions {
 			if s.QoS > 2 || s.RetainHandling > 2 || !isValidText(s.Topic) {
-				return nil, protocolErrorf(malformed, "malformed subscription options or topic filter")
+				return nil, protocolErrorf(malformed, "subscription options or filter can't be read")
 			}
 		}
 	case *packets.Unsubscribe:
 		if c.PacketID == 0 || len(c.Topics) == 0 {
-			return nil, protocolErrorf(mqttsession.ProtocolError, "UNSUBSCRIBE without a packet identifier or a topic filter")
+			return nil, protocolErrorf(mqttsession.ProtocolError, "an UNSUBSCRIBE needs a packet identifier and a filter")
 		}
 	case *packets.Puback:
 		if c.PacketID == 0 {
-			return nil, protocolErrorf(mqttsession.ProtocolError, "PUBACK without a packet identifier")
+			return nil, protocolErrorf(mqttsession.ProtocolError, "a PUBACK needs a packet identifier")
 		}
 	case *packets.Pingreq, *packets.Disconnect:
 	default:
 		return nil, protocolErrorf(mqttsession.ProtocolError,
-			"packet type %d is not valid for a server with a maximum QoS of 1", kind)
+			"packet type %d is not for a server that offers QoS 1 at most", kind)
 	}
 	return p, nil
 }
@@ -129,15 +129,15 @@
 	switch {
 	case c.ProtocolName != "MQTT" || c.ProtocolVersion != 5:
 		return protocolErrorf(unsupportedVersion,
-			"protocol %.10q version %d is not supported: only MQTT version 5 is", c.ProtocolName, c.ProtocolVersion)
+			"%.10q version %d: version 5 alone is spoken", c.ProtocolName, c.ProtocolVersion)
 	case c.WillFlag && (c.WillQOS > 2 || !isValidText(c.WillTopic)):
-		return protocolErrorf(malformed, "malformed will")
+		return protocolErrorf(malformed, "the will can't be read")
 	case c.Properties != nil && c.Properties.ReceiveMaximum != nil && *c.Properties.ReceiveMaximum == 0:
-		return protocolErrorf(mqttsession.ProtocolError, "receive maximum of 0")
+		return protocolErrorf(mqttsession.ProtocolError, "a receive maximum of 0")
 	case c.Properties != nil && c.Properties.MaximumPacketSize != nil && *c.Properties.MaximumPacketSize == 0:
-		return protocolErrorf(mqttsession.ProtocolError, "maximum packet size of 0")
+		return protocolErrorf(mqttsession.ProtocolError, "a maximum packet size of 0")
 	case c.Properties != nil && c.Properties.AuthMethod != "":
-		return protocolErrorf(badAuthMethod, "authentication methods are not supported")
+		return protocolErrorf(badAuthMethod, "no authentication method is offered")
 	}
 	return nil
 }
@@ -145,15 +145,15 @@
 func checkPublish(c *packets.Publish) *protocolError {
 	switch {
 	case c.Properties != nil && c.Properties.TopicAlias != nil:
-		return protocolErrorf(topicAliasInvalid, "topic aliases are not supported: the topic alias maximum is 0")
+		return protocolErrorf(topicAliasInvalid, "topic aliases are not taken: the topic alias maximum is 0")
 	case !isValidText(c.Topic) || strings.ContainsAny(c.Topic, "+#"):
-		return protocolErrorf(mqttsession.TopicNameInvalid, "invalid topic name %.60q", c.Topic)
+		return protocolErrorf(mqttsession.TopicNameInvalid, "topic %.60q", c.Topic)
 	case c.QoS > 1:
-		return protocolErrorf(qosNotSupported, "QoS 2 is not supported: the maximum is 1")
+		return protocolErrorf(qosNotSupported, "QoS 2: the maximum is 1")
 	case c.Retain:
-		return protocolErrorf(retainNotSupported, "retained messages from clients are not supported")
+		return protocolErrorf(retainNotSupported, "clients' messages are not retained")
 	case c.QoS > 0 && c.PacketID == 0:
-		return protocolErrorf(mqttsession.ProtocolError, "PUBLISH with QoS 1 without a packet identifier")
+		return protocolErrorf(mqttsession.ProtocolError, "a PUBLISH with QoS 1 needs a packet identifier")
 	}
 	return nil
 }
--- a/internal/mqtt/server.go
+++ b/internal/mqtt/server.go
@@ -233,12 +233,12 @@
 func (s *Server) handlePacket(cc *clientConn, packet *packets.ControlPacket) *protocolError {
 	if c, ok := packet.Content.(*packets.Connect); ok {
 		if cc.connected {
-			return protocolErrorf(mqttsession.ProtocolError, "second CONNECT on a connection")
+			return protocolErrorf(mqttsession.ProtocolError, "a second CONNECT")
 		}
 		return s.handleConnect(cc, c)
 	}
 	if !cc.connected {
-		return protocolErrorf(mqttsession.ProtocolError, "the first packet is not a CONNECT")
+		return protocolErrorf(mqttsession.ProtocolError, "the first packet is no CONNECT")
 	}
 	switch c := packet.Content.(type) {
 	case *packets.Subscribe:
@@ -277,7 +277,7 @@
 func (s *Server) handleConnect(cc *clientConn, c *packets.Connect) *protocolError {
 	in := mqttsession.Connect{Conn: cc.id, ClientID: c.ClientID, CleanStart: c.CleanStart}
 	if in.ClientID == "" || len(in.ClientID) > 128 || !isValidText(in.ClientID) {
-		return protocolErrorf(mqttsession.ClientIDNotValid, "the client identifier must have 1 to 128 bytes")
+		return protocolErrorf(mqttsession.ClientIDNotValid, "a client identifier of 1 to 128 bytes is needed")
 	}
 	props := c.Properties
 	if props == nil {
@@ -297,7 +297,7 @@
 			rate, err := strconv.ParseFloat(u.Value, 64)
 			if err != nil || !(rate >= 0 && rate <= 1e9) {
 				return protocolErrorf(mqttsession.UnspecifiedError,
-					"user property rate: %.40q is not a number of calls per second", u.Value)
+					"user property rate: %.40q is no number of calls a second", u.Value)
 			}
 			in.Rate = rate
 		case mqttsession.PropertyHeld:
@@ -315,7 +315,7 @@
 		kind = loadshed.NewPolls
 	}
 	if s.core.Admit(kind, in.ClientID) > 0 {
-		return protocolErrorf(mqttsession.ServerBusy, "the director is overloaded: retry in some seconds")
+		return protocolErrorf(mqttsession.ServerBusy, "the director has more to do than it can: come again in some seconds")
 	}
 	cc.connected = true
 	if cc.keepAlive = time.Duration(c.KeepAlive) * time.Second; cc.keepAlive == 0 || cc.keepAlive > s.limits.MaxKeepAlive {
@@ -336,11 +336,11 @@
 	}
 	proxy, ok := mqttsession.ParseReportsTopic(c.Topic)
 	if !ok {
-		refuse(mqttsession.TopicNameInvalid, "unknown topic: reports are published to "+mqttsession.ReportsTopic("{proxy}"))
+		refuse(mqttsession.TopicNameInvalid, "there is "+mqttsession.ReportsTopic("{proxy}"))
 		return
 	}
 	if s.core.Admit(loadshed.Reports, proxy) > 0 {
-		refuse(mqttsession.QuotaExceeded, "the director is overloaded")
+		refuse(mqttsession.QuotaExceeded, "the director has more to do than it can")
 		return
 	}
 	r, err := lrs.Decode(c.Payload)
@@ -429,7 +429,7 @@
 		}
 		defer cc.mu.Unlock()
 		if limit := cc.keepAlive * 3 / 2; !cc.disconnected && now.Sub(cc.lastPacketAt) > limit {
-			s.abort(cc, protocolErrorf(mqttsession.KeepAliveTimeout, "no packet received for %v", limit))
+			s.abort(cc, protocolErrorf(mqttsession.KeepAliveTimeout, "nothing came for %v", limit))
 		}
 		return true
 	})
--- a/internal/mqttsession/broker.go
+++ b/internal/mqttsession/broker.go
@@ -127,16 +127,16 @@
 	switch {
 	case b.connectCredit < 1:
 		b.stats.Busy++
-		b.refuseConnect(c.Conn, ServerBusy, "connection rate limit exceeded; retry in 1 to 2 s")
+		b.refuseConnect(c.Conn, ServerBusy, "too many connect at once: come again in a second or two")
 		return
 	case previous == nil && len(b.sessions) >= b.limits.MaxSessions && !b.evictOldest(now):
-		b.refuseConnect(c.Conn, QuotaExceeded, "maximum number of sessions reached")
+		b.refuseConnect(c.Conn, QuotaExceeded, "there is room for no more sessions")
 		return
 	}
 	b.connectCredit--
 	if previous != nil && previous.conn != 0 {
 		b.stats.TakenOver++
-		b.emit(Close{previous.conn, SessionTakenOver, "session taken over by another connection of the same client"})
+		b.emit(Close{previous.conn, SessionTakenOver, "another connection of this client took its session over"})
 		b.detach(now, previous)
 	}
 	if c.CleanStart && previous != nil {
@@ -217,21 +217,21 @@
 	switch {
 	case strings.HasPrefix(f.Topic, "$share/"):
 		return "", false, SharedSubscriptionsNotSupported,
-			"shared subscriptions are not supported: the tables of a proxy have one subscriber"
+			"a proxy's tables are for one subscriber"
 	case strings.ContainsAny(f.Topic, "+#"):
 		return "", false, WildcardSubscriptionsNotSupported,
-			"wildcards are not supported: subscribe to the tables of one proxy, or to " + allTablesTopic
+			"one proxy's tables at a time, or " + allTablesTopic
 	case f.Topic == allTablesTopic:
 		watch = true
 	case !hasPrefix || !hasSuffix || name == "" || strings.Contains(name, "/"):
 		return "", false, TopicFilterInvalid,
-			"unknown topic: available are " + TablesTopic("{proxy}") + " and " + allTablesTopic
+			"there is " + TablesTopic("{proxy}") + " and " + allTablesTopic
 	case f.QoS == 0:
 		return "", false, ImplementationSpecificError,
-			"tables of a proxy require QoS 1: the acknowledgement reports that they are in force"
+			"a proxy's tables are sent with QoS 1: the acknowledgement says that they are in force"
 	}
 	if s.topic != "" && s.topic != f.Topic {
-		return "", false, QuotaExceeded, "a session may subscribe to one topic only"
+		return "", false, QuotaExceeded, "a session follows one topic"
 	}
 	if watch {
 		name = ""
@@ -240,7 +240,7 @@
 			watchers += map[bool]int{true: 1}[other.watch && other != s]
 		}
 		if watchers >= b.limits.MaxWatchers {
-			return "", false, QuotaExceeded, "maximum number of subscribers to all tables reached"
+			return "", false, QuotaExceeded, "there is room for no more that look on"
 		}
 	}
 	return name, watch, GrantedQoS1, ""
@@ -334,7 +334,7 @@
 		s.retryAt = now + busyRetryDelay
 	case control.Replaced:
 		b.stats.TakenOver++
-		b.terminate(now, s, SessionTakenOver, "the proxy polls through another front")
+		b.terminate(now, s, SessionTakenOver, "the proxy polls by another front")
 	case control.Unknown:
 		b.terminate(now, s, NotAuthorized, a.Reason)
 	default:
@@ -359,7 +359,7 @@
 		doc.Body, doc.ContentType = a.Doc.JSON(), tables.DocumentMediaType
 	}
 	if s.maxPacket > 0 && len(doc.Body)+len(s.topic)+maxPublishOverhead > s.maxPacket {
-		b.terminate(now, s, QuotaExceeded, "document exceeds the maximum packet size of the client")
+		b.terminate(now, s, QuotaExceeded, "the document is longer than the packets that the client takes")
 		return
 	}
 	if s.lastPacketID++; s.lastPacketID == 0 {
@@ -427,7 +427,7 @@
 		case s.conn == 0 && now >= s.expiresAt:
 			b.remove(s)
 		case s.conn != 0 && s.inFlight != nil && now >= s.inFlight.sentAt+b.limits.AckTimeout:
-			b.emit(Close{s.conn, ImplementationSpecificError, "document not acknowledged in time"})
+			b.emit(Close{s.conn, ImplementationSpecificError, "a document was not acknowledged in time"})
 			b.detach(now, s)
 		case s.conn != 0 && s.retryAt > 0 && now >= s.retryAt:
 			b.poll(s)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -166,7 +166,7 @@
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if at, err := netip.ParseAddrPort(r.RemoteAddr); err != nil || !at.Addr().Unmap().IsLoopback() {
-			writeProblem(w, http.StatusForbidden, errors.New("operator requests are accepted only from the director's own machine"))
+			writeProblem(w, http.StatusForbidden, errors.New("operators ask from the director's own machine"))
 			return
 		}
 		mux.ServeHTTP(w, r)
--- a/internal/pins/pins.go
+++ b/internal/pins/pins.go
@@ -48,13 +48,13 @@
 		w := pinned[a]
 		switch {
 		case !known:
-			m.Deviations = append(m.Deviations, Deviation{a, "no longer in the host list"})
+			m.Deviations = append(m.Deviations, Deviation{a, "no longer listed"})
 			continue
 		case !h.Up:
-			m.Deviations = append(m.Deviations, Deviation{a, "draining or gone"})
+			m.Deviations = append(m.Deviations, Deviation{a, "drains or is gone"})
 			continue
 		case h.WarmingUp:
-			m.Deviations = append(m.Deviations, Deviation{a, "in slow start: gets a quarter of its weight"})
+			m.Deviations = append(m.Deviations, Deviation{a, "has just started: a quarter of its weight"})
 			w *= warmUpWeightShare
 		case h.Masked:
 			m.Deviations = append(m.Deviations, Deviation{a, "masked"})
@@ -80,7 +80,7 @@
 			heaviest = 1
 		}
 		m.Lines[best] = heaviest
-		m.Deviations = append(m.Deviations, Deviation{best, "added: the pinned table has no warm, unmasked host left"})
+		m.Deviations = append(m.Deviations, Deviation{best, "added: no warm host was left"})
 	}
 	return m
 }
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -39,9 +39,9 @@
 // Error names the corrupt record and the version to fall back to, if there is one.
 func (e *CorruptError) Error() string {
 	if e.LastReadable > 0 {
-		return fmt.Sprintf("record %s is corrupt: checksum mismatch; version %d can be read from an intact snapshot", e.Record, e.LastReadable)
+		return fmt.Sprintf("record %s is not what was written; version %d, a whole snapshot, can be read", e.Record, e.LastReadable)
 	}
-	return fmt.Sprintf("record %s is corrupt: checksum mismatch", e.Record)
+	return fmt.Sprintf("record %s is not what was written", e.Record)
 }
 
 // encodeRecord encodes v as JSON, preceded by a checksum of 8 bytes.
@@ -172,7 +172,7 @@
 }
 
 // ErrNoVersion is returned for a version that the history does not hold.
-var ErrNoVersion = errors.New("no such version in the stored history")
+var ErrNoVersion = errors.New("no such version is kept")
 
 // At returns the content of a version: that of the last snapshot up to it, with the changes since applied.
 func (s *Store) At(step tables.Step) (saved control.SavedState, err error) {
@@ -202,7 +202,7 @@
 		for next := from + 1; next <= step; next++ {
 			v := tx.Bucket(historyBucket).Get(stepKey(next))
 			if v == nil {
-				return fmt.Errorf("version %d: change of step %d is missing: %w", step, next, ErrNoVersion)
+				return fmt.Errorf("version %d: step %d is missing: %w", step, next, ErrNoVersion)
 			}
 			var change control.Change
 			if err := decodeRecord(fmt.Sprintf("history/%d", next), v, &change); err != nil {
@@ -249,7 +249,7 @@
 					faults = append(faults, withLastReadable(tx, err, step-1))
 				}
 				if name == "history" && previous > 0 && step != previous+1 {
-					faults = append(faults, fmt.Errorf("history: version %d follows version %d", step, previous))
+					faults = append(faults, fmt.Errorf("history: version %d follows %d", step, previous))
 				}
 				previous = step
 				return nil
--- a/internal/tables/document.go
+++ b/internal/tables/document.go
@@ -170,7 +170,7 @@
 	step, err2 := strconv.ParseUint(stepText, 10, 64)
 	digest, err3 := strconv.ParseUint(digestText, 16, 64)
 	if err1 != nil || err2 != nil || err3 != nil {
-		return t, fmt.Errorf("entity tag %.60q: not of the form history.step.digest", s)
+		return t, fmt.Errorf("entity tag %.60q: not line.step.digest", s)
 	}
 	return Tag{HistoryID(history), Step(step), digest}, nil
 }
