--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -363,7 +363,7 @@
 	id, ok := c.proxyID(r.Proxy)
 	p := c.proxies[id]
 	if !ok || p == nil {
-		c.refuse(r.Ticket, Unknown, "proxy "+strconv.Quote(r.Proxy)+" has not polled within its lease")
+		c.refuse(r.Ticket, Unknown, "proxy "+strconv.Quote(r.Proxy)+" has not polled within the lease")
 		return
 	}
 	if r.Key != "" && r.Key == p.lastReportKey {
@@ -375,14 +375,14 @@
 	for i, l := range r.Calls {
 		route, known := c.routeIDs[l.Route]
 		if !known {
-			c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: the settings define no route "+strconv.Quote(l.Route))
+			c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: the settings know no route "+strconv.Quote(l.Route))
 			return
 		}
 		line := aggregate.Demand{Proxy: id, Route: route, Calls: l.Calls, Unanswered: l.Unanswered}
 		if n := c.svc.Config.Slices; n > 0 {
 			slice, err := strconv.Atoi(l.Table)
 			if err != nil || slice < 0 || slice >= n {
-				c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: "+strconv.Quote(l.Table)+" is not the number of a slice")
+				c.refuse(r.Ticket, Invalid, "cluster_stats["+strconv.Itoa(i)+"]: "+strconv.Quote(l.Table)+" is no slice")
 				return
 			}
 			line.Slice = logic.TableID(slice)
--- a/internal/control/operate.go
+++ b/internal/control/operate.go
@@ -77,16 +77,16 @@
 func (c *Core) rollback(now logic.Millis, r Rollback) {
 	switch {
 	case c.svc.Config.Slices == 0:
-		c.answerOperator(r.Ticket, Invalid, "rollback is not available: this site has no slices, and only tables of slices can be rolled back", nil)
+		c.answerOperator(r.Ticket, Invalid, "proxies have tables of their own here; only tables of slices can be rolled back", nil)
 		return
 	case c.svc.Config.SingleOwner:
-		c.answerOperator(r.Ticket, Invalid, "rollback is not available: slices have a single owner each, which changes only by a hand-over of the decision module", nil)
+		c.answerOperator(r.Ticket, Invalid, "slices have single owners here: a table goes to another only by the module's hand-over", nil)
 		return
 	case c.lastOperatorStep > r.LastSeen:
-		c.answerOperator(r.Ticket, Conflict, fmt.Sprintf("version %d, an operator's change, is newer than version %d, the last one seen", c.lastOperatorStep, r.LastSeen), nil)
+		c.answerOperator(r.Ticket, Conflict, fmt.Sprintf("version %d, an operator's, came after version %d", c.lastOperatorStep, r.LastSeen), nil)
 		return
 	case r.Who == "" || r.Why == "":
-		c.answerOperator(r.Ticket, Invalid, "who and why are required", nil)
+		c.answerOperator(r.Ticket, Invalid, "who and why are needed", nil)
 		return
 	}
 	hosts := c.hostConditions(now)
@@ -107,11 +107,11 @@
 	}
 	switch {
 	case len(result.Tables) == 0:
-		c.answerOperator(r.Ticket, Invalid, "the version has none of the requested tables that this director owns", nil)
+		c.answerOperator(r.Ticket, Invalid, "the version has none of these tables", nil)
 	case len(empty) > 0:
 		c.answerOperator(r.Ticket, Refused, "tables "+strings.Join(empty, ", ")+" would be left without a host", result)
 	case result.MovedFraction > maxMovedFraction && !r.Force:
-		c.answerOperator(r.Ticket, Refused, fmt.Sprintf("rollback would move %.0f%% of the slices; the limit is %.0f%% unless forced", 100*result.MovedFraction, 100*maxMovedFraction), result)
+		c.answerOperator(r.Ticket, Refused, fmt.Sprintf("it would move %.0f%% of the slices, of %.0f%% at most unless forced", 100*result.MovedFraction, 100*maxMovedFraction), result)
 	case r.DryRun:
 		c.answerOperator(r.Ticket, Done, "", result)
 	default:
@@ -134,7 +134,7 @@
 
 func (c *Core) release(now logic.Millis, r Release) {
 	if r.Who == "" {
-		c.answerOperator(r.Ticket, Invalid, "who is required", nil)
+		c.answerOperator(r.Ticket, Invalid, "who is needed", nil)
 		return
 	}
 	ids := r.Tables
@@ -268,7 +268,7 @@
 		d.countLines(lines, allProxies)
 	}
 	if d.change.Who, d.change.Why, d.change.From = c.changeCause.who, c.changeCause.why, c.changeCause.from; d.change.Who == "" {
-		d.change.Who, d.change.Why = "vetchwood", "pinned table adjusted: the rules for hosts take precedence over the pin"
+		d.change.Who, d.change.Why = "vetchwood", "a pinned table is mended: the rules stand above it"
 	}
 	if c.changeCause.pinsChanged {
 		d.change.Pinned, d.changed = c.pinned, true
--- a/internal/control/proxies.go
+++ b/internal/control/proxies.go
@@ -41,7 +41,7 @@
 	if !ok {
 		c.stats.Refused++
 		c.out = append(c.out, pollshard.RejectJoin{Proxy: j.Proxy, Session: j.Session, Kind: Unknown,
-			Reason: "proxy " + strconv.Quote(j.Proxy) + " does not match the settings, or the maximum number has joined"})
+			Reason: "the settings know no proxy " + strconv.Quote(j.Proxy) + ", or hold no more of them"})
 		return
 	}
 	if c.proxies[id] != nil {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -31,10 +31,10 @@
 func (c *Core) watch(now logic.Millis, w Watch) {
 	switch {
 	case c.svc.Config.Slices == 0:
-		c.refuse(w.Ticket, Invalid, "no common document to watch: without slices, each proxy has its own tables")
+		c.refuse(w.Ticket, Invalid, "proxies have tables of their own here: there is none that all follow")
 		return
 	case len(c.watchers) >= maxWatchers:
-		c.refuse(w.Ticket, Busy, "too many pending watches")
+		c.refuse(w.Ticket, Busy, "too many look on")
 		return
 	}
 	o := watcher{deadline: now + max(0, min(w.Wait, c.svc.MaxWait)), wantsDelta: w.WantsDelta}
--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -88,7 +88,7 @@
 	end := HeadEnd(buf[:min(len(buf), maxSize)], 0)
 	if end == 0 {
 		if len(buf) >= maxSize {
-			return 0, parseErrorf(statusHeadTooLarge, "the request head is longer than %d bytes", maxSize)
+			return 0, parseErrorf(statusHeadTooLarge, "the head is longer than %d bytes", maxSize)
 		}
 		return 0, nil
 	}
@@ -97,35 +97,35 @@
 	sp1 := bytes.IndexByte(line, ' ')
 	sp2 := bytes.LastIndexByte(line, ' ')
 	if sp1 <= 0 || sp2 <= sp1 {
-		return 0, parseErrorf(statusBadRequest, "the request line %.60q does not have three parts", line)
+		return 0, parseErrorf(statusBadRequest, "the request line %.60q has not three parts", line)
 	}
 	h.Method, h.Target = line[:sp1], line[sp1+1:sp2]
 	if !isToken(h.Method) {
-		return 0, parseErrorf(statusBadRequest, "the method %.40q is not a token", h.Method)
+		return 0, parseErrorf(statusBadRequest, "the method %.40q is no token", h.Method)
 	}
 	if len(h.Target) == 0 || h.Target[0] != '/' {
-		return 0, parseErrorf(statusBadRequest, "the target %.60q is not a path", h.Target)
+		return 0, parseErrorf(statusBadRequest, "the target %.60q is no path", h.Target)
 	}
 	for _, c := range h.Target {
 		if c <= ' ' || c >= 0x7f {
-			return 0, parseErrorf(statusBadRequest, "the target contains the invalid byte %#x", c)
+			return 0, parseErrorf(statusBadRequest, "the target holds the byte %#x", c)
 		}
 	}
 	if parseErr := h.parseVersion(line[sp2+1:]); parseErr != nil {
 		return 0, parseErr
 	}
 	if string(h.Method) == "CONNECT" {
-		return 0, parseErrorf(statusNotImplemented, "the method CONNECT is not supported")
+		return 0, parseErrorf(statusNotImplemented, "CONNECT is not taken here")
 	}
 	hosts, parseErr := h.parseFields(rest)
 	if parseErr != nil {
 		return 0, parseErr
 	}
 	if hosts > 1 || hosts == 0 && h.MinorVersion == 1 {
-		return 0, parseErrorf(statusBadRequest, "the request has %d Host fields", hosts)
+		return 0, parseErrorf(statusBadRequest, "%d Host fields", hosts)
 	}
 	if h.MinorVersion == 0 && h.Chunked {
-		return 0, parseErrorf(statusBadRequest, "HTTP/1.0 does not support Transfer-Encoding")
+		return 0, parseErrorf(statusBadRequest, "HTTP/1.0 knows no Transfer-Encoding")
 	}
 	h.Close = h.Close || h.MinorVersion == 0 && !h.KeepAlive
 	return end, nil
@@ -190,7 +190,7 @@
 		h.MinorVersion = 1
 	case "HTTP/1.0":
 	default:
-		return parseErrorf(statusVersionNotSupported, "the protocol version %.20q is neither HTTP/1.0 nor HTTP/1.1", v)
+		return parseErrorf(statusVersionNotSupported, "the version %.20q is neither HTTP/1.0 nor HTTP/1.1", v)
 	}
 	return nil
 }
@@ -212,14 +212,14 @@
 		line, rest, _ = bytes.Cut(rest, crlf)
 		colon := bytes.IndexByte(line, ':')
 		if colon <= 0 || !isToken(line[:colon]) {
-			return 0, parseErrorf(statusBadRequest, "the name of the field %.60q is not a token", line)
+			return 0, parseErrorf(statusBadRequest, "the field %.60q has no name that is a token", line)
 		}
 		if len(h.Fields) >= maxFields {
-			return 0, parseErrorf(statusHeadTooLarge, "the head has more than %d fields", maxFields)
+			return 0, parseErrorf(statusHeadTooLarge, "more than %d fields", maxFields)
 		}
 		f := Field{line[:colon], bytes.Trim(line[colon+1:], " \t")}
 		if !isFieldValue(f.Value) {
-			return 0, parseErrorf(statusBadRequest, "the value of the field %.40s contains an invalid byte", f.Name)
+			return 0, parseErrorf(statusBadRequest, "the field %.40s holds a byte that it may not", f.Name)
 		}
 		h.Fields = append(h.Fields, f)
 		switch len(f.Name) {
@@ -239,25 +239,25 @@
 		case 14:
 			if EqualFold(f.Name, "content-length") {
 				if h.ContentLength >= 0 {
-					return 0, parseErrorf(statusBadRequest, "the head has more than one Content-Length field")
+					return 0, parseErrorf(statusBadRequest, "two Content-Length fields")
 				}
 				n, err := strconv.ParseUint(string(f.Value), 10, 62)
 				if err != nil || len(f.Value) > 18 || f.Value[0] == '+' {
-					return 0, parseErrorf(statusBadRequest, "the Content-Length %.40q is not a valid length", f.Value)
+					return 0, parseErrorf(statusBadRequest, "the Content-Length %.40q is no length", f.Value)
 				}
 				h.ContentLength = int64(n)
 			}
 		case 17:
 			if EqualFold(f.Name, "transfer-encoding") {
 				if h.Chunked || !EqualFold(f.Value, "chunked") {
-					return 0, parseErrorf(statusNotImplemented, "the Transfer-Encoding %.40q is not supported: only chunked, stated once", f.Value)
+					return 0, parseErrorf(statusNotImplemented, "the Transfer-Encoding %.40q is not chunked, once", f.Value)
 				}
 				h.Chunked = true
 			}
 		}
 	}
 	if h.Chunked && h.ContentLength >= 0 {
-		return 0, parseErrorf(statusBadRequest, "the head has both Content-Length and Transfer-Encoding")
+		return 0, parseErrorf(statusBadRequest, "both Content-Length and Transfer-Encoding")
 	}
 	return hosts, nil
 }
@@ -336,19 +336,19 @@
 	end := bytes.Index(buf[:min(len(buf), 256)], crlf)
 	if end < 0 {
 		if len(buf) >= 256 {
-			return 0, 0, parseErrorf(statusBadRequest, "the chunk size line is longer than 256 bytes")
+			return 0, 0, parseErrorf(statusBadRequest, "the line of a chunk's size has no end")
 		}
 		return 0, 0, nil
 	}
 	digits := buf[:end]
 	if i := bytes.IndexByte(digits, ';'); i >= 0 {
 		if !isFieldValue(digits[i:]) {
-			return 0, 0, parseErrorf(statusBadRequest, "a chunk extension contains an invalid byte")
+			return 0, 0, parseErrorf(statusBadRequest, "a chunk's extension holds a byte that it may not")
 		}
 		digits = bytes.TrimRight(digits[:i], " \t")
 	}
 	if len(digits) == 0 || len(digits) > 15 {
-		return 0, 0, parseErrorf(statusBadRequest, "the chunk size %.30q is not a hexadecimal number of at most 15 digits", digits)
+		return 0, 0, parseErrorf(statusBadRequest, "a chunk's size %.30q is none", digits)
 	}
 	for _, c := range digits {
 		switch {
@@ -359,7 +359,7 @@
 		case 'A' <= c && c <= 'F':
 			size = size<<4 | int64(c-'A'+10)
 		default:
-			return 0, 0, parseErrorf(statusBadRequest, "the chunk size %.30q is not a hexadecimal number of at most 15 digits", digits)
+			return 0, 0, parseErrorf(statusBadRequest, "a chunk's size %.30q is none", digits)
 		}
 	}
 	return size, end + 2, nil
--- a/internal/pollshard/shard.go
+++ b/internal/pollshard/shard.go
@@ -94,7 +94,7 @@
 	sh.stats.Polls++
 	if p.Zone != "" && !slices.Contains(sh.config.Zones, p.Zone) {
 		sh.output.Answers = append(sh.output.Answers, Answer{Ticket: p.Ticket, Origin: p.Origin, Kind: Invalid,
-			Reason: "zone " + strconv.Quote(p.Zone) + " is not configured"})
+			Reason: "zone " + strconv.Quote(p.Zone) + " is not one of the settings"})
 		return sh.takeOutput()
 	}
 	s := sh.sessions[p.Proxy]
@@ -185,7 +185,7 @@
 	sh.timers.Advance(now, func(t *timerwheel.Timer[*session]) {
 		switch s := t.Value; {
 		case s.ticket != 0 && now >= s.deadline+sh.config.Lease && (s.deferred || s.doc == nil):
-			sh.answer(s, Answer{Kind: Busy, Reason: "the director cannot answer yet, or its leases have ended"})
+			sh.answer(s, Answer{Kind: Busy, Reason: "this director can't tell yet, or its leases are over"})
 			s.deferred, s.lastAnswer = false, now
 			if s.doc == nil {
 				sh.end(s, "join not answered in time")
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -37,7 +37,7 @@
 	m := &metrics{relay: relay, registry: prometheus.NewRegistry(), traceOneIn: uint64(relay.settings().TraceOneIn)}
 	m.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	m.callSeconds = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "vetchwood_relay_call_seconds",
-		Help: "Duration of calls in seconds, by route and outcome.", NativeHistogramBucketFactor: 1.1}, []string{"route", "ended"})
+		Help: "Time of calls, by route and how they ended.", NativeHistogramBucketFactor: 1.1}, []string{"route", "ended"})
 	m.registry.MustRegister(m.callSeconds)
 	gauge := func(name, help string, value func() float64) {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "vetchwood_relay_" + name, Help: help}, value))
@@ -53,41 +53,41 @@
 		help  string
 		value func(dispatch.Counters) uint64
 	}{
-		"calls_total":         {"Calls received.", func(c dispatch.Counters) uint64 { return c.Calls }},
-		"throttled_total":     {"Calls rejected by an admission level.", func(c dispatch.Counters) uint64 { return c.Throttled }},
-		"refused_total":       {"Calls rejected because too many calls were in flight.", func(c dispatch.Counters) uint64 { return c.Rejected }},
-		"bare_total":          {"Calls that ended before the proxy had received tables.", func(c dispatch.Counters) uint64 { return c.NoLine }},
-		"tries_total":         {"Tries, including retries.", func(c dispatch.Counters) uint64 { return c.Tries }},
-		"further_total":       {"Retries.", func(c dispatch.Counters) uint64 { return c.Retries }},
-		"hosts_avoided_total": {"Times that a host was ejected after consecutive failures.", func(c dispatch.Counters) uint64 { return c.Ejections }},
+		"calls_total":         {"Calls that came.", func(c dispatch.Counters) uint64 { return c.Calls }},
+		"throttled_total":     {"Calls turned away by a level.", func(c dispatch.Counters) uint64 { return c.Throttled }},
+		"refused_total":       {"Calls turned away as too many were in hand.", func(c dispatch.Counters) uint64 { return c.Rejected }},
+		"bare_total":          {"Calls for which no line came in time.", func(c dispatch.Counters) uint64 { return c.NoLine }},
+		"tries_total":         {"Tries, first and further.", func(c dispatch.Counters) uint64 { return c.Tries }},
+		"further_total":       {"Further tries.", func(c dispatch.Counters) uint64 { return c.Retries }},
+		"hosts_avoided_total": {"Times that a host was avoided after a run of failures.", func(c dispatch.Counters) uint64 { return c.Ejections }},
 	} {
 		m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_relay_" + name, Help: metric.help}, counter(metric.value)))
 	}
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_relay_malformed_total",
-		Help: "Malformed requests."}, func() float64 { return float64(m.malformed.Load()) }))
+		Help: "Requests that could not be read."}, func() float64 { return float64(m.malformed.Load()) }))
 	for name, metric := range map[string]struct {
 		help  string
 		value func() float64
 	}{
-		"stale_answers_total":  {"Responses of directors that were ignored because the director's lease had expired.", func() float64 { return float64(relay.follower.StaleResponses()) }},
-		"deposed_tables_total": {"Tables rejected because the director that sent them no longer owns them.", func() float64 { return float64(relay.follower.RejectedTables()) }},
+		"stale_answers_total":  {"Answers that came when their director's lease was over, and took no effect.", func() float64 { return float64(relay.follower.StaleResponses()) }},
+		"deposed_tables_total": {"Tables offered by directors that hold them no more, and refused.", func() float64 { return float64(relay.follower.RejectedTables()) }},
 	} {
 		m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "vetchwood_relay_" + name, Help: metric.help}, metric.value))
 	}
-	gauge("in_hand", "Calls in flight.", func() float64 { return float64(relay.inFlight.Load()) })
-	gauge("hosts_avoided", "Hosts currently ejected.", func() float64 {
+	gauge("in_hand", "Calls in hand.", func() float64 { return float64(relay.inFlight.Load()) })
+	gauge("hosts_avoided", "Hosts avoided now.", func() float64 {
 		relay.mu.Lock()
 		defer relay.mu.Unlock()
 		return float64(relay.dispatcher.EjectedHosts(relay.now()))
 	})
-	gauge("host_connections_idle", "Idle connections to hosts.", func() float64 { return float64(relay.hostPool.idleCount()) })
+	gauge("host_connections_idle", "Connections to hosts that stand idle.", func() float64 { return float64(relay.hostPool.idleCount()) })
 	gauge("tables_version", "Step of the tables in force.", func() float64 {
 		if d := relay.Document(); d != nil {
 			return float64(d.Step)
 		}
 		return 0
 	})
-	gauge("tables_age_seconds", "Age of the tables in force in seconds.", func() float64 {
+	gauge("tables_age_seconds", "Since the tables in force were ordered.", func() float64 {
 		if d := relay.Document(); d != nil {
 			return time.Since(time.UnixMilli(int64(d.At))).Seconds()
 		}
@@ -155,7 +155,7 @@
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("ok\n")) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
 		if s.Document() == nil || s.draining.Load() {
-			http.Error(w, "not ready: no tables received yet, or draining", http.StatusServiceUnavailable)
+			http.Error(w, "no tables yet, or draining", http.StatusServiceUnavailable)
 			return
 		}
 		w.Write([]byte("ok\n"))
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -91,10 +91,10 @@
 	size, err := awaitHead(conn, deadline, s.settings().Clients.MaxHead)
 	switch {
 	case errors.Is(err, errMalformed):
-		s.writeProblem(cl, http.StatusRequestHeaderFieldsTooLarge, "the request head is longer than "+strconv.Itoa(s.settings().Clients.MaxHead)+" bytes", 0, true)
+		s.writeProblem(cl, http.StatusRequestHeaderFieldsTooLarge, "the head is longer than "+strconv.Itoa(s.settings().Clients.MaxHead)+" bytes", 0, true)
 		return false
 	case errors.Is(err, netpoll.ErrReadTimeout):
-		s.writeProblem(cl, http.StatusRequestTimeout, "the request was not received within the time limit", 0, true)
+		s.writeProblem(cl, http.StatusRequestTimeout, "the request took too long to come", 0, true)
 		return false
 	case err != nil:
 		return false
@@ -106,7 +106,7 @@
 	var h h1.Head
 	if n, parseErr := h.ParseRequest(raw, size+1); parseErr != nil || n != size {
 		if parseErr == nil {
-			parseErr = &h1.ParseError{Status: http.StatusBadRequest, Message: "the request head is malformed"}
+			parseErr = &h1.ParseError{Status: http.StatusBadRequest, Message: "the head can't be read"}
 		}
 		s.metrics.malformed.Add(1)
 		s.writeProblem(cl, parseErr.Status, parseErr.Message, 0, true)
@@ -126,7 +126,7 @@
 	}
 	match := routing.Find(s.settings().Routes, &h)
 	if match == nil {
-		return s.writeProblem(cl, http.StatusNotFound, "no configured route matches the request", 0, h.Close)
+		return s.writeProblem(cl, http.StatusNotFound, "no route of the settings matches the request", 0, h.Close)
 	}
 	return s.serveCall(cl, &h, match, body)
 }
@@ -135,16 +135,16 @@
 // the status and the detail of the response.
 func (s *Relay) readBody(conn netpoll.Connection, h *h1.Head, deadline time.Time) (body []byte, status int, detail string) {
 	maxBody := int64(s.settings().Clients.MaxBody)
-	tooLong := fmt.Sprintf("the request body is longer than %d bytes", maxBody)
+	tooLong := fmt.Sprintf("the body is longer than %d bytes", maxBody)
 	fail := func(err error) ([]byte, int, string) {
 		var parseErr *h1.ParseError
 		switch {
 		case errors.As(err, &parseErr):
 			return nil, http.StatusBadRequest, parseErr.Message
 		case errors.Is(err, netpoll.ErrReadTimeout):
-			return nil, http.StatusRequestTimeout, "the request was not received within the time limit"
+			return nil, http.StatusRequestTimeout, "the request took too long to come"
 		}
-		return nil, http.StatusBadRequest, "the request body ended early"
+		return nil, http.StatusBadRequest, "the body ended early"
 	}
 	if !h.Chunked {
 		if h.ContentLength > maxBody {
@@ -240,9 +240,9 @@
 		case res != nil: // The host's own error response says why the call failed.
 			return s.forwardResponse(cl, res, h)
 		case failedAt >= c.Deadline-1: // within 1 ms of the time limit
-			return s.writeProblem(cl, http.StatusGatewayTimeout, "no response was received within the time limit", 0, h.Close)
+			return s.writeProblem(cl, http.StatusGatewayTimeout, "no answer came within the time limit", 0, h.Close)
 		}
-		return s.writeProblem(cl, http.StatusBadGateway, "the host sent no response; retry decision: "+string(verdict), 0, h.Close)
+		return s.writeProblem(cl, http.StatusBadGateway, "the host gave no answer; another try: "+string(verdict), 0, h.Close)
 	}
 }
 
@@ -343,13 +343,13 @@
 		s.withDispatcher(func(float64) { retryAfterMs = s.dispatcher.RetryAfter(c) })
 		return s.writeProblem(cl, http.StatusTooManyRequests, "the route is throttled", retryAfterMs, closes)
 	case dispatch.AtCapacity:
-		return s.writeProblem(cl, http.StatusServiceUnavailable, "the limit of calls in flight is reached", 1000, closes)
+		return s.writeProblem(cl, http.StatusServiceUnavailable, "as many calls are in hand as may be", 1000, closes)
 	case dispatch.NoLine:
-		return s.writeProblem(cl, http.StatusServiceUnavailable, "the tables list no host for this call", 1000, closes)
+		return s.writeProblem(cl, http.StatusServiceUnavailable, "no host is in the tables for this call", 1000, closes)
 	case dispatch.DeadlineExceeded:
-		return s.writeProblem(cl, http.StatusGatewayTimeout, "the time limit passed while the call was queued", 0, closes)
+		return s.writeProblem(cl, http.StatusGatewayTimeout, "the time limit passed while the call waited", 0, closes)
 	}
-	return s.writeProblem(cl, http.StatusServiceUnavailable, "the tables have no such route", 1000, closes)
+	return s.writeProblem(cl, http.StatusServiceUnavailable, "the tables know no such route", 1000, closes)
 }
 
 // writeProblem answers with a problem document (RFC 9457). The parameter retryAfterMs is the time in milliseconds
