--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -47,7 +47,7 @@
 // NewInbox returns an empty inbox.
 func NewInbox() *Inbox { return &Inbox{wake: make(chan struct{}, 1)} }
 
-// Post adds items. The items of one call stay adjacent and in order.
+// Post adds items. The items of one call stay adjacent and in order, and a Take without a limit returns them together.
 func (b *Inbox) Post(in ...any) {
 	b.mu.Lock()
 	if len(b.items) == 0 {
--- a/internal/platform/figures.go
+++ b/internal/platform/figures.go
@@ -55,8 +55,9 @@
 	}
 }
 
-// reportTotals sums the load reports received since the last figures, with the intervals that they cover. The intervals
-// are logged because a report covers a longer time the more reports a collector has to send.
+// reportTotals sums the load reports received since the last figures, for comparison with the traffic that passed, and
+// the intervals that they cover. The intervals are logged because a report covers a longer time the more reports a
+// collector has to send.
 type reportTotals struct {
 	hosts, tries, failed          int
 	slices, calls                 int
--- a/internal/platform/outbox/outbox.go
+++ b/internal/platform/outbox/outbox.go
@@ -186,7 +186,8 @@
 }
 
 // batchSize returns how many of the queued ops go into the next call. The ops of a table stay together, so that a
-// table is never cleared by one call and filled only by the next. Acknowledgement requests go with the last batch.
+// table is never cleared by one call and filled only by the next. Acknowledgement requests go with the last batch, so
+// that each is made after the ops of its turn.
 func (q *Queue) batchSize() int {
 	bytes, fits := 0, 0
 	for i, o := range q.queued {
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -161,7 +161,8 @@
 }
 
 // startClients starts clients that use the director until the soak is done, and returns a function that waits for them.
-// Three of them connect as collectors.
+// Three of them connect as collectors, whose connections last. The others do not join, so that the director closes
+// their connections and they open new ones.
 func (s *soak) startClients() (wait func()) {
 	var all sync.WaitGroup
 	for n := range soakClients {
