--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -21,7 +21,7 @@
 // maxFactsBytes is the maximum length of another director's facts. Longer ones are cut off and fail to decode.
 const maxFactsBytes = 16 << 20
 
-// peerTimeout limits one request for facts. A start is not delayed longer for a peer's facts.
+// peerTimeout limits one request for facts. At a start, facts that take longer are not worth waiting for.
 const peerTimeout = 700 * time.Millisecond
 
 // peerQuery returns a function that requests the facts of all other directors concurrently and posts those received,
--- a/internal/director/admission_on.go
+++ b/internal/director/admission_on.go
@@ -2,5 +2,6 @@
 
 package director
 
-// admissionDisabled turns off admission control. It is set by the build tag opendoor, for comparative measurements.
+// admissionDisabled turns off admission control. Only the build tag opendoor sets it, to build a director without
+// admission control for comparative measurements.
 const admissionDisabled = false
--- a/internal/peerfacts/peerfacts.go
+++ b/internal/peerfacts/peerfacts.go
@@ -209,7 +209,8 @@
 		for _, x := range p.Demand {
 			key, weight := Demand{Slice: x.Slice, Route: x.Route}, w*ageWeight(x.Age+p.Age)
 			s := demand[key]
-			// A slice has one owner. Where two peers report its demand, the one with the greater weight is used.
+			// A slice has one owner. Where two peers report its demand, the one with the greater weight is used, as it
+			// is nearer to the truth.
 			if weight > s.weight {
 				demand[key] = weightedDemand{weight, x.Rate, x.Unanswered, x.Age + p.Age}
 			}
--- a/internal/pollshard/types.go
+++ b/internal/pollshard/types.go
@@ -3,9 +3,10 @@
 // single core that owns the decision module. A shard takes inputs and returns the answers to give. The package does no
 // I/O, reads no clock and has no global state.
 //
-// A removal (a host that is no longer in any table) is a barrier. The core publishes a closed view to all shards, in
-// which they answer nothing; it waits until all earlier answers are written; then it publishes an open view. From then
-// on no shard answers with a document older than the removal, even if the core had set one for a single proxy.
+// A removal (a host that no table offers any more, because it is masked or its last line is gone) is a barrier. The core
+// publishes a closed view to all shards, in which they answer nothing; it waits until all earlier answers are written;
+// then it publishes an open view. From then on no shard answers with a document older than the removal, even if the core
+// had set one for a single proxy.
 package pollshard
 
 import (
@@ -87,7 +88,7 @@
 type View struct {
 	Bases    map[tables.Tag]*tables.Document // documents that deltas may start from
 	MinStep  tables.Step                     // no older document is sent
-	Shared   *tables.Document                // the newest stored document, if all proxies get the same one
+	Shared   *tables.Document                // document of the newest removal, if all proxies get the same one
 	Closed   bool                            // a removal is being published: no poll is answered
 	LeaseEnd logic.Millis                    // when this director's leases end; infinite if it has none
 }
