--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -155,7 +155,8 @@
 	l.running--
 	for len(l.queue) > 0 && l.running < l.maxRunning {
 		best := l.queue[0]
-		for _, c := range l.queue { // linear, since the queue is short and the heap's top is the call to evict
+		// A linear scan, since the queue is short and the heap's top, the call to evict, is needed far more often.
+		for _, c := range l.queue {
 			if c.importance > best.importance || c.importance == best.importance && c.sequence < best.sequence {
 				best = c
 			}
--- a/internal/load/script.go
+++ b/internal/load/script.go
@@ -32,7 +32,7 @@
 	Flood            int     // requests in flight on each connection, renewed during the whole step
 	Proxies          int     // number of proxies, which the requests come from in turn
 	Connections      int
-	OnePerConnection bool // one request in flight per connection; further ones fail
+	OnePerConnection bool // one request in flight per connection, as a proxy has; further ones fail
 	Duration         time.Duration
 }
 
--- a/internal/loadshed/limiter.go
+++ b/internal/loadshed/limiter.go
@@ -10,7 +10,7 @@
 )
 
 // ClientLimiter limits the request rate of each client, so that a broken client does not harm the others. The limit
-// does not depend on the load of the director.
+// does not depend on the load of the director. Each limiter is for a part of the clients: a director has one per shard.
 type ClientLimiter struct {
 	random     func() float64
 	maxClients int
--- a/internal/rehearse/environment.go
+++ b/internal/rehearse/environment.go
@@ -78,7 +78,7 @@
 	return float64(s.epoch.UnixMicro())/1000 + float64(time.Since(s.epoch).Nanoseconds())/1e6
 }
 
-// freePort returns a loopback address whose port was free a moment ago. Another process may take it before its use.
+// freeAddress returns a loopback address whose port was free a moment ago. Another process may take it before its use.
 func freeAddress() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/relay/storm_test.go
+++ b/internal/relay/storm_test.go
@@ -27,8 +27,8 @@
 )
 
 // Half of the hosts accept calls and send no response. The retry budget keeps the number of tries near the number of
-// calls, and once the hosts respond again the calls are answered. In the baseline, without a budget, each call is tried up
-// to three times.
+// calls, and once the hosts respond again the calls are answered within seconds. In the baseline, without a budget, each
+// call is tried up to three times.
 func TestRetryStorm(t *testing.T) {
 	if testing.Short() {
 		t.Skip()
--- a/internal/tables/patch.go
+++ b/internal/tables/patch.go
@@ -79,7 +79,8 @@
 	if from.PickPolicy != to.PickPolicy || from.EjectAfterFailures != to.EjectAfterFailures ||
 		from.TryTimeoutShare != to.TryTimeoutShare || from.KeyHash != to.KeyHash ||
 		from.RejectedDidNotRun != to.RejectedDidNotRun || from.LevelUnit != to.LevelUnit {
-		// The deployment's settings changed: the patch replaces the whole document.
+		// The deployment's settings changed, so nothing of the old document is worth keeping: the patch replaces it as a
+		// whole.
 		return []Op{{Op: "replace", Value: to, old: from, subtree: true}}
 	}
 	diffEntries(&p, from.Hosts, to.Hosts, "hosts")
--- a/internal/tables/tables_test.go
+++ b/internal/tables/tables_test.go
@@ -216,7 +216,8 @@
 	}
 }
 
-// A patch that cannot be applied, or whose result is not a valid document, must be refused with an error.
+// A patch that cannot be applied, or whose result is not a valid document, must be refused with an error that says why,
+// and the base document stays in force.
 func TestPatchesThatDontApply(t *testing.T) {
 	base, err := Parse([]byte(`{"version":"7.2","at":1,"routes":{},"hosts":{},"masked":{},"tables":{"t":{"lines":{"h":1}}}}`))
 	if err != nil {
