--- a/logic/age.go
+++ b/logic/age.go
@@ -1,9 +1,9 @@
 package logic
 
-// Ages of hosts. The host list gives the time when a host started, by a clock that may have been stepped since, or that
-// may differ from the director's clock, which was stepped before its start. So a start time is accepted only within
-// bounds: no host starts in the future, and a host that is reported for the first time, or with a new start, did not
-// start long before.
+// Ages of hosts. The host list gives the time when a host started, by a clock that may have been stepped since the
+// director read its own clock, or that may differ from the director's, which was stepped before the director started.
+// So a start time is accepted only within bounds: no host starts in the future, and a host that is reported for the
+// first time, or with a new start, did not start long before.
 
 const (
 	// maxListDelay is the longest time from the start of a host to the host list that reports it: the platform reports
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -21,7 +21,8 @@
 	// smallBlockShare is the share of the total load below which a block may fill a host up to the tolerated
 	// imbalance.
 	smallBlockShare = 1.0 / 40
-	// smallBlockHostShare is the same as a share of a host's load, for fleets so large that it is the smaller one.
+	// smallBlockHostShare is the same limit as a part of a host's share of the load, for fleets so large that it is the
+	// smaller one.
 	smallBlockHostShare = 0.3
 	// lowUtilization is the utilization below which a host is not overloaded, whatever its computed share says.
 	lowUtilization = 0.6
--- a/logic/state.go
+++ b/logic/state.go
@@ -13,7 +13,7 @@
 	// The queue limit of the channel and the overhead of a message in lines, and the channel's rate in lines per ms.
 	queueLimit, overheadLines, linesPerMilli float64
 	standbyWeight                            float64 // weight of a standby line
-	reportDelay                              Millis  // from the writing of a table to the first load report after it
+	reportDelay                              Millis  // from the writing of a table to the first samples of the calls that it brings
 	removalTime                              Millis  // within which the removal of a host has to reach the last proxy
 	messageLimit                             int     // maximum of messages to a proxy within messageWindow; 0: unlimited
 
@@ -30,7 +30,7 @@
 
 // Messages between the actors.
 type (
-	tick       struct{ lastReport Millis } // a tick, with the time of the last load report
+	tick       struct{ lastReport Millis } // a tick, with the time of the last sample of any host
 	endOfBatch struct{}                    // all events of a call of Handle have been delivered: act on them
 	hostStatus struct {                    // state of a host, from its actor to the placer and the admitter
 		id                     HostID
@@ -194,7 +194,7 @@
 	calls        decayingSum
 	since        Millis
 	reported     bool
-	lastReport   Millis  // time of the last load report of it
+	lastReport   Millis  // time of the last report of its calls
 	rate         float64 // calls a second
 	wantedTable  lines   // the table as last posted to the publisher
 }
--- a/logic/traffic.go
+++ b/logic/traffic.go
@@ -12,7 +12,7 @@
 const firstListTimeout = maxListDelay
 
 // awaitsFirstList reports whether a host that current tables name may still appear in the first list after the start.
-// Its slices are not placed anew before that: they went to other hosts and stayed there.
+// Its slices are not placed anew before that: when they were, they went to other hosts and stayed there.
 func (p *placer) awaitsFirstList(id HostID) bool {
 	return id != 0 && p.listDeadline > 0 && !p.hosts.has(id)
 }
@@ -69,8 +69,8 @@
 }
 
 // mayBeInForeignTables reports whether tables of other directors may name a host that is excluded. Proxies hold those
-// tables, too, and a mask applies to all of them. A director without slices does not write such masks: its messages are
-// not acknowledged.
+// tables, too, and a mask applies to all of them. A director without slices has no say in this, and its messages are
+// not acknowledged, so it does not write such masks.
 func (p *publisher) mayBeInForeignTables(id HostID) bool {
 	return p.params.sharedProxies && p.current.len() > 0 && p.now-p.changedAt.get(id) < foreignTableTime
 }
--- a/logic/write_order.go
+++ b/logic/write_order.go
@@ -15,7 +15,7 @@
 	singleHostGainShare   = 0.5          // of a slice's calls: the gain for a table with fewer than two usable hosts
 	writeWholeAfter       = Millis(1000) // that a table names an excluded host: then one step, not two
 	overdueAfter          = Millis(5000) // the same: then it goes first, as no table may do so for long
-	mainLineShare         = 0.5          // of the heaviest line's weight, from which a line is a main line of its table
+	mainLineShare         = 0.5          // of the heaviest line's weight: from there a line is a main line, as its calls go there
 )
 
 // gainOf returns the gain of writing a new table, in calls a second.
